--- a/src/main/java/hollyslip/AttemptBudget.java
+++ b/src/main/java/hollyslip/AttemptBudget.java
@@ -2,30 +2,31 @@
 
 import hollyslip.HostScheduler.Rules;
 
-/** Rule 6: attempts beyond each request's first. In any span they are at most what is free and the share of
- * the requests taken in it, so that sums over hosts or lanes keep the rule too. Windows of each would not:
- * what justified an attempt may have left them. Harm: fewer at once; none at all with under one free. */
+/** Limits attempts beyond each request's first (rule 6). In any time span there are at most the free ones
+ * plus a share of the requests taken in it, so that the rule also holds for the sum over hosts or lanes. With
+ * a sliding window in each it would not, as the requests that justified an attempt may have left the window.
+ * Drawback: fewer attempts at once, and none at all with less than one free. */
 final class AttemptBudget {
   private final Rules rules;
-  private double room;
+  private double available;
 
   AttemptBudget(Rules rules) {
     this.rules = rules;
-    room = rules.budgetFree();
+    available = rules.budgetFree();
   }
 
-  /** So many requests were taken. */
+  /** Adds the share of further attempts that these requests allow. */
   void took(int requests) {
-    room = Math.min(rules.budgetFree(), room + requests * rules.budgetShare());
+    available = Math.min(rules.budgetFree(), available + requests * rules.budgetShare());
   }
 
-  /** So many further attempts were made. */
+  /** Subtracts further attempts that were made. */
   void spend(int attempts) {
-    room -= rules.budgetWindowUs() > 0 ? attempts : 0;
+    available -= rules.budgetWindowUs() > 0 ? attempts : 0;
   }
 
-  /** Whether one more may be made. */
+  /** Whether one more attempt beyond a request's first may be made. */
   boolean allows() {
-    return rules.budgetWindowUs() <= 0 || room >= 1;
+    return rules.budgetWindowUs() <= 0 || available >= 1;
   }
 }
--- a/src/main/java/hollyslip/Belief.java
+++ b/src/main/java/hollyslip/Belief.java
@@ -2,26 +2,27 @@
 
 import java.util.List;
 
-/** What the module holds true of one node, for a trace beside what passes on the sockets. Read only.
+/** A read-only view of what the scheduler knows of one node, to be traced beside what its connections see.
  *
  * @param out
- *          requests out that count
+ *          attempts in flight that count against the window
  * @param held
- *          requests that wait here
+ *          requests queued for the node
  * @param window
- *          requests that may be out
+ *          attempts that may be in flight
  * @param expectedUs
- *          latency of a request sent now
+ *          expected latency of a request sent now
  * @param silent
  *          the last attempts had no answer */
 public record Belief(long node, HostScheduler.NodeState state, int out, int held, double window,
     double expectedUs, boolean silent, boolean cold) {
 
-  /** One for each node that the module knows, by its number. */
+  /** One for each node that the scheduler knows, by node number. */
   public static List<Belief> of(Choice choice) {
     return choice.nodes.values()
         .stream()
-        .map(n -> new Belief(n.id, n.state, n.out, n.held, n.window, n.expected(), n.silent, n.cold()))
+        .map(n -> new Belief(n.id, n.state, n.countedInFlight, n.queued, n.window,
+            n.expectedLatency(), n.unresponsive, n.isCold()))
         .toList();
   }
 }
--- a/src/main/java/hollyslip/Choice.java
+++ b/src/main/java/hollyslip/Choice.java
@@ -3,651 +3,695 @@
 import java.util.*;
 import java.util.function.Consumer;
 
-/** All decisions of one host's scheduler, after AdapTBF (adaptive token borrowing). Its events and actions
- * are the records of {@code HostScheduler.java}, the interface file; read that first.
+/** Decides when and where one host's requests are sent, after the AdapTBF paper (adaptive token borrowing).
+ * Its events and actions are declared in {@link HostScheduler}; read that first.
  *
  * <p>
- * Every request is held in the FIFO of its {@link Volume} at its {@link Node}. Each period a node's token
- * rate is split over the active volumes (initial allocation), unused tokens are lent (redistribution) and
- * reclaimed (re-compensation); held requests leave as the node's window has room, from the volume due
- * soonest. */
+ * Each request waits in the queue of its {@link Volume} at its {@link Node}. Each period, a node's token rate
+ * is divided among the active volumes (initial allocation), unused tokens are lent (redistribution) and
+ * reclaimed (re-compensation). Queued requests are sent as the node's window has room: the most valuable
+ * first, and among equals the one whose volume has had tokens for the longest time. */
 public final class Choice implements HostScheduler {
-  /** Allocation period, us: the document's 100 ms. */
-  static final long PERIOD = 100_000;
-
-  /** Window of a fresh node and its ceiling, requests: a few, and what the design page says. */
-  static final double WINDOW_START = 4, WINDOW_MAX = 32;
-
-  /** The window widens while latency stays under the first multiple of the usual one and narrows above the
-   * second; between the two it rests, so that noise does not move it. */
-  static final double NEAR_USUAL = 1.6, FAR_FROM_USUAL = 2.4;
-
-  /** Part of the shortest aim below which latencies tell of no queue, however they differ, and a window's
-   * whole part counts as full: nodes that answer in microseconds jitter by several times and take all a host
-   * has. Above it a window that is no whole number rests: hosts share such nodes. Harm: a short queue
-   * unseen. */
-  static final double NOISE = 0.02;
-
-  /** Part of the window kept by one narrowing, of which there is at most one a latency. */
-  static final double NARROW = 0.85;
-
-  /** The latency estimate of a node fades toward the usual one in so many mean gaps between this host's
-   * requests for it, in these bounds, us: hosts that make up much of its queue look again soon, one of a
-   * hundred now and then, so that together they do not fill it while they look. */
-  static final double FADE_ASKS = 6, FADE_LEAST = 250_000, FADE_MOST = 2_000_000;
-
-  /** Moves of the usual latency at a faster and at a slower answer of any node: a quarter come to be
-   * faster. */
-  static final double USUAL_DOWN = 0.97, USUAL_UP = 1.01;
-
-  /** What silence, a full queue or an answer says at most of a latency, in shortest aims: enough to hold what
-   * is due. Guards against a stall of seconds that holds requests back for seconds more, until so large an
-   * estimate has faded. Harm: of a longer queue a host forgets sooner. */
-  static final double UNSEEN = 2;
-
-  /** What may be repeated is given up this part of its aim after it: nodes that drop it lose what earns
-   * little. A first attempt so many expected latencies before it, but after so many: it is lost, a second may
-   * come in time. Harm: a late answer is missed, work is done twice. */
-  static final double GIVE_UP = 0.5, LEFT = 2, SURELY_LOST = 6;
-
-  /** Weight of one more silence in what they mean; least weight of a new latency in the estimate: about the
-   * last ten answers of a node often used. */
-  static final double LOST_GAIN = 0.2, LATENCY_GAIN = 0.1;
-
-  /** Latency taken as usual before any answer, us: a disk request. */
+  /** Allocation period, in microseconds: the 100 ms of the specification. */
+  static final long ALLOCATION_PERIOD_US = 100_000;
+
+  /** Initial and maximum window of a node, in requests: a few to begin with, and the maximum that the design
+   * specifies. */
+  static final double WINDOW_START = 4, MAX_WINDOW = 32;
+
+  /** The window widens while latency is below the first multiple of the baseline and narrows above the
+   * second. In between it stays as it is, so that noise does not move it. */
+  static final double WIDEN_BELOW = 1.6, NARROW_ABOVE = 2.4;
+
+  /** Fraction of the shortest aim below which latency, however much it varies, does not indicate a queue, and
+   * below which a window counts as full once its integer part is in use: nodes that answer in microseconds
+   * jitter by several times their latency and can take everything one host sends. Above it, a window that is
+   * not an integer stops widening, because hosts share such nodes. Drawback: a short queue goes unnoticed. */
+  static final double LATENCY_NOISE = 0.02;
+
+  /** Fraction of the window that is kept when it narrows, which happens at most once per latency. */
+  static final double NARROW_FACTOR = 0.85;
+
+  /** The latency estimate of a node decays toward the baseline over this many mean gaps between this host's
+   * requests to it, within these bounds in microseconds. A host that contributes much of the node's
+   * queue tries again soon, one host of a hundred only now and then, so that together they do not fill the
+   * queue by trying. */
+  static final double DECAY_GAPS = 6, MIN_DECAY_US = 250_000, MAX_DECAY_US = 2_000_000;
+
+  /** Factors by which an answer of any node that is faster or slower than the baseline latency moves it; in
+   * balance, a quarter of the answers are faster. */
+  static final double BASELINE_DECREASE = 0.97, BASELINE_INCREASE = 1.01;
+
+  /** Upper bound, in shortest aims, on the latency that a missing answer, a full queue or an answer adds to
+   * the estimate; high enough to hold back requests that are due. Without it, a stall of seconds would hold
+   * requests back for seconds more, until so large an estimate had decayed. Drawback: a host forgets a longer
+   * queue sooner. */
+  static final double LATENCY_CAP_AIMS = 2;
+
+  /** When an attempt that may be repeated times out. The latest time is {@link #LATE_TIMEOUT_AIMS} of the
+   * aim's length after the aim: a node that drops it then loses only work of little value. A first attempt
+   * times out {@link #RETRY_RESERVE_LATENCIES} expected latencies before the aim, but not before
+   * {@link #SURELY_LOST} expected latencies have passed: it is then presumed lost, and a second attempt may
+   * still be in time. Drawback: a late answer is missed and work is done twice. */
+  static final double LATE_TIMEOUT_AIMS = 0.5, RETRY_RESERVE_LATENCIES = 2, SURELY_LOST = 6;
+
+  /** Weight of one more missing answer in {@link #lostAnswerRatio}, and minimum weight of a new sample in the
+   * latency estimate, which then covers about the last ten answers of a node in frequent use. */
+  static final double LOST_ANSWER_GAIN = 0.2, MIN_LATENCY_GAIN = 0.1;
+
+  /** Baseline latency before the first answer, in microseconds: that of a disk request. */
   static final double LATENCY_GUESS = 40_000;
 
-  /** Depth of a bucket, in mean requests, as the paper's; part of a quiet record kept each period. */
-  static final double BUCKET_DEPTH = 3, RECORD_KEEP = 0.98;
+  /** Depth of a bucket in requests of mean size, as in the paper, and the fraction of an idle volume's record
+   * that is kept each period. */
+  static final double BUCKET_DEPTH_REQUESTS = 3, RECORD_KEEP = 0.98;
 
-  /** A volume unheard of for this long is forgotten at a node, us: longer than surges last. */
-  static final long FORGET = 60_000_000;
+  /** Time without requests after which a volume is forgotten at a node, in microseconds; longer than load
+   * surges last. */
+  static final long IDLE_EXPIRY_US = 60_000_000;
 
-  /** Part of its client's time after which a request that was never sent is given up, if its aim's length has
-   * not passed before: the rest is the client's, to ask again. Harm: what might have come late does not. */
-  static final double HELD = 0.5;
+  /** Fraction of the client's remaining time after which a request that was never sent is ended, unless the
+   * length of its aim has passed before. The rest is left to the client for a retry. Drawback: a request that
+   * could have been served late is not served. */
+  static final double MAX_QUEUED_FRACTION = 0.5;
 
-  /** Pauses, us: after an attempt that failed at once, a few service times; until a held request that a guard
-   * stops is looked at again; before the list is asked for again, which is load. */
-  static final long RETRY_PAUSE = 30_000, POLL = 10_000, LIST_RETRY = 500_000;
+  /** Delays in microseconds: before the retry of an attempt that failed at once, a few service times; before
+   * a queued request that a check holds back is examined again; before the node list is requested again,
+   * which is itself load. */
+  static final long RETRY_DELAY_US = 30_000, BLOCKED_POLL_US = 10_000, NODE_LIST_RETRY_US = 500_000;
 
-  /** Refused connections in a row that tell of a node that is down, rather than out of connections. */
-  static final int DOWN_AFTER = 2;
+  /** Consecutive refused connections that indicate a node that is down, rather than out of connections. */
+  static final int DOWN_AFTER_FAILURES = 2;
 
-  /** Safety margin on the window of a keyed class, us: more than a message is under way. */
+  /** Safety margin on the deduplication window of a keyed class, in microseconds; longer than a message is in
+   * transit. */
   static final long KEYED_MARGIN = 20_000;
 
   private final Settings settings;
   private final Map<String, RequestClass> classes = new HashMap<>();
-  /** The longest time a client of a class had left at arrival: what is missing from it has passed before. */
-  private final Map<String, Long> mostRemaining = new HashMap<>();
+  /** Longest remaining time of any request so far, by class; the difference to it is time that has passed
+   * before arrival. */
+  private final Map<String, Long> maxRemainingUs = new HashMap<>();
   private final Map<String, Plan> plans = new HashMap<>();
-  /** All, and those that hold requests: what an event costs must not grow with the fleet. */
-  final Map<Long, Node> nodes = new TreeMap<>(), holders = new TreeMap<>();
-  private final Map<Long, Pending> pendings = new LinkedHashMap<>();
+  /** All nodes, and those with queued requests: the cost of an event must not grow with the fleet. */
+  final Map<Long, Node> nodes = new TreeMap<>(), nodesWithQueuedRequests = new TreeMap<>();
+  private final Map<Long, PendingRequest> pendings = new LinkedHashMap<>();
   private final Map<Long, TokenBucket> limits = new HashMap<>(), reserves = new HashMap<>();
-  private final Map<Long, KeyLine> lines = new HashMap<>();
-  /** Volumes that stand on plans of their own, and those that go with their last request. */
-  private final Map<Long, VolumeChanged> terms = new HashMap<>();
-  private final Set<Long> leaving = new HashSet<>();
-  private final TreeMap<Long, Pending> unplaced = new TreeMap<>();
-  private final TreeSet<Pending> byDeadline = new TreeSet<>(Comparator.<Pending>comparingLong(
-      p -> p.answerBy).thenComparingLong(p -> p.seq));
+  private final Map<Long, KeyQueue> keyQueues = new HashMap<>();
+  /** Volumes with a plan of their own, and removed volumes that are forgotten with their last request. */
+  private final Map<Long, VolumeChanged> volumeTerms = new HashMap<>();
+  private final Set<Long> removedVolumes = new HashSet<>();
+  private final TreeMap<Long, PendingRequest> unplaced = new TreeMap<>();
+  private final TreeSet<PendingRequest> byAnswerTime = new TreeSet<>(Comparator.<PendingRequest>comparingLong(
+      pending -> pending.answerBy).thenComparingLong(pending -> pending.sequence));
   private final SplittableRandom random;
-  private final AttemptBudget budget;
-  private final double shortestAim, mostWorth;
-  private Consumer<Action> out;
-  private double mostValue;
-  private double usual = LATENCY_GUESS;
-  /** Part of silences, of any node, that only lost an answer: the next one from there came soon. */
-  private double lost;
-  private long now, seq, periodEnd, sweepAt;
-  private long launchedAt = Long.MIN_VALUE, timerAt = Long.MAX_VALUE, listRetryAt = Long.MAX_VALUE;
-  private boolean blocked, stopping;
+  private final AttemptBudget retryBudget;
+  private final double shortestAimUs, maxWorth;
+  private Consumer<Action> actionSink;
+  private double maxValue;
+  private double baselineLatency = LATENCY_GUESS;
+  /** Share of missing answers, of any node, that were merely lost, as the node's next answer came soon; a
+   * moving average. */
+  private double lostAnswerRatio;
+  private long now, nextSequence, periodEnd, nextSweepAt;
+  private long firstEventAt = Long.MIN_VALUE, timerAt = Long.MAX_VALUE, listRetryAt = Long.MAX_VALUE;
+  private boolean recheckNeeded, stopping;
 
   public Choice(Settings settings) {
     this.settings = Objects.requireNonNull(settings, "settings");
     settings.classes().forEach(c -> classes.put(c.name(), c));
     settings.plans().forEach(p -> plans.put(p.name(), p));
     random = new SplittableRandom(settings.seed());
-    budget = new AttemptBudget(settings.rules());
-    mostWorth = settings.classes().stream().mapToDouble(RequestClass::worth).max().orElseThrow();
-    mostValue = mostWorth * settings.plans().stream().mapToDouble(Plan::price).max().orElseThrow();
-    shortestAim = settings.classes().stream().mapToLong(RequestClass::aimUs).min().orElseThrow();
+    retryBudget = new AttemptBudget(settings.rules());
+    maxWorth = settings.classes().stream().mapToDouble(RequestClass::worth).max().orElseThrow();
+    maxValue = maxWorth * settings.plans().stream().mapToDouble(Plan::price).max().orElseThrow();
+    shortestAimUs = settings.classes().stream().mapToLong(RequestClass::aimUs).min().orElseThrow();
   }
 
-  /** Rule 6: requests of one key, in order of arrival; the first alone may be sent. */
-  private static final class KeyLine {
-    final ArrayDeque<Pending> queue = new ArrayDeque<>();
+  /** Requests with the same key, in order of arrival; only the first may be sent (rule 6). */
+  private static final class KeyQueue {
+    final ArrayDeque<PendingRequest> requests = new ArrayDeque<>();
     long quietUntil = Long.MIN_VALUE;
   }
 
-  /** Requests of one volume that earn the same and may go by the same limit and budget; in it, by aim. */
-  record Sort(String className, double units, boolean again, boolean paid) {}
+  /** Identifies the requests of one volume that have the same value and need the same permits of limit and
+   * retry budget; they are queued together, ordered by aim. */
+  record QueueKey(String className, double units, boolean retry, boolean charged) {}
 
-  record Aim(long at, long seq) {}
+  record AimKey(long aimAt, long sequence) {}
 
-  static final Comparator<Aim> BY_AIM = Comparator.comparingLong(Aim::at).thenComparingLong(Aim::seq);
+  static final Comparator<AimKey> BY_AIM = Comparator.comparingLong(AimKey::aimAt)
+      .thenComparingLong(AimKey::sequence);
 
   /** A request until its final answer is given and its last attempt has ended. */
-  static final class Pending {
+  static final class PendingRequest {
     final Request request;
-    final RequestClass rules;
-    final long seq;
-    final long cameAt, aimAt;
-    final Aim aim;
-    /** Even over 0 to 1, from the instance's seed. */
-    final double chance;
+    final RequestClass requestClass;
+    final long sequence;
+    final long arrivedAt, aimAt;
+    final AimKey aimKey;
+    /** Uniform over 0 to 1, from the instance's seed; decides on admission to a cold node. */
+    final double coldDraw;
     final TokenBucket reserve;
     TokenBucket limit;
     Plan plan;
-    KeyLine line;
+    KeyQueue keyQueue;
     Node node;
-    /** Where it is held, or was last. */
-    Volume at;
-    Sort sort;
-    int attempts, out;
+    /** Where the request is queued, or was last. */
+    Volume volumeQueue;
+    QueueKey queueKey;
+    int attempts, inFlightAttempts;
     long deadline, notBefore, sentAt, answerBy;
-    boolean done, streaming, overdue, paid;
+    boolean done, streaming, overdue, charged;
 
-    /** Where and when the first attempt went that is out or may have run; null while nothing may have run. */
-    Node doubtNode;
-    long doubtAt;
-    boolean doubtKept;
+    /** Node and time of the first attempt that is in flight or may have run; null while none may have run. */
+    Node possibleRunNode;
+    long possibleRunAt;
+    boolean endedAttemptMayHaveRun;
 
-    Pending(Request request, RequestClass rules, long most, Plan plan, long seq, long now, double chance,
-        TokenBucket limit, TokenBucket reserve) {
+    PendingRequest(Request request, RequestClass requestClass, long maxRemainingUs, Plan plan, long sequence,
+        long now, double coldDraw, TokenBucket limit, TokenBucket reserve) {
       this.request = request;
-      this.rules = rules;
+      this.requestClass = requestClass;
       this.plan = plan;
-      this.seq = seq;
+      this.sequence = sequence;
       this.limit = limit;
       this.reserve = reserve;
-      this.chance = chance;
-      cameAt = now;
+      this.coldDraw = coldDraw;
+      arrivedAt = now;
       deadline = now + request.remainingUs();
-      answerBy = now + Math.min((long) (HELD * request.remainingUs()), rules.aimUs());
-      aimAt = now + rules.aimUs() - (most - request.remainingUs());
-      aim = new Aim(aimAt, seq);
+      answerBy = now + Math.min((long) (MAX_QUEUED_FRACTION * request.remainingUs()), requestClass.aimUs());
+      aimAt = now + requestClass.aimUs() - (maxRemainingUs - request.remainingUs());
+      aimKey = new AimKey(aimAt, sequence);
     }
 
-    /** Rule 2: whether one more attempt may go to this node now. */
-    boolean repeatable(Node to, long now) {
-      if (doubtNode == null || rules.effect() == Effect.SAFE) {
+    /** Whether another attempt at this node now cannot make the request take effect twice (rule 2). */
+    boolean mayAttemptOn(Node target, long now) {
+      if (possibleRunNode == null || requestClass.effect() == Effect.SAFE) {
         return true;
       }
-      if (rules.effect() == Effect.UNSAFE || now > doubtAt + rules.windowUs() - KEYED_MARGIN) {
+      if (requestClass.effect() == Effect.UNSAFE
+          || now > possibleRunAt + requestClass.windowUs() - KEYED_MARGIN) {
         return false;
       }
-      return switch (rules.group()) {
+      return switch (requestClass.group()) {
         case ALL -> true;
-        case ZONE -> to.zone.equals(doubtNode.zone);
-        case CELL -> to.cell == doubtNode.cell;
+        case ZONE -> target.zone.equals(possibleRunNode.zone);
+        case CELL -> target.cell == possibleRunNode.cell;
       };
     }
 
-    /** Rule 2: whether the client may be told that a new try does no harm. */
-    boolean refusable() {
-      return doubtNode == null || rules.effect() == Effect.SAFE || rules.effect() == Effect.KEYED && rules
-          .group() == Group.ALL;
+    /** Whether the client may be told that a retry does no harm (rule 2). */
+    boolean mayRefuse() {
+      return possibleRunNode == null || requestClass.effect() == Effect.SAFE
+          || requestClass.effect() == Effect.KEYED && requestClass.group() == Group.ALL;
     }
   }
 
-  /** A volume at a node: what it holds there, its bucket, its demand and its record of lending. */
+  /** A volume at a node: its queued requests, token bucket, demand and record of lending. */
   static final class Volume {
-    final double depth;
+    final double bucketDepth;
     double weight, groupWeight;
     long group;
-    /** By what the requests of one sort have in common, then by aim: a choice looks at a few of them. */
-    final Map<Sort, TreeMap<Aim, Pending>> held = new LinkedHashMap<>();
-    long filledAt, lastAsked, faded;
+    /** By what equivalent requests have in common, then by aim, so that a selection examines only a few of
+     * them. */
+    final Map<QueueKey, TreeMap<AimKey, PendingRequest>> queues = new LinkedHashMap<>();
+    long filledAt, lastRequestAt, decayedPeriods;
+    /** Whether the volume has had an allocation at this node. */
     boolean known;
+    /** Tokens in the bucket, their rate per microsecond, units requested in the current period, and the
+     * record (equation 8): tokens that this volume has lent, or owes if negative. */
     double tokens, rate, asked, record;
-    double p, u, d, alpha, lent, df, lastAlpha;
+    /** The paper's quantities: p (share of the tokens) and alpha (allocation), equations 1 and 2; u
+     * (utilisation), d (demand), tokens lent on balance and DF (distribution factor), equations 3 to 8; and
+     * alpha of the previous allocation. */
+    double p, u, demand, alpha, lent, distributionFactor, lastAlpha;
 
-    Volume(double weight, double depth, long now) {
-      this.depth = depth;
+    Volume(double weight, double bucketDepth, long now) {
+      this.bucketDepth = bucketDepth;
       share(weight, 0, weight);
-      tokens = depth;
+      tokens = bucketDepth;
       filledAt = now;
     }
 
-    final void share(double own, long of, double ofGroup) {
-      weight = own;
-      group = of;
-      groupWeight = of == 0 ? own : ofGroup;
+    final void share(double newWeight, long newGroup, double newGroupWeight) {
+      weight = newWeight;
+      group = newGroup;
+      groupWeight = newGroup == 0 ? newWeight : newGroupWeight;
     }
 
-    /** Part of the tokens that the weights name, against volumes of other groups. */
-    double nominal() {
+    /** Share of the tokens that the weights imply, comparable with that of volumes in other groups. */
+    double nominalWeight() {
       return group == 0 ? weight : weight * groupWeight;
     }
 
-    void fill(long now) {
-      tokens = Math.min(depth, tokens + rate * (now - filledAt));
+    void refill(long now) {
+      tokens = Math.min(bucketDepth, tokens + rate * (now - filledAt));
       filledAt = now;
     }
 
-    /** A quiet volume's record ages out with the periods that it missed. */
+    /** Ages the record of an idle volume by the periods that it missed. */
     void fade(long periods) {
-      record *= periods > faded ? Math.pow(RECORD_KEEP, periods - faded) : 1;
-      faded = Math.max(faded, periods);
+      record *= periods > decayedPeriods ? Math.pow(RECORD_KEEP, periods - decayedPeriods) : 1;
+      decayedPeriods = Math.max(decayedPeriods, periods);
     }
 
-    /** When the bucket has, or had, enough for so many units. */
-    double dueAt(double units) {
-      double missing = Math.min(units, depth) - tokens;
+    /** Time at which the bucket holds, or held, this many units. */
+    double tokensAvailableAt(double units) {
+      double missing = Math.min(units, bucketDepth) - tokens;
       return rate > 0 ? filledAt + missing / rate : missing <= 0 ? filledAt : Double.MAX_VALUE;
     }
   }
 
-  /** A storage node as this host sees it: window, latency, health and the budget while it is cold. */
+  /** A storage node as this host sees it: its window, latency and health, and the budget while it is cold. */
   final class Node {
     final long id;
     final String zone;
     final int cell;
     final Map<Long, Volume> volumes = new LinkedHashMap<>();
-    /** Those that hold requests, and those that asked in this period: what is done costs by these, not by all
-     * that were ever seen. */
-    final Set<Volume> holding = new LinkedHashSet<>(), asking = new LinkedHashSet<>();
-    long periods;
+    /** Volumes with queued requests, and volumes with requests in this period: costs depend on these, not on
+     * all volumes ever seen. */
+    final Set<Volume> volumesWithQueuedRequests = new LinkedHashSet<>(),
+        activeVolumes = new LinkedHashSet<>();
+    long periodCount;
     NodeState state = NodeState.GONE;
-    /** When it came up, as this host believes and as the list said last; the first may be later. */
-    long born, listedBorn;
+    /** Start time as this host assumes it, and as last listed; the first may be later. */
+    long startedAt, listedStartedAt;
     double window = WINDOW_START;
-    /** What one host may send while it is cold: half the safe units at once, half over the rule's window. */
-    TokenBucket safe;
-    double seen = usual, gap = FADE_MOST;
-    /** Expected latency as of the present choice: the same for all that is looked at. */
-    double wait;
-    boolean silent;
-    int out, held, refused;
-    long narrowedAt, answeredSentAt, seenAt, sampledAt, askedAt;
-    /** Requests with an attempt out here, oldest first. */
-    final LinkedHashSet<Pending> flight = new LinkedHashSet<>();
-
-    Node(Listed listed) {
-      id = listed.node();
-      zone = listed.zone();
-      cell = listed.cell();
-    }
-
-    /** A new start: what the last process could do says nothing of this one. */
-    void restart(long bornUs) {
-      born = bornUs;
+    /** What this host may send while the node is cold: half of the safe units at once, half over the window
+     * of the rule. */
+    TokenBucket coldBudget;
+    double latencyEstimate = baselineLatency, meanRequestGap = MAX_DECAY_US;
+    /** Expected latency at the start of the present selection, the same for all its candidates. */
+    double selectionLatency;
+    boolean unresponsive;
+    int countedInFlight, queued, connectFailures;
+    long narrowedAt, lastAnsweredSentAt, estimatedAt, lastSampleAt, lastRequestAt;
+    /** Requests with an attempt in flight to this node, oldest first. */
+    final LinkedHashSet<PendingRequest> inFlight = new LinkedHashSet<>();
+
+    Node(Listed entry) {
+      id = entry.node();
+      zone = entry.zone();
+      cell = entry.cell();
+    }
+
+    /** Resets what was learned: the performance of the previous process says nothing about the new one. */
+    void resetForRestart(long startedAtUs) {
+      startedAt = startedAtUs;
       double half = settings.store().coldUnits() / 2;
-      safe = new TokenBucket(half * 1e6 / Math.max(1, settings.rules().fallUs()), half, 0, now);
+      coldBudget = new TokenBucket(half * 1e6 / Math.max(1, settings.rules().fallUs()), half, 0, now);
       window = WINDOW_START;
-      seen = usual;
-      refused = 0;
+      latencyEstimate = baselineLatency;
+      connectFailures = 0;
     }
 
-    boolean cold() {
-      return born > 0 && now < born + settings.rules().coldUs();
+    boolean isCold() {
+      return startedAt > 0 && now < startedAt + settings.rules().coldUs();
     }
 
-    /** Rule 4: of requests first sent and still in time a cold node gets the part that the rules promise of
-     * its capacity at the age it had when the request came. Chance decides for each, so hosts need not agree
-     * and no restart gains anything; and no host alone passes what is always safe. */
-    boolean bears(Pending p) {
-      if (!cold()) {
+    /** While the node is cold, admits only first attempts that are still in time, and of these the fraction
+     * that the rules grant of its capacity at its age when the request arrived (rule 4). A random draw for
+     * each request decides, so that hosts need not agree and a restart gains nothing; the budget keeps a host
+     * alone within what is always safe. */
+    boolean admits(PendingRequest pending) {
+      if (!isCold()) {
         return true;
       }
-      Rules r = settings.rules();
-      double age = Math.max(0, Math.min(1, (double) (p.cameAt - born) / r.coldUs()));
-      return p.attempts == 0 && p.chance < r.coldFrom() + (1 - r.coldFrom()) * age && !late(this, p)
-          && (settings.store().coldUnits() <= 0 || safe.allows(p.request.units(), now));
-    }
-
-    /** Tokens a second: the window's requests, in mean units, over the mean latency. */
-    double tokenRate() {
-      return window * settings.store().meanUnits() / expected() * 1e6;
-    }
-
-    /** Latency of a request sent now: what was seen last, fading toward the usual with time, or how long one
-     * is out already while nothing sent later was answered. */
-    double expected() {
-      double faded = usual + (seen - usual) * Math.exp((double) (seenAt - now) / fade());
-      for (Pending p : flight) {
-        if (p.sentAt > answeredSentAt && !p.overdue) {
-          return Math.max(faded, now - p.sentAt);
+      Rules rules = settings.rules();
+      double age = Math.max(0, Math.min(1, (double) (pending.arrivedAt - startedAt) / rules.coldUs()));
+      return pending.attempts == 0 && pending.coldDraw < rules.coldFrom() + (1 - rules.coldFrom()) * age
+          && !isLate(this, pending)
+          && (settings.store().coldUnits() <= 0 || coldBudget.hasTokens(pending.request.units(), now));
+    }
+
+    /** Tokens per second: the requests of the window, in mean units, divided by the expected latency. */
+    double tokensPerSecond() {
+      return window * settings.store().meanUnits() / expectedLatency() * 1e6;
+    }
+
+    /** Latency of a request sent now: the last estimate, decayed toward the baseline, or the time that an
+     * attempt has been in flight, if longer, while nothing sent later was answered. */
+    double expectedLatency() {
+      double decayed = baselineLatency + (latencyEstimate - baselineLatency)
+          * Math.exp((double) (estimatedAt - now) / decayUs());
+      for (PendingRequest pending : inFlight) {
+        if (pending.sentAt > lastAnsweredSentAt && !pending.overdue) {
+          return Math.max(decayed, now - pending.sentAt);
         }
       }
-      return faded;
+      return decayed;
     }
 
-    double fade() {
-      return Math.max(FADE_LEAST, Math.min(FADE_MOST, FADE_ASKS * gap));
+    double decayUs() {
+      return Math.max(MIN_DECAY_US, Math.min(MAX_DECAY_US, DECAY_GAPS * meanRequestGap));
     }
 
-    /** A sample counts the more the older the one before: near alone for a host that sends one in seconds. */
-    void see(double sample) {
-      double faded = expected();
-      seen = faded + Math.max(LATENCY_GAIN, 1 - Math.exp((double) (sampledAt - now) / fade())) * (sample
-          - faded);
-      seenAt = now;
-      sampledAt = now;
+    /** Weighs a sample the more, the older the previous one is: for a host that sends once in seconds it
+     * nearly replaces the estimate. */
+    void recordLatency(double sample) {
+      double decayed = expectedLatency();
+      latencyEstimate = decayed
+          + Math.max(MIN_LATENCY_GAIN, 1 - Math.exp((double) (lastSampleAt - now) / decayUs())) * (sample
+              - decayed);
+      estimatedAt = now;
+      lastSampleAt = now;
     }
 
-    /** No answer, no connection or a full queue: the wait is long, how long the next answer tells. */
-    void seeNone(double latency) {
-      seen = Math.max(expected(), latency);
-      seenAt = now;
-      sampledAt = now - FORGET;
-      narrow(0.5);
+    /** Raises the estimate when there was no answer, no connection or a full queue: the wait is long, and the
+     * next answer tells how long. */
+    void assumeLatency(double latency) {
+      latencyEstimate = Math.max(expectedLatency(), latency);
+      estimatedAt = now;
+      lastSampleAt = now - IDLE_EXPIRY_US;
+      narrowWindow(0.5);
     }
 
-    void noAnswer() {
-      silent = true;
-      seeNone(usual + (1 - lost) * (UNSEEN * shortestAim - usual));
+    void recordNoAnswer() {
+      unresponsive = true;
+      assumeLatency(baselineLatency + (1 - lostAnswerRatio)
+          * (LATENCY_CAP_AIMS * shortestAimUs - baselineLatency));
     }
 
-    /** Learns from what followed a silence, on any node, whether silences mean long queues and dead nodes or
-     * that answers get lost, which holds nothing back. Harm: a dead node is tried more often. */
-    void silenceMeant(boolean onlyLost) {
-      silent = false;
-      lost += LOST_GAIN * ((onlyLost ? 1 : 0) - lost);
+    /** Learns from what followed a missing answer, on any node, whether missing answers indicate long queues
+     * and dead nodes, or merely lost answers, which hold nothing back. Drawback: a dead node is tried more
+     * often. */
+    void endSilence(boolean answerLost) {
+      unresponsive = false;
+      lostAnswerRatio += LOST_ANSWER_GAIN * ((answerLost ? 1 : 0) - lostAnswerRatio);
     }
 
-    /** An answer after refused connections: the node may be back from a crash before the list tells of it.
-     * Harm: one merely out of connections gets less. */
-    void answered(double tookUs) {
-      if (silent) {
-        silenceMeant(tookUs < shortestAim / 2);
+    /** Records an answer. After refused connections the node may have restarted after a crash before the list
+     * tells so, and counts as restarted. Drawback: a node that was merely out of connections gets less. */
+    void recordAnswer(double latencyUs) {
+      if (unresponsive) {
+        endSilence(latencyUs < shortestAimUs / 2);
       }
-      see(Math.min(tookUs, UNSEEN * shortestAim));
-      usual *= tookUs < usual ? USUAL_DOWN : USUAL_UP;
-      if (refused >= DOWN_AFTER) {
-        restart(now);
+      recordLatency(Math.min(latencyUs, LATENCY_CAP_AIMS * shortestAimUs));
+      baselineLatency *= latencyUs < baselineLatency ? BASELINE_DECREASE : BASELINE_INCREASE;
+      if (connectFailures >= DOWN_AFTER_FAILURES) {
+        resetForRestart(now);
       }
-      refused = 0;
-      double near = Math.max(usual, NOISE * shortestAim);
-      if (seen < NEAR_USUAL * near) {
-        boolean full = out + 1 >= (seen < NOISE * shortestAim ? (int) window : window);
-        window = Math.min(WINDOW_MAX, full ? window + 1 / window : window);
-      } else if (seen > FAR_FROM_USUAL * near) {
-        narrow(NARROW);
+      connectFailures = 0;
+      double reference = Math.max(baselineLatency, LATENCY_NOISE * shortestAimUs);
+      if (latencyEstimate < WIDEN_BELOW * reference) {
+        boolean full = countedInFlight + 1 >= (latencyEstimate < LATENCY_NOISE * shortestAimUs
+            ? (int) window
+            : window);
+        window = Math.min(MAX_WINDOW, full ? window + 1 / window : window);
+      } else if (latencyEstimate > NARROW_ABOVE * reference) {
+        narrowWindow(NARROW_FACTOR);
       }
     }
 
-    void narrow(double part) {
-      if (now - narrowedAt >= seen) {
-        window = Math.max(1, window * part);
+    void narrowWindow(double factor) {
+      if (now - narrowedAt >= latencyEstimate) {
+        window = Math.max(1, window * factor);
         narrowedAt = now;
       }
     }
 
-    /** Takes attempts far overdue out of the window's count. Guards against lost answers and giant requests,
-     * which would fill the window of a node that works; where nothing sent later was answered, against one
-     * that hangs. Harm: one that serves the last first gets more than its window, up to the ceiling. */
-    void writeOff() {
-      for (Pending p : flight) {
-        if (now - p.sentAt < UNSEEN * shortestAim) {
+    /** Stops counting attempts that are far overdue against the window. Lost answers and giant requests would
+     * otherwise fill the window of a working node; where nothing sent later was answered, the node may hang,
+     * and the estimate is raised. Drawback: a node that serves the last request first gets more than its
+     * window, up to the maximum. */
+    void excludeOverdue() {
+      for (PendingRequest pending : inFlight) {
+        if (now - pending.sentAt < LATENCY_CAP_AIMS * shortestAimUs) {
           return;
         }
-        if (!p.overdue) {
-          p.overdue = true;
-          out--;
-          if (p.sentAt > answeredSentAt) {
-            noAnswer();
+        if (!pending.overdue) {
+          pending.overdue = true;
+          countedInFlight--;
+          if (pending.sentAt > lastAnsweredSentAt) {
+            recordNoAnswer();
           } else {
-            silenceMeant(true);
+            endSilence(true);
           }
         }
       }
     }
 
-    Volume volume(Pending p) {
-      Volume v = volumes.get(p.request.volume());
-      if (v == null) {
-        v = new Volume(p.plan.weight(), BUCKET_DEPTH * settings.store().meanUnits(), now);
-        volumes.put(p.request.volume(), v);
-        VolumeChanged t = terms.get(p.request.volume());
-        if (t != null) {
-          v.share(t.plan().weight(), t.group(), t.groupWeight());
+    Volume volumeQueue(PendingRequest pending) {
+      Volume volume = volumes.get(pending.request.volume());
+      if (volume == null) {
+        volume = new Volume(pending.plan.weight(), BUCKET_DEPTH_REQUESTS * settings.store().meanUnits(), now);
+        volumes.put(pending.request.volume(), volume);
+        VolumeChanged terms = volumeTerms.get(pending.request.volume());
+        if (terms != null) {
+          volume.share(terms.plan().weight(), terms.group(), terms.groupWeight());
         }
       }
-      return v;
-    }
-
-    /** Brings a volume's record (equation 8) to a multiple of itself. Records are claims on each other, so
-     * those of the other sign bear the difference in proportion. Harm: who had lent loses the claim. */
-    void settle(Volume v, double multiple) {
-      v.fade(periods);
-      double record = v.record * multiple;
-      double difference = record - v.record;
-      boolean creditors = v.record < 0;
-      double sum = 0;
-      for (Volume o : volumes.values()) {
-        o.fade(periods);
-        sum += o != v && o.record < 0 != creditors ? Math.abs(o.record) : 0;
+      return volume;
+    }
+
+    /** Scales a volume's record (equation 8). Records are mutual claims, so the volumes with a record of the
+     * other sign take the difference in proportion. Drawback: a volume that had lent loses its claim. */
+    void settle(Volume volume, double factor) {
+      volume.fade(periodCount);
+      double record = volume.record * factor;
+      double difference = record - volume.record;
+      boolean borrower = volume.record < 0;
+      double counterpartSum = 0;
+      for (Volume other : volumes.values()) {
+        other.fade(periodCount);
+        counterpartSum += other != volume && other.record < 0 != borrower ? Math.abs(other.record) : 0;
       }
-      double part = sum > 0 ? Math.max(-1, -Math.abs(difference) / sum) : 0;
-      part = Math.abs(record) > Math.abs(v.record) ? -part : part;
-      for (Volume o : volumes.values()) {
-        o.record += o != v && o.record < 0 != creditors ? o.record * part : 0;
+      double correction = counterpartSum > 0 ? Math.max(-1, -Math.abs(difference) / counterpartSum) : 0;
+      correction = Math.abs(record) > Math.abs(volume.record) ? -correction : correction;
+      for (Volume other : volumes.values()) {
+        other.record += other != volume && other.record < 0 != borrower ? other.record * correction : 0;
       }
-      v.record = record;
-    }
-
-    void hold(Pending p) {
-      p.at = volume(p);
-      p.sort = new Sort(p.rules.name(), p.request.units(), p.attempts > 0, p.paid);
-      p.at.held.computeIfAbsent(p.sort, k -> new TreeMap<>(BY_AIM)).put(p.aim, p);
-      holding.add(p.at);
-      p.node = this;
-      if (held++ == 0) {
-        holders.put(id, this);
+      volume.record = record;
+    }
+
+    void enqueue(PendingRequest pending) {
+      pending.volumeQueue = volumeQueue(pending);
+      pending.queueKey = new QueueKey(pending.requestClass.name(), pending.request.units(),
+          pending.attempts > 0, pending.charged);
+      pending.volumeQueue.queues.computeIfAbsent(pending.queueKey, k -> new TreeMap<>(BY_AIM))
+          .put(pending.aimKey, pending);
+      volumesWithQueuedRequests.add(pending.volumeQueue);
+      pending.node = this;
+      if (queued++ == 0) {
+        nodesWithQueuedRequests.put(id, this);
       }
     }
 
-    void unhold(Pending p) {
-      TreeMap<Aim, Pending> line = p.at.held.get(p.sort);
-      if (line != null && line.remove(p.aim) != null) {
-        if (--held == 0) {
-          holders.remove(id);
+    void dequeue(PendingRequest pending) {
+      TreeMap<AimKey, PendingRequest> queue = pending.volumeQueue.queues.get(pending.queueKey);
+      if (queue != null && queue.remove(pending.aimKey) != null) {
+        if (--queued == 0) {
+          nodesWithQueuedRequests.remove(id);
         }
-        if (line.isEmpty()) {
-          p.at.held.remove(p.sort);
+        if (queue.isEmpty()) {
+          pending.volumeQueue.queues.remove(pending.queueKey);
         }
-        if (p.at.held.isEmpty()) {
-          holding.remove(p.at);
+        if (pending.volumeQueue.queues.isEmpty()) {
+          volumesWithQueuedRequests.remove(pending.volumeQueue);
         }
       }
     }
 
-    /** One period's allocation: the paper's three steps, then rates for the buckets. */
-    void allocate() {
-      writeOff();
-      asking.addAll(holding);
-      List<Volume> active = List.copyOf(asking);
-      asking.clear();
-      for (Volume v : active) {
-        v.fill(now);
-        v.fade(periods);
-        v.faded++;
+    /** Allocates one period: the three steps of the paper, then the rates of the buckets. */
+    void allocateTokens() {
+      excludeOverdue();
+      activeVolumes.addAll(volumesWithQueuedRequests);
+      List<Volume> active = List.copyOf(activeVolumes);
+      activeVolumes.clear();
+      for (Volume volume : active) {
+        volume.refill(now);
+        volume.fade(periodCount);
+        volume.decayedPeriods++;
       }
-      periods++;
+      periodCount++;
       if (active.isEmpty()) {
         return;
       }
-      initialAllocation(active, tokenRate() * PERIOD / 1e6);
+      initialAllocation(active, tokensPerSecond() * ALLOCATION_PERIOD_US / 1e6);
       redistribution(active);
       recompensation(active);
-      for (Volume v : active) {
-        v.lastAlpha = v.alpha;
-        v.known = true;
-        v.rate = v.alpha / PERIOD;
-        v.asked = 0;
+      for (Volume volume : active) {
+        volume.lastAlpha = volume.alpha;
+        volume.known = true;
+        volume.rate = volume.alpha / ALLOCATION_PERIOD_US;
+        volume.asked = 0;
       }
     }
   }
 
-  /** Equations 1 and 2: the period's tokens by weight, over groups, then within each over its volumes that
-   * ask: what a quiet one leaves goes to its group. Demand is what was asked in the period. */
+  /** Equations 1 and 2: divides the period's tokens by weight, over groups and then over the active volumes
+   * of each, so that what an idle volume leaves goes to its group. Demand is what was requested in the
+   * period. */
   static void initialAllocation(List<Volume> active, double tokens) {
-    double sum = 0;
-    Map<Long, Double> within = new HashMap<>();
-    for (Volume v : active) {
-      sum += v.group == 0 || !within.containsKey(v.group) ? v.groupWeight : 0;
-      within.merge(v.group, v.weight, Double::sum);
-    }
-    for (Volume v : active) {
-      double part = v.group == 0 ? 1 : v.weight / within.get(v.group);
-      v.p = sum > 0 ? v.groupWeight * part / sum : 1.0 / active.size();
-      v.alpha = tokens * v.p;
-      v.d = v.asked;
+    double weightSum = 0;
+    Map<Long, Double> weightByGroup = new HashMap<>();
+    for (Volume volume : active) {
+      weightSum += volume.group == 0 || !weightByGroup.containsKey(volume.group) ? volume.groupWeight : 0;
+      weightByGroup.merge(volume.group, volume.weight, Double::sum);
+    }
+    for (Volume volume : active) {
+      double groupShare = volume.group == 0 ? 1 : volume.weight / weightByGroup.get(volume.group);
+      volume.p = weightSum > 0 ? volume.groupWeight * groupShare / weightSum : 1.0 / active.size();
+      volume.alpha = tokens * volume.p;
+      volume.demand = volume.asked;
     }
   }
 
-  /** Equations 3 to 8: surplus is pooled and shared by the distribution factor; records follow. */
+  /** Equations 3 to 8: pools the surplus tokens, shares them by distribution factor and updates the records.
+   * */
   static void redistribution(List<Volume> active) {
-    double pool = 0, factors = 0;
-    for (Volume v : active) {
-      v.u = !v.known ? 1 : v.lastAlpha > 0 ? v.d / v.lastAlpha : Math.max(1, v.d);
-      v.lent = Math.max(0, v.alpha - v.d);
-      v.df = v.u > 1 ? v.u + v.u * v.p : v.u * v.p;
-      pool += v.lent;
-      factors += v.df;
-    }
-    for (Volume v : active) {
-      double got = factors > 0 ? v.df / factors * pool : v.lent;
-      v.alpha += got - v.lent;
-      v.lent -= got;
-      v.record += v.lent;
+    double pool = 0, factorSum = 0;
+    for (Volume volume : active) {
+      volume.u = !volume.known ? 1 : volume.lastAlpha > 0 ? volume.demand / volume.lastAlpha
+          : Math.max(1, volume.demand);
+      volume.lent = Math.max(0, volume.alpha - volume.demand);
+      volume.distributionFactor = volume.u > 1 ? volume.u + volume.u * volume.p : volume.u * volume.p;
+      pool += volume.lent;
+      factorSum += volume.distributionFactor;
+    }
+    for (Volume volume : active) {
+      double received = factorSum > 0 ? volume.distributionFactor / factorSum * pool : volume.lent;
+      volume.alpha += received - volume.lent;
+      volume.lent -= received;
+      volume.record += volume.lent;
     }
   }
 
-  /** Equations 9 to 20: borrowers give back to lenders, at most what they owed before sharing. */
+  /** Equations 9 to 20: borrowers return tokens to lenders, at most what they owed before this period's
+   * redistribution. */
   static void recompensation(List<Volume> active) {
-    double c = 0, factors = 0;
-    for (Volume v : active) {
-      if (lender(v)) {
-        double ahead = v.alpha > 0 ? v.d / v.alpha : 1;
-        c += v.p * (Math.max(1, v.u) + Math.max(0, 1 - ahead)) / 2;
-        factors += v.df;
+    double reclaimFactor = 0, factorSum = 0;
+    for (Volume volume : active) {
+      if (isLender(volume)) {
+        double futureUtilisation = volume.alpha > 0 ? volume.demand / volume.alpha : 1;
+        reclaimFactor += volume.p * (Math.max(1, volume.u) + Math.max(0, 1 - futureUtilisation)) / 2;
+        factorSum += volume.distributionFactor;
       }
     }
-    if (factors <= 0) {
+    if (factorSum <= 0) {
       return;
     }
     double pool = 0;
-    for (Volume v : active) {
-      double before = v.record - v.lent;
-      if (before < 0 && v.record < 0) {
-        double back = Math.min(v.alpha, Math.min(-before, Math.floor(c * v.alpha)));
-        v.alpha -= back;
-        v.record += back;
-        pool += back;
+    for (Volume volume : active) {
+      double recordBefore = volume.record - volume.lent;
+      if (recordBefore < 0 && volume.record < 0) {
+        double reclaimed = Math.min(volume.alpha,
+            Math.min(-recordBefore, Math.floor(reclaimFactor * volume.alpha)));
+        volume.alpha -= reclaimed;
+        volume.record += reclaimed;
+        pool += reclaimed;
       }
     }
-    for (Volume v : active) {
-      if (lender(v)) {
-        double got = v.df / factors * pool;
-        v.alpha += got;
-        v.lent -= got;
-        v.record -= got;
+    for (Volume volume : active) {
+      if (isLender(volume)) {
+        double received = volume.distributionFactor / factorSum * pool;
+        volume.alpha += received;
+        volume.lent -= received;
+        volume.record -= received;
       }
     }
   }
 
-  private static boolean lender(Volume v) {
-    return v.record > 0 && v.record - v.lent > 0;
+  private static boolean isLender(Volume volume) {
+    return volume.record > 0 && volume.record - volume.lent > 0;
   }
 
   @Override
   public void handle(long time, Event event, Consumer<Action> actions) {
     Objects.requireNonNull(event, "event");
-    out = Objects.requireNonNull(actions, "actions");
+    actionSink = Objects.requireNonNull(actions, "actions");
     now = time;
-    if (launchedAt == Long.MIN_VALUE) {
-      launchedAt = now;
-      periodEnd = now + PERIOD;
+    if (firstEventAt == Long.MIN_VALUE) {
+      firstEventAt = now;
+      periodEnd = now + ALLOCATION_PERIOD_US;
       if (settings.listOnRequest()) {
-        out.accept(new Watch());
+        actionSink.accept(new Watch());
       }
     }
     if (event instanceof NodeList list) {
-      members(list);
+      updateNodes(list);
     } else if (event instanceof ListFailed) {
-      listRetryAt = now + LIST_RETRY;
+      listRetryAt = now + NODE_LIST_RETRY_US;
     } else if (event instanceof Request request) {
-      take(request);
-    } else if (event instanceof Outcome outcome) {
-      outcome(outcome);
-    } else if (event instanceof Departed gone && pendings.containsKey(gone.request())) {
-      finish(pendings.get(gone.request()));
-    } else if (event instanceof Hastened sooner && pendings.containsKey(sooner.request())) {
-      hasten(pendings.get(sooner.request()), sooner.answerBy());
-    } else if (event instanceof Started started && pendings.containsKey(started.request())) {
+      acceptRequest(request);
+    } else if (event instanceof Outcome ended) {
+      attemptEnded(ended);
+    } else if (event instanceof Departed abandoned && pendings.containsKey(abandoned.request())) {
+      finish(pendings.get(abandoned.request()));
+    } else if (event instanceof Hastened shortened && pendings.containsKey(shortened.request())) {
+      shortenDeadline(pendings.get(shortened.request()), shortened.answerBy());
+    } else if (event instanceof ResponseStarted started && pendings.containsKey(started.request())) {
       pendings.get(started.request()).streaming = true;
     } else if (event instanceof VolumeChanged changed) {
-      change(changed);
-    } else if (event instanceof VolumeRemoved gone) {
-      leaving.add(gone.volume());
-      purge(gone.volume());
-    } else if (event instanceof Stopping end) {
+      applyVolumeChange(changed);
+    } else if (event instanceof VolumeRemoved removed) {
+      removedVolumes.add(removed.volume());
+      forgetVolume(removed.volume());
+    } else if (event instanceof Stopping stop) {
       stopping = true;
-      List.copyOf(byDeadline).forEach(p -> hasten(p, end.answerBy()));
+      List.copyOf(byAnswerTime).forEach(pending -> shortenDeadline(pending, stop.answerBy()));
     } else if (event instanceof TimerDue && now >= timerAt) {
       timerAt = Long.MAX_VALUE;
     }
-    turn();
+    runDueWork();
   }
 
-  /** A request that is still open is answered by then. */
-  private void hasten(Pending p, long by) {
-    if (byDeadline.remove(p)) {
-      p.deadline = Math.min(p.deadline, by);
-      p.answerBy = Math.min(p.answerBy, by);
-      byDeadline.add(p);
+  /** Requires the final answer of a request that is still open by this time. */
+  private void shortenDeadline(PendingRequest pending, long answerBy) {
+    if (byAnswerTime.remove(pending)) {
+      pending.deadline = Math.min(pending.deadline, answerBy);
+      pending.answerBy = Math.min(pending.answerBy, answerBy);
+      byAnswerTime.add(pending);
     }
   }
 
-  /** Other terms for a volume; requests that it holds stand on them too. A limit that is new to it starts
-   * empty. Records (section III, equation 8) are rescaled with the weight: a volume owes the same number of
-   * periods of its part as before, not the same tokens, which a smaller part might never pay. */
-  private void change(VolumeChanged c) {
-    terms.put(c.volume(), c);
-    leaving.remove(c.volume());
-    Plan plan = c.plan();
-    mostValue = Math.max(mostValue, mostWorth * plan.price());
-    double rate = plan.limit() / c.hosts(), depth = plan.limitBurst() / c.hosts();
-    limits.compute(c.volume(), (k, limit) -> plan.limit() <= 0
+  /** Changes the terms of a volume, also for its queued requests. A limit that the volume did not have before
+   * starts empty. Records (section III, equation 8) are rescaled with the weight: a volume owes the same
+   * number of periods of its share as before, not the same tokens, which a smaller share might never repay.
+   * */
+  private void applyVolumeChange(VolumeChanged change) {
+    volumeTerms.put(change.volume(), change);
+    removedVolumes.remove(change.volume());
+    Plan plan = change.plan();
+    maxValue = Math.max(maxValue, maxWorth * plan.price());
+    double rate = plan.limit() / change.hosts(), depth = plan.limitBurst() / change.hosts();
+    limits.compute(change.volume(), (k, limit) -> plan.limit() <= 0
         ? null
-        : limit == null ? new TokenBucket(rate, depth, 0, now) : limit.change(rate, depth, now));
-    reserves.computeIfPresent(c.volume(), (k, reserve) -> reserve.change(plan.reserve() / c.hosts(),
-        reserveDepth(plan, c.hosts()), now));
-    for (Pending p : pendings.values()) {
-      if (p.request.volume() == c.volume()) {
-        p.plan = plan;
-        p.limit = limits.get(c.volume());
+        : limit == null ? new TokenBucket(rate, depth, 0, now) : limit.reconfigure(rate, depth, now));
+    reserves.computeIfPresent(change.volume(),
+        (k, reserve) -> reserve.reconfigure(plan.reserve() / change.hosts(),
+        reserveDepth(plan, change.hosts()), now));
+    for (PendingRequest pending : pendings.values()) {
+      if (pending.request.volume() == change.volume()) {
+        pending.plan = plan;
+        pending.limit = limits.get(change.volume());
       }
     }
-    for (Node n : nodes.values()) {
-      Volume v = n.volumes.get(c.volume());
-      if (v != null) {
-        double before = v.nominal();
-        v.share(plan.weight(), c.group(), c.groupWeight());
-        n.settle(v, before > 0 ? v.nominal() / before : 1);
+    for (Node node : nodes.values()) {
+      Volume volume = node.volumes.get(change.volume());
+      if (volume != null) {
+        double before = volume.nominalWeight();
+        volume.share(plan.weight(), change.group(), change.groupWeight());
+        node.settle(volume, before > 0 ? volume.nominalWeight() / before : 1);
       }
     }
   }
 
-  /** Drops what is known of a volume that was removed, once nothing of it is left; its loans are settled. */
-  private void purge(long volume) {
-    if (pendings.values().stream().anyMatch(p -> p.request.volume() == volume)) {
+  /** Drops the state of a removed volume and settles its loans, once none of its requests is left. */
+  private void forgetVolume(long volume) {
+    if (pendings.values().stream().anyMatch(pending -> pending.request.volume() == volume)) {
       return;
     }
-    leaving.remove(volume);
-    terms.remove(volume);
+    removedVolumes.remove(volume);
+    volumeTerms.remove(volume);
     limits.remove(volume);
     reserves.remove(volume);
-    for (Node n : nodes.values()) {
-      Volume v = n.volumes.get(volume);
-      if (v != null) {
-        n.settle(v, 0);
-        n.asking.remove(n.volumes.remove(volume));
+    for (Node node : nodes.values()) {
+      Volume queue = node.volumes.get(volume);
+      if (queue != null) {
+        node.settle(queue, 0);
+        node.activeVolumes.remove(node.volumes.remove(volume));
       }
     }
   }
@@ -656,384 +700,422 @@
     return plan.reserve() / hosts + settings.store().mostUnits();
   }
 
-  /** What every event ends with: answers due, the period, releases, the timer for the earliest need. */
-  private void turn() {
-    while (!byDeadline.isEmpty() && byDeadline.first().answerBy - settings.tickUs() <= now) {
-      Pending p = byDeadline.pollFirst();
-      if (!p.streaming) {
-        end(p);
+  /** Ends every event: gives the answers that are due, ends the period, dispatches, and sets the timer for
+   * the earliest of what comes next. */
+  private void runDueWork() {
+    while (!byAnswerTime.isEmpty() && byAnswerTime.first().answerBy - settings.tickUs() <= now) {
+      PendingRequest pending = byAnswerTime.pollFirst();
+      if (!pending.streaming) {
+        endUnserved(pending);
       }
     }
     if (now >= listRetryAt) {
       listRetryAt = Long.MAX_VALUE;
-      out.accept(new Watch());
+      actionSink.accept(new Watch());
     }
     if (now >= periodEnd) {
-      nodes.values().forEach(Node::allocate);
-      periodEnd = now + PERIOD;
-      sweep();
+      nodes.values().forEach(Node::allocateTokens);
+      periodEnd = now + ALLOCATION_PERIOD_US;
+      expireIdleVolumes();
     }
-    blocked = false;
-    List.copyOf(holders.values()).forEach(this::release);
-    arm();
+    recheckNeeded = false;
+    List.copyOf(nodesWithQueuedRequests.values()).forEach(this::dispatch);
+    armTimer();
   }
 
-  /** Forgets volumes that hold nothing, as new ones come for ever: a full bucket is as good as a new one. */
-  private void sweep() {
-    if (now >= sweepAt) {
-      sweepAt = now + FORGET / 4;
+  /** Forgets volumes without requests, since new ones keep coming; a full bucket is equivalent to a new one.
+   * */
+  private void expireIdleVolumes() {
+    if (now >= nextSweepAt) {
+      nextSweepAt = now + IDLE_EXPIRY_US / 4;
       Set<Long> busy = new HashSet<>();
-      pendings.values().forEach(p -> busy.add(p.request.volume()));
+      pendings.values().forEach(pending -> busy.add(pending.request.volume()));
       List.of(limits, reserves)
-          .forEach(m -> m.entrySet().removeIf(e -> !busy.contains(e.getKey()) && e.getValue().full(now)));
+          .forEach(m -> m.entrySet().removeIf(e -> !busy.contains(e.getKey()) && e.getValue().isFull(now)));
       nodes.values()
-          .forEach(n -> n.volumes.values().removeIf(v -> v.held.isEmpty() && now - v.lastAsked > FORGET));
+          .forEach(node -> node.volumes.values()
+              .removeIf(volume -> volume.queues.isEmpty() && now - volume.lastRequestAt > IDLE_EXPIRY_US));
     }
   }
 
-  private void arm() {
+  private void armTimer() {
     long at = Math.min(periodEnd, listRetryAt);
-    if (!byDeadline.isEmpty()) {
-      at = Math.min(at, byDeadline.first().answerBy - settings.tickUs());
+    if (!byAnswerTime.isEmpty()) {
+      at = Math.min(at, byAnswerTime.first().answerBy - settings.tickUs());
     }
-    at = Math.max(blocked ? Math.min(at, now + POLL) : at, now + 1);
+    at = Math.max(recheckNeeded ? Math.min(at, now + BLOCKED_POLL_US) : at, now + 1);
     if (at < timerAt) {
       timerAt = at;
-      out.accept(new SetTimer(at, at));
+      actionSink.accept(new SetTimer(at, at));
     }
   }
 
-  private void members(NodeList list) {
-    Map<Long, Listed> named = new HashMap<>();
-    for (Listed l : list.nodes()) {
-      named.put(l.node(), l);
-      Node n = nodes.computeIfAbsent(l.node(), k -> new Node(l));
-      if (l.bornUs() > 0 && l.bornUs() != n.listedBorn) {
-        n.restart(l.bornUs());
+  private void updateNodes(NodeList list) {
+    Map<Long, Listed> listed = new HashMap<>();
+    for (Listed entry : list.nodes()) {
+      listed.put(entry.node(), entry);
+      Node node = nodes.computeIfAbsent(entry.node(), k -> new Node(entry));
+      if (entry.bornUs() > 0 && entry.bornUs() != node.listedStartedAt) {
+        node.resetForRestart(entry.bornUs());
       }
-      n.listedBorn = l.bornUs();
-      n.state = l.state();
+      node.listedStartedAt = entry.bornUs();
+      node.state = entry.state();
     }
-    for (Node n : nodes.values()) {
-      if (list.whole() && !named.containsKey(n.id)) {
-        n.state = NodeState.GONE;
+    for (Node node : nodes.values()) {
+      if (list.whole() && !listed.containsKey(node.id)) {
+        node.state = NodeState.GONE;
       }
-      if (n.state != NodeState.ON && n.held > 0) {
-        List<Pending> moved = new ArrayList<>();
-        n.volumes.values().forEach(v -> v.held.values().forEach(line -> moved.addAll(line.values())));
-        moved.forEach(n::unhold);
-        moved.forEach(p -> unplaced.put(p.seq, p));
+      if (node.state != NodeState.ON && node.queued > 0) {
+        List<PendingRequest> moved = new ArrayList<>();
+        node.volumes.values().forEach(volume -> volume.queues.values()
+            .forEach(queue -> moved.addAll(queue.values())));
+        moved.forEach(node::dequeue);
+        moved.forEach(pending -> unplaced.put(pending.sequence, pending));
       }
     }
-    nodes.values().removeIf(n -> n.state == NodeState.GONE && n.flight.isEmpty());
-    List<Pending> waiting = new ArrayList<>(unplaced.values());
+    nodes.values().removeIf(node -> node.state == NodeState.GONE && node.inFlight.isEmpty());
+    List<PendingRequest> waiting = new ArrayList<>(unplaced.values());
     unplaced.clear();
-    waiting.forEach(this::place);
+    waiting.forEach(this::assignNode);
   }
 
-  private void take(Request r) {
-    budget.took(r.again() ? 0 : 1);
-    RequestClass rules = classes.get(r.className());
-    VolumeChanged own = terms.get(r.volume());
-    Plan plan = own != null ? own.plan() : plans.get(r.plan());
-    if (rules == null || plan == null || r.remainingUs() <= 0) {
-      out.accept(new Refuse(r.id(), 0));
+  private void acceptRequest(Request request) {
+    retryBudget.took(request.clientRetry() ? 0 : 1);
+    RequestClass requestClass = classes.get(request.className());
+    VolumeChanged ownTerms = volumeTerms.get(request.volume());
+    Plan plan = ownTerms != null ? ownTerms.plan() : plans.get(request.plan());
+    if (requestClass == null || plan == null || request.remainingUs() <= 0) {
+      actionSink.accept(new Refuse(request.id(), 0));
       return;
     }
-    int hosts = own != null ? own.hosts() : r.hosts() > 0 ? r.hosts() : settings.hosts();
+    int hosts = ownTerms != null ? ownTerms.hosts() : request.hosts() > 0 ? request.hosts()
+        : settings.hosts();
     TokenBucket limit = plan.limit() <= 0
         ? null
-        : limits.computeIfAbsent(r.volume(), k -> new TokenBucket(plan.limit() / hosts, plan.limitBurst()
+        : limits.computeIfAbsent(request.volume(),
+            k -> new TokenBucket(plan.limit() / hosts, plan.limitBurst()
             / hosts,
-            0, launchedAt));
+            0, firstEventAt));
     double depth = reserveDepth(plan, hosts);
-    TokenBucket reserve = reserves.computeIfAbsent(r.volume(), k -> new TokenBucket(plan.reserve() / hosts,
+    TokenBucket reserve = reserves.computeIfAbsent(request.volume(),
+        k -> new TokenBucket(plan.reserve() / hosts,
         depth, depth,
         now));
-    long most = mostRemaining.merge(r.className(), r.remainingUs(), Math::max);
-    Pending p = new Pending(r, rules, most, plan, seq++, now, random.nextDouble(), limit, reserve);
-    // Clients make no more connections to a process that ends: what cannot go soon gives its own back, or all
-    // stay away. Harm: what might have gone within its aim.
-    p.answerBy = stopping ? Math.min(p.answerBy, now + (long) usual) : p.answerBy;
-    pendings.put(r.id(), p);
-    byDeadline.add(p);
-    if (p.rules.inOrder() && r.key() != null) {
-      p.line = lines.computeIfAbsent(r.key(), k -> new KeyLine());
-      p.line.queue.add(p);
-    }
-    place(p);
-    if (p.node != null) {
-      Volume v = p.at;
-      v.asked += r.units();
-      p.node.asking.add(v);
-      p.node.gap += LATENCY_GAIN * (Math.min(FADE_MOST, now - p.node.askedAt) - p.node.gap);
-      p.node.askedAt = now;
-      v.lastAsked = now;
+    long maxRemaining = maxRemainingUs.merge(request.className(), request.remainingUs(), Math::max);
+    PendingRequest pending = new PendingRequest(request, requestClass, maxRemaining, plan, nextSequence++,
+        now, random.nextDouble(), limit, reserve);
+    // Clients open no new connections to a process that is stopping. A request that cannot be sent soon is
+    // ended early to free its client's connection; otherwise all clients stay away until the process is gone.
+    // Drawback: refuses requests that might have been sent within their aim.
+    pending.answerBy = stopping ? Math.min(pending.answerBy, now + (long) baselineLatency) : pending.answerBy;
+    pendings.put(request.id(), pending);
+    byAnswerTime.add(pending);
+    if (pending.requestClass.inOrder() && request.key() != null) {
+      pending.keyQueue = keyQueues.computeIfAbsent(request.key(), k -> new KeyQueue());
+      pending.keyQueue.requests.add(pending);
+    }
+    assignNode(pending);
+    if (pending.node != null) {
+      Volume volume = pending.volumeQueue;
+      volume.asked += request.units();
+      pending.node.activeVolumes.add(volume);
+      pending.node.meanRequestGap += MIN_LATENCY_GAIN
+          * (Math.min(MAX_DECAY_US, now - pending.node.lastRequestAt) - pending.node.meanRequestGap);
+      pending.node.lastRequestAt = now;
+      volume.lastRequestAt = now;
     }
   }
 
-  /** Puts a request into the FIFO of its node: the one with its data, or for a new object the least
-   * burdened. */
-  private void place(Pending p) {
-    Node choice = null;
-    double least = Double.MAX_VALUE;
-    for (Node n : nodes.values()) {
-      if (n.state == NodeState.ON && (p.request.shard() < 0 || n.cell == p.request.shard()) && p.repeatable(n,
+  /** Queues a request at its node: the one with its data, or for a new object the one of lowest cost. */
+  private void assignNode(PendingRequest pending) {
+    Node best = null;
+    double lowestCost = Double.MAX_VALUE;
+    for (Node node : nodes.values()) {
+      if (node.state == NodeState.ON && (pending.request.shard() < 0
+          || node.cell == pending.request.shard()) && pending.mayAttemptOn(node,
           now)) {
-        double burden = burden(n);
-        if (burden < least) {
-          least = burden;
-          choice = n;
+        double cost = placementCost(node);
+        if (cost < lowestCost) {
+          lowestCost = cost;
+          best = node;
         }
       }
     }
-    if (choice == null) {
-      p.node = null;
-      unplaced.put(p.seq, p);
+    if (best == null) {
+      pending.node = null;
+      unplaced.put(pending.sequence, pending);
     } else {
-      choice.hold(p);
+      best.enqueue(pending);
     }
   }
 
-  /** Expected time to serve one more, us; cold nodes last. Chance keeps hosts from all picking one node. */
-  private double burden(Node n) {
-    double time = (n.out + n.held + 1) * n.expected() / n.window;
-    return (n.cold() ? time + 1e8 : time) * (1 + random.nextDouble());
+  /** Expected time to serve one more request, in microseconds; cold nodes come last. Chance keeps the hosts
+   * from all choosing one node. */
+  private double placementCost(Node node) {
+    double time = (node.countedInFlight + node.queued + 1) * node.expectedLatency() / node.window;
+    return (node.isCold() ? time + 1e8 : time) * (1 + random.nextDouble());
   }
 
-  /** Sends while the window has room and what earns most is worth the wait. */
-  private void release(Node n) {
-    while (n.state == NodeState.ON && n.held > 0 && n.out < (int) n.window && n.flight.size() < WINDOW_MAX) {
-      Pending p = pick(n);
-      if (p == null || !worthwhile(n, p)) {
-        blocked |= p != null;
+  /** Sends while the window has room and the most valuable request is worth the wait. */
+  private void dispatch(Node node) {
+    while (node.state == NodeState.ON && node.queued > 0 && node.countedInFlight < (int) node.window
+        && node.inFlight.size() < MAX_WINDOW) {
+      PendingRequest pending = selectNext(node);
+      if (pending == null || !isWorthSending(node, pending)) {
+        recheckNeeded |= pending != null;
         return;
       }
-      send(n, p);
+      send(node, pending);
     }
   }
 
-  private Pending pick(Node n) {
-    Pending choice = null;
-    Volume of = null;
-    double most = 0;
-    n.wait = n.expected();
-    for (Volume v : n.holding) {
-      v.fill(now);
-      for (Map.Entry<Sort, TreeMap<Aim, Pending>> line : v.held.entrySet()) {
-        Pending p = first(n, line.getKey(), line.getValue());
-        double earns = p == null ? 0 : earns(n, p);
-        blocked |= p == null;
-        if (p != null && (choice == null || earns > most || earns == most && before(v, p, of, choice))) {
-          choice = p;
-          of = v;
-          most = earns;
+  private PendingRequest selectNext(Node node) {
+    PendingRequest best = null;
+    Volume bestVolume = null;
+    double bestValue = 0;
+    node.selectionLatency = node.expectedLatency();
+    for (Volume volume : node.volumesWithQueuedRequests) {
+      volume.refill(now);
+      for (Map.Entry<QueueKey, TreeMap<AimKey, PendingRequest>> entry : volume.queues.entrySet()) {
+        PendingRequest pending = firstSendable(node, entry.getKey(), entry.getValue());
+        double value = pending == null ? 0 : valuePerUnit(node, pending);
+        recheckNeeded |= pending == null;
+        if (pending != null && (best == null || value > bestValue || value == bestValue
+            && precedes(volume, pending, bestVolume, best))) {
+          best = pending;
+          bestVolume = volume;
+          bestValue = value;
         }
       }
     }
-    return choice;
+    return best;
   }
 
-  /** Of requests of one sort the first by aim that may go: of those still in time, if they earn more. */
-  private Pending first(Node n, Sort sort, TreeMap<Aim, Pending> line) {
-    Pending any = line.firstEntry().getValue();
-    if (sort.again && !budget.allows() || any.limit != null && !sort.paid && !any.limit.allows(sort.units,
-        now)) {
+  /** Returns the first of equivalent requests, by aim, that may be sent; those still in time come first if
+   * they are worth more. */
+  private PendingRequest firstSendable(Node node, QueueKey key, TreeMap<AimKey, PendingRequest> queue) {
+    PendingRequest first = queue.firstEntry().getValue();
+    if (key.retry && !retryBudget.allows() || first.limit != null && !key.charged
+        && !first.limit.hasTokens(key.units, now)) {
       return null;
     }
-    long edge = any.rules.lateWorth() < 1 ? now + (long) (n.wait + beyondMean(any)) : Long.MIN_VALUE;
-    if (any.aimAt >= edge && ready(n, any)) {
-      return any;
+    long onTimeFrom = first.requestClass.lateWorth() < 1
+        ? now + (long) (node.selectionLatency + sizeLatency(first))
+        : Long.MIN_VALUE;
+    if (first.aimAt >= onTimeFrom && isSendable(node, first)) {
+      return first;
     }
-    Aim from = new Aim(edge, Long.MIN_VALUE);
-    Pending p = first(n, line.tailMap(from));
-    return p != null ? p : first(n, line.headMap(from));
+    AimKey from = new AimKey(onTimeFrom, Long.MIN_VALUE);
+    PendingRequest pending = firstSendable(node, queue.tailMap(from));
+    return pending != null ? pending : firstSendable(node, queue.headMap(from));
   }
 
-  private Pending first(Node n, Map<Aim, Pending> line) {
-    for (Pending p : line.values()) {
-      if (ready(n, p)) {
-        return p;
+  private PendingRequest firstSendable(Node node, Map<AimKey, PendingRequest> queue) {
+    for (PendingRequest pending : queue.values()) {
+      if (isSendable(node, pending)) {
+        return pending;
       }
     }
     return null;
   }
 
-  /** Among those that earn the same a unit: due before not due; the due by due time, the others by weight;
-   * within a volume the nearest aim; then by arrival. */
-  private boolean before(Volume a, Pending p, Volume b, Pending q) {
-    if (a == b) {
-      return p.aimAt != q.aimAt ? p.aimAt < q.aimAt : p.seq < q.seq;
+  /** Order among requests of equal value per unit: those whose volume has the tokens come first, by the time
+   * since which it has them; the others by weight; within a volume by aim; then by arrival. */
+  private boolean precedes(Volume volumeA, PendingRequest pendingA, Volume volumeB, PendingRequest pendingB) {
+    if (volumeA == volumeB) {
+      return pendingA.aimAt != pendingB.aimAt ? pendingA.aimAt < pendingB.aimAt
+          : pendingA.sequence < pendingB.sequence;
     }
-    double dueA = a.dueAt(p.request.units()), dueB = b.dueAt(q.request.units());
-    if (dueA <= now != dueB <= now) {
-      return dueA <= now;
+    double availableA = volumeA.tokensAvailableAt(pendingA.request.units()),
+        availableB = volumeB.tokensAvailableAt(pendingB.request.units());
+    if (availableA <= now != availableB <= now) {
+      return availableA <= now;
     }
-    if (dueA > now && a.groupWeight != b.groupWeight) {
-      return a.groupWeight > b.groupWeight;
+    if (availableA > now && volumeA.groupWeight != volumeB.groupWeight) {
+      return volumeA.groupWeight > volumeB.groupWeight;
     }
-    return dueA != dueB ? dueA < dueB : p.seq < q.seq;
+    return availableA != availableB ? availableA < availableB : pendingA.sequence < pendingB.sequence;
   }
 
-  /** Whether the answer can no longer come within the aim. */
-  private boolean late(Node n, Pending p) {
-    return p.aimAt < now + (long) (n.wait + beyondMean(p));
+  /** Whether the answer can no longer arrive within the aim. */
+  private boolean isLate(Node node, PendingRequest pending) {
+    return pending.aimAt < now + (long) (node.selectionLatency + sizeLatency(pending));
   }
 
-  /** Latency of a request beyond that of one of mean units: a large one tells of no queue. */
-  private double beyondMean(Pending p) {
-    return usual * (p.request.units() / settings.store().meanUnits() - 1);
+  /** Latency of a request beyond that of one of mean size: a large request that takes longer does not
+   * indicate a queue. */
+  private double sizeLatency(PendingRequest pending) {
+    return baselineLatency * (pending.request.units() / settings.store().meanUnits() - 1);
   }
 
-  /** What a unit of a request earns if it leaves now, as a part of the most that any can. */
-  private double earns(Node n, Pending p) {
-    double reserved = p.paid || p.reserve.allows(p.request.units(), now) ? 1 : settings.store().shareWorth();
-    return p.rules.worth() * p.plan.price() / mostValue * reserved * (late(n, p) ? p.rules.lateWorth() : 1);
+  /** Value of one unit of a request if it is sent now, relative to the highest possible value. */
+  private double valuePerUnit(Node node, PendingRequest pending) {
+    double reserved = pending.charged || pending.reserve.hasTokens(pending.request.units(), now) ? 1
+        : settings.store().shareWorth();
+    return pending.requestClass.worth() * pending.plan.price() / maxValue * reserved
+        * (isLate(node, pending) ? pending.requestClass.lateWorth() : 1);
   }
 
-  /** Whether a request is worth its place in the node's queue, which hosts share unseen: the longer the wait,
-   * the more a unit must earn, up to the shortest aim; never one that its client cannot wait for. */
-  private boolean worthwhile(Node n, Pending p) {
-    double wait = n.expected();
-    return wait <= usual + earns(n, p) * Math.max(0, shortestAim - usual) && now + wait < p.deadline;
+  /** Whether a request is worth its place in the node's queue, which hosts share without seeing each other.
+   * The longer the wait, the more a unit must be worth, up to the shortest aim; a request whose client cannot
+   * wait so long is never sent. */
+  private boolean isWorthSending(Node node, PendingRequest pending) {
+    double wait = node.expectedLatency();
+    return wait <= baselineLatency + valuePerUnit(node, pending)
+        * Math.max(0, shortestAimUs - baselineLatency) && now + wait < pending.deadline;
   }
 
-  /** Whether order, repeats and a cold node let this request be sent now. */
-  private boolean ready(Node n, Pending p) {
-    boolean turn = p.line == null || p.line.queue.peek() == p && (p.attempts > 0 || now >= p.line.quietUntil);
-    return turn && now >= p.notBefore && p.repeatable(n, now) && n.bears(p);
+  /** Whether the order of its key, the rules on retries and a cold node allow this request to be sent now. */
+  private boolean isSendable(Node node, PendingRequest pending) {
+    boolean firstOfKey = pending.keyQueue == null || pending.keyQueue.requests.peek() == pending
+        && (pending.attempts > 0 || now >= pending.keyQueue.quietUntil);
+    return firstOfKey && now >= pending.notBefore && pending.mayAttemptOn(node, now) && node.admits(pending);
   }
 
-  private void send(Node n, Pending p) {
-    n.unhold(p);
-    byDeadline.remove(p);
-    p.answerBy = p.deadline;
-    byDeadline.add(p);
-    Volume v = p.at;
-    v.fill(now);
-    v.tokens -= p.request.units();
-    budget.spend(p.attempts > 0 ? 1 : 0);
-    if (p.limit != null && !p.paid) {
-      p.limit.add(-p.request.units());
-    }
-    if (!p.paid && p.reserve.allows(p.request.units(), now)) {
-      p.reserve.add(-p.request.units());
-    }
-    p.paid = true;
-    if (p.doubtNode == null) {
-      p.doubtNode = n;
-      p.doubtAt = now;
-    }
-    p.attempts++;
-    p.out++;
-    p.sentAt = now;
-    p.overdue = false;
-    n.out++;
-    n.flight.add(p);
-    if (n.cold()) {
-      n.safe.add(-p.request.units());
-    }
-    double wait = n.wait + Math.max(0, beyondMean(p)), late = p.aimAt + GIVE_UP * p.rules.aimUs();
-    double soon = Math.max(p.aimAt - LEFT * wait, now + SURELY_LOST * wait);
-    long at = (long) (p.attempts > 1 || !budget.allows() ? late : Math.min(late, soon));
-    // A connection may take its time to come up: what is sent again starts within the window, or not at all.
-    long startBy = p.attempts > 1 && p.rules.effect() == Effect.KEYED
-        ? p.doubtAt + p.rules.windowUs() - KEYED_MARGIN
+  private void send(Node node, PendingRequest pending) {
+    node.dequeue(pending);
+    byAnswerTime.remove(pending);
+    pending.answerBy = pending.deadline;
+    byAnswerTime.add(pending);
+    Volume volume = pending.volumeQueue;
+    volume.refill(now);
+    volume.tokens -= pending.request.units();
+    retryBudget.spend(pending.attempts > 0 ? 1 : 0);
+    if (pending.limit != null && !pending.charged) {
+      pending.limit.add(-pending.request.units());
+    }
+    if (!pending.charged && pending.reserve.hasTokens(pending.request.units(), now)) {
+      pending.reserve.add(-pending.request.units());
+    }
+    pending.charged = true;
+    if (pending.possibleRunNode == null) {
+      pending.possibleRunNode = node;
+      pending.possibleRunAt = now;
+    }
+    pending.attempts++;
+    pending.inFlightAttempts++;
+    pending.sentAt = now;
+    pending.overdue = false;
+    node.countedInFlight++;
+    node.inFlight.add(pending);
+    if (node.isCold()) {
+      node.coldBudget.add(-pending.request.units());
+    }
+    double latency = node.selectionLatency + Math.max(0, sizeLatency(pending)),
+        lateTimeout = pending.aimAt + LATE_TIMEOUT_AIMS * pending.requestClass.aimUs();
+    double retryTimeout = Math.max(pending.aimAt - RETRY_RESERVE_LATENCIES * latency,
+        now + SURELY_LOST * latency);
+    long timeoutAt = (long) (pending.attempts > 1 || !retryBudget.allows() ? lateTimeout
+        : Math.min(lateTimeout, retryTimeout));
+    // Opening a connection takes time: a keyed retry starts within the deduplication window or not at all.
+    long startBy = pending.attempts > 1 && pending.requestClass.effect() == Effect.KEYED
+        ? pending.possibleRunAt + pending.requestClass.windowUs() - KEYED_MARGIN
         : Long.MAX_VALUE;
-    out.accept(new Send(p.request.id(), n.id, now < p.aimAt && p.repeatable(n, at) ? at : 0, startBy));
+    actionSink.accept(new Send(pending.request.id(), node.id, now < pending.aimAt
+        && pending.mayAttemptOn(node, timeoutAt) ? timeoutAt : 0, startBy));
   }
 
-  private void outcome(Outcome o) {
-    Pending p = pendings.get(o.request());
-    if (p == null || p.out == 0) {
+  private void attemptEnded(Outcome ended) {
+    PendingRequest pending = pendings.get(ended.request());
+    if (pending == null || pending.inFlightAttempts == 0) {
       return;
     }
-    Node n = nodes.get(o.node());
-    p.out--;
-    if (n != null) {
-      n.flight.remove(p);
-      n.out -= p.overdue ? 0 : 1;
-      n.answeredSentAt = Math.max(n.answeredSentAt, o.result() == Result.OK ? p.sentAt : Long.MIN_VALUE);
-      judge(n, p, o);
-    }
-    if (!o.result().provesNotRun()) {
-      p.doubtKept = true;
-      if (p.line != null && o.result() != Result.OK && o.result() != Result.ERROR) {
-        p.line.quietUntil = now + settings.rules().orderSettleUs();
+    Node node = nodes.get(ended.node());
+    pending.inFlightAttempts--;
+    if (node != null) {
+      node.inFlight.remove(pending);
+      node.countedInFlight -= pending.overdue ? 0 : 1;
+      node.lastAnsweredSentAt = Math.max(node.lastAnsweredSentAt, ended.result() == Result.OK
+          ? pending.sentAt : Long.MIN_VALUE);
+      updateNodeHealth(node, pending, ended);
+    }
+    if (!ended.result().provesNotRun()) {
+      pending.endedAttemptMayHaveRun = true;
+      if (pending.keyQueue != null && ended.result() != Result.OK && ended.result() != Result.ERROR) {
+        pending.keyQueue.quietUntil = now + settings.rules().orderSettleUs();
       }
-    } else if (!p.doubtKept) {
-      p.doubtNode = null;
+    } else if (!pending.endedAttemptMayHaveRun) {
+      pending.possibleRunNode = null;
     }
-    if (o.result() == Result.MOOT && p.attempts == 1 && p.limit != null) {
-      p.limit.add(p.request.units());
-      p.paid = false;
+    if (ended.result() == Result.MOOT && pending.attempts == 1 && pending.limit != null) {
+      pending.limit.add(pending.request.units());
+      pending.charged = false;
     }
-    if (p.done) {
-      forget(p);
-    } else if (o.ended()) {
-      finish(p);
+    if (pending.done) {
+      forgetIfEnded(pending);
+    } else if (ended.requestEnded()) {
+      finish(pending);
     } else {
-      again(p, o);
+      retryOrEnd(pending, ended);
     }
   }
 
-  /** A connection that broke, or failed once, tells of no wait: taken for one it held a node that answers in
-   * ms for most of a second. Harm: one more attempt goes to a process that is gone. */
-  private void judge(Node n, Pending p, Outcome o) {
-    n.refused += o.result() == Result.CONNECT_FAILED ? 1 : 0;
-    if (o.result() == Result.OK) {
-      n.answered(Math.max(1, o.tookUs() - beyondMean(p)));
-    } else if (o.result() == Result.FULL || o.result() == Result.CONNECT_FAILED && n.refused >= DOWN_AFTER) {
-      n.seeNone(UNSEEN * shortestAim);
-    } else if (o.result() == Result.TIMEOUT && p.sentAt > n.answeredSentAt && !p.overdue) {
-      n.noAnswer();
+  /** A broken connection, or a single refused one, does not indicate a queue: treated as one, it blocked a
+   * node that answers in milliseconds for most of a second. Drawback: one more attempt goes to a process that
+   * is gone. */
+  private void updateNodeHealth(Node node, PendingRequest pending, Outcome ended) {
+    node.connectFailures += ended.result() == Result.CONNECT_FAILED ? 1 : 0;
+    if (ended.result() == Result.OK) {
+      node.recordAnswer(Math.max(1, ended.latencyUs() - sizeLatency(pending)));
+    } else if (ended.result() == Result.FULL || ended.result() == Result.CONNECT_FAILED
+        && node.connectFailures >= DOWN_AFTER_FAILURES) {
+      node.assumeLatency(LATENCY_CAP_AIMS * shortestAimUs);
+    } else if (ended.result() == Result.TIMEOUT && pending.sentAt > node.lastAnsweredSentAt
+        && !pending.overdue) {
+      node.recordNoAnswer();
     }
   }
 
-  /** A further attempt where the rules may allow one before the client gives up; else the final answer. */
-  private void again(Pending p, Outcome o) {
-    boolean last = p.attempts >= settings.allowed().maxAttempts() || now + RETRY_PAUSE >= p.deadline;
-    if (last || p.doubtNode != null && p.rules.effect() == Effect.UNSAFE || o.result() == Result.CANCELLED) {
-      end(p);
+  /** Retries where the rules may allow it before the client gives up; otherwise gives the final answer. */
+  private void retryOrEnd(PendingRequest pending, Outcome ended) {
+    boolean isLast = pending.attempts >= settings.allowed().maxAttempts()
+        || now + RETRY_DELAY_US >= pending.deadline;
+    if (isLast || pending.possibleRunNode != null && pending.requestClass.effect() == Effect.UNSAFE
+        || ended.result() == Result.CANCELLED) {
+      endUnserved(pending);
     } else {
-      p.notBefore = o.result() == Result.TIMEOUT ? now : now + RETRY_PAUSE;
-      place(p);
+      pending.notBefore = ended.result() == Result.TIMEOUT ? now : now + RETRY_DELAY_US;
+      assignNode(pending);
     }
   }
 
-  private void end(Pending p) {
-    boolean told = settings.allowed().retryAfter() && p.node != null;
-    long retryIn = told ? Math.min(settings.allowed().maxRetryAfterUs(), (long) p.node.expected()) : 0;
-    out.accept(p.refusable() ? new Refuse(p.request.id(), retryIn) : new Fail(p.request.id()));
-    finish(p);
+  private void endUnserved(PendingRequest pending) {
+    boolean advised = settings.allowed().retryAfter() && pending.node != null;
+    long retryAfterUs = advised
+        ? Math.min(settings.allowed().maxRetryAfterUs(), (long) pending.node.expectedLatency())
+        : 0;
+    actionSink.accept(pending.mayRefuse() ? new Refuse(pending.request.id(), retryAfterUs)
+        : new Fail(pending.request.id()));
+    finish(pending);
   }
 
-  private void finish(Pending p) {
-    if (p.done) {
+  private void finish(PendingRequest pending) {
+    if (pending.done) {
       return;
     }
-    p.done = true;
-    byDeadline.remove(p);
-    unplaced.remove(p.seq);
-    if (p.node != null) {
-      p.node.unhold(p);
+    pending.done = true;
+    byAnswerTime.remove(pending);
+    unplaced.remove(pending.sequence);
+    if (pending.node != null) {
+      pending.node.dequeue(pending);
     }
-    forget(p);
+    forgetIfEnded(pending);
   }
 
-  /** Drops a finished request once its last attempt has ended; its key then goes to the next in line. */
-  private void forget(Pending p) {
-    if (p.out > 0) {
+  /** Drops a finished request once its last attempt has ended; the next request with its key may then be
+   * sent. */
+  private void forgetIfEnded(PendingRequest pending) {
+    if (pending.inFlightAttempts > 0) {
       return;
     }
-    pendings.remove(p.request.id());
-    if (leaving.contains(p.request.volume())) {
-      purge(p.request.volume());
+    pendings.remove(pending.request.id());
+    if (removedVolumes.contains(pending.request.volume())) {
+      forgetVolume(pending.request.volume());
     }
-    if (p.line != null) {
-      p.line.queue.remove(p);
-      if (p.line.queue.isEmpty() && p.line.quietUntil <= now) {
-        lines.remove(p.request.key(), p.line);
+    if (pending.keyQueue != null) {
+      pending.keyQueue.requests.remove(pending);
+      if (pending.keyQueue.requests.isEmpty() && pending.keyQueue.quietUntil <= now) {
+        keyQueues.remove(pending.request.key(), pending.keyQueue);
       }
     }
   }
--- a/src/main/java/hollyslip/HostScheduler.java
+++ b/src/main/java/hollyslip/HostScheduler.java
@@ -4,39 +4,38 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** One host's I/O scheduler as seen from outside: it is built from {@link Settings}, is handed {@link Event}s
- * in the order in which they happened, and answers with {@link Action}s.
+/** One host's I/O scheduler. It is created from {@link Settings}, receives {@link Event}s in the order in
+ * which they happened, and responds with {@link Action}s.
  *
  * <p>
  * All times are microseconds on the caller's clock. An implementation has no clock, does no I/O and starts no
  * thread; equal events give equal actions. */
 public interface HostScheduler {
 
-  /** Takes one event at time {@code now} and hands every action that follows from it to {@code out}, in
-   * order. */
+  /** Handles one event at time {@code now} and passes every resulting action to {@code out}, in order. */
   void handle(long now, Event event, Consumer<Action> out);
 
-  /** How often a request of a class may have its effect. */
+  /** Whether a request of a class may be repeated: always, with an idempotency key, or never. */
   enum Effect {
     SAFE, KEYED, UNSAFE
   }
 
-  /** Which nodes drop repeats of a keyed request. */
+  /** The nodes among which repeats of a keyed request are dropped. */
   enum Group {
     ALL, ZONE, CELL
   }
 
-  /** Where load reports come from. */
+  /** The source of a node's load reports. */
   enum ReportSource {
     ANSWERS, PROBE, NONE
   }
 
-  /** State of a node in the list. */
+  /** State of a node in the node list. */
   enum NodeState {
     ON, DRAINING, GONE
   }
 
-  /** How an attempt ended. */
+  /** How an attempt ended. {@code FULL}: a node without room refused it. {@code MOOT}: it was never sent. */
   enum Result {
     OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT;
 
@@ -46,106 +45,116 @@
     }
   }
 
-  /** A class of requests. {@code inOrder}: requests with one key run one at a time, in order of arrival. */
+  /** A class of requests.
+   *
+   * @param windowUs
+   *          how long repeats of a keyed request are dropped
+   * @param lateWorth
+   *          part of the worth that remains after the aim
+   * @param inOrder
+   *          requests with the same key run one at a time, in order of arrival */
   record RequestClass(String name, Effect effect, Group group, long windowUs, long aimUs, long deadlineUs,
       double worth, double lateWorth, boolean inOrder, boolean write) {
     public RequestClass {
-      present(name, "class.name");
-      present(effect, "class.effect");
-      present(group, "class.group");
-      atLeast(windowUs, 0, "class.windowUs");
-      atLeast(aimUs, 1, "class.aimUs");
-      atLeast(deadlineUs, 1, "class.deadlineUs");
-      atLeast(worth, 0, "class.worth");
-      atLeast(lateWorth, 0, "class.lateWorth");
+      requirePresent(name, "class.name");
+      requirePresent(effect, "class.effect");
+      requirePresent(group, "class.group");
+      requireAtLeast(windowUs, 0, "class.windowUs");
+      requireAtLeast(aimUs, 1, "class.aimUs");
+      requireAtLeast(deadlineUs, 1, "class.deadlineUs");
+      requireAtLeast(worth, 0, "class.worth");
+      requireAtLeast(lateWorth, 0, "class.lateWorth");
     }
   }
 
-  /** A plan on which volumes stand; rates in units a second, over all hosts and nodes. {@code limit} 0:
-   * none. */
+  /** A service plan of volumes; rates in units per second, over all hosts and nodes. {@code limit} 0: no
+   * limit. */
   record Plan(String name, double rate, double reserve, double weight, double price, double limit,
       double limitBurst, double limitSlack) {
     public Plan {
-      present(name, "plan.name");
-      atLeast(rate, 0, "plan.rate");
-      atLeast(reserve, 0, "plan.reserve");
-      atLeast(weight, 0, "plan.weight");
-      atLeast(price, 0, "plan.price");
-      atLeast(limit, 0, "plan.limit");
-      atLeast(limitBurst, 0, "plan.limitBurst");
-      atLeast(limitSlack, 0, "plan.limitSlack");
+      requirePresent(name, "plan.name");
+      requireAtLeast(rate, 0, "plan.rate");
+      requireAtLeast(reserve, 0, "plan.reserve");
+      requireAtLeast(weight, 0, "plan.weight");
+      requireAtLeast(price, 0, "plan.price");
+      requireAtLeast(limit, 0, "plan.limit");
+      requireAtLeast(limitBurst, 0, "plan.limitBurst");
+      requireAtLeast(limitSlack, 0, "plan.limitSlack");
       if (limit > 0 && limitBurst <= 0) {
         throw new IllegalArgumentException("plan.limitBurst: must be above 0 where there is a limit");
       }
     }
   }
 
-  /** The figures of the rules. {@code budgetWindowUs} 0: no budget of attempts. */
+  /** The parameters of the service rules. {@code coldFrom}: part of its capacity that a node which has just
+   * started can be given. {@code budgetWindowUs} 0: retries are not limited. */
   record Rules(long answerSlackUs, long drainGraceUs, double coldFrom, long coldUs, double fallMultiple,
       long fallUs, long orderSettleUs, double budgetShare, double budgetFree, long budgetWindowUs,
       long askWithinUs) {
     public Rules {
-      atLeast(answerSlackUs, 0, "rules.answerSlackUs");
-      atLeast(drainGraceUs, 0, "rules.drainGraceUs");
-      atLeast(coldFrom, 0, "rules.coldFrom");
+      requireAtLeast(answerSlackUs, 0, "rules.answerSlackUs");
+      requireAtLeast(drainGraceUs, 0, "rules.drainGraceUs");
+      requireAtLeast(coldFrom, 0, "rules.coldFrom");
       if (coldFrom > 1) {
         throw new IllegalArgumentException("rules.coldFrom: must be at most 1, not " + coldFrom);
       }
-      atLeast(coldUs, 0, "rules.coldUs");
-      atLeast(fallMultiple, 0, "rules.fallMultiple");
-      atLeast(fallUs, 0, "rules.fallUs");
-      atLeast(orderSettleUs, 0, "rules.orderSettleUs");
-      atLeast(budgetShare, 0, "rules.budgetShare");
-      atLeast(budgetFree, 0, "rules.budgetFree");
-      atLeast(budgetWindowUs, 0, "rules.budgetWindowUs");
-      atLeast(askWithinUs, 0, "rules.askWithinUs");
+      requireAtLeast(coldUs, 0, "rules.coldUs");
+      requireAtLeast(fallMultiple, 0, "rules.fallMultiple");
+      requireAtLeast(fallUs, 0, "rules.fallUs");
+      requireAtLeast(orderSettleUs, 0, "rules.orderSettleUs");
+      requireAtLeast(budgetShare, 0, "rules.budgetShare");
+      requireAtLeast(budgetFree, 0, "rules.budgetFree");
+      requireAtLeast(budgetWindowUs, 0, "rules.budgetWindowUs");
+      requireAtLeast(askWithinUs, 0, "rules.askWithinUs");
     }
   }
 
-  /** What the deployment allows. */
+  /** What the deployment allows the scheduler to do. */
   record Allowed(int maxAttempts, boolean probes, boolean cancel, boolean secondCopies, boolean retryAfter,
       long maxRetryAfterUs, long connectTimeoutUs) {
     public Allowed {
-      atLeast(maxAttempts, 1, "allowed.maxAttempts");
-      atLeast(maxRetryAfterUs, 0, "allowed.maxRetryAfterUs");
-      atLeast(connectTimeoutUs, 0, "allowed.connectTimeoutUs");
+      requireAtLeast(maxAttempts, 1, "allowed.maxAttempts");
+      requireAtLeast(maxRetryAfterUs, 0, "allowed.maxRetryAfterUs");
+      requireAtLeast(connectTimeoutUs, 0, "allowed.connectTimeoutUs");
     }
   }
 
-  /** What is known of the store as a whole. {@code meterUs} 0: no meter. {@code coldUnits} 0: not stated. */
+  /** Properties of the store as a whole. {@code coldUnits}: units within {@code fallUs} that a cold node can
+   * always serve; 0: unknown. {@code shareWorth}: relative worth of a unit beyond the volume's reserve.
+   * {@code meterUs} 0: volume use is not metered. */
   record Store(double meanUnits, int mostUnits, double coldUnits, double shareWorth, double spareWorth,
       long meterUs, boolean tellsElsewhere) {
     public Store {
       if (!(meanUnits > 0) || Double.isInfinite(meanUnits)) {
         throw new IllegalArgumentException("store.meanUnits: must be above 0, not " + meanUnits);
       }
-      atLeast(mostUnits, 1, "store.mostUnits");
-      atLeast(coldUnits, 0, "store.coldUnits");
-      atLeast(shareWorth, 0, "store.shareWorth");
-      atLeast(spareWorth, 0, "store.spareWorth");
-      atLeast(meterUs, 0, "store.meterUs");
+      requireAtLeast(mostUnits, 1, "store.mostUnits");
+      requireAtLeast(coldUnits, 0, "store.coldUnits");
+      requireAtLeast(shareWorth, 0, "store.shareWorth");
+      requireAtLeast(spareWorth, 0, "store.spareWorth");
+      requireAtLeast(meterUs, 0, "store.meterUs");
     }
   }
 
-  /** Everything an instance knows at its start. */
+  /** Everything an instance knows when it is created. */
   record Settings(long seed, int index, int hosts, String zone, long tickUs, boolean listOnRequest,
       List<RequestClass> classes, List<Plan> plans, Rules rules, Allowed allowed, Store store,
       ReportSource reportSource, List<String> reportFields) {
     public Settings {
-      atLeast(hosts, 1, "hosts");
-      atLeast(index, 0, "index");
+      requireAtLeast(hosts, 1, "hosts");
+      requireAtLeast(index, 0, "index");
       if (index >= hosts) {
         throw new IllegalArgumentException("index: must be below hosts, not " + index);
       }
-      present(zone, "zone");
-      atLeast(tickUs, 1, "tickUs");
-      present(rules, "rules");
-      present(allowed, "allowed");
-      present(store, "store");
-      present(reportSource, "reportSource");
-      classes = List.copyOf(present(classes, "classes"));
-      plans = List.copyOf(present(plans, "plans"));
-      reportFields = List.copyOf(present(reportFields, "reportFields"));
+      requirePresent(zone, "zone");
+      requireAtLeast(tickUs, 1, "tickUs");
+      requirePresent(rules, "rules");
+      requirePresent(allowed, "allowed");
+      requirePresent(store, "store");
+      requirePresent(reportSource, "reportSource");
+      classes = List.copyOf(requirePresent(classes, "classes"));
+      plans = List.copyOf(requirePresent(plans, "plans"));
+      reportFields = List.copyOf(requirePresent(reportFields, "reportFields"));
       if (classes.isEmpty()) {
         throw new IllegalArgumentException("classes: at least one is needed");
       }
@@ -161,125 +170,129 @@
     }
   }
 
-  /** One entry of the node list. {@code bornUs} 0: long ago. */
+  /** One entry of the node list, with the node's start time; 0: long ago. */
   record Listed(long node, String zone, int cell, NodeState state, long bornUs) {
     public Listed {
-      present(zone, "listed.zone");
-      present(state, "listed.state");
+      requirePresent(zone, "listed.zone");
+      requirePresent(state, "listed.state");
     }
   }
 
   /** Something that happened. */
   sealed interface Event permits NodeList, ListFailed, Request, TimerDue, Outcome, Departed, Hastened, Probed,
-      Started, VolumeChanged, VolumeRemoved, Stopping {}
+      ResponseStarted, VolumeChanged, VolumeRemoved, Stopping {}
 
-  /** News of the node list; {@code whole}: nodes not named are gone. */
+  /** The node list, whole or only the entries that changed. With the whole list, nodes not in it are gone. */
   record NodeList(boolean whole, List<Listed> nodes) implements Event {
     public NodeList {
       nodes = List.copyOf(nodes);
     }
   }
 
-  /** A call for the list failed, or the subscription dropped. */
+  /** A request for the node list failed, or the subscription to it was lost. */
   record ListFailed() implements Event {}
 
-  /** A request was taken. {@code shard} -1: a new object, for any node. {@code hosts} 0: not told.
-   * {@code again}: its client has asked before, or it was taken a while ago: it earns no further attempts
-   * now. */
+  /** A request arrived. {@code shard} -1: a new object, which any node may store. {@code hosts} 0: unknown.
+   * {@code clientRetry}: the client has sent it before, or it was accepted a while ago, so that it adds
+   * nothing to the retry budget. */
   record Request(long id, String className, String plan, Long key, long volume, double units, int shard,
-      int hosts, long remainingUs, boolean again) implements Event {
+      int hosts, long remainingUs, boolean clientRetry) implements Event {
     public Request {
-      present(className, "request.className");
-      present(plan, "request.plan");
-      atLeast(units, 0, "request.units");
+      requirePresent(className, "request.className");
+      requirePresent(plan, "request.plan");
+      requireAtLeast(units, 0, "request.units");
     }
   }
 
-  /** A timer came due. */
+  /** A timer expired. */
   record TimerDue(long id) implements Event {}
 
-  /** An attempt ended; {@code metered} is 1 + percent of the plan's rate, 0: none; {@code report} may be
-   * null. */
-  record Outcome(long request, int attempt, long node, Result result, boolean ended, long tookUs, int metered,
-      double elsewhere, List<Double> report) implements Event {
+  /** An attempt ended. {@code requestEnded}: its request has its final answer. {@code metered}: 1 + percent
+   * of the plan's rate, 0 if not metered. {@code report} may be null. */
+  record Outcome(long request, int attempt, long node, Result result, boolean requestEnded, long latencyUs,
+      int metered, double servedElsewhere, List<Double> report) implements Event {
     public Outcome {
-      present(result, "outcome.result");
+      requirePresent(result, "outcome.result");
     }
   }
 
-  /** The client of a request left. */
+  /** The client of a request is gone. */
   record Departed(long request) implements Event {}
 
-  /** A request must have its final answer by {@code answerBy}, if that is before its client gives up: one
-   * that came after it on the same connection, whose answers go out in order, cannot wait longer. */
+  /** A request must have its final answer by {@code answerBy}, if that is before its client gives up. A later
+   * request on the same connection, where answers are sent in order, cannot wait longer. */
   record Hastened(long request, long answerBy) implements Event {}
 
   /** A probe ended; {@code report} may be null. */
-  record Probed(long node, Result result, long tookUs, List<Double> report) implements Event {
+  record Probed(long node, Result result, long latencyUs, List<Double> report) implements Event {
     public Probed {
-      present(result, "probed.result");
+      requirePresent(result, "probed.result");
     }
   }
 
-  /** The answer of an attempt started to stream; neither time-out nor deadline runs on. */
-  record Started(long request, int attempt, long node) implements Event {}
+  /** The response to an attempt started to stream; its timeout and the deadline no longer apply. */
+  record ResponseStarted(long request, int attempt, long node) implements Event {}
 
-  /** A volume stands on a plan of its own from now on, whatever its requests name; {@code hosts}: through how
-   * many its requests come. Volumes of one {@code group} share by their plans' weights what the group gets by
-   * {@code groupWeight}; group 0: a group of its own, which counts with the plan's weight. */
+  /** A volume has a plan of its own from now on, whatever plan its requests name. {@code hosts}: number of
+   * hosts that receive its requests. Volumes of one {@code group} divide what the group gets by
+   * {@code groupWeight} according to their plans' weights; group 0: a group of its own, with the plan's
+   * weight. */
   record VolumeChanged(long volume, int hosts, Plan plan, long group, double groupWeight) implements Event {
     public VolumeChanged {
-      atLeast(hosts, 1, "volumeChanged.hosts");
-      present(plan, "volumeChanged.plan");
-      atLeast(groupWeight, 0, "volumeChanged.groupWeight");
+      requireAtLeast(hosts, 1, "volumeChanged.hosts");
+      requirePresent(plan, "volumeChanged.plan");
+      requireAtLeast(groupWeight, 0, "volumeChanged.groupWeight");
     }
   }
 
-  /** A volume takes no more requests; what is known of it may go when its last one has ended. */
+  /** A volume gets no more requests; its state may be dropped when the last of them has ended. */
   record VolumeRemoved(long volume) implements Event {}
 
-  /** The process is about to end: clients are served on the connections that they have, and make no more; all
-   * must have its final answer by {@code answerBy}. */
+  /** The process is shutting down: clients are served on their open connections and make no new ones. All
+   * requests must have their final answer by {@code answerBy}. */
   record Stopping(long answerBy) implements Event {}
 
-  /** Something to be done. */
+  /** Something that the caller has to do. */
   sealed interface Action permits Send, Refuse, Fail, Cancel, Probe, SetTimer, Watch {}
 
-  /** Starts an attempt, to be given up at {@code timeoutAt} (0: when the client gives up). None of it may be
-   * sent after {@code startBy}: it is {@link Result#MOOT} then. */
+  /** Starts an attempt that times out at {@code timeoutAt} (0: when the client gives up). Nothing of it may
+   * be sent after {@code startBy}; it then ends as {@link Result#MOOT}. */
   record Send(long request, long node, long timeoutAt, long startBy) implements Action {
-    /** One that may start at any time. */
+    /** An attempt that may start at any time. */
     public Send(long request, long node, long timeoutAt) {
       this(request, node, timeoutAt, Long.MAX_VALUE);
     }
   }
 
-  /** Final answer: not served, a new try is harmless; {@code retryInUs} 0: no advice. */
+  /** Final answer: the request was not served, and a retry by the client does no harm.
+   *
+   * @param retryInUs
+   *          advised delay of the retry; 0: no advice */
   record Refuse(long request, long retryInUs) implements Action {}
 
-  /** Final answer: failed, with no word on its effect. */
+  /** Final answer: the request failed, and may have taken effect. */
   record Fail(long request) implements Action {}
 
-  /** Withdraws an attempt. */
+  /** Cancels an attempt. */
   record Cancel(long request, int attempt) implements Action {}
 
-  /** Asks a node how it is. */
+  /** Probes a node for its health and load. */
   record Probe(long node) implements Action {}
 
-  /** Asks for a {@link TimerDue} at {@code at}. */
+  /** Requests a {@link TimerDue} event at {@code at}. */
   record SetTimer(long at, long id) implements Action {}
 
-  /** Subscribes to changes of the list. */
+  /** Subscribes to the node list. */
   record Watch() implements Action {}
 
-  private static <T> T present(T value, String field) {
+  private static <T> T requirePresent(T value, String field) {
     if (value == null) {
       throw new IllegalArgumentException(field + ": is missing");
     }
     return value;
   }
 
-  private static void atLeast(double value, double least, String field) {
+  private static void requireAtLeast(double value, double least, String field) {
     if (!(value >= least) || Double.isInfinite(value)) {
       throw new IllegalArgumentException(field + ": must be at least " + least + ", not " + value);
     }
--- a/src/main/java/hollyslip/TokenBucket.java
+++ b/src/main/java/hollyslip/TokenBucket.java
@@ -1,40 +1,41 @@
 package hollyslip;
 
-/** Units that fill at a rate up to a depth: a host's part of a volume's limit (rule 7), of its reserve, or of
- * what a cold node always bears. A limit starts empty at each launch: a restarted host has forgotten what it
- * spent, and so is never above its part. The first seconds after a launch are the price. Times are us. */
+/** A token bucket: a host's part of a volume's limit (rule 7), of its reserve, or of what a cold node can
+ * always serve. A limit starts empty at each launch: a restarted host does not know what it has spent and
+ * would otherwise exceed its part. Drawback: less is sent in the first seconds after a launch. Times are in
+ * microseconds. */
 final class TokenBucket {
   private double depth, rate, level;
-  private long at;
+  private long updatedAt;
 
-  TokenBucket(double perSecond, double depth, double level, long at) {
+  TokenBucket(double perSecond, double depth, double level, long updatedAt) {
     this.depth = depth;
     this.level = level;
-    this.at = at;
+    this.updatedAt = updatedAt;
     rate = perSecond / 1e6;
   }
 
-  /** Another rate and depth from now on: what was earned stays as far as it fits, nothing is added. */
-  TokenBucket change(double perSecond, double newDepth, long now) {
-    level = Math.min(newDepth, Math.min(depth, level + rate * (now - at)));
-    at = now;
+  /** Changes rate and depth from now on. The level is kept as far as it fits; nothing is added. */
+  TokenBucket reconfigure(double perSecond, double newDepth, long now) {
+    level = Math.min(newDepth, Math.min(depth, level + rate * (now - updatedAt)));
+    updatedAt = now;
     depth = newDepth;
     rate = perSecond / 1e6;
     return this;
   }
 
-  /** Whether so many units are there. */
-  boolean allows(double units, long now) {
-    level = Math.min(depth, level + rate * (now - at));
-    at = now;
+  /** Whether the bucket holds this many units. */
+  boolean hasTokens(double units, long now) {
+    level = Math.min(depth, level + rate * (now - updatedAt));
+    updatedAt = now;
     return level >= units;
   }
 
-  boolean full(long now) {
-    return rate <= 0 || allows(depth, now);
+  boolean isFull(long now) {
+    return rate <= 0 || hasTokens(depth, now);
   }
 
-  /** Adds units, or takes them if negative. */
+  /** Adds units up to the depth, or removes them if negative. */
   void add(double units) {
     level = Math.min(depth, level + units);
   }
--- a/src/main/java/hollyslip/WireHost.java
+++ b/src/main/java/hollyslip/WireHost.java
@@ -17,8 +17,8 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** Hosts any number of scheduler instances on the line-by-line JSON wire. It only translates: lines become
- * events, actions become lines. */
+/** Runs scheduler instances for the simulator, over its protocol of one JSON object per line. Translates
+ * lines to events and actions to lines, and does nothing else. */
 public final class WireHost {
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -38,9 +38,9 @@
     this.out.setRootValueSeparator(null);
   }
 
-  /** Input that is not what the wire allows. */
-  private static final class BadInput extends RuntimeException {
-    BadInput(String expected) {
+  /** Input that violates the protocol; the message says what was expected. */
+  private static final class InvalidInputException extends RuntimeException {
+    InvalidInputException(String expected) {
       super(expected);
     }
   }
@@ -53,7 +53,7 @@
     System.exit(serve(Choice::new, System.in, System.out, System.err));
   }
 
-  /** Serves until the input ends; gives the exit status. */
+  /** Serves until the input ends and returns the exit status. */
   static int serve(Function<HostScheduler.Settings, HostScheduler> factory, InputStream in, OutputStream out,
       PrintStream err) throws IOException {
     WireHost host = new WireHost(factory, out);
@@ -62,33 +62,33 @@
       for (String line = reader.readLine(); line != null; line = reader.readLine()) {
         host.lineNumber++;
         if (!line.isBlank()) {
-          host.line(line);
+          host.handleLine(line);
         }
       }
       return 0;
-    } catch (BadInput e) {
+    } catch (InvalidInputException e) {
       err.println("line " + host.lineNumber + ": expected " + e.getMessage());
       return 1;
     }
   }
 
-  private void line(String text) throws IOException {
-    JsonNode m;
+  private void handleLine(String text) throws IOException {
+    JsonNode message;
     try {
-      m = JSON.readTree(text);
+      message = JSON.readTree(text);
     } catch (IOException e) {
-      throw new BadInput("one JSON object");
+      throw new InvalidInputException("one JSON object");
     }
-    if (!m.isObject()) {
-      throw new BadInput("one JSON object");
+    if (!message.isObject()) {
+      throw new InvalidInputException("one JSON object");
     }
-    String kind = need(m, "m").asText();
+    String kind = require(message, "m").asText();
     if (kind.equals("MARK")) {
-      now = micros(need(m, "simTime"));
-      serial = number(m, "serial");
+      now = micros(require(message, "simTime"));
+      serial = number(message, "serial");
       inBatch = true;
     } else if (!inBatch) {
-      throw new BadInput("MARK before " + kind);
+      throw new InvalidInputException("MARK before " + kind);
     } else if (kind.equals("YOUR_TURN")) {
       inBatch = false;
       out.writeStartObject();
@@ -97,20 +97,20 @@
       endLine();
       out.flush();
     } else {
-      event(kind, m);
+      handleEvent(kind, message);
     }
   }
 
-  private void event(String kind, JsonNode m) throws IOException {
+  private void handleEvent(String kind, JsonNode message) throws IOException {
     if (kind.equals("PAGE")) {
       List<HostScheduler.Listed> entries = new ArrayList<>();
-      need(m, "entries").forEach(e -> entries.add(listed(e)));
-      pages.put((int) number(m, "slot"), entries);
+      require(message, "entries").forEach(e -> entries.add(nodeEntry(e)));
+      pages.put((int) number(message, "slot"), entries);
       return;
     }
-    String name = need(m, "i").asText();
+    String name = require(message, "i").asText();
     if (kind.equals("LAUNCH")) {
-      launch(name, m);
+      launch(name, message);
       return;
     }
     HostScheduler instance = instances.get(name);
@@ -118,7 +118,7 @@
       instances.remove(name);
       return;
     }
-    HostScheduler.Event event = translate(kind, m);
+    HostScheduler.Event event = translate(kind, message);
     if (instance == null || event == null) {
       return;
     }
@@ -129,72 +129,74 @@
         write(name, action);
       }
     } catch (RuntimeException e) {
-      fault(name, e);
+      reportFault(name, e);
     }
   }
 
-  private void launch(String name, JsonNode m) throws IOException {
-    JsonNode conf = need(m, "conf");
-    long seed = need(m, "nonce64").asLong();
+  private void launch(String name, JsonNode message) throws IOException {
+    JsonNode conf = require(message, "conf");
+    long seed = require(message, "nonce64").asLong();
     try {
       instances.put(name, factory.apply(WireSettings.parse(seed, conf)));
     } catch (IllegalArgumentException e) {
-      fault(name, e);
+      reportFault(name, e);
     }
   }
 
-  private void fault(String name, RuntimeException e) throws IOException {
+  private void reportFault(String name, RuntimeException e) throws IOException {
     instances.remove(name);
     StackTraceElement[] trace = e.getStackTrace();
-    start("FAULT", name);
+    startLine("FAULT", name);
     out.writeStringField("line", e + (trace.length > 0 ? " at " + trace[0] : ""));
     endLine();
   }
 
-  private HostScheduler.Event translate(String kind, JsonNode m) {
+  private HostScheduler.Event translate(String kind, JsonNode message) {
     return switch (kind) {
-      case "PEERS_KNOWN" -> members(m);
-      case "INGRESS" -> new HostScheduler.Request(number(m, "opId"), need(m, "type").asText(), need(m, "plan")
-          .asText(), given(m, "blockKey") ? m.get("blockKey").asLong() : null, m.path("storeUser").asLong(), m
-              .path("sizeUnits")
-              .asDouble(1), m.path("liesIn").asInt(-1), m.path("nHosts").asInt(), micros(need(m,
-                  "remaining")), m.path("againByClient").asBoolean());
-      case "REMINDER" -> new HostScheduler.TimerDue(number(m, "name"));
-      case "ABANDONED" -> new HostScheduler.Departed(number(m, "opId"));
-      case "ECHO" -> new HostScheduler.Probed(number(m, "server"), result(need(m, "code").asText()), micros(
-          need(m, "waitTime")), report(m.path("pressure")));
-      case "FINISHED" -> new HostScheduler.Outcome(number(m, "opId"), (int) number(m, "seqNo"), number(m,
-          "server"), result(need(m, "code").asText()), need(m, "ended").asBoolean(), micros(need(m,
-              "waitTime")), m.path("metered").asInt(), m.path("delta").asDouble(), report(m.path(
-                  "pressure")));
-      case "UNDER_WAY" -> new HostScheduler.Started(number(m, "opId"), (int) number(m, "seqNo"), number(m,
-          "server"));
+      case "PEERS_KNOWN" -> nodeList(message);
+      case "INGRESS" -> new HostScheduler.Request(number(message, "opId"), require(message, "type").asText(),
+          require(message, "plan").asText(), isPresent(message, "blockKey")
+              ? message.get("blockKey").asLong()
+              : null, message.path("storeUser").asLong(), message.path("sizeUnits").asDouble(1), message.path(
+                  "liesIn").asInt(-1), message.path("nHosts").asInt(), micros(require(message, "remaining")),
+          message.path("againByClient").asBoolean());
+      case "REMINDER" -> new HostScheduler.TimerDue(number(message, "name"));
+      case "ABANDONED" -> new HostScheduler.Departed(number(message, "opId"));
+      case "ECHO" -> new HostScheduler.Probed(number(message, "server"), result(require(message, "code")
+          .asText()), micros(require(message, "waitTime")), report(message.path("pressure")));
+      case "FINISHED" -> new HostScheduler.Outcome(number(message, "opId"), (int) number(message, "seqNo"),
+          number(message, "server"), result(require(message, "code").asText()), require(message, "ended")
+              .asBoolean(), micros(require(message, "waitTime")), message.path("metered").asInt(), message
+                  .path("delta")
+                  .asDouble(), report(message.path("pressure")));
+      case "UNDER_WAY" -> new HostScheduler.ResponseStarted(number(message, "opId"), (int) number(message,
+          "seqNo"), number(message, "server"));
       case "MEMO" -> null;
-      default -> throw new BadInput("a known event, not " + kind);
+      default -> throw new InvalidInputException("a known event, not " + kind);
     };
   }
 
-  private HostScheduler.Event members(JsonNode m) {
-    String mode = need(m, "mode").asText();
+  private HostScheduler.Event nodeList(JsonNode message) {
+    String mode = require(message, "mode").asText();
     if (mode.equals("broken")) {
       return new HostScheduler.ListFailed();
     }
-    List<HostScheduler.Listed> page = pages.get((int) number(m, "slot"));
+    List<HostScheduler.Listed> page = pages.get((int) number(message, "slot"));
     if (page == null) {
-      throw new BadInput("a slot that a PAGE has set");
+      throw new InvalidInputException("a slot that a PAGE has set");
     }
     return new HostScheduler.NodeList(!mode.equals("patch"), page);
   }
 
-  private static HostScheduler.Listed listed(JsonNode e) {
-    HostScheduler.NodeState state = switch (need(e, "mode").asText()) {
+  private static HostScheduler.Listed nodeEntry(JsonNode entry) {
+    HostScheduler.NodeState state = switch (require(entry, "mode").asText()) {
       case "on" -> HostScheduler.NodeState.ON;
       case "fading" -> HostScheduler.NodeState.DRAINING;
       case "off" -> HostScheduler.NodeState.GONE;
-      default -> throw new BadInput("mode on, fading or off");
+      default -> throw new InvalidInputException("mode on, fading or off");
     };
-    return new HostScheduler.Listed(number(e, "server"), e.path("regionPart").asText(""), e.path("cluster")
-        .asInt(-1), state, given(e, "born") ? micros(e.get("born")) : 0);
+    return new HostScheduler.Listed(number(entry, "server"), entry.path("regionPart").asText(""), entry.path(
+        "cluster").asInt(-1), state, isPresent(entry, "born") ? micros(entry.get("born")) : 0);
   }
 
   private static HostScheduler.Result result(String code) {
@@ -207,7 +209,7 @@
       case "econnreset" -> HostScheduler.Result.RESET;
       case "ecanceled" -> HostScheduler.Result.CANCELLED;
       case "skipped" -> HostScheduler.Result.MOOT;
-      default -> throw new BadInput("a known code, not " + code);
+      default -> throw new InvalidInputException("a known code, not " + code);
     };
   }
 
@@ -221,41 +223,41 @@
   }
 
   private void write(String name, HostScheduler.Action action) throws IOException {
-    if (action instanceof HostScheduler.Send s) {
-      start("RELAY", name);
-      out.writeNumberField("opId", s.request());
-      out.writeNumberField("server", s.node());
-      if (s.timeoutAt() > 0) {
-        out.writeNumberField("expireAt", s.timeoutAt() / 1e6);
+    if (action instanceof HostScheduler.Send send) {
+      startLine("RELAY", name);
+      out.writeNumberField("opId", send.request());
+      out.writeNumberField("server", send.node());
+      if (send.timeoutAt() > 0) {
+        out.writeNumberField("expireAt", send.timeoutAt() / 1e6);
       }
-    } else if (action instanceof HostScheduler.Refuse r) {
-      start("SAY_NO", name);
-      out.writeNumberField("opId", r.request());
-      if (r.retryInUs() > 0) {
-        out.writeNumberField("retryIn", r.retryInUs() / 1e6);
+    } else if (action instanceof HostScheduler.Refuse refuse) {
+      startLine("SAY_NO", name);
+      out.writeNumberField("opId", refuse.request());
+      if (refuse.retryInUs() > 0) {
+        out.writeNumberField("retryIn", refuse.retryInUs() / 1e6);
       }
-    } else if (action instanceof HostScheduler.Fail f) {
-      start("END_FAILED", name);
-      out.writeNumberField("opId", f.request());
-    } else if (action instanceof HostScheduler.Cancel k) {
-      start("ABANDON", name);
-      out.writeNumberField("opId", k.request());
-      out.writeNumberField("seqNo", k.attempt());
-    } else if (action instanceof HostScheduler.Probe p) {
-      start("TEST", name);
-      out.writeNumberField("server", p.node());
-    } else if (action instanceof HostScheduler.SetTimer t) {
-      start("SLEEP", name);
-      out.writeNumberField("at", t.at() / 1e6);
-      out.writeNumberField("name", t.id());
+    } else if (action instanceof HostScheduler.Fail fail) {
+      startLine("END_FAILED", name);
+      out.writeNumberField("opId", fail.request());
+    } else if (action instanceof HostScheduler.Cancel cancel) {
+      startLine("ABANDON", name);
+      out.writeNumberField("opId", cancel.request());
+      out.writeNumberField("seqNo", cancel.attempt());
+    } else if (action instanceof HostScheduler.Probe probe) {
+      startLine("TEST", name);
+      out.writeNumberField("server", probe.node());
+    } else if (action instanceof HostScheduler.SetTimer timer) {
+      startLine("SLEEP", name);
+      out.writeNumberField("at", timer.at() / 1e6);
+      out.writeNumberField("name", timer.id());
     } else if (action instanceof HostScheduler.Watch) {
-      start("FOLLOW", name);
+      startLine("FOLLOW", name);
       out.writeBooleanField("on", true);
     }
     endLine();
   }
 
-  private void start(String kind, String name) throws IOException {
+  private void startLine(String kind, String name) throws IOException {
     out.writeStartObject();
     out.writeStringField("m", kind);
     out.writeStringField("i", name);
@@ -266,21 +268,21 @@
     out.writeRaw('\n');
   }
 
-  private static boolean given(JsonNode m, String field) {
-    return m.hasNonNull(field);
+  private static boolean isPresent(JsonNode object, String field) {
+    return object.hasNonNull(field);
   }
 
-  private static JsonNode need(JsonNode m, String field) {
-    if (!m.hasNonNull(field)) {
-      throw new BadInput("field " + field);
+  private static JsonNode require(JsonNode object, String field) {
+    if (!object.hasNonNull(field)) {
+      throw new InvalidInputException("field " + field);
     }
-    return m.get(field);
+    return object.get(field);
   }
 
-  private static long number(JsonNode m, String field) {
-    JsonNode value = need(m, field);
+  private static long number(JsonNode object, String field) {
+    JsonNode value = require(object, field);
     if (!value.isNumber()) {
-      throw new BadInput("a number in " + field);
+      throw new InvalidInputException("a number in " + field);
     }
     return value.asLong();
   }
--- a/src/main/java/hollyslip/WireSettings.java
+++ b/src/main/java/hollyslip/WireSettings.java
@@ -14,42 +14,42 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The settings object of the simulator's wire and of the platform's configuration file, as the module's
- * {@link Settings}: times are seconds there, us here; unknown keys are passed over. */
+/** Parses the settings object of the simulator's protocol and of the platform's configuration file into
+ * {@link Settings}: converts times from seconds to microseconds and ignores unknown keys. */
 public final class WireSettings {
   private WireSettings() {}
 
-  /** Translates the settings {@code c}, as the wire's first message holds them.
+  /** Parses settings in the form of the protocol's launch message.
    *
    * @throws IllegalArgumentException
-   *           naming the field that is missing or out of its bounds */
-  public static Settings parse(long seed, JsonNode c) {
+   *           naming the field that is missing or out of range */
+  public static Settings parse(long seed, JsonNode json) {
     List<RequestClass> classes = new ArrayList<>();
-    JsonNode writes = c.path("extra").path("changesData");
-    c.path("classes").forEach(k -> classes.add(requestClass(k, writes.path(classes.size()))));
+    JsonNode writes = json.path("extra").path("changesData");
+    json.path("classes").forEach(k -> classes.add(requestClass(k, writes.path(classes.size()))));
     List<Plan> plans = new ArrayList<>();
-    c.path("policies").forEach(p -> plans.add(plan(p)));
-    JsonNode r = c.path("rules");
-    JsonNode a = c.path("policyLimits");
-    JsonNode x = c.path("extra");
+    json.path("policies").forEach(p -> plans.add(plan(p)));
+    JsonNode rules = json.path("rules");
+    JsonNode limits = json.path("policyLimits");
+    JsonNode extra = json.path("extra");
     List<String> fields = new ArrayList<>();
-    c.path("stats").path("names").forEach(f -> fields.add(neutralField(f.asText())));
-    return new Settings(seed, c.path("myNumber").asInt(), c.path("balancers").asInt(1), c.path(
-        "az").asText(""), Math.max(1, micros(c.path("tick"))), c.path("discovery")
+    json.path("stats").path("names").forEach(f -> fields.add(reportField(f.asText())));
+    return new Settings(seed, json.path("myNumber").asInt(), json.path("balancers").asInt(1), json.path(
+        "az").asText(""), Math.max(1, micros(json.path("tick"))), json.path("discovery")
             .asText()
-            .equals("on_request"), classes, plans, new Rules(micros(r.path("graceToAnswer")),
-                micros(r.path("drainGrace")), r.path("coldFrom").asDouble(1), micros(r.path("cold")), r.path(
-                    "fallMultiple").asDouble(), micros(r.path("fall")), micros(r.path("settleAfterDoubt")), r
+            .equals("on_request"), classes, plans, new Rules(micros(rules.path("graceToAnswer")), micros(rules
+                .path("drainGrace")), rules.path("coldFrom").asDouble(1), micros(rules.path("cold")), rules
+                    .path("fallMultiple")
+                    .asDouble(), micros(rules.path("fall")), micros(rules.path("settleAfterDoubt")), rules
                         .path("furtherRatio")
-                        .asDouble(), r.path("budgetFree").asDouble(), micros(r.path("resendSpan")), micros(r
-                            .path("askWithin"))), new Allowed(a.path("maxAttempts").asInt(1), a
-                                .path("probes")
-                                .asBoolean(), a.path("cancel").asBoolean(), a.path("secondCopies")
-                                    .asBoolean(), a.path("retryAfter").asBoolean(), micros(a.path(
-                                        "maxRetryAfter")), micros(a.path("dialTimeout"))),
-        new Store(x.path("unitMean").asDouble(1), x.path("mostUnits").asInt(1), x.path(
-            "coldBears").asDouble(), x.path("fairWorth").asDouble(), x.path("idleWorth").asDouble(), micros(x
-                .path("meter")), x.path("tellsElsewhere").asBoolean()), switch (c.path("stats")
+                        .asDouble(), rules.path("budgetFree").asDouble(), micros(rules.path("resendSpan")),
+                micros(rules.path("askWithin"))),
+        new Allowed(limits.path("maxAttempts").asInt(1), limits.path("probes").asBoolean(), limits.path(
+            "cancel").asBoolean(), limits.path("secondCopies").asBoolean(), limits.path("retryAfter")
+                .asBoolean(), micros(limits.path("maxRetryAfter")), micros(limits.path("dialTimeout"))),
+        new Store(extra.path("unitMean").asDouble(1), extra.path("mostUnits").asInt(1), extra.path(
+            "coldBears").asDouble(), extra.path("fairWorth").asDouble(), extra.path("idleWorth").asDouble(),
+            micros(extra.path("meter")), extra.path("tellsElsewhere").asBoolean()), switch (json.path("stats")
                     .path("how")
                     .asText()) {
                   case "answers" -> ReportSource.ANSWERS;
@@ -58,26 +58,27 @@
                 }, fields);
   }
 
-  private static RequestClass requestClass(JsonNode k, JsonNode write) {
-    return new RequestClass(need(k, "name").asText(), switch (k.path("effect").asText()) {
+  private static RequestClass requestClass(JsonNode json, JsonNode write) {
+    return new RequestClass(require(json, "name").asText(), switch (json.path("effect").asText()) {
       case "pure" -> Effect.SAFE;
       case "token" -> Effect.KEYED;
       default -> Effect.UNSAFE;
-    }, switch (k.path("group").asText()) {
+    }, switch (json.path("group").asText()) {
       case "all" -> Group.ALL;
       case "zone" -> Group.ZONE;
       default -> Group.CELL;
-    }, micros(k.path("window")), micros(k.path("aim")), micros(k.path("giveUp")), k.path("points").asDouble(),
-        k.path("lateValue").asDouble(), k.path("byArrival").asBoolean(), write.asBoolean());
+    }, micros(json.path("window")), micros(json.path("aim")), micros(json.path("giveUp")), json.path("points")
+        .asDouble(), json.path("lateValue").asDouble(), json.path("byArrival").asBoolean(), write
+            .asBoolean());
   }
 
-  private static Plan plan(JsonNode p) {
-    return new Plan(need(p, "name").asText(), p.path("nominal").asDouble(), p.path("guaranteed")
-        .asDouble(), p.path("proportion").asDouble(1), p.path("price").asDouble(1), p.path("cap").asDouble(),
-        p.path("capDepth").asDouble(), p.path("limitSlack").asDouble());
+  private static Plan plan(JsonNode json) {
+    return new Plan(require(json, "name").asText(), json.path("nominal").asDouble(), json.path("guaranteed")
+        .asDouble(), json.path("proportion").asDouble(1), json.path("price").asDouble(1), json.path("cap")
+            .asDouble(), json.path("capDepth").asDouble(), json.path("limitSlack").asDouble());
   }
 
-  private static String neutralField(String name) {
+  private static String reportField(String name) {
     return switch (name.toLowerCase(Locale.ROOT)) {
       case "outstanding" -> "inflight";
       case "backlog" -> "queue";
@@ -87,11 +88,11 @@
     };
   }
 
-  private static JsonNode need(JsonNode m, String field) {
-    if (!m.hasNonNull(field)) {
+  private static JsonNode require(JsonNode object, String field) {
+    if (!object.hasNonNull(field)) {
       throw new IllegalArgumentException(field + ": is missing");
     }
-    return m.get(field);
+    return object.get(field);
   }
 
   private static long micros(JsonNode value) {
