--- a/src/main/java/hollyslip/Choice.java
+++ b/src/main/java/hollyslip/Choice.java
@@ -7,10 +7,10 @@
  * Its events and actions are declared in {@link HostScheduler}; read that first.
  *
  * <p>
- * Each request waits in the queue of its {@link Volume} at its {@link Node}. Each period, a node's token rate
- * is divided among the active volumes (initial allocation), unused tokens are lent (redistribution) and
- * reclaimed (re-compensation). Queued requests are sent as the node's window has room: the most valuable
- * first, and among equals the one whose volume has had tokens for the longest time. */
+ * Each request waits in the queue of its {@link Volume} at its {@link Node}. Each period, a node's
+ * token rate is divided among the active volumes (initial allocation), unused tokens are lent
+ * (redistribution) and reclaimed (re-compensation). Queued requests are sent as the node's window has room:
+ * the most valuable first, and among equals the one whose volume has had tokens for the longest time. */
 public final class Choice implements HostScheduler {
   /** Allocation period, in microseconds: the 100 ms of the specification. */
   static final long ALLOCATION_PERIOD_US = 100_000;
@@ -51,8 +51,8 @@
   /** When an attempt that may be repeated times out. The latest time is {@link #LATE_TIMEOUT_AIMS} of the
    * aim's length after the aim: a node that drops it then loses only work of little value. A first attempt
    * times out {@link #RETRY_RESERVE_LATENCIES} expected latencies before the aim, but not before
-   * {@link #SURELY_LOST} expected latencies have passed: it is then presumed lost, and a second attempt may
-   * still be in time. Drawback: a late answer is missed and work is done twice. */
+   * {@link #SURELY_LOST} expected latencies have passed: it is then presumed lost, and a second
+   * attempt may still be in time. Drawback: a late answer is missed and work is done twice. */
   static final double LATE_TIMEOUT_AIMS = 0.5, RETRY_RESERVE_LATENCIES = 2, SURELY_LOST = 6;
 
   /** Weight of one more missing answer in {@link #lostAnswerRatio}, and minimum weight of a new sample in the
@@ -93,7 +93,7 @@
    * before arrival. */
   private final Map<String, Long> maxRemainingUs = new HashMap<>();
   private final Map<String, Plan> plans = new HashMap<>();
-  /** All nodes, and those with queued requests: the cost of an event must not grow with the fleet. */
+  /** All nodes, and those with queued requests: the cost of an event must not grow with the node count. */
   final Map<Long, Node> nodes = new TreeMap<>(), nodesWithQueuedRequests = new TreeMap<>();
   private final Map<Long, PendingRequest> pendings = new LinkedHashMap<>();
   private final Map<Long, TokenBucket> limits = new HashMap<>(), reserves = new HashMap<>();
@@ -538,8 +538,7 @@
     }
   }
 
-  /** Equations 3 to 8: pools the surplus tokens, shares them by distribution factor and updates the records.
-   * */
+  /** Equations 3 to 8: pools the surplus tokens, shares them by distribution factor and updates the records. */
   static void redistribution(List<Volume> active) {
     double pool = 0, factorSum = 0;
     for (Volume volume : active) {
@@ -637,7 +636,7 @@
     runDueWork();
   }
 
-  /** Requires the final answer of a request that is still open by this time. */
+  /** Moves the deadline of a request that is still open to this time, if that is earlier. */
   private void shortenDeadline(PendingRequest pending, long answerBy) {
     if (byAnswerTime.remove(pending)) {
       pending.deadline = Math.min(pending.deadline, answerBy);
@@ -648,8 +647,7 @@
 
   /** Changes the terms of a volume, also for its queued requests. A limit that the volume did not have before
    * starts empty. Records (section III, equation 8) are rescaled with the weight: a volume owes the same
-   * number of periods of its share as before, not the same tokens, which a smaller share might never repay.
-   * */
+   * number of periods of its share as before, not the same tokens, which a smaller share might not repay. */
   private void applyVolumeChange(VolumeChanged change) {
     volumeTerms.put(change.volume(), change);
     removedVolumes.remove(change.volume());
@@ -661,7 +659,7 @@
         : limit == null ? new TokenBucket(rate, depth, 0, now) : limit.reconfigure(rate, depth, now));
     reserves.computeIfPresent(change.volume(),
         (k, reserve) -> reserve.reconfigure(plan.reserve() / change.hosts(),
-        reserveDepth(plan, change.hosts()), now));
+            reserveDepth(plan, change.hosts()), now));
     for (PendingRequest pending : pendings.values()) {
       if (pending.request.volume() == change.volume()) {
         pending.plan = plan;
@@ -723,8 +721,7 @@
     armTimer();
   }
 
-  /** Forgets volumes without requests, since new ones keep coming; a full bucket is equivalent to a new one.
-   * */
+  /** Forgets volumes without requests, since new ones keep coming; a full bucket is as good as a new one. */
   private void expireIdleVolumes() {
     if (now >= nextSweepAt) {
       nextSweepAt = now + IDLE_EXPIRY_US / 4;
@@ -788,19 +785,16 @@
       actionSink.accept(new Refuse(request.id(), 0));
       return;
     }
-    int hosts = ownTerms != null ? ownTerms.hosts() : request.hosts() > 0 ? request.hosts()
-        : settings.hosts();
+    int hosts = ownTerms != null
+        ? ownTerms.hosts()
+        : request.hosts() > 0 ? request.hosts() : settings.hosts();
     TokenBucket limit = plan.limit() <= 0
         ? null
         : limits.computeIfAbsent(request.volume(),
-            k -> new TokenBucket(plan.limit() / hosts, plan.limitBurst()
-            / hosts,
-            0, firstEventAt));
+            k -> new TokenBucket(plan.limit() / hosts, plan.limitBurst() / hosts, 0, firstEventAt));
     double depth = reserveDepth(plan, hosts);
     TokenBucket reserve = reserves.computeIfAbsent(request.volume(),
-        k -> new TokenBucket(plan.reserve() / hosts,
-        depth, depth,
-        now));
+        k -> new TokenBucket(plan.reserve() / hosts, depth, depth, now));
     long maxRemaining = maxRemainingUs.merge(request.className(), request.remainingUs(), Math::max);
     PendingRequest pending = new PendingRequest(request, requestClass, maxRemaining, plan, nextSequence++,
         now, random.nextDouble(), limit, reserve);
@@ -831,9 +825,9 @@
     Node best = null;
     double lowestCost = Double.MAX_VALUE;
     for (Node node : nodes.values()) {
-      if (node.state == NodeState.ON && (pending.request.shard() < 0
-          || node.cell == pending.request.shard()) && pending.mayAttemptOn(node,
-          now)) {
+      if (node.state == NodeState.ON
+          && (pending.request.shard() < 0 || node.cell == pending.request.shard())
+          && pending.mayAttemptOn(node, now)) {
         double cost = placementCost(node);
         if (cost < lowestCost) {
           lowestCost = cost;
