--- a/src/main/java/hollyslip/Choice.java
+++ b/src/main/java/hollyslip/Choice.java
@@ -538,7 +538,7 @@
     }
   }
 
-  /** Equations 3 to 8: pools the surplus tokens, shares them by distribution factor and updates the records. */
+  /** Equations 3 to 8: pools the surplus tokens, shares them by distribution factor and updates records. */
   static void redistribution(List<Volume> active) {
     double pool = 0, factorSum = 0;
     for (Volume volume : active) {
