--- a/src/test/java/hollyslip/AllocatorTest.java
+++ b/src/test/java/hollyslip/AllocatorTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The allocator's three steps against figures worked by hand. */
+/** The three allocation steps, checked against values computed by hand. */
 class AllocatorTest {
   private static Choice.Volume volume(long key, double weight, double asked, double lastAlpha,
       double record) {
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void initialAllocationGoesByWeight() {
+  void initialAllocationIsProportionalToWeight() {
     Choice.Volume a = volume(1, 1, 2, 5, 0);
     Choice.Volume b = volume(2, 3, 20, 10, 0);
     Choice.initialAllocation(List.of(a, b), 20);
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void surplusIsPooledAndSharedByTheDistributionFactor() {
+  void surplusIsSharedByTheDistributionFactor() {
     // a: alpha 5, d 2, surplus 3, u 2/5 = 0.4, DF 0.4 * 0.25 = 0.1
     // b: alpha 15, d 20, no surplus, u 20/10 = 2, DF 2 + 2 * 0.75 = 3.5; the pool of 3 goes 0.1 : 3.5
     Choice.Volume a = volume(1, 1, 2, 5, 0);
@@ -44,8 +44,8 @@
   }
 
   @Test
-  void borrowersGiveBackAtMostWhatTheyOwedBeforeSharing() {
-    // Both ask all they get: no surplus. a lent 4 before, b owes 4. u = 1 and 1, DF 0.5 each.
+  void borrowersReturnAtMostWhatTheyOwedBeforeRedistribution() {
+    // Both demand their whole allocation: no surplus. a lent 4 before, b owes 4. u = 1 and 1, DF 0.5 each.
     // C = 0.5 * (max(1, 1) + max(0, 1 - 10/10)) / 2 = 0.25; reclaim min(4, floor(0.25 * 10)) = 2.
     Choice.Volume a = volume(1, 1, 10, 10, 4);
     Choice.Volume b = volume(2, 1, 10, 10, -4);
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void reclaimIsBoundByTheRecordHeldBefore() {
+  void reclaimIsBoundedByTheEarlierRecord() {
     Choice.Volume a = volume(1, 1, 10, 10, 1);
     Choice.Volume b = volume(2, 1, 10, 10, -1);
     List<Choice.Volume> active = List.of(a, b);
@@ -73,7 +73,7 @@
 
   @Test
   void noAllocationFallsBelowZero() {
-    // a's high utilisation pushes C to 5: without the bound b would owe more than it holds.
+    // a's high utilisation raises C to 5: without the bound b would return more than its allocation.
     Choice.Volume a = volume(1, 1, 100, 5, 90);
     Choice.Volume b = volume(2, 1, 10, 10, -90);
     List<Choice.Volume> active = List.of(a, b);
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void aVolumeNewAtANodeHasUtilisationOne() {
+  void aNewVolumeHasUtilisationOne() {
     Choice.Volume a = new Choice.Volume(1, 6, 0);
     a.asked = 4;
     Choice.initialAllocation(List.of(a), 8);
--- a/src/test/java/hollyslip/ArchitectureTest.java
+++ b/src/test/java/hollyslip/ArchitectureTest.java
@@ -10,13 +10,13 @@
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
 import org.junit.jupiter.api.Test;
 
-/** The arrows between packages: they point inward only. */
+/** Dependencies between packages: they point inward only. */
 class ArchitectureTest {
-  private static final JavaClasses ALL = new ClassFileImporter().withImportOption(
+  private static final JavaClasses PRODUCTION_CLASSES = new ClassFileImporter().withImportOption(
       ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("hollyslip");
 
   @Test
-  void arrowsPointInward() {
+  void packageDependenciesPointInward() {
     layeredArchitecture().consideringOnlyDependenciesInLayers()
         .layer("module")
         .definedBy("hollyslip")
@@ -80,23 +80,24 @@
         .mayOnlyBeAccessedByLayers("cli")
         .whereLayer("cli")
         .mayNotBeAccessedByAnyLayer()
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void theModuleKnowsNothingOfWhatIsRoundIt() {
+  void decisionModuleDependsOnNoSubpackage() {
     ArchRuleDefinition.noClasses()
         .that()
         .resideInAPackage("hollyslip")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage("hollyslip.*..")
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
-  /** The platform's process is small: it knows the module, and nothing of the gateway or its libraries. */
+  /** Keeps the platform process small: it depends on the decision module only, not on the gateway or its
+   * libraries. */
   @Test
-  void thePlatformKnowsOnlyTheModule() {
+  void platformDependsOnlyOnTheDecisionModule() {
     ArchRuleDefinition.noClasses()
         .that()
         .resideInAPackage("hollyslip.platform")
@@ -105,12 +106,12 @@
             "com.sun.jna..", "org.slf4j..", "ch.qos..", "picocli..")
             .and(DescribedPredicate.not(
                 JavaClass.Predicates.resideInAPackage("hollyslip.platform"))))
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
-  /** What decides is free of I/O, clock and threads. */
+  /** Code that makes decisions uses no I/O, clock or threads. */
   @Test
-  void decisionsDoNoIo() {
+  void decisionCodeDoesNoIo() {
     ArchRuleDefinition.noClasses()
         .that()
         .resideInAnyPackage("hollyslip.volume", "hollyslip.fleet", "hollyslip.tenant", "hollyslip.door")
@@ -132,6 +133,6 @@
         .dependOnClassesThat()
         .resideInAnyPackage("java.io..", "java.nio.channels..", "java.nio.file..", "java.net..",
             "java.util.concurrent.locks..")
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 }
--- a/src/test/java/hollyslip/KnownRedCondition.java
+++ b/src/test/java/hollyslip/KnownRedCondition.java
@@ -10,22 +10,22 @@
 import org.junit.jupiter.api.extension.ExecutionCondition;
 import org.junit.jupiter.api.extension.ExtensionContext;
 
-/** Passes over the tests that {@code KNOWN-RED.txt} names, and prints them. {@code -Dknown-red=run} runs them
- * all the same. An entry's line {@code test: package.Class#method} names a test. */
+/** Disables the tests that {@code KNOWN-RED.txt} lists and prints their names; {@code -Dknown-red=run}
+ * enables them. Each entry names its test in a line {@code test: package.Class#method}. */
 public final class KnownRedCondition implements ExecutionCondition {
   private static final Path FILE = Path.of("KNOWN-RED.txt");
-  private static final String PREFIX = "test: ";
-  private static final Set<String> TESTS = read();
+  private static final String TEST_LINE_PREFIX = "test: ";
+  private static final Set<String> KNOWN_RED_TESTS = readTestNames();
 
-  private static Set<String> read() {
+  private static Set<String> readTestNames() {
     if (!Files.exists(FILE) || "run".equals(System.getProperty("known-red"))) {
       return Set.of();
     }
     try {
       return Files.readAllLines(FILE)
           .stream()
-          .filter(l -> l.startsWith(PREFIX))
-          .map(l -> l.substring(PREFIX.length()).trim())
+          .filter(line -> line.startsWith(TEST_LINE_PREFIX))
+          .map(line -> line.substring(TEST_LINE_PREFIX.length()).trim())
           .collect(Collectors.toSet());
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -37,7 +37,7 @@
     String test = context.getTestClass().map(Class::getName).orElse("") + "#" + context.getTestMethod()
         .map(m -> m.getName())
         .orElse("");
-    if (!TESTS.contains(test)) {
+    if (!KNOWN_RED_TESTS.contains(test)) {
       return ConditionEvaluationResult.enabled("not known to be red");
     }
     System.out.println("known red, passed over: " + test);
--- a/src/test/java/hollyslip/ModuleSizeTest.java
+++ b/src/test/java/hollyslip/ModuleSizeTest.java
@@ -7,19 +7,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The module is what new staff read first, so its size is bounded. */
+/** Bounds the size of the decision module, which new developers read first. */
 class ModuleSizeTest {
   private static final Path MODULE = Path.of("src/main/java/hollyslip/Choice.java");
 
   @Test
-  void holdsAtMost1000LinesThatAreNotBlank() throws Exception {
+  void hasAtMost1000NonBlankLines() throws Exception {
     long lines = Files.readAllLines(MODULE).stream().filter(l -> !l.isBlank()).count();
-    assertTrue(lines > 0 && lines <= 1000, "lines: " + lines);
+    assertTrue(lines > 0 && lines <= 1000, "non-blank lines: " + lines);
   }
 
   @Test
-  void noLineIsWiderThan110() throws Exception {
-    List<String> wide = Files.readAllLines(MODULE).stream().filter(l -> l.length() > 110).toList();
-    assertTrue(wide.isEmpty(), "wide: " + wide);
+  void noLineIsLongerThan110Characters() throws Exception {
+    List<String> tooLong = Files.readAllLines(MODULE).stream().filter(l -> l.length() > 110).toList();
+    assertTrue(tooLong.isEmpty(), "lines longer than 110 characters: " + tooLong);
   }
 }
--- a/src/test/java/hollyslip/RuleAudit.java
+++ b/src/test/java/hollyslip/RuleAudit.java
@@ -10,26 +10,27 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Watches one host's events and actions and notes every breach of the seven rules. It outlives restarts of
- * the scheduler, as the world does, and knows nothing of how the module decides. */
+/** Records every violation of the seven rules in the events and actions of one host. Across restarts of the
+ * scheduler it keeps the limit buckets and the traffic sent to cold nodes, as the system does. It does not
+ * depend on how the module decides. */
 final class RuleAudit {
-  /** What is known of one attempt. */
-  record Attempt(long request, int number, long node, long at) {}
+  /** One attempt, as sent. */
+  record Attempt(long request, int number, long node, long sentAt) {}
 
-  /** What is known of one request. */
-  static final class Seen {
+  /** The state of one request, as seen from outside the module. */
+  static final class TrackedRequest {
     final Request request;
-    final RequestClass rules;
-    final long at;
+    final RequestClass requestClass;
+    final long arrivedAt;
     final List<Attempt> attempts = new ArrayList<>();
     final Map<Integer, Result> results = new HashMap<>();
     boolean answered;
-    boolean counted;
+    boolean countedInLimit;
 
-    Seen(Request request, RequestClass rules, long at) {
+    TrackedRequest(Request request, RequestClass requestClass, long arrivedAt) {
       this.request = request;
-      this.rules = rules;
-      this.at = at;
+      this.requestClass = requestClass;
+      this.arrivedAt = arrivedAt;
     }
 
     boolean mayHaveRun(int number) {
@@ -41,286 +42,298 @@
       return attempts.stream().anyMatch(a -> mayHaveRun(a.number()));
     }
 
-    boolean open() {
+    boolean hasAttemptInFlight() {
       return attempts.size() > results.size();
     }
   }
 
   final Settings settings;
-  final List<String> breaches = new ArrayList<>();
+  final List<String> violations = new ArrayList<>();
   final List<Action> actions = new ArrayList<>();
   final TreeMap<Long, Integer> timers = new TreeMap<>();
-  final Map<Long, Seen> seen = new LinkedHashMap<>();
-  final Map<Long, Listed> listed = new HashMap<>();
-  final Map<Long, Long> offSince = new HashMap<>();
-  final List<Attempt> out = new ArrayList<>();
-  private final List<Long> taken = new ArrayList<>();
-  private final List<Long> extra = new ArrayList<>();
+  final Map<Long, TrackedRequest> requests = new LinkedHashMap<>();
+  final Map<Long, Listed> listedNodes = new HashMap<>();
+  final Map<Long, Long> notOnSince = new HashMap<>();
+  final List<Attempt> inFlight = new ArrayList<>();
+  private final List<Long> arrivalTimes = new ArrayList<>();
+  private final List<Long> furtherAttemptTimes = new ArrayList<>();
   private final List<double[]> coldSends = new ArrayList<>();
-  private final Map<Long, double[]> stores = new HashMap<>();
-  private final Map<Long, Long> keyQuiet = new HashMap<>();
-  private final int volumeHosts;
+  private final Map<Long, double[]> limitBuckets = new HashMap<>();
+  private final Map<Long, Long> keyBlockedUntil = new HashMap<>();
+  private final int hostsPerVolume;
   private HostScheduler scheduler;
   long now;
 
-  RuleAudit(Settings settings, long now, int volumeHosts) {
+  RuleAudit(Settings settings, long now, int hostsPerVolume) {
     this.settings = settings;
     this.now = now;
-    this.volumeHosts = volumeHosts;
+    this.hostsPerVolume = hostsPerVolume;
     scheduler = new Choice(settings);
   }
 
   void restart(List<Listed> stale) {
     scheduler = new Choice(settings);
     timers.clear();
-    seen.clear();
-    out.clear();
-    taken.clear();
-    extra.clear();
-    keyQuiet.clear();
-    listed.clear();
-    offSince.clear();
-    list(true, stale);
+    requests.clear();
+    inFlight.clear();
+    arrivalTimes.clear();
+    furtherAttemptTimes.clear();
+    keyBlockedUntil.clear();
+    listedNodes.clear();
+    notOnSince.clear();
+    updateNodes(true, stale);
   }
 
-  void list(boolean whole, List<Listed> nodes) {
+  void updateNodes(boolean whole, List<Listed> nodes) {
     if (whole) {
       Set<Long> named = new HashSet<>();
       nodes.forEach(l -> named.add(l.node()));
-      listed.keySet().stream().filter(n -> !named.contains(n)).forEach(n -> offSince.putIfAbsent(n, now));
+      listedNodes.keySet()
+          .stream()
+          .filter(n -> !named.contains(n))
+          .forEach(n -> notOnSince.putIfAbsent(n, now));
     }
     for (Listed l : nodes) {
-      listed.put(l.node(), l);
+      listedNodes.put(l.node(), l);
       if (l.state() == NodeState.ON) {
-        offSince.remove(l.node());
+        notOnSince.remove(l.node());
       } else {
-        offSince.putIfAbsent(l.node(), now);
+        notOnSince.putIfAbsent(l.node(), now);
       }
     }
-    feed(new NodeList(whole, nodes));
+    deliver(new NodeList(whole, nodes));
   }
 
-  void request(Request r) {
-    taken.add(now);
-    RequestClass c = settings.classes()
+  void submit(Request request) {
+    arrivalTimes.add(now);
+    RequestClass requestClass = settings.classes()
         .stream()
-        .filter(k -> k.name().equals(r.className()))
+        .filter(c -> c.name().equals(request.className()))
         .findFirst()
         .orElse(null);
-    seen.put(r.id(), new Seen(r, c, now));
-    feed(r);
+    requests.put(request.id(), new TrackedRequest(request, requestClass, now));
+    deliver(request);
   }
 
-  void finish(Attempt a, Result result) {
-    Seen s = seen.get(a.request());
-    out.remove(a);
-    s.results.put(a.number(), result);
-    double[] store = stores.get(s.request.volume());
-    if (result == Result.MOOT && a.number() == 0 && s.counted && store != null) {
-      store[0] += s.request.units();
-      s.counted = false;
+  void completeAttempt(Attempt attempt, Result result) {
+    TrackedRequest tracked = requests.get(attempt.request());
+    inFlight.remove(attempt);
+    tracked.results.put(attempt.number(), result);
+    double[] bucket = limitBuckets.get(tracked.request.volume());
+    if (result == Result.MOOT && attempt.number() == 0 && tracked.countedInLimit && bucket != null) {
+      bucket[0] += tracked.request.units();
+      tracked.countedInLimit = false;
     }
-    boolean ended = s.answered || result == Result.OK;
-    s.answered |= result == Result.OK;
+    boolean ended = tracked.answered || result == Result.OK;
+    tracked.answered |= result == Result.OK;
     if (result == Result.TIMEOUT || result == Result.RESET || result == Result.CANCELLED) {
-      if (s.request.key() != null && s.rules.inOrder()) {
-        keyQuiet.put(s.request.key(), now + settings.rules().orderSettleUs());
+      if (tracked.request.key() != null && tracked.requestClass.inOrder()) {
+        keyBlockedUntil.put(tracked.request.key(), now + settings.rules().orderSettleUs());
       }
     }
-    feed(new Outcome(a.request(), a.number(), a.node(), result, ended, now - a.at(), 0, 0, null));
+    deliver(new Outcome(attempt.request(), attempt.number(), attempt.node(), result, ended,
+        now - attempt.sentAt(), 0, 0, null));
   }
 
-  void depart(long id) {
-    seen.get(id).answered = true;
-    feed(new Departed(id));
+  void disconnect(long id) {
+    requests.get(id).answered = true;
+    deliver(new Departed(id));
   }
 
-  /** Moves the clock, firing timers and the client's own time-outs on the way. */
-  void advance(long to) {
+  /** Advances the clock and fires the timers and client timeouts that come due. */
+  void advanceTo(long time) {
     while (true) {
-      long timer = timers.isEmpty() ? Long.MAX_VALUE : timers.firstKey();
-      Attempt late = null;
-      long lateAt = Long.MAX_VALUE;
-      for (Attempt a : out) {
-        Seen s = seen.get(a.request());
-        long at = s.at + s.request.remainingUs();
-        if (at < lateAt) {
-          late = a;
-          lateAt = at;
+      long nextTimerAt = timers.isEmpty() ? Long.MAX_VALUE : timers.firstKey();
+      Attempt nextTimedOut = null;
+      long nextTimeoutAt = Long.MAX_VALUE;
+      for (Attempt attempt : inFlight) {
+        TrackedRequest tracked = requests.get(attempt.request());
+        long timeoutAt = tracked.arrivedAt + tracked.request.remainingUs();
+        if (timeoutAt < nextTimeoutAt) {
+          nextTimedOut = attempt;
+          nextTimeoutAt = timeoutAt;
         }
       }
-      long next = Math.min(timer, lateAt);
-      if (next > to) {
+      long next = Math.min(nextTimerAt, nextTimeoutAt);
+      if (next > time) {
         break;
       }
       now = Math.max(now, next);
-      if (timer <= lateAt) {
+      if (nextTimerAt <= nextTimeoutAt) {
         timers.pollFirstEntry();
-        feed(new TimerDue(timer));
+        deliver(new TimerDue(nextTimerAt));
       } else {
-        finish(late, Result.TIMEOUT);
+        completeAttempt(nextTimedOut, Result.TIMEOUT);
       }
     }
-    now = to;
-    for (Seen s : seen.values()) {
-      if (!s.answered && now > s.at + s.request.remainingUs() + settings.rules().answerSlackUs()) {
-        breach("lost", s.request.id());
-        s.answered = true;
+    now = time;
+    for (TrackedRequest tracked : requests.values()) {
+      if (!tracked.answered
+          && now > tracked.arrivedAt + tracked.request.remainingUs() + settings.rules().answerSlackUs()) {
+        addViolation("not answered in time", tracked.request.id());
+        tracked.answered = true;
       }
     }
   }
 
-  void feed(Event e) {
-    scheduler.handle(now, e, this::check);
+  void deliver(Event event) {
+    scheduler.handle(now, event, this::checkAction);
   }
 
-  private void check(Action a) {
-    actions.add(a);
-    if (a instanceof SetTimer t) {
-      timers.put(t.at(), 1);
-    } else if (a instanceof Send s) {
-      send(s);
-    } else if (a instanceof Refuse r) {
-      Seen s = answer(r.request());
-      if (s.rules != null && s.anyMayHaveRun()) {
-        boolean harmless = s.rules.effect() == Effect.SAFE || s.rules.effect() == Effect.KEYED && s.rules
-            .group() == Group.ALL;
+  private void checkAction(Action action) {
+    actions.add(action);
+    if (action instanceof SetTimer timer) {
+      timers.put(timer.at(), 1);
+    } else if (action instanceof Send send) {
+      checkSend(send);
+    } else if (action instanceof Refuse refuse) {
+      TrackedRequest tracked = recordAnswer(refuse.request());
+      if (tracked.requestClass != null && tracked.anyMayHaveRun()) {
+        boolean harmless = tracked.requestClass.effect() == Effect.SAFE
+            || tracked.requestClass.effect() == Effect.KEYED && tracked.requestClass.group() == Group.ALL;
         if (!harmless) {
-          breach("refused what may have run", r.request());
+          addViolation("refused although it may have run", refuse.request());
         }
       }
-    } else if (a instanceof Fail f) {
-      answer(f.request());
-    } else if (a instanceof Probe && !settings.allowed().probes()) {
-      breach("probe forbidden", 0);
-    } else if (a instanceof Cancel && !settings.allowed().cancel()) {
-      breach("cancel forbidden", 0);
+    } else if (action instanceof Fail fail) {
+      recordAnswer(fail.request());
+    } else if (action instanceof Probe && !settings.allowed().probes()) {
+      addViolation("probe not allowed", 0);
+    } else if (action instanceof Cancel && !settings.allowed().cancel()) {
+      addViolation("cancel not allowed", 0);
     }
   }
 
-  private Seen answer(long id) {
-    Seen s = seen.get(id);
-    if (s.answered) {
-      breach("answered twice", id);
+  private TrackedRequest recordAnswer(long id) {
+    TrackedRequest tracked = requests.get(id);
+    if (tracked.answered) {
+      addViolation("answered twice", id);
     }
-    s.answered = true;
-    return s;
+    tracked.answered = true;
+    return tracked;
   }
 
-  private void send(Send a) {
-    Seen s = seen.get(a.request());
-    if (s == null || s.answered) {
-      breach("sent after the end", a.request());
+  private void checkSend(Send send) {
+    TrackedRequest tracked = requests.get(send.request());
+    if (tracked == null || tracked.answered) {
+      addViolation("sent for an unknown or answered request", send.request());
       return;
     }
-    Listed to = listed.get(a.node());
-    if (to == null) {
-      breach("sent to an unlisted node", a.request());
+    Listed target = listedNodes.get(send.node());
+    if (target == null) {
+      addViolation("sent to an unlisted node", send.request());
       return;
     }
-    Long off = offSince.get(a.node());
-    if (off != null && now > off + settings.rules().drainGraceUs()) {
-      breach("sent to a draining node", a.request());
+    Long notOn = notOnSince.get(send.node());
+    if (notOn != null && now > notOn + settings.rules().drainGraceUs()) {
+      addViolation("sent to an unavailable node", send.request());
     }
-    repeats(s, to);
-    order(s);
-    budget(s);
-    cold(s, to);
-    limit(s);
-    Attempt attempt = new Attempt(a.request(), s.attempts.size(), a.node(), now);
-    s.attempts.add(attempt);
-    out.add(attempt);
+    checkRepeats(tracked, target);
+    checkOrder(tracked);
+    checkAttemptBudget(tracked);
+    checkColdNode(tracked, target);
+    checkLimit(tracked);
+    Attempt attempt = new Attempt(send.request(), tracked.attempts.size(), send.node(), now);
+    tracked.attempts.add(attempt);
+    inFlight.add(attempt);
   }
 
-  private void repeats(Seen s, Listed to) {
-    if (s.open() && !settings.allowed().secondCopies()) {
-      breach("second copy", s.request.id());
+  private void checkRepeats(TrackedRequest tracked, Listed target) {
+    if (tracked.hasAttemptInFlight() && !settings.allowed().secondCopies()) {
+      addViolation("second concurrent attempt", tracked.request.id());
     }
-    for (Attempt before : s.attempts) {
-      if (s.rules.effect() == Effect.SAFE || !s.mayHaveRun(before.number())) {
+    for (Attempt previous : tracked.attempts) {
+      if (tracked.requestClass.effect() == Effect.SAFE || !tracked.mayHaveRun(previous.number())) {
         continue;
       }
-      Listed from = listed.get(before.node());
-      boolean group = switch (s.rules.group()) {
+      Listed previousNode = listedNodes.get(previous.node());
+      boolean inGroup = switch (tracked.requestClass.group()) {
         case ALL -> true;
-        case ZONE -> from.zone().equals(to.zone());
-        case CELL -> from.cell() == to.cell();
+        case ZONE -> previousNode.zone().equals(target.zone());
+        case CELL -> previousNode.cell() == target.cell();
       };
-      if (s.rules.effect() == Effect.UNSAFE || !group || now > before.at() + s.rules.windowUs()) {
-        breach("effect twice", s.request.id());
+      if (tracked.requestClass.effect() == Effect.UNSAFE || !inGroup
+          || now > previous.sentAt() + tracked.requestClass.windowUs()) {
+        addViolation("effect may occur twice", tracked.request.id());
       }
     }
   }
 
-  private void order(Seen s) {
-    if (!s.rules.inOrder() || s.request.key() == null) {
+  private void checkOrder(TrackedRequest tracked) {
+    if (!tracked.requestClass.inOrder() || tracked.request.key() == null) {
       return;
     }
-    for (Seen other : seen.values()) {
-      if (other == s) {
+    for (TrackedRequest other : requests.values()) {
+      if (other == tracked) {
         break;
       }
-      boolean same = other.rules != null && other.rules.inOrder() && s.request.key()
+      boolean sameKey = other.requestClass != null && other.requestClass.inOrder() && tracked.request.key()
           .equals(other.request.key());
-      if (same && (!other.answered || other.open())) {
-        breach("out of order", s.request.id());
+      if (sameKey && (!other.answered || other.hasAttemptInFlight())) {
+        addViolation("out of order", tracked.request.id());
       }
     }
-    if (s.attempts.isEmpty() && now < keyQuiet.getOrDefault(s.request.key(), 0L)) {
-      breach("key not settled", s.request.id());
+    if (tracked.attempts.isEmpty() && now < keyBlockedUntil.getOrDefault(tracked.request.key(), 0L)) {
+      addViolation("key still blocked", tracked.request.id());
     }
   }
 
-  private void budget(Seen s) {
-    Rules r = settings.rules();
-    if (s.attempts.isEmpty() || r.budgetWindowUs() == 0) {
+  private void checkAttemptBudget(TrackedRequest tracked) {
+    Rules rules = settings.rules();
+    if (tracked.attempts.isEmpty() || rules.budgetWindowUs() == 0) {
       return;
     }
-    extra.add(now);
-    long from = now - r.budgetWindowUs();
-    long extras = extra.stream().filter(t -> t >= from).count();
-    long took = taken.stream().filter(t -> t > from).count();
-    if (extras > r.budgetFree() + r.budgetShare() * took) {
-      breach("budget of attempts", s.request.id());
+    furtherAttemptTimes.add(now);
+    long windowStart = now - rules.budgetWindowUs();
+    long furtherAttempts = furtherAttemptTimes.stream().filter(t -> t >= windowStart).count();
+    long arrivals = arrivalTimes.stream().filter(t -> t > windowStart).count();
+    if (furtherAttempts > rules.budgetFree() + rules.budgetShare() * arrivals) {
+      addViolation("attempt budget exceeded", tracked.request.id());
     }
   }
 
-  private void cold(Seen s, Listed to) {
-    Rules r = settings.rules();
-    if (to.bornUs() <= 0 || now > to.bornUs() + r.coldUs() || settings.store().coldUnits() <= 0) {
+  private void checkColdNode(TrackedRequest tracked, Listed target) {
+    Rules rules = settings.rules();
+    if (target.bornUs() <= 0 || now > target.bornUs() + rules.coldUs() || settings.store().coldUnits() <= 0) {
       return;
     }
-    coldSends.add(new double[]{to.node(), to.bornUs(), now, s.request.units()});
-    double sum = 0;
-    for (double[] c : coldSends) {
-      if (c[0] == to.node() && c[1] == to.bornUs() && c[2] > now - r.fallUs()) {
-        sum += c[3];
+    coldSends.add(new double[]{target.node(), target.bornUs(), now, tracked.request.units()});
+    double sentUnits = 0;
+    for (double[] coldSend : coldSends) {
+      if (coldSend[0] == target.node() && coldSend[1] == target.bornUs()
+          && coldSend[2] > now - rules.fallUs()) {
+        sentUnits += coldSend[3];
       }
     }
-    double age = Math.min(1, (double) Math.max(0, now - to.bornUs()) / r.coldUs());
-    double bears = settings.store().coldUnits() * (r.coldFrom() + (1 - r.coldFrom()) * age) / r.coldFrom();
-    if (sum > bears + 1e-6) {
-      breach("cold node", s.request.id());
+    double age = Math.min(1, (double) Math.max(0, now - target.bornUs()) / rules.coldUs());
+    double allowedUnits = settings.store().coldUnits() * (rules.coldFrom() + (1 - rules.coldFrom()) * age)
+        / rules.coldFrom();
+    if (sentUnits > allowedUnits + 1e-6) {
+      addViolation("cold node overloaded", tracked.request.id());
     }
   }
 
-  private void limit(Seen s) {
-    Plan plan = settings.plans().stream().filter(p -> p.name().equals(s.request.plan())).findFirst().get();
-    if (plan.limit() <= 0 || s.counted) {
+  private void checkLimit(TrackedRequest tracked) {
+    Plan plan = settings.plans()
+        .stream()
+        .filter(p -> p.name().equals(tracked.request.plan()))
+        .findFirst()
+        .get();
+    if (plan.limit() <= 0 || tracked.countedInLimit) {
       return;
     }
-    s.counted = true;
-    double depth = plan.limitBurst() / volumeHosts;
-    double[] store = stores.computeIfAbsent(s.request.volume(), k -> new double[]{depth, now});
-    store[0] = Math.min(depth, store[0] + plan.limit() / volumeHosts * (now - store[1]) / 1e6);
-    store[1] = now;
-    store[0] -= s.request.units();
-    if (store[0] < -1e-6) {
-      breach("limit", s.request.id());
+    tracked.countedInLimit = true;
+    double depth = plan.limitBurst() / hostsPerVolume;
+    double[] bucket = limitBuckets.computeIfAbsent(tracked.request.volume(), k -> new double[]{depth, now});
+    bucket[0] = Math.min(depth, bucket[0] + plan.limit() / hostsPerVolume * (now - bucket[1]) / 1e6);
+    bucket[1] = now;
+    bucket[0] -= tracked.request.units();
+    if (bucket[0] < -1e-6) {
+      addViolation("volume limit exceeded", tracked.request.id());
     }
   }
 
-  private void breach(String what, long id) {
-    breaches.add(what + ": request " + id + " at " + now);
+  private void addViolation(String rule, long requestId) {
+    violations.add(rule + ": request " + requestId + " at " + now);
   }
 }
--- a/src/test/java/hollyslip/WireHostTest.java
+++ b/src/test/java/hollyslip/WireHostTest.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The adapter on transcripts. */
+/** The JSON wire adapter, driven by transcripts of its protocol. */
 class WireHostTest {
-  private static final String CONF = "{'balancers':2,'myNumber':0,'az':'x','tick':0.002,'newKey':{'a':1},"
+  private static final String CONFIGURATION = "{'balancers':2,'myNumber':0,'az':'x','tick':0.002,'newKey':{'a':1},"
       + "'classes':[{'name':'get','effect':'pure','group':'all','window':5,'aim':0.25,'giveUp':2,'points':1}],"
       + "'policies':[{'name':'p','nominal':4,'guaranteed':2,'proportion':1,'price':1,'cap':0}],"
       + "'policyLimits':{'maxAttempts':3},'rules':{'graceToAnswer':0.008,'drainGrace':1},"
@@ -20,7 +20,7 @@
 
   private record Run(int status, String out, String err) {}
 
-  private static Run run(String... lines) throws Exception {
+  private static Run serve(String... lines) throws Exception {
     String in = String.join("\n", lines).replace('\'', '"') + "\n";
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -30,19 +30,19 @@
   }
 
   private static String launch(String name) {
-    return "{'m':'LAUNCH','i':'" + name + "','nonce64':5,'conf':" + CONF + "}";
+    return "{'m':'LAUNCH','i':'" + name + "','nonce64':5,'conf':" + CONFIGURATION + "}";
   }
 
-  private static String page(int slot, long server) {
+  private static String nodeListPage(int slot, long server) {
     return "{'m':'PAGE','slot':" + slot + ",'entries':[{'server':" + server
         + ",'regionPart':'x','flavor':'f','cluster':0,'mode':'on','units':1,'born':null}]}";
   }
 
-  private static String known(String name, int slot) {
+  private static String nodeListNotice(String name, int slot) {
     return "{'m':'PEERS_KNOWN','i':'" + name + "','epoch':1,'mode':'stale_copy','slot':" + slot + "}";
   }
 
-  private static String ingress(String name, long id) {
+  private static String requestArrival(String name, long id) {
     return "{'m':'INGRESS','i':'" + name + "','opId':" + id
         + ",'type':'get','plan':'p','blockKey':1,'remaining':2,"
         + "'storeUser':3,'sizeUnits':2,'liesIn':0,'nHosts':1,'againByClient':false,'isWrite':false,'extra':null}";
@@ -53,51 +53,51 @@
 
   @Test
   void anEmptyBatchIsAcknowledged() throws Exception {
-    assertEquals(new Run(0, "{\"m\":\"OK\",\"serial\":4}\n", ""), run(MARK, TURN));
+    assertEquals(new Run(0, "{\"m\":\"OK\",\"serial\":4}\n", ""), serve(MARK, TURN));
   }
 
   @Test
   void aSlotIsResolvedInEventOrder() throws Exception {
-    Run r = run(MARK, launch("s/0"), page(0, 11), known("s/0", 0), page(0, 12), launch("s/1"), known("s/1",
-        0), ingress("s/0", 1), ingress("s/1", 2), TURN);
-    assertTrue(r.out.contains("{\"m\":\"RELAY\",\"i\":\"s/0\",\"opId\":1,\"server\":11"), r.out);
-    assertTrue(r.out.contains("{\"m\":\"RELAY\",\"i\":\"s/1\",\"opId\":2,\"server\":12"), r.out);
+    Run result = serve(MARK, launch("s/0"), nodeListPage(0, 11), nodeListNotice("s/0", 0),
+        nodeListPage(0, 12), launch("s/1"), nodeListNotice("s/1", 0), requestArrival("s/0", 1),
+        requestArrival("s/1", 2), TURN);
+    assertTrue(result.out.contains("{\"m\":\"RELAY\",\"i\":\"s/0\",\"opId\":1,\"server\":11"), result.out);
+    assertTrue(result.out.contains("{\"m\":\"RELAY\",\"i\":\"s/1\",\"opId\":2,\"server\":12"), result.out);
   }
 
   @Test
-  void instancesActAlikeInOneProcessAndInTwo() throws Exception {
-    Run both = run(MARK, launch("s/0"), launch("s/1"), page(0, 11), known("s/0", 0), known("s/1", 0), ingress(
-        "s/0", 1), ingress("s/1", 2), TURN);
+  void instancesBehaveTheSameInOneProcessAndInTwo() throws Exception {
+    Run both = serve(MARK, launch("s/0"), launch("s/1"), nodeListPage(0, 11), nodeListNotice("s/0", 0),
+        nodeListNotice("s/1", 0), requestArrival("s/0", 1), requestArrival("s/1", 2), TURN);
     for (String name : List.of("s/0", "s/1")) {
-      Run alone = run(MARK, launch(name), page(0, 11), known(name, 0), ingress(name, name.endsWith("0")
-          ? 1
-          : 2), TURN);
-      List<String> mine = both.out.lines().filter(l -> l.contains(name)).toList();
-      assertEquals(mine, alone.out.lines().filter(l -> l.contains(name)).toList());
+      Run alone = serve(MARK, launch(name), nodeListPage(0, 11), nodeListNotice(name, 0),
+          requestArrival(name, name.endsWith("0") ? 1 : 2), TURN);
+      List<String> linesOfBoth = both.out.lines().filter(l -> l.contains(name)).toList();
+      assertEquals(linesOfBoth, alone.out.lines().filter(l -> l.contains(name)).toList());
     }
   }
 
   @Test
-  void nothingIsDoneForAnInstanceThatWasKilled() throws Exception {
-    Run r = run(MARK, launch("s/0"), page(0, 11), known("s/0", 0), "{'m':'POWER_OFF','i':'s/0'}", ingress(
-        "s/0", 1), TURN);
-    assertTrue(!r.out.contains("RELAY"), r.out);
+  void aStoppedInstanceProducesNoActions() throws Exception {
+    Run result = serve(MARK, launch("s/0"), nodeListPage(0, 11), nodeListNotice("s/0", 0),
+        "{'m':'POWER_OFF','i':'s/0'}", requestArrival("s/0", 1), TURN);
+    assertTrue(!result.out.contains("RELAY"), result.out);
   }
 
   @Test
-  void badInputEndsWithOnePlainLine() throws Exception {
+  void invalidInputEndsWithAOneLineError() throws Exception {
     for (String bad : List.of("not json", "[1]", "{'m':'INGRESS','i':'s/0'}", "{'m':'WHAT','i':'s/0'}")) {
-      Run r = run(MARK, launch("s/0"), bad);
-      assertEquals(1, r.status);
-      assertTrue(r.err.startsWith("line 3: expected "), r.err);
-      assertEquals(1, r.err.lines().count());
+      Run result = serve(MARK, launch("s/0"), bad);
+      assertEquals(1, result.status);
+      assertTrue(result.err.startsWith("line 3: expected "), result.err);
+      assertEquals(1, result.err.lines().count());
     }
-    assertEquals(1, run(ingress("s/0", 1)).status);
+    assertEquals(1, serve(requestArrival("s/0", 1)).status);
   }
 
   @Test
-  void badSettingsBecomeAFault() throws Exception {
-    Run r = run(MARK, launch("s/0").replace("'nominal':4", "'nominal':-4"), TURN);
-    assertTrue(r.out.contains("\"FAULT\"") && r.out.contains("plan.rate"), r.out);
+  void invalidSettingsAreReportedAsAFault() throws Exception {
+    Run result = serve(MARK, launch("s/0").replace("'nominal':4", "'nominal':-4"), TURN);
+    assertTrue(result.out.contains("\"FAULT\"") && result.out.contains("plan.rate"), result.out);
   }
 }
