--- a/src/test/java/hollyslip/platform/Peer.java
+++ b/src/test/java/hollyslip/platform/Peer.java
@@ -14,15 +14,15 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A scripted party on loopback: whole requests that come to it wait here until the test answers them, byte
- * by byte as it likes. */
+/** A server on loopback that is scripted by a test: it queues the requests that it receives until the test
+ * responds to them, with arbitrary bytes. */
 final class Peer implements AutoCloseable {
-  private static final long PATIENCE_S = 20;
+  private static final long TIMEOUT_S = 20;
 
   private final ServerSocket listener;
-  private final BlockingQueue<Came> came = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Came> received = new LinkedBlockingQueue<>();
 
-  /** One request as it came, and where. */
+  /** A received request and its connection. */
   record Came(Socket on, String head, String body) {
     void answer(String bytes) throws IOException {
       on.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
@@ -40,71 +40,72 @@
           .orElse(null);
     }
 
-    /** Waits until the other side has closed this connection. */
+    /** Waits until the scheduler has closed this connection. */
     void awaitClosed() throws IOException {
       try {
-        on.setSoTimeout((int) PATIENCE_S * 1000);
+        on.setSoTimeout((int) TIMEOUT_S * 1000);
         while (on.getInputStream().read() >= 0) {
-          // What else comes does not matter.
+          // Discards further bytes.
         }
       } catch (java.net.SocketException reset) {
-        // Closed all the same.
+        // A reset also closes the connection.
       }
     }
   }
 
   Peer() throws IOException {
     listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
-    daemon(() -> {
+    startDaemon(() -> {
       while (true) {
-        Socket s = listener.accept();
-        daemon(() -> read(s));
+        Socket socket = listener.accept();
+        startDaemon(() -> serve(socket));
       }
     });
   }
 
-  private interface Work {
+  private interface IoTask {
     void run() throws IOException;
   }
 
-  private static void daemon(Work work) {
-    Thread t = new Thread(() -> {
+  private static void startDaemon(IoTask task) {
+    Thread thread = new Thread(() -> {
       try {
-        work.run();
-      } catch (IOException over) {
-        // The test or the other side closed it.
+        task.run();
+      } catch (IOException closed) {
+        // The test or the scheduler closed the socket.
       }
-    }, "peer");
-    t.setDaemon(true);
-    t.start();
+    }, "scripted server");
+    thread.setDaemon(true);
+    thread.start();
   }
 
-  /** Reads until the other side ends, then closes: what stayed open would count as the scheduler's. */
-  private void read(Socket s) throws IOException {
-    try (s) {
-      requests(s);
+  /** Reads until the scheduler closes the connection, then closes it: an open one would count as the
+   * scheduler's. */
+  private void serve(Socket socket) throws IOException {
+    try (socket) {
+      readRequests(socket);
     }
   }
 
-  private void requests(Socket s) throws IOException {
-    InputStream in = s.getInputStream();
+  private void readRequests(Socket socket) throws IOException {
+    InputStream in = socket.getInputStream();
     for (String head = head(in); head != null; head = head(in)) {
-      Came c = new Came(s, head, "");
-      String length = c.header("Content-Length");
-      byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-      came.add(new Came(s, head, new String(body, StandardCharsets.ISO_8859_1)));
+      Came withoutBody = new Came(socket, head, "");
+      String contentLength = withoutBody.header("Content-Length");
+      byte[] body = in.readNBytes(contentLength == null ? 0 : Integer.parseInt(contentLength));
+      received.add(new Came(socket, head, new String(body, StandardCharsets.ISO_8859_1)));
     }
   }
 
-  /** Bytes up to an empty line, or null at the end. */
+  /** Reads up to and including an empty line; null at the end of the stream. */
   static String head(InputStream in) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     while (!bytes.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
-      int b = in.read();
-      if (b < 0) {
+      int next = in.read();
+      if (next < 0) {
         return null;
       }
-      bytes.write(b);
+      bytes.write(next);
     }
     return bytes.toString(StandardCharsets.ISO_8859_1);
   }
@@ -113,19 +114,19 @@
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  /** The next request, waiting for it. */
+  /** Waits for the next request and takes it. */
   Came next() throws InterruptedException {
-    Came c = came.poll(PATIENCE_S, TimeUnit.SECONDS);
-    assertNotNull(c, "a request should have come");
-    return c;
+    Came request = received.poll(TIMEOUT_S, TimeUnit.SECONDS);
+    assertNotNull(request, "no request was received");
+    return request;
   }
 
-  /** Answers each request with its own id, from now on. */
+  /** From now on, responds to each request with the id of the request. */
   void echo() {
-    daemon(() -> {
+    startDaemon(() -> {
       try {
         while (true) {
-          echo(came.take());
+          respondWithId(received.take());
         }
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
@@ -133,17 +134,17 @@
     });
   }
 
-  private static void echo(Came c) {
+  private static void respondWithId(Came request) {
     try {
-      c.ok(c.header("X-Txn"));
+      request.ok(request.header("X-Txn"));
     } catch (IOException gone) {
-      // The scheduler gave this attempt up.
+      // The scheduler has abandoned this attempt.
     }
   }
 
-  /** Nothing has come that was not taken. */
+  /** Asserts that all received requests have been taken. */
   void nothingElse() {
-    assertNull(came.peek());
+    assertNull(received.peek());
   }
 
   @Override
--- a/src/test/java/hollyslip/platform/ProcessSite.java
+++ b/src/test/java/hollyslip/platform/ProcessSite.java
@@ -16,10 +16,11 @@
 import java.util.regex.Pattern;
 import org.awaitility.Awaitility;
 
-/** One scheduler as a process of its own, with the flags of the deploy file's {@code run} line, between
- * scripted peers: shard 0 at {@code disk}, the list at {@code discovery}. */
+/** A scheduler in a process of its own, with the flags of the {@code run} line of the deploy file, between
+ * scripted servers: shard 0 at {@link #disk}, the node list at {@link #discovery}. */
 final class ProcessSite implements AutoCloseable {
-  /** The platform kills so long after SIGTERM: 3 s, as the longest deadline here is longer, and 0.7 s. */
+  /** The platform kills the process this long after SIGTERM: 3 s, as the longest deadline here exceeds that,
+   * plus 0.7 s. */
   static final long KILL_AFTER_MS = 3_700;
 
   private static final String SETTINGS = """
@@ -34,59 +35,60 @@
        "extra":{"unitMean":2,"mostUnits":6,"nShards":4,"changesData":[false,false,true,true]},
        "stats":{"how":"answers","names":["recent_ms"]}}""";
 
-  /** Shards of a soak, each at a disk server of its own. */
+  /** Number of shards in a soak test, each at a disk server of its own. */
   static final int SOAK_SHARDS = 4;
 
-  private static final Pattern LISTENS = Pattern.compile(".* node.started .*listen=\\S*:(\\d+).*");
+  private static final Pattern STARTED_LINE = Pattern.compile(".* node.started .*listen=\\S*:(\\d+).*");
 
   final Peer disk = new Peer(), discovery = new Peer();
   final List<String> log = new CopyOnWriteArrayList<>();
   final Process process;
-  private final Path file = Files.createTempFile("scheduler", ".json");
-  private final InetSocketAddress listening;
+  private final Path configFile = Files.createTempFile("scheduler", ".json");
+  private final InetSocketAddress address;
 
   ProcessSite() throws IOException {
     this(400, Map.of());
   }
 
-  /** With so many descriptors, and more in its environment. */
+  /** With a limit of {@code sockets} descriptors and additional environment variables. */
   ProcessSite(int sockets, Map<String, String> environment) throws IOException {
     this(sockets, environment, List.of());
   }
 
-  /** With shards at these addresses, in order, in place of shard 0 at {@link #disk}. */
+  /** With shards at the given addresses, in order, instead of shard 0 at {@link #disk}. */
   ProcessSite(int sockets, Map<String, String> environment, List<String> shards) throws IOException {
     List<String> addresses = shards.isEmpty() ? List.of(disk.address()) : shards;
     String[] entries = new String[addresses.size()];
     for (int i = 0; i < entries.length; i++) {
       entries[i] = Site.entry("s-" + i, disk, i, "up").replace(disk.address(), addresses.get(i));
     }
-    Files.writeString(file, "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery
+    Files.writeString(configFile, "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery
         .address()
         + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":"
         + sockets + "},\"known\":" + Site.list(41, true, entries) + ",\"settings\":" + SETTINGS + "}");
     ProcessBuilder builder = new ProcessBuilder(command()).redirectErrorStream(true);
-    builder.environment().put("PROXY_CONFIG", file.toString());
+    builder.environment().put("PROXY_CONFIG", configFile.toString());
     builder.environment().putAll(environment);
     process = builder.start();
     Thread reader = new Thread(this::readLog, "log of the scheduler");
     reader.setDaemon(true);
     reader.start();
     Awaitility.await().until(() -> log.stream().anyMatch(l -> l.contains(" node.ready ")));
-    listening = new InetSocketAddress(InetAddress.getLoopbackAddress(), port());
+    address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port());
   }
 
-  /** The {@code run} line, with this build's classes in place of the jar that does not exist yet. */
+  /** The command of the {@code run} line, with the classes of this build instead of the jar, which is not
+   * built yet. */
   private static List<String> command() throws IOException {
-    String run = Files.readAllLines(Path.of("deploy/balancer.toml"))
+    String runCommand = Files.readAllLines(Path.of("deploy/balancer.toml"))
         .stream()
-        .filter(l -> l.startsWith("run = "))
+        .filter(line -> line.startsWith("run = "))
         .findFirst()
         .orElseThrow()
         .replaceAll("^run = \"exec java |\"$", "");
     List<String> command = new ArrayList<>();
     command.add(ProcessHandle.current().info().command().orElseThrow());
-    for (String word : run.split(" ")) {
+    for (String word : runCommand.split(" ")) {
       if (word.equals("-jar")) {
         command.add("-cp");
       } else if (word.endsWith(".jar")) {
@@ -103,13 +105,13 @@
     try (var lines = process.inputReader().lines()) {
       lines.forEach(log::add);
     } catch (UncheckedIOException ended) {
-      // The process was killed.
+      // The process has ended.
     }
   }
 
   private int port() {
     return log.stream()
-        .map(LISTENS::matcher)
+        .map(STARTED_LINE::matcher)
         .filter(Matcher::matches)
         .map(m -> Integer.parseInt(m.group(1)))
         .findFirst()
@@ -117,20 +119,20 @@
   }
 
   Site.Client client() throws IOException {
-    return new Site.Client(listening);
+    return new Site.Client(address);
   }
 
-  /** A connection whose answers are read by hand. */
+  /** A plain connection; the test reads the responses itself. */
   Socket connect() throws IOException {
-    return new Socket(listening.getAddress(), listening.getPort());
+    return new Socket(address.getAddress(), address.getPort());
   }
 
-  /** Sends a signal by name, as {@code kill} knows it. */
+  /** Sends a signal, named as for {@code kill}. */
   void signal(String name) throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).inheritIO().start().waitFor();
   }
 
-  /** Answers each request at the disk server with its own id, from now on. */
+  /** From now on, the disk server responds to each request with the id of the request. */
   void echo() {
     disk.echo();
   }
@@ -145,6 +147,6 @@
     }
     disk.close();
     discovery.close();
-    Files.delete(file);
+    Files.delete(configFile);
   }
 }
--- a/src/test/java/hollyslip/platform/Site.java
+++ b/src/test/java/hollyslip/platform/Site.java
@@ -13,7 +13,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** One scheduler between scripted peers: shard 0 at {@code disk}, the list at {@code discovery}. */
+/** A scheduler in this process between scripted servers: shard 0 at {@link #disk}, the node list at
+ * {@link #discovery}. */
 final class Site implements AutoCloseable {
   static final String SETTINGS = """
       {"az":"a","balancers":1,"myNumber":0,"tick":0.002,"classes":[
@@ -26,14 +27,14 @@
        "extra":{"unitMean":2,"mostUnits":6,"nShards":3,"changesData":[false,true,true]},
        "stats":{"how":"answers","names":["recent_ms"]}}""";
 
-  private static final int SOCKETS = 200;
+  private static final int FREE_SOCKETS = 200;
 
   final Peer disk = new Peer(), discovery = new Peer();
   final Path file;
   final Node node;
   final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
-  /** Its scheduler waits for a test's discovery as long as the test may take on a busy machine. */
+  /** The scheduler waits for the discovery of a test for as long as the test may take on a busy machine. */
   Site() throws IOException, InterruptedException {
     this(new WatchClock(WatchClock.SILENT_US, 20_000_000));
   }
@@ -44,17 +45,18 @@
     node = new Node(Map.of("PROXY_CONFIG", file.toString()), new PrintStream(log, true), times);
   }
 
-  void configure(Peer follows) throws IOException {
-    // Beside what other tests of this JVM still hold: the bounds must not hang on that.
-    int sockets = Bounds.descriptorsHeld() + SOCKETS;
-    Files.writeString(file, "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + follows.address()
+  void configure(Peer discoveryServer) throws IOException {
+    // In addition to what other tests of this JVM still hold open, so that the limits do not depend on them.
+    int sockets = Bounds.descriptorsHeld() + FREE_SOCKETS;
+    Files.writeString(file, "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
+        + discoveryServer.address()
         + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":"
         + sockets + "},"
         + "\"known\":" + list(41, true, entry("s-0", disk, 0, "up")) + ",\"settings\":" + SETTINGS + "}");
   }
 
-  static String entry(String host, Peer at, int shard, String health) {
-    return "{\"host\":\"" + host + "\",\"dial\":\"" + at.address()
+  static String entry(String host, Peer server, int shard, String health) {
+    return "{\"host\":\"" + host + "\",\"dial\":\"" + server.address()
         + "\",\"site\":\"a\",\"class\":\"m\",\"block\":"
         + shard + ",\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}";
   }
@@ -63,19 +65,20 @@
     return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", entries) + "]}";
   }
 
-  /** The head of a watch's answer. */
+  /** The response head of a watch. */
   static final String WATCH = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
   static String chunk(String text) {
     return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
   }
 
-  /** Holds the scheduler's thread until the result is closed: what comes meanwhile is met in one turn. */
+  /** Blocks the event loop until the result is closed: all that arrives meanwhile is processed in one
+   * iteration. */
   AutoCloseable held() {
     CountDownLatch release = new CountDownLatch(1);
-    CountDownLatch holding = new CountDownLatch(1);
+    CountDownLatch blocked = new CountDownLatch(1);
     node.loop().execute(() -> {
-      holding.countDown();
+      blocked.countDown();
       try {
         release.await(20, TimeUnit.SECONDS);
       } catch (InterruptedException e) {
@@ -83,14 +86,14 @@
       }
     });
     try {
-      holding.await(20, TimeUnit.SECONDS);
+      blocked.await(20, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
     return release::countDown;
   }
 
-  /** Answers each request at the disk server with its own id, from now on. */
+  /** From now on, the disk server responds to each request with the id of the request. */
   void echo() {
     disk.echo();
   }
@@ -99,7 +102,7 @@
     return new Client(node.listening());
   }
 
-  /** An ordinary read of shard 0. */
+  /** A read request for shard 0. */
   static String read(String id) {
     return read(id, 0);
   }
@@ -110,7 +113,7 @@
         + ",hosts=1\r\n\r\n";
   }
 
-  /** A write with its key, or none. */
+  /** A write request; without an idempotency key if {@code key} is null. */
   static String write(String className, String id, String key, String body) {
     return "PUT /" + className + "/00/7f3a9c21e0b4d655?a=%20b HTTP/1.1\r\nHost: service.internal\r\nX-Txn: "
         + id + "\r\nX-Plan: gold\r\nX-Remaining: 20000000u\r\n" + (key == null
@@ -121,12 +124,12 @@
         + body.length() + "\r\n\r\n" + body;
   }
 
-  /** A client's connection. */
+  /** A client connection. */
   static final class Client implements AutoCloseable {
     final Socket socket;
 
-    Client(InetSocketAddress at) throws IOException {
-      socket = new Socket(at.getAddress(), at.getPort());
+    Client(InetSocketAddress address) throws IOException {
+      socket = new Socket(address.getAddress(), address.getPort());
       socket.setSoTimeout(20_000);
     }
 
@@ -135,7 +138,7 @@
       return this;
     }
 
-    /** The next whole answer, head and body; "closed" at the end of the connection. */
+    /** Reads the next response, head and body; "closed" if the connection has ended. */
     String answer() throws IOException {
       InputStream in = socket.getInputStream();
       try {
@@ -150,15 +153,15 @@
       }
     }
 
-    /** Ends the connection by a reset. */
+    /** Resets the connection. */
     void reset() throws IOException {
       socket.setSoLinger(true, 0);
       socket.close();
     }
 
     int status() throws IOException {
-      String a = answer();
-      return a.equals("closed") ? 0 : Integer.parseInt(a.substring(9, 12));
+      String response = answer();
+      return response.equals("closed") ? 0 : Integer.parseInt(response.substring(9, 12));
     }
 
     @Override
--- a/src/test/java/hollyslip/platform/SoakAudit.java
+++ b/src/test/java/hollyslip/platform/SoakAudit.java
@@ -8,60 +8,60 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** What a soak's clients and disk servers saw of each request, and which rules that breaks. Times are
- * milliseconds of one monotonic clock. While the machine keeps threads of this process or of the scheduler
- * waiting for a core, and where a scheduler was stopped for longer than the platform does, times prove
- * nothing: such breaks of a time limit are left out and counted. */
+/** Collects what the clients and disk servers of a soak test saw of each request and reports violations of
+ * the rules. Times are milliseconds of one monotonic clock. A timing violation is inconclusive, and only
+ * counted, if the machine kept threads of this process or of the scheduler waiting for a core, or if it is
+ * explained by a stop of the scheduler for longer than the platform allows. */
 final class SoakAudit implements AutoCloseable {
-  /** The rules' times. */
-  static final long LATE_MS = 500, AFTER_END_MS = 100, DEADLINE_SLACK_MS = 150;
+  /** Time limits of the rules: a response after the client's timeout, forwarding after the end of a request,
+   * and the forwarded deadline beyond the time left. */
+  static final long RESPONSE_SLACK_MS = 500, AFTER_END_MS = 100, DEADLINE_SLACK_MS = 150;
 
-  /** A sample that is later than this shows that the machine holds this process up. */
-  private static final long HELD_UP_MS = 15, SAMPLE_MS = 10;
+  /** A sample delayed by more than this threshold shows that the machine stalls this process. */
+  private static final long STALL_THRESHOLD_MS = 15, SAMPLE_MS = 10;
 
-  /** The platform may hold a scheduler up for so long between reading its clock and writing, ms. */
-  private static final long HOLD_UP_ALLOWED_MS = 150;
+  /** Longest time that the platform may stop a scheduler between reading its clock and writing, ms. */
+  private static final long ALLOWED_STOP_MS = 150;
 
-  private static final long NONE = Long.MAX_VALUE;
+  private static final long NOT_ENDED = Long.MAX_VALUE;
 
-  private final Map<String, Record> records = new ConcurrentHashMap<>();
-  private final List<long[]> heldUp = new ArrayList<>();
-  private final Thread monitor = new Thread(this::watchMachine, "machine monitor");
-  /** When the scheduler was stopped and went on, for the messages. */
+  private final Map<String, TrackedRequest> trackedRequests = new ConcurrentHashMap<>();
+  private final List<long[]> machineStalls = new ArrayList<>();
+  private final Thread monitor = new Thread(this::monitorMachine, "machine monitor");
+  /** Spans in which the scheduler was stopped; also printed in messages. */
   private final List<Stop> stops = new CopyOnWriteArrayList<>();
-  private final List<String> broken = new ArrayList<>();
-  private final List<TimedBreak> late = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
+  private final List<TimingViolation> timingViolations = new ArrayList<>();
   final AtomicInteger served = new AtomicInteger(), refused = new AtomicInteger(),
       failed = new AtomicInteger(),
-      left = new AtomicInteger(), unread = new AtomicInteger(), inDoubt = new AtomicInteger();
+      disconnected = new AtomicInteger(), unread = new AtomicInteger(), inconclusive = new AtomicInteger();
 
   /** A span in which the scheduler was stopped. */
   private record Stop(long from, long to) {}
 
-  /** What came later than its limit by so much, and the span that it took. */
-  private record TimedBreak(String what, long by, long from, long to) {}
+  /** A time limit exceeded by {@code excessMs}, and the span that was measured. */
+  private record TimingViolation(String description, long excessMs, long from, long to) {}
 
-  /** One request, from both ends. */
-  private static final class Record {
-    final long waitsMs;
+  /** One request, as seen by its client and by the disk servers. */
+  private static final class TrackedRequest {
+    final long timeoutMs;
     long sentAt;
     final boolean repeatable;
-    /** When its client got the answer or left. */
-    long endedAt = NONE;
-    int runs;
+    /** When its client received the response or disconnected. */
+    long endedAt = NOT_ENDED;
+    int executions;
 
-    Record(long sentAt, long waitsMs, boolean repeatable) {
+    TrackedRequest(long sentAt, long timeoutMs, boolean repeatable) {
       this.sentAt = sentAt;
-      this.waitsMs = waitsMs;
+      this.timeoutMs = timeoutMs;
       this.repeatable = repeatable;
     }
   }
 
-  /** With {@code watchesMachine}, breaks of a time limit while the machine holds this process up do not
-   * count. */
-  SoakAudit(boolean watchesMachine) {
+  /** With {@code monitorsMachine}, timing violations during a stall of this process are inconclusive. */
+  SoakAudit(boolean monitorsMachine) {
     monitor.setDaemon(true);
-    if (watchesMachine) {
+    if (monitorsMachine) {
       monitor.start();
     }
   }
@@ -70,8 +70,8 @@
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
-  /** Sees how late a sleep ends and how long a new thread takes to run. */
-  private void watchMachine() {
+  /** Detects stalls by how late a sleep ends and how long a new thread takes to run. */
+  private void monitorMachine() {
     try {
       while (true) {
         long before = nowMs();
@@ -79,9 +79,9 @@
         Thread started = new Thread(() -> {});
         started.start();
         started.join();
-        if (nowMs() - before > SAMPLE_MS + HELD_UP_MS) {
-          synchronized (heldUp) {
-            heldUp.add(new long[]{before, nowMs()});
+        if (nowMs() - before > SAMPLE_MS + STALL_THRESHOLD_MS) {
+          synchronized (machineStalls) {
+            machineStalls.add(new long[]{before, nowMs()});
           }
         }
       }
@@ -90,93 +90,94 @@
     }
   }
 
-  /** Whether this process was held up between the two times, or just before. */
-  private boolean doubtful(TimedBreak b) {
-    synchronized (heldUp) {
-      return heldUp.stream().anyMatch(h -> h[0] <= b.to && h[1] >= b.from - AFTER_END_MS);
+  /** Whether this process was stalled in the span of the violation, or just before. */
+  private boolean overlapsMachineStall(TimingViolation violation) {
+    synchronized (machineStalls) {
+      return machineStalls.stream().anyMatch(
+          stall -> stall[0] <= violation.to && stall[1] >= violation.from - AFTER_END_MS);
     }
   }
 
-  /** By how much the scheduler was stopped for longer, in this span, than the platform does. */
-  private long stoppedTooLong(TimedBreak b) {
+  /** Time in this span, ms, by which stops of the scheduler exceeded what the platform allows. */
+  private long excessStopMs(TimingViolation violation) {
     return stops.stream()
-        .filter(s -> s.from() <= b.to && s.to() + SAMPLE_MS >= b.from)
-        .mapToLong(s -> Math.max(0, s.to() - s.from() - HOLD_UP_ALLOWED_MS))
+        .filter(stop -> stop.from() <= violation.to && stop.to() + SAMPLE_MS >= violation.from)
+        .mapToLong(stop -> Math.max(0, stop.to() - stop.from() - ALLOWED_STOP_MS))
         .sum();
   }
 
-  /** Something came later than its limit by so much. It counts at the end, when all hold-ups are known. */
-  void late(String what, long by, long from) {
-    synchronized (broken) {
-      late.add(new TimedBreak(what, by, from, nowMs()));
+  /** Records that a time limit was exceeded; evaluated at the end, when all stalls and stops are known. */
+  void addTimingViolation(String description, long excessMs, long from) {
+    synchronized (violations) {
+      timingViolations.add(new TimingViolation(description, excessMs, from, nowMs()));
     }
   }
 
-  /** The scheduler was stopped from then to now. */
-  void stopped(long from) {
+  /** The scheduler was stopped from {@code from} until now. */
+  void schedulerStopped(long from) {
     stops.add(new Stop(from, nowMs()));
   }
 
-  /** Notes a break that no delay can explain. */
-  void fault(String what) {
-    synchronized (broken) {
-      broken.add(what);
+  /** Records a violation that no delay can explain. */
+  void addViolation(String description) {
+    synchronized (violations) {
+      violations.add(description);
     }
   }
 
   /** A client is about to write the last byte of a request. */
-  void sending(String id, long waitsMs, boolean repeatable) {
-    records.put(id, new Record(nowMs(), waitsMs, repeatable));
+  void sending(String id, long timeoutMs, boolean repeatable) {
+    trackedRequests.put(id, new TrackedRequest(nowMs(), timeoutMs, repeatable));
   }
 
   /** The last byte of a request was written. */
   void sent(String id) {
-    Record r = records.get(id);
-    synchronized (r) {
-      r.sentAt = nowMs();
+    TrackedRequest request = trackedRequests.get(id);
+    synchronized (request) {
+      request.sentAt = nowMs();
     }
   }
 
-  /** Its client is about to leave. */
-  void leaving(String id) {
-    Record r = records.get(id);
-    synchronized (r) {
-      r.endedAt = Math.min(r.endedAt, nowMs());
+  /** The client of a request is about to disconnect. */
+  void disconnecting(String id) {
+    TrackedRequest request = trackedRequests.get(id);
+    synchronized (request) {
+      request.endedAt = Math.min(request.endedAt, nowMs());
     }
-    left.incrementAndGet();
+    disconnected.incrementAndGet();
   }
 
-  /** Its client knows that it was not read. */
+  /** The client of a request knows from a reset that it was not read. */
   void notRead(String id) {
-    Record r = records.get(id);
-    synchronized (r) {
-      if (r.runs > 0) {
-        fault("reset after it was forwarded: " + id);
+    TrackedRequest request = trackedRequests.get(id);
+    synchronized (request) {
+      if (request.executions > 0) {
+        addViolation("reset after it was forwarded: " + id);
       }
-      r.endedAt = nowMs();
+      request.endedAt = nowMs();
     }
     unread.incrementAndGet();
   }
 
-  /** Its answer has come whole. */
-  void answered(String id, String answer) {
+  /** The complete response to a request was received. */
+  void responseReceived(String id, String response) {
     long now = nowMs();
-    Record r = records.get(id);
-    synchronized (r) {
-      r.endedAt = Math.min(r.endedAt, now);
+    TrackedRequest request = trackedRequests.get(id);
+    synchronized (request) {
+      request.endedAt = Math.min(request.endedAt, now);
     }
-    long due = r.sentAt + r.waitsMs + LATE_MS;
+    long due = request.sentAt + request.timeoutMs + RESPONSE_SLACK_MS;
     if (now > due) {
-      late("answered " + (now - r.sentAt) + " ms after it was sent, its time " + r.waitsMs + ": " + id, now
-          - due,
-          r.sentAt);
+      addTimingViolation("response received " + (now - request.sentAt) + " ms after it was sent, timeout "
+          + request.timeoutMs + ": " + id, now - due, request.sentAt);
     }
-    String status = answer.substring(9, 12);
+    String status = response.substring(9, 12);
     switch (status) {
       case "200" -> {
         served.incrementAndGet();
-        if (!answer.endsWith("\r\n\r\n" + id)) {
-          fault("another's answer: " + id + " got " + answer.substring(answer.indexOf("\r\n\r\n") + 4));
+        if (!response.endsWith("\r\n\r\n" + id)) {
+          addViolation("response of another request: " + id + " got "
+              + response.substring(response.indexOf("\r\n\r\n") + 4));
         }
       }
       case "503", "429" -> refused.incrementAndGet();
@@ -184,62 +185,63 @@
     }
   }
 
-  /** The connection ended with no answer, and no reset told that it was not read. */
-  void closedWithoutAnswer(String id) {
-    fault("closed with no answer: " + id);
+  /** The connection was closed without a response and without a reset, which would show that the request was
+   * not read. */
+  void closedWithoutResponse(String id) {
+    addViolation("closed without a response: " + id);
   }
 
-  /** A disk server got a request whole, whose first byte came at {@code begunAt}, and runs it. */
-  void ran(String id, long begunAt, long toldUs) {
-    Record r = records.get(id);
-    if (r == null) {
-      fault("a request that no client sent: " + id);
+  /** A disk server received a complete request, its first byte at {@code firstByteAt}, and executes it. */
+  void executed(String id, long firstByteAt, long forwardedUs) {
+    TrackedRequest request = trackedRequests.get(id);
+    if (request == null) {
+      addViolation("a request that no client sent: " + id);
       return;
     }
     long endedAt;
-    synchronized (r) {
-      r.runs++;
-      if (r.runs > 1 && !r.repeatable) {
-        fault("run twice: " + id);
+    synchronized (request) {
+      request.executions++;
+      if (request.executions > 1 && !request.repeatable) {
+        addViolation("executed twice: " + id);
       }
-      endedAt = r.endedAt;
+      endedAt = request.endedAt;
     }
-    if (endedAt != NONE && begunAt > endedAt + AFTER_END_MS) {
-      late("forwarded " + (begunAt - endedAt) + " ms after its end: " + id, begunAt - endedAt - AFTER_END_MS,
-          endedAt);
+    if (endedAt != NOT_ENDED && firstByteAt > endedAt + AFTER_END_MS) {
+      addTimingViolation("forwarded " + (firstByteAt - endedAt) + " ms after its end: " + id,
+          firstByteAt - endedAt - AFTER_END_MS, endedAt);
     }
-    long leftMs = Math.max(0, r.sentAt + r.waitsMs - begunAt);
-    if (toldUs / 1000 > leftMs + DEADLINE_SLACK_MS) {
-      late("told " + toldUs / 1000 + " ms, left " + leftMs + ": " + id, toldUs / 1000 - leftMs
-          - DEADLINE_SLACK_MS, r.sentAt);
+    long leftMs = Math.max(0, request.sentAt + request.timeoutMs - firstByteAt);
+    if (forwardedUs / 1000 > leftMs + DEADLINE_SLACK_MS) {
+      addTimingViolation("forwarded with " + forwardedUs / 1000 + " ms left, client has " + leftMs + ": "
+          + id, forwardedUs / 1000 - leftMs - DEADLINE_SLACK_MS, request.sentAt);
     }
   }
 
-  /** What was broken, a line each; to be asked once all has ended. */
-  List<String> broken() {
-    synchronized (broken) {
-      List<String> all = new ArrayList<>(broken);
-      for (TimedBreak b : late) {
-        if (doubtful(b) || b.by <= stoppedTooLong(b)) {
-          inDoubt.incrementAndGet();
+  /** The violations, one line each; to be called once all clients and the process have ended. */
+  List<String> violations() {
+    synchronized (violations) {
+      List<String> all = new ArrayList<>(violations);
+      for (TimingViolation violation : timingViolations) {
+        if (overlapsMachineStall(violation) || violation.excessMs <= excessStopMs(violation)) {
+          inconclusive.incrementAndGet();
         } else {
-          all.add(b.what + ", from " + b.from + " to " + b.to + ", scheduler stopped " + stops);
+          all.add(violation.description + ", from " + violation.from + " to " + violation.to
+              + ", scheduler stopped " + stops);
         }
       }
-      late.clear();
+      timingViolations.clear();
       return all;
     }
   }
 
   int requests() {
-    return records.size();
+    return trackedRequests.size();
   }
 
   @Override
   public String toString() {
     return requests() + " requests: served " + served + ", refused " + refused + ", failed " + failed
-        + ", left "
-        + left + ", not read " + unread + "; in doubt " + inDoubt;
+        + ", disconnected " + disconnected + ", not read " + unread + "; inconclusive " + inconclusive;
   }
 
   @Override
--- a/src/test/java/hollyslip/platform/SoakAuditTest.java
+++ b/src/test/java/hollyslip/platform/SoakAuditTest.java
@@ -6,88 +6,88 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each rule of the soak, with a violation that it has to find. */
+/** Each rule of the soak test, with a violation that the audit must detect. */
 class SoakAuditTest {
   private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n";
   private static final long FAR_MS = 10_000;
 
   private final SoakAudit audit = new SoakAudit(false);
 
-  private void found(String what) {
-    List<String> broken = audit.broken();
-    assertEquals(1, broken.size(), broken::toString);
-    assertTrue(broken.get(0).contains(what), broken::toString);
+  private void assertOnlyViolation(String text) {
+    List<String> violations = audit.violations();
+    assertEquals(1, violations.size(), violations::toString);
+    assertTrue(violations.get(0).contains(text), violations::toString);
     audit.close();
   }
 
   @Test
-  void whatKeepsTheRulesIsNoBreak() {
+  void correctHandlingHasNoViolation() {
     audit.sending("a", 1000, true);
-    audit.ran("a", SoakAudit.nowMs(), 900_000);
-    audit.answered("a", OK + "a");
-    assertEquals(List.of(), audit.broken());
+    audit.executed("a", SoakAudit.nowMs(), 900_000);
+    audit.responseReceived("a", OK + "a");
+    assertEquals(List.of(), audit.violations());
     audit.close();
   }
 
   @Test
-  void anothersAnswer() {
+  void detectsAResponseToAnotherRequest() {
     audit.sending("a", 1000, true);
-    audit.answered("a", OK + "b");
-    found("another's answer");
+    audit.responseReceived("a", OK + "b");
+    assertOnlyViolation("response of another request");
   }
 
   @Test
-  void twoRunsOfWhatMayRunOnce() {
+  void detectsTwoExecutionsOfANonRepeatableRequest() {
     audit.sending("a", 1000, false);
-    audit.ran("a", SoakAudit.nowMs(), 0);
-    audit.ran("a", SoakAudit.nowMs(), 0);
-    found("run twice");
+    audit.executed("a", SoakAudit.nowMs(), 0);
+    audit.executed("a", SoakAudit.nowMs(), 0);
+    assertOnlyViolation("executed twice");
   }
 
   @Test
-  void anEndWithoutAnAnswer() {
+  void detectsACloseWithoutAResponse() {
     audit.sending("a", 1000, true);
-    audit.closedWithoutAnswer("a");
-    found("closed with no answer");
+    audit.closedWithoutResponse("a");
+    assertOnlyViolation("closed without a response");
   }
 
   @Test
-  void aResetAfterItWasForwarded() {
+  void detectsAResetAfterForwarding() {
     audit.sending("a", 1000, true);
-    audit.ran("a", SoakAudit.nowMs(), 0);
+    audit.executed("a", SoakAudit.nowMs(), 0);
     audit.notRead("a");
-    found("reset after");
+    assertOnlyViolation("reset after");
   }
 
   @Test
-  void anAttemptAfterItsClientLeft() {
+  void detectsAnAttemptAfterTheClientDisconnected() {
     audit.sending("a", 2 * FAR_MS, true);
-    audit.leaving("a");
-    audit.ran("a", SoakAudit.nowMs() + FAR_MS, 0);
-    found("after its end");
+    audit.disconnecting("a");
+    audit.executed("a", SoakAudit.nowMs() + FAR_MS, 0);
+    assertOnlyViolation("after its end");
   }
 
   @Test
-  void moreTimeThanTheClientHas() {
+  void detectsAForwardedDeadlineThatIsTooLong() {
     audit.sending("a", 1000, true);
-    audit.ran("a", SoakAudit.nowMs(), 1_300_000);
-    found("told 1300 ms");
+    audit.executed("a", SoakAudit.nowMs(), 1_300_000);
+    assertOnlyViolation("forwarded with 1300 ms");
   }
 
   @Test
-  void anAnswerAfterItsTime() {
+  void detectsALateResponse() {
     audit.sending("a", -FAR_MS, true);
-    audit.answered("a", OK + "a");
-    found("answered");
+    audit.responseReceived("a", OK + "a");
+    assertOnlyViolation("response received");
   }
 
-  /** What the platform does not do to a scheduler excuses it, and no more than that. */
+  /** A stop of the scheduler beyond what the platform allows excuses a delay by its excess, not by more. */
   @Test
-  void aLongStopExcusesItsExcessOnly() {
+  void aLongStopExcusesOnlyItsExcess() {
     long now = SoakAudit.nowMs();
-    audit.stopped(now - 400);
-    audit.late("within the excess", 200, now - 500);
-    audit.late("beyond the excess", 300, now - 500);
-    found("beyond the excess");
+    audit.schedulerStopped(now - 400);
+    audit.addTimingViolation("within the excess", 200, now - 500);
+    audit.addTimingViolation("beyond the excess", 300, now - 500);
+    assertOnlyViolation("beyond the excess");
   }
 }
--- a/src/test/java/hollyslip/platform/SoakClient.java
+++ b/src/test/java/hollyslip/platform/SoakClient.java
@@ -10,67 +10,68 @@
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 
-/** One client of a soak: it asks on a connection that it keeps, in the ways that clients have, and leaves in
- * the ways that they have. */
+/** One client of a soak test: it sends requests on a persistent connection and disconnects in the ways that
+ * real clients do. */
 final class SoakClient implements Runnable {
-  /** Longest time that a request waits for, ms; a partial one is owed an error or a close in the other. */
-  private static final int WAITS_MS = 2_000, PART_MS = 3_000;
+  /** Longest timeout of a request, and the time within which an incomplete request must get an error or a
+   * close, ms. */
+  private static final int MAX_TIMEOUT_MS = 2_000, PARTIAL_REQUEST_MS = 3_000;
 
-  private static final int MOST_AT_ONCE = 40;
+  private static final int MAX_PIPELINED_REQUESTS = 40;
 
   private final ProcessSite site;
   private final SoakAudit audit;
   private final SplittableRandom random;
-  private final BooleanSupplier goesOn, mayConnect;
+  private final BooleanSupplier keepRunning, mayConnect;
   private final String name;
-  private int requests;
+  private int requestCount;
   private Socket socket;
 
-  SoakClient(ProcessSite site, SoakAudit audit, String name, long seed, BooleanSupplier goesOn,
+  SoakClient(ProcessSite site, SoakAudit audit, String name, long seed, BooleanSupplier keepRunning,
       BooleanSupplier mayConnect) {
     this.site = site;
     this.audit = audit;
     this.name = name;
     random = new SplittableRandom(seed);
-    this.goesOn = goesOn;
+    this.keepRunning = keepRunning;
     this.mayConnect = mayConnect;
   }
 
   @Override
   public void run() {
     try {
-      while (goesOn.getAsBoolean()) {
+      while (keepRunning.getAsBoolean()) {
         try {
-          act();
+          runRandomAction();
         } catch (IOException ended) {
-          // The process has ended, or this connection: the next turn makes a new one.
-          drop();
+          // The process or this connection has ended: the next iteration connects again.
+          closeConnection();
           Thread.sleep(5);
         }
       }
-      drop();
+      closeConnection();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private void act() throws IOException, InterruptedException {
+  private void runRandomAction() throws IOException, InterruptedException {
     if (socket == null) {
       connect();
     }
     int kind = random.nextInt(100);
     if (kind < 60) {
-      ask(1);
+      pipeline(1);
     } else if (kind < 70) {
-      ask(2 + random.nextInt(MOST_AT_ONCE));
+      pipeline(2 + random.nextInt(MAX_PIPELINED_REQUESTS));
     } else if (kind < 84) {
-      leave();
+      sendAndDisconnect();
     } else if (kind < 90) {
-      askInPieces();
+      sendInTwoWrites();
     } else if (kind < 93) {
-      stopInTheMiddle();
+      sendIncompleteRequest();
     } else if (kind < 95) {
-      askAsTheConnectionEnds();
+      sendNearTheIdleTimeout();
     } else {
       Thread.sleep(random.nextInt(50));
     }
@@ -78,39 +79,40 @@
 
   private void connect() throws IOException {
     if (!mayConnect.getAsBoolean()) {
-      throw new IOException("new connections go elsewhere by now");
+      throw new IOException("new connections go to another scheduler now");
     }
     socket = site.connect();
   }
 
-  private String next(List<String> ids) {
-    String id = name + "-" + requests++;
+  private String newRequest(List<String> ids) {
+    String id = name + "-" + requestCount++;
     ids.add(id);
-    int waits = 100 + random.nextInt(WAITS_MS - 100);
+    int timeoutMs = 100 + random.nextInt(MAX_TIMEOUT_MS - 100);
     int shard = random.nextInt(ProcessSite.SOAK_SHARDS);
-    boolean write = random.nextInt(4) == 0;
-    audit.sending(id, waits, !write);
-    return write
+    boolean isWrite = random.nextInt(4) == 0;
+    audit.sending(id, timeoutMs, !isWrite);
+    return isWrite
         ? Site.write("pay", id, null, "x".repeat(random.nextInt(3_000)))
-            .replace("20000000u", waits + "m")
+            .replace("20000000u", timeoutMs + "m")
             .replace("shard=0", "shard=" + shard)
-        : Site.read(id, shard).replace("20000m", waits + "m");
+        : Site.read(id, shard).replace("20000m", timeoutMs + "m");
   }
 
   private void send(String bytes) throws IOException {
     socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  private void ask(int count) throws IOException, InterruptedException {
+  private void pipeline(int count) throws IOException, InterruptedException {
     List<String> ids = new ArrayList<>();
-    StringBuilder all = new StringBuilder();
+    StringBuilder bytes = new StringBuilder();
     for (int i = 0; i < count; i++) {
-      all.append(next(ids));
+      bytes.append(newRequest(ids));
     }
-    sendAndAwait(ids, all.toString());
+    sendAndAwaitResponses(ids, bytes.toString());
   }
 
-  private void sendAndAwait(List<String> ids, String bytes) throws IOException, InterruptedException {
+  private void sendAndAwaitResponses(List<String> ids, String bytes) throws IOException,
+      InterruptedException {
     try {
       send(bytes);
       ids.forEach(audit::sent);
@@ -118,29 +120,29 @@
       ids.forEach(audit::notRead);
       throw reset;
     }
-    await(ids);
+    awaitResponses(ids);
   }
 
-  private void await(List<String> ids) throws IOException, InterruptedException {
-    socket.setSoTimeout(WAITS_MS + 3 * (int) SoakAudit.LATE_MS);
+  private void awaitResponses(List<String> ids) throws IOException, InterruptedException {
+    socket.setSoTimeout(MAX_TIMEOUT_MS + 3 * (int) SoakAudit.RESPONSE_SLACK_MS);
     for (int i = 0; i < ids.size(); i++) {
-      String answer = answer();
-      if (answer == null) {
-        boolean reset = isReset();
-        List<String> open = ids.subList(i, ids.size());
-        open.forEach(reset ? audit::notRead : audit::closedWithoutAnswer);
-        drop();
+      String response = readResponse();
+      if (response == null) {
+        boolean isReset = isResetByPeer();
+        List<String> unanswered = ids.subList(i, ids.size());
+        unanswered.forEach(isReset ? audit::notRead : audit::closedWithoutResponse);
+        closeConnection();
         return;
       }
-      audit.answered(ids.get(i), answer);
-      if (answer.contains("\r\nConnection: close\r\n") && i == ids.size() - 1) {
-        drop();
+      audit.responseReceived(ids.get(i), response);
+      if (response.contains("\r\nConnection: close\r\n") && i == ids.size() - 1) {
+        closeConnection();
       }
     }
   }
 
-  /** The next answer; null: the connection ended before one. */
-  private String answer() throws IOException {
+  /** Reads the next response; null if the connection ended before it. */
+  private String readResponse() throws IOException {
     try {
       String head = Peer.head(socket.getInputStream());
       if (head == null) {
@@ -149,19 +151,19 @@
       int length = Integer.parseInt(new Peer.Came(socket, head, "").header("Content-Length"));
       byte[] body = socket.getInputStream().readNBytes(length);
       if (body.length < length) {
-        audit.fault("an answer that is not whole: " + head);
+        audit.addViolation("incomplete response: " + head);
       }
       return head + new String(body, StandardCharsets.ISO_8859_1);
     } catch (SocketTimeoutException silent) {
-      audit.fault("no answer and no end, client " + name + " request " + requests);
+      audit.addViolation("neither a response nor a close, client " + name + " request " + requestCount);
       return null;
     } catch (SocketException reset) {
       return null;
     }
   }
 
-  /** Whether the other side has reset this connection, which it does over unread bytes. */
-  private boolean isReset() throws InterruptedException {
+  /** Whether the scheduler has reset this connection, as a close with unread bytes does. */
+  private boolean isResetByPeer() throws InterruptedException {
     for (int i = 0; i < 40; i++) {
       try {
         send("\r\n");
@@ -173,9 +175,9 @@
     return false;
   }
 
-  private void leave() throws IOException, InterruptedException {
+  private void sendAndDisconnect() throws IOException, InterruptedException {
     List<String> ids = new ArrayList<>();
-    String bytes = next(ids);
+    String bytes = newRequest(ids);
     try {
       send(bytes);
       ids.forEach(audit::sent);
@@ -184,60 +186,63 @@
       throw reset;
     }
     Thread.sleep(random.nextInt(4) == 0 ? random.nextInt(300) : 0);
-    audit.leaving(ids.get(0));
+    audit.disconnecting(ids.get(0));
     if (random.nextBoolean()) {
       socket.setSoLinger(true, 0);
     }
-    drop();
+    closeConnection();
   }
 
-  private void askInPieces() throws IOException, InterruptedException {
+  private void sendInTwoWrites() throws IOException, InterruptedException {
     List<String> ids = new ArrayList<>();
-    String bytes = next(ids);
-    int cut = 1 + random.nextInt(bytes.length() - 1);
+    String bytes = newRequest(ids);
+    int split = 1 + random.nextInt(bytes.length() - 1);
     try {
-      send(bytes.substring(0, cut));
+      send(bytes.substring(0, split));
       Thread.sleep(random.nextInt(100));
     } catch (IOException reset) {
       ids.forEach(audit::notRead);
       throw reset;
     }
-    sendAndAwait(ids, bytes.substring(cut));
+    sendAndAwaitResponses(ids, bytes.substring(split));
   }
 
-  /** A whole request and part of the next; the part is owed an error or a close. */
-  private void stopInTheMiddle() throws IOException, InterruptedException {
+  /** Sends an incomplete request, in half of the cases after a complete one; the incomplete one must get an
+   * error or a close. */
+  private void sendIncompleteRequest() throws IOException, InterruptedException {
     List<String> ids = new ArrayList<>();
-    String whole = random.nextBoolean() ? next(ids) : "";
-    String part = Site.read(name + "-part");
-    sendAndAwait(ids, whole + part.substring(0, 1 + random.nextInt(part.length() - 1)));
+    String completeRequest = random.nextBoolean() ? newRequest(ids) : "";
+    String incompleteRequest = Site.read(name + "-part");
+    sendAndAwaitResponses(ids, completeRequest
+        + incompleteRequest.substring(0, 1 + random.nextInt(incompleteRequest.length() - 1)));
     if (socket == null) {
       return;
     }
-    socket.setSoTimeout(PART_MS + (int) SoakAudit.LATE_MS);
+    socket.setSoTimeout(PARTIAL_REQUEST_MS + (int) SoakAudit.RESPONSE_SLACK_MS);
     long start = SoakAudit.nowMs();
-    answer();
+    readResponse();
     long took = SoakAudit.nowMs() - start;
-    if (took > PART_MS) {
-      audit.late("part of a request had no error and no close in ms: " + took, took - PART_MS, start);
+    if (took > PARTIAL_REQUEST_MS) {
+      audit.addTimingViolation("an incomplete request had no error and no close in ms: " + took,
+          took - PARTIAL_REQUEST_MS, start);
     }
-    drop();
+    closeConnection();
   }
 
-  /** A connection on which nothing is asked is ended after 2.5 s; a request comes about then. */
-  private void askAsTheConnectionEnds() throws IOException, InterruptedException {
-    drop();
+  /** Sends a request at about 2.5 s, when the scheduler closes a connection without requests. */
+  private void sendNearTheIdleTimeout() throws IOException, InterruptedException {
+    closeConnection();
     connect();
     Thread.sleep(2_400 + random.nextInt(300));
-    ask(1);
+    pipeline(1);
   }
 
-  private void drop() {
+  private void closeConnection() {
     if (socket != null) {
       try {
         socket.close();
       } catch (IOException gone) {
-        // As it should be.
+        // Nothing to do: the connection has ended.
       }
       socket = null;
     }
--- a/src/test/java/hollyslip/platform/SyscallFaults.java
+++ b/src/test/java/hollyslip/platform/SyscallFaults.java
@@ -9,15 +9,16 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Faults of system calls in a process under test: {@code src/test/c/syscall_faults.c}, built once where
- * there is a C compiler. Tests that need it are skipped, and say so, where there is none. */
+/** Injects failing and partial system calls into a process under test, through
+ * {@code src/test/c/syscall_faults.c}. The library is compiled when it is first needed; without a C compiler
+ * the tests that need it are skipped with a message. */
 final class SyscallFaults {
   private static final Path SOURCE = Path.of("src/test/c/syscall_faults.c");
 
   private SyscallFaults() {}
 
-  /** The environment of a process with these faults; {@code settings} are names and values in turn, see the
-   * source. */
+  /** Environment variables for a process with these faults; {@code settings} alternates names and values of
+   * the variables described in the C source. */
   static Map<String, String> environment(String... settings) throws IOException, InterruptedException {
     Map<String, String> environment = new HashMap<>();
     environment.put("LD_PRELOAD", library().toString());
@@ -38,7 +39,7 @@
       } catch (IOException noCompiler) {
         built = false;
       }
-      assumeTrue(built, "no C compiler here: faults of system calls are not tested");
+      assumeTrue(built, "no C compiler: system call faults are not tested");
     }
     return library;
   }
