--- a/src/test/java/hollyslip/Worlds.java
+++ b/src/test/java/hollyslip/Fixtures.java
@@ -3,8 +3,8 @@
 import hollyslip.HostScheduler.*;
 import java.util.List;
 
-/** Settings and list entries for tests. */
-final class Worlds {
+/** Settings, requests and node list entries for tests of the decision module. */
+final class Fixtures {
   static final RequestClass SAFE = new RequestClass("read", Effect.SAFE, Group.ALL, 0, 250_000, 2_000_000, 2,
       0.2, false, false);
   static final RequestClass UNSAFE = new RequestClass("write", Effect.UNSAFE, Group.CELL, 0, 250_000,
@@ -12,7 +12,7 @@
   static final RequestClass ORDERED = new RequestClass("log", Effect.SAFE, Group.ALL, 0, 250_000, 1_000_000,
       2, 0.2, true, true);
 
-  private Worlds() {}
+  private Fixtures() {}
 
   static RequestClass keyed(Group group) {
     return new RequestClass("keyed-" + group, Effect.KEYED, group, 400_000, 250_000, 2_000_000, 2, 0.2, false,
@@ -23,8 +23,8 @@
     return List.of(SAFE, UNSAFE, ORDERED, keyed(Group.ALL), keyed(Group.ZONE), keyed(Group.CELL));
   }
 
-  /** One of so many hosts, with its own seed. */
-  static Settings seeded(long seed, int hosts) {
+  /** Settings of one host out of {@code hosts}, with its own seed. */
+  static Settings settingsWithSeed(long seed, int hosts) {
     Settings s = settings();
     return new Settings(seed, 0, hosts, s.zone(), s.tickUs(), false, s.classes(), s.plans(), s.rules(), s
         .allowed(), s.store(), s.reportSource(), s.reportFields());
@@ -45,8 +45,8 @@
     return settings(classes(), rules(), false);
   }
 
-  static Listed node(long id, int cell, NodeState state, long born) {
-    return new Listed(id, cell % 2 == 0 ? "a" : "b", cell, state, born);
+  static Listed node(long id, int cell, NodeState state, long bornUs) {
+    return new Listed(id, cell % 2 == 0 ? "a" : "b", cell, state, bornUs);
   }
 
   static Request request(long id, String className, String plan, Long key, long volume, double units,
