--- a/src/main/java/hollyslip/engine/Verdict.java
+++ b/src/main/java/hollyslip/engine/AnswerAggregator.java
@@ -3,8 +3,8 @@
 /** Makes one answer of those of a request's pieces: served if all are; failed if one failed. If some are
  * refused and others served, the client may be told "refused" only where doing the served part again is
  * harmless by the request's class; otherwise the answer is failed. */
-final class Verdict {
-  private final boolean repeatable;
+final class AnswerAggregator {
+  private final boolean safeToRepeat;
   private int served;
   private int refused;
   private int failed;
@@ -12,8 +12,8 @@
 
   /** @param repeatable
    *          whether the class may be done again after it has had its effect */
-  Verdict(boolean repeatable) {
-    this.repeatable = repeatable;
+  AnswerAggregator(boolean repeatable) {
+    this.safeToRepeat = repeatable;
   }
 
   void add(Answer answer) {
@@ -24,12 +24,12 @@
     }
   }
 
-  int pieces() {
+  int count() {
     return served + refused + failed;
   }
 
-  Answer answer() {
-    if (failed > 0 || refused > 0 && served > 0 && !repeatable) {
+  Answer combined() {
+    if (failed > 0 || refused > 0 && served > 0 && !safeToRepeat) {
       return Answer.FAILED;
     }
     return refused > 0 ? Answer.refused(retryInUs) : Answer.SERVED;
--- a/src/main/java/hollyslip/engine/ClientMemory.java
+++ b/src/main/java/hollyslip/engine/ClientMemory.java
@@ -6,8 +6,8 @@
  * {@code InternalError}, but tells of it some time later, in whatever the thread does by then. */
 public final class ClientMemory {
   /** Not a constant, so that the allocation below stays a call into the JVM. */
-  private static volatile int one = 1;
-  private static volatile Object last;
+  private static volatile int arrayLength = 1;
+  private static volatile Object allocationSink;
 
   private ClientMemory() {}
 
@@ -27,7 +27,7 @@
    * away. Harm: some tens of ns. */
   public static boolean settled() {
     try {
-      last = new byte[one][one];
+      allocationSink = new byte[arrayLength][arrayLength];
       return true;
     } catch (InternalError e) {
       return false;
--- a/src/main/java/hollyslip/engine/Io.java
+++ b/src/main/java/hollyslip/engine/Io.java
@@ -27,10 +27,10 @@
   private final long length;
   private final List<ByteBuffer> data;
   private final long remainingUs;
-  private final Client client;
+  private final Client listener;
   private final boolean resumed;
   /** What the engine makes of it once it is taken. */
-  volatile Operation operation;
+  volatile ActiveRequest activeRequest;
 
   /** @param volume
    *          name of the volume
@@ -63,7 +63,7 @@
     this.length = length;
     this.data = data;
     this.remainingUs = remainingUs;
-    this.client = client;
+    this.listener = client;
   }
 
   public String volume() {
@@ -90,8 +90,8 @@
     return remainingUs;
   }
 
-  public Client client() {
-    return client;
+  public Client listener() {
+    return listener;
   }
 
   /** Whether a process before may have begun it. */
@@ -100,7 +100,7 @@
   }
 
   /** Bytes of data that are held for it. */
-  long held() {
+  long dataBytes() {
     return kind.carriesData() ? length : 0;
   }
 }
--- a/src/main/java/hollyslip/engine/LaneBalance.java
+++ b/src/main/java/hollyslip/engine/LaneBalancer.java
@@ -12,20 +12,20 @@
  * its rings for as long as its last requests take, so it must gain: the two lanes must end nearer to each
  * other, and a volume that moved rests. Harm: a volume that alone is more than a lane can do stays where it
  * is. */
-final class LaneBalance {
+final class LaneBalancer {
   /** A lane is hot from this multiple of the mean on. */
-  static final double HOT = 1.25;
+  static final double HOT_LANE_RATIO = 1.25;
 
   /** Intervals for which a lane must have been hot before anything moves: a burst is over by then. */
-  static final int PATIENCE = 3;
+  static final int HOT_INTERVALS_BEFORE_MOVE = 3;
 
   /** Intervals for which a volume that moved stays. */
-  static final int REST = 30;
+  static final int REST_INTERVALS_AFTER_MOVE = 30;
 
-  private final Map<Long, Long> moved = new HashMap<>();
+  private final Map<Long, Long> lastMoveByVolume = new HashMap<>();
   private long interval;
   private int hotLane = -1;
-  private int hotFor;
+  private int hotIntervals;
 
   /** What a volume brought in the interval, and its lane. */
   record Load(long volume, int lane, long units) {}
@@ -36,7 +36,7 @@
   /** One interval is over; null: nothing moves. */
   Move decide(int lanes, List<Load> loads) {
     interval++;
-    moved.values().removeIf(at -> interval - at > REST);
+    lastMoveByVolume.values().removeIf(at -> interval - at > REST_INTERVALS_AFTER_MOVE);
     long[] sum = new long[lanes];
     loads.forEach(l -> sum[l.lane] += l.units);
     int hot = 0;
@@ -47,19 +47,19 @@
       cold = sum[i] < sum[cold] ? i : cold;
       all += sum[i];
     }
-    if (sum[hot] <= HOT * all / lanes) {
-      hotFor = 0;
+    if (sum[hot] <= HOT_LANE_RATIO * all / lanes) {
+      hotIntervals = 0;
       return null;
     }
-    hotFor = hot == hotLane ? hotFor + 1 : 1;
+    hotIntervals = hot == hotLane ? hotIntervals + 1 : 1;
     hotLane = hot;
-    if (hotFor < PATIENCE) {
+    if (hotIntervals < HOT_INTERVALS_BEFORE_MOVE) {
       return null;
     }
     Load best = null;
     long gap = sum[hot] - sum[cold];
     for (Load l : loads) {
-      boolean may = l.lane == hot && l.units > 0 && !moved.containsKey(l.volume);
+      boolean may = l.lane == hot && l.units > 0 && !lastMoveByVolume.containsKey(l.volume);
       long left = Math.abs(gap - 2 * l.units);
       if (may && left < gap && (best == null || left < Math.abs(gap - 2 * best.units))) {
         best = l;
@@ -68,8 +68,8 @@
     if (best == null) {
       return null;
     }
-    moved.put(best.volume, interval);
-    hotFor = 0;
+    lastMoveByVolume.put(best.volume, interval);
+    hotIntervals = 0;
     return new Move(best.volume, hot, cold);
   }
 }
--- a/src/main/java/hollyslip/engine/Lanes.java
+++ b/src/main/java/hollyslip/engine/Lanes.java
@@ -24,15 +24,15 @@
   private static final Logger LOG = LoggerFactory.getLogger(Lanes.class);
 
   /** How often lanes are compared, ms. */
-  private static final long INTERVAL_MS = 1_000;
+  private static final long BALANCE_INTERVAL_MS = 1_000;
 
   private final List<Engine> engines;
-  private final Function<Volume, VolumeChanged> terms;
+  private final Function<Volume, VolumeChanged> termsOf;
   private final Map<String, Route> routes = new ConcurrentHashMap<>();
   private final Map<String, Volume> volumes = new ConcurrentHashMap<>();
-  private final Set<Runnable> listeners = ConcurrentHashMap.newKeySet();
-  private final LaneBalance balance = new LaneBalance();
-  private final ScheduledExecutorService watch = Executors.newSingleThreadScheduledExecutor(r -> {
+  private final Set<Runnable> capacityListeners = ConcurrentHashMap.newKeySet();
+  private final LaneBalancer balancer = new LaneBalancer();
+  private final ScheduledExecutorService balanceTimer = Executors.newSingleThreadScheduledExecutor(r -> {
     Thread t = new Thread(r, "lanes");
     t.setDaemon(true);
     return t;
@@ -41,15 +41,15 @@
   /** Where a volume's requests go; guarded by its own monitor, so that no request is under way to a lane that
    * has been told to hand the volume over. */
   private static final class Route {
-    final long id;
+    final long volumeId;
     int lane;
     boolean moving;
-    VolumeChanged terms;
-    CompletableFuture<Void> settled = CompletableFuture.completedFuture(null);
-    long offered, seen;
+    VolumeChanged currentTerms;
+    CompletableFuture<Void> lastChange = CompletableFuture.completedFuture(null);
+    long offeredRequests, balancedRequests;
 
     Route(long id, int lane) {
-      this.id = id;
+      this.volumeId = id;
       this.lane = lane;
     }
   }
@@ -62,18 +62,18 @@
    *          their terms, for a lane that takes one over */
   public Lanes(List<Engine> engines, Map<String, Volume> fixed, Function<Volume, VolumeChanged> terms) {
     this.engines = List.copyOf(engines);
-    this.terms = terms;
+    this.termsOf = terms;
     fixed.values().forEach(v -> {
       Route r = route(v);
       volumes.put(v.name(), v);
-      engines.get(r.lane).begin(v);
+      engines.get(r.lane).addVolume(v);
     });
   }
 
   /** Compares lanes from now on. */
   public void start() {
     if (engines.size() > 1) {
-      watch.scheduleAtFixedRate(this::compare, INTERVAL_MS, INTERVAL_MS, TimeUnit.MILLISECONDS);
+      balanceTimer.scheduleAtFixedRate(this::rebalance, BALANCE_INTERVAL_MS, BALANCE_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -111,27 +111,27 @@
       if (r.moving) {
         return false;
       }
-      r.offered++;
+      r.offeredRequests++;
       return engines.get(r.lane).offer(io);
     }
   }
 
   @Override
   public void depart(Io io) {
-    if (io.operation != null) {
-      io.operation.engine().depart(io);
+    if (io.activeRequest != null) {
+      io.activeRequest.engine().depart(io);
     }
   }
 
   @Override
   public void onRoom(Runnable listener) {
-    listeners.add(listener);
+    capacityListeners.add(listener);
     engines.forEach(e -> e.onRoom(listener));
   }
 
   @Override
   public void forgetRoom(Runnable listener) {
-    listeners.remove(listener);
+    capacityListeners.remove(listener);
     engines.forEach(e -> e.forgetRoom(listener));
   }
 
@@ -144,13 +144,13 @@
   public CompletableFuture<Void> serve(Volume volume, VolumeChanged changed) {
     Route r = route(volume);
     synchronized (r) {
-      r.settled = r.settled.thenCompose(done -> {
+      r.lastChange = r.lastChange.thenCompose(done -> {
         synchronized (r) {
-          r.terms = changed;
+          r.currentTerms = changed;
           return engines.get(r.lane).serve(volume, changed);
         }
       });
-      return r.settled.thenRun(() -> volumes.put(volume.name(), volume));
+      return r.lastChange.thenRun(() -> volumes.put(volume.name(), volume));
     }
   }
 
@@ -161,12 +161,12 @@
       return CompletableFuture.completedFuture(null);
     }
     synchronized (r) {
-      r.settled = r.settled.thenCompose(done -> {
+      r.lastChange = r.lastChange.thenCompose(done -> {
         synchronized (r) {
           return engines.get(r.lane).drain(volume);
         }
       });
-      return r.settled.thenRun(() -> {
+      return r.lastChange.thenRun(() -> {
         routes.remove(volume.name(), r);
         volumes.remove(volume.name());
       });
@@ -183,12 +183,12 @@
           + " is not known"));
     }
     synchronized (r) {
-      r.settled = r.settled.thenCompose(done -> hand(volume, r, to));
-      return r.settled;
+      r.lastChange = r.lastChange.thenCompose(done -> moveNow(volume, r, to));
+      return r.lastChange;
     }
   }
 
-  private CompletableFuture<Void> hand(String volume, Route r, int to) {
+  private CompletableFuture<Void> moveNow(String volume, Route r, int to) {
     Volume v = volumes.get(volume);
     Engine from;
     synchronized (r) {
@@ -198,7 +198,7 @@
       from = engines.get(r.lane);
       r.moving = true;
     }
-    VolumeChanged told = r.terms != null ? r.terms : terms.apply(v);
+    VolumeChanged told = r.currentTerms != null ? r.currentTerms : termsOf.apply(v);
     long at = System.nanoTime();
     CompletableFuture<Void> done = from.handOver(v).thenCompose(none -> engines.get(to).serve(v, told));
     return done.whenComplete((ok, error) -> {
@@ -206,7 +206,7 @@
         r.lane = error == null ? to : r.lane;
         r.moving = false;
       }
-      listeners.forEach(Runnable::run);
+      capacityListeners.forEach(Runnable::run);
       LOG.atInfo()
           .addKeyValue("volume", volume)
           .addKeyValue("lane", to)
@@ -216,18 +216,18 @@
     });
   }
 
-  private void compare() {
-    List<LaneBalance.Load> loads = new ArrayList<>();
+  private void rebalance() {
+    List<LaneBalancer.Load> loads = new ArrayList<>();
     Map<Long, String> names = new java.util.HashMap<>();
     routes.forEach((name, r) -> {
       synchronized (r) {
-        loads.add(new LaneBalance.Load(r.id, r.lane, r.offered - r.seen));
-        r.seen = r.offered;
+        loads.add(new LaneBalancer.Load(r.volumeId, r.lane, r.offeredRequests - r.balancedRequests));
+        r.balancedRequests = r.offeredRequests;
       }
-      names.put(r.id, name);
+      names.put(r.volumeId, name);
     });
     loads.sort((a, b) -> Long.compare(a.volume(), b.volume()));
-    LaneBalance.Move m = balance.decide(engines.size(), loads);
+    LaneBalancer.Move m = balancer.decide(engines.size(), loads);
     if (m != null) {
       move(names.get(m.volume()), m.to());
     }
@@ -250,21 +250,21 @@
 
   /** As {@link Engine#stop}, all lanes. */
   public CompletableFuture<Void> stop() {
-    watch.shutdownNow();
-    return all(Engine::stop);
+    balanceTimer.shutdownNow();
+    return allOf(Engine::stop);
   }
 
   /** Complete when all lanes have ended; exceptionally as soon as one has with a fault. */
   public CompletableFuture<Void> ended() {
-    CompletableFuture<Void> all = all(Engine::ended);
-    engines.forEach(e -> e.ended().exceptionally(error -> {
+    CompletableFuture<Void> all = allOf(Engine::termination);
+    engines.forEach(e -> e.termination().exceptionally(error -> {
       all.completeExceptionally(error);
       return null;
     }));
     return all;
   }
 
-  private CompletableFuture<Void> all(Function<Engine, CompletableFuture<Void>> each) {
+  private CompletableFuture<Void> allOf(Function<Engine, CompletableFuture<Void>> each) {
     return CompletableFuture.allOf(engines.stream().map(each).toArray(CompletableFuture<?>[]::new));
   }
 }
--- a/src/main/java/hollyslip/engine/Mailbox.java
+++ b/src/main/java/hollyslip/engine/Mailbox.java
@@ -7,19 +7,19 @@
 /** What other threads have for the engine, and how it sleeps until there is something. Letters are the things
  * themselves that happened, so that posting one makes no garbage. */
 final class Mailbox {
-  private static final int CHUNK = 4_096;
+  private static final int CHUNK_SIZE = 4_096;
 
   private final Spin spin = new Spin();
-  private final Queue<Runnable> queue = new MpscUnboundedArrayQueue<>(CHUNK);
+  private final Queue<Runnable> queue = new MpscUnboundedArrayQueue<>(CHUNK_SIZE);
   private volatile boolean asleep;
   private volatile Thread owner;
 
-  void owner(Thread thread) {
+  void setOwner(Thread thread) {
     owner = thread;
   }
 
   /** Any thread. */
-  void put(Runnable letter) {
+  void post(Runnable letter) {
     queue.add(letter);
     if (asleep) {
       LockSupport.unpark(owner);
@@ -41,7 +41,7 @@
     if (spin.until(us * 1_000, () -> !queue.isEmpty())) {
       return;
     }
-    long left = us * 1_000 - spin.spent();
+    long left = us * 1_000 - spin.lastSpinNs();
     if (left > 0) {
       asleep = true;
       if (queue.isEmpty()) {
--- a/src/main/java/hollyslip/engine/RangeLocks.java
+++ b/src/main/java/hollyslip/engine/RangeLocks.java
@@ -17,19 +17,19 @@
  * blocks waits until the node answers, is fenced or is known to be gone, and is refused if its client's time
  * ends before that. Reads and ranges that do not overlap wait for nothing. */
 final class RangeLocks {
-  private final Map<Integer, Shard> shards = new HashMap<>();
+  private final Map<Integer, ShardLocks> shards = new HashMap<>();
 
-  private static final class Shard {
+  private static final class ShardLocks {
     /** By first byte; pieces that hold never overlap. */
-    final TreeMap<Long, Piece> held = new TreeMap<>();
-    final ArrayDeque<Piece> waiting = new ArrayDeque<>();
-    long longest;
+    final TreeMap<Long, SubRequest> held = new TreeMap<>();
+    final ArrayDeque<SubRequest> waiting = new ArrayDeque<>();
+    long maxHeldLength;
   }
 
   /** Whether the piece may go now; otherwise it waits and comes out of a later {@link #unlock}. */
-  boolean lock(Piece piece) {
-    Shard shard = shards.computeIfAbsent(piece.shard, k -> new Shard());
-    if (!shard.waiting.isEmpty() && shard.waiting.stream().anyMatch(w -> overlap(w, piece)) || blockers(shard,
+  boolean lockOrEnqueue(SubRequest piece) {
+    ShardLocks shard = shards.computeIfAbsent(piece.shard, k -> new ShardLocks());
+    if (!shard.waiting.isEmpty() && shard.waiting.stream().anyMatch(w -> overlaps(w, piece)) || blockers(shard,
         piece) != null) {
       shard.waiting.add(piece);
       return false;
@@ -39,35 +39,35 @@
   }
 
   /** Ends a hold and gives the pieces that may go now, in order. */
-  List<Piece> unlock(Piece piece) {
-    Shard shard = shards.get(piece.shard);
+  List<SubRequest> unlock(SubRequest piece) {
+    ShardLocks shard = shards.get(piece.shard);
     if (shard == null || !shard.held.remove(piece.offset, piece)) {
       return List.of();
     }
-    return admit(shard, piece.shard);
+    return grantWaiting(shard, piece.shard);
   }
 
   /** A waiting piece gives up; gives the pieces that may go now because of it. */
-  List<Piece> leave(Piece piece) {
-    Shard shard = shards.get(piece.shard);
+  List<SubRequest> cancelWait(SubRequest piece) {
+    ShardLocks shard = shards.get(piece.shard);
     if (shard == null || !shard.waiting.remove(piece)) {
       return List.of();
     }
-    return admit(shard, piece.shard);
+    return grantWaiting(shard, piece.shard);
   }
 
   /** What a waiting piece waits for: the pieces that hold its blocks. */
-  List<Piece> blockers(Piece piece) {
-    Shard shard = shards.get(piece.shard);
-    List<Piece> found = shard == null ? null : blockers(shard, piece);
+  List<SubRequest> blockers(SubRequest piece) {
+    ShardLocks shard = shards.get(piece.shard);
+    List<SubRequest> found = shard == null ? null : blockers(shard, piece);
     return found == null ? List.of() : found;
   }
 
   /** Whether something waits for the blocks that this piece holds. */
-  boolean awaited(Piece holder) {
-    Shard shard = shards.get(holder.shard);
+  boolean hasWaiters(SubRequest holder) {
+    ShardLocks shard = shards.get(holder.shard);
     return shard != null && !shard.waiting.isEmpty() && shard.waiting.stream()
-        .anyMatch(w -> overlap(w, holder));
+        .anyMatch(w -> overlaps(w, holder));
   }
 
   /** Pieces that hold or wait. */
@@ -75,12 +75,12 @@
     return shards.values().stream().mapToInt(s -> s.held.size() + s.waiting.size()).sum();
   }
 
-  private List<Piece> admit(Shard shard, int number) {
-    List<Piece> free = new ArrayList<>();
-    List<Piece> still = new ArrayList<>();
+  private List<SubRequest> grantWaiting(ShardLocks shard, int number) {
+    List<SubRequest> free = new ArrayList<>();
+    List<SubRequest> still = new ArrayList<>();
     while (!shard.waiting.isEmpty()) {
-      Piece w = shard.waiting.poll();
-      if (blockers(shard, w) == null && still.stream().noneMatch(s -> overlap(s, w))) {
+      SubRequest w = shard.waiting.poll();
+      if (blockers(shard, w) == null && still.stream().noneMatch(s -> overlaps(s, w))) {
         hold(shard, w);
         free.add(w);
       } else {
@@ -94,16 +94,16 @@
     return free;
   }
 
-  private static void hold(Shard shard, Piece piece) {
+  private static void hold(ShardLocks shard, SubRequest piece) {
     shard.held.put(piece.offset, piece);
-    shard.longest = Math.max(shard.longest, piece.length);
+    shard.maxHeldLength = Math.max(shard.maxHeldLength, piece.length);
   }
 
-  private static List<Piece> blockers(Shard shard, Piece piece) {
-    List<Piece> found = null;
-    for (Piece h : shard.held.subMap(piece.offset - shard.longest, false, piece.offset + piece.length, false)
+  private static List<SubRequest> blockers(ShardLocks shard, SubRequest piece) {
+    List<SubRequest> found = null;
+    for (SubRequest h : shard.held.subMap(piece.offset - shard.maxHeldLength, false, piece.offset + piece.length, false)
         .values()) {
-      if (overlap(h, piece)) {
+      if (overlaps(h, piece)) {
         found = found == null ? new ArrayList<>(2) : found;
         found.add(h);
       }
@@ -111,7 +111,7 @@
     return found;
   }
 
-  private static boolean overlap(Piece a, Piece b) {
+  private static boolean overlaps(SubRequest a, SubRequest b) {
     return a.offset < b.offset + b.length && b.offset < a.offset + a.length;
   }
 }
--- a/src/main/java/hollyslip/engine/Piece.java
+++ b/src/main/java/hollyslip/engine/SubRequest.java
@@ -6,43 +6,43 @@
 import java.util.List;
 
 /** A part of a request that lies on one shard: one request of the module. */
-final class Piece {
+final class SubRequest {
   final long id;
-  final Operation operation;
+  final ActiveRequest request;
   final IoKind kind;
   final int shard;
   final long offset;
-  final long from;
+  final long requestOffset;
   final long length;
   /** Attempts, in order of their numbers. */
   final List<Attempt> attempts = new ArrayList<>(1);
   /** Ends its wait for its blocks. */
-  Timers.Entry patience;
-  boolean known;
+  TimerQueue.Timer lockWaitTimer;
+  boolean submitted;
   /** Whether it counts among those that hold or wait for blocks. */
-  boolean locked;
+  boolean countedAsLocking;
   boolean answered;
   /** Attempts that may still have an effect at a node. */
-  int unresolved;
+  int unresolvedAttempts;
 
-  Piece(long id, Operation operation, int shard, long offset, long from, long length) {
+  SubRequest(long id, ActiveRequest operation, int shard, long offset, long from, long length) {
     this.id = id;
-    this.operation = operation;
+    this.request = operation;
     this.kind = operation.io.kind();
     this.shard = shard;
     this.offset = offset;
-    this.from = from;
+    this.requestOffset = from;
     this.length = length;
   }
 
   /** Views of the request's buffers that cover this piece. */
   List<ByteBuffer> data() {
-    List<ByteBuffer> all = operation.io.data();
+    List<ByteBuffer> all = request.io.data();
     if (all.isEmpty()) {
       return all;
     }
     List<ByteBuffer> mine = new ArrayList<>(all.size());
-    long skip = from;
+    long skip = requestOffset;
     long left = length;
     for (ByteBuffer b : all) {
       int size = b.remaining();
--- a/src/main/java/hollyslip/engine/Timers.java
+++ b/src/main/java/hollyslip/engine/TimerQueue.java
@@ -5,26 +5,26 @@
 /** Due times on the engine's clock, us, earliest first, then in the order in which they were set. A cancelled
  * one is gone at once: nearly all are cancelled, long before they are due, and would be kept alive by the
  * heap, with all that they point to. */
-final class Timers {
+final class TimerQueue {
   /** What is to be done. */
   interface Task {
-    void due();
+    void onDue();
   }
 
-  private Entry[] heap = new Entry[64];
+  private Timer[] heap = new Timer[64];
   private int count;
-  private long order;
+  private long nextSequence;
 
   /** A timer. */
-  final class Entry {
-    private final long at;
-    private final long order;
+  final class Timer {
+    private final long dueAt;
+    private final long sequence;
     private Task task;
-    private int place;
+    private int heapIndex;
 
-    private Entry(long at, long order, Task task) {
-      this.at = at;
-      this.order = order;
+    private Timer(long at, long order, Task task) {
+      this.dueAt = at;
+      this.sequence = order;
       this.task = task;
     }
 
@@ -32,37 +32,37 @@
     void cancel() {
       if (task != null) {
         task = null;
-        remove(place);
+        remove(heapIndex);
       }
     }
 
-    private boolean before(Entry o) {
-      return at != o.at ? at < o.at : order < o.order;
+    private boolean before(Timer o) {
+      return dueAt != o.dueAt ? dueAt < o.dueAt : sequence < o.sequence;
     }
   }
 
-  Entry set(long at, Task task) {
-    Entry e = new Entry(at, order++, task);
+  Timer schedule(long at, Task task) {
+    Timer e = new Timer(at, nextSequence++, task);
     if (count == heap.length) {
       heap = Arrays.copyOf(heap, 2 * count);
     }
-    up(e, count++);
+    siftUp(e, count++);
     return e;
   }
 
   /** Runs what is due, also what it sets as due meanwhile. */
-  void run(long now) {
-    while (count > 0 && heap[0].at <= now) {
+  void runDue(long now) {
+    while (count > 0 && heap[0].dueAt <= now) {
       Task task = heap[0].task;
       heap[0].task = null;
       remove(0);
-      task.due();
+      task.onDue();
     }
   }
 
   /** Due time of the next one, or {@code Long.MAX_VALUE}. */
-  long next() {
-    return count == 0 ? Long.MAX_VALUE : heap[0].at;
+  long nextDueTime() {
+    return count == 0 ? Long.MAX_VALUE : heap[0].dueAt;
   }
 
   int size() {
@@ -70,29 +70,29 @@
   }
 
   private void remove(int place) {
-    Entry last = heap[--count];
+    Timer last = heap[--count];
     heap[count] = null;
     if (place < count) {
-      up(last, place);
-      down(last, last.place);
+      siftUp(last, place);
+      siftDown(last, last.heapIndex);
     }
   }
 
-  private void put(Entry e, int place) {
+  private void setSlot(Timer e, int place) {
     heap[place] = e;
-    e.place = place;
+    e.heapIndex = place;
   }
 
-  private void up(Entry e, int from) {
+  private void siftUp(Timer e, int from) {
     int at = from;
     while (at > 0 && e.before(heap[(at - 1) / 2])) {
-      put(heap[(at - 1) / 2], at);
+      setSlot(heap[(at - 1) / 2], at);
       at = (at - 1) / 2;
     }
-    put(e, at);
+    setSlot(e, at);
   }
 
-  private void down(Entry e, int from) {
+  private void siftDown(Timer e, int from) {
     int at = from;
     for (int child = 2 * at + 1; child < count; child = 2 * at + 1) {
       if (child + 1 < count && heap[child + 1].before(heap[child])) {
@@ -101,9 +101,9 @@
       if (!heap[child].before(e)) {
         break;
       }
-      put(heap[child], at);
+      setSlot(heap[child], at);
       at = child;
     }
-    put(e, at);
+    setSlot(e, at);
   }
 }
--- a/src/main/java/hollyslip/fleet/Membership.java
+++ b/src/main/java/hollyslip/fleet/Membership.java
@@ -12,14 +12,14 @@
 /** What the module is told of the nodes: the operator's list, and starts that were seen on the way to a node.
  * Free of I/O and clock; not safe for several threads at once. */
 public final class Membership {
-  private final long coldUs;
-  private final Consumer<NodeList> told;
-  private final Map<Long, Known> nodes = new TreeMap<>();
+  private final long coldPeriodUs;
+  private final Consumer<NodeList> listener;
+  private final Map<Long, KnownNode> nodes = new TreeMap<>();
 
-  private static final class Known {
-    Listed listed;
-    boolean booted;
-    long boot;
+  private static final class KnownNode {
+    Listed entry;
+    boolean bootSeen;
+    long bootId;
   }
 
   /** @param coldUs
@@ -27,61 +27,61 @@
    * @param told
    *          hears every change */
   public Membership(long coldUs, Consumer<NodeList> told) {
-    this.coldUs = coldUs;
-    this.told = told;
+    this.coldPeriodUs = coldUs;
+    this.listener = told;
   }
 
   /** The operator's whole list: nodes not named are gone. A start that was seen here stays known, whatever an
    * older list says. */
   public synchronized void replace(List<Listed> list) {
-    Map<Long, Known> before = new TreeMap<>(nodes);
+    Map<Long, KnownNode> before = new TreeMap<>(nodes);
     nodes.clear();
     for (Listed l : list) {
-      Known k = before.getOrDefault(l.node(), new Known());
-      long born = Math.max(l.bornUs(), k.listed == null ? 0 : k.listed.bornUs());
-      k.listed = new Listed(l.node(), l.zone(), l.cell(), l.state(), born);
+      KnownNode k = before.getOrDefault(l.node(), new KnownNode());
+      long born = Math.max(l.bornUs(), k.entry == null ? 0 : k.entry.bornUs());
+      k.entry = new Listed(l.node(), l.zone(), l.cell(), l.state(), born);
       nodes.put(l.node(), k);
     }
-    told.accept(new NodeList(true, list()));
+    listener.accept(new NodeList(true, list()));
   }
 
   /** One node's state changed: the operator's word. False: it is not listed. */
   public synchronized boolean state(long node, NodeState state) {
-    Known k = nodes.get(node);
+    KnownNode k = nodes.get(node);
     if (k == null) {
       return false;
     }
-    k.listed = new Listed(node, k.listed.zone(), k.listed.cell(), state, k.listed.bornUs());
-    told.accept(new NodeList(false, List.of(k.listed)));
+    k.entry = new Listed(node, k.entry.zone(), k.entry.cell(), state, k.entry.bornUs());
+    listener.accept(new NodeList(false, List.of(k.entry)));
     return true;
   }
 
   /** A node said when it started: {@code boot} tells its starts apart. Whether this start is news and the
    * node may still be cold; a first sight of one that started long ago is neither. */
   public synchronized boolean started(long node, long boot, long ageUs, long now) {
-    Known k = nodes.get(node);
-    if (k == null || k.booted && k.boot == boot) {
+    KnownNode k = nodes.get(node);
+    if (k == null || k.bootSeen && k.bootId == boot) {
       return false;
     }
-    k.booted = true;
-    k.boot = boot;
-    if (ageUs >= coldUs) {
+    k.bootSeen = true;
+    k.bootId = boot;
+    if (ageUs >= coldPeriodUs) {
       return false;
     }
-    k.listed = new Listed(node, k.listed.zone(), k.listed.cell(), k.listed.state(), Math.max(1, now - ageUs));
-    told.accept(new NodeList(false, List.of(k.listed)));
+    k.entry = new Listed(node, k.entry.zone(), k.entry.cell(), k.entry.state(), Math.max(1, now - ageUs));
+    listener.accept(new NodeList(false, List.of(k.entry)));
     return true;
   }
 
   /** The list as it stands. */
   public synchronized List<Listed> list() {
     List<Listed> all = new ArrayList<>();
-    nodes.values().forEach(k -> all.add(k.listed));
+    nodes.values().forEach(k -> all.add(k.entry));
     return all;
   }
 
   /** Tells the whole list again. */
   public synchronized void tellAgain() {
-    told.accept(new NodeList(true, list()));
+    listener.accept(new NodeList(true, list()));
   }
 }
--- a/src/main/java/hollyslip/recovery/Epoch.java
+++ b/src/main/java/hollyslip/recovery/Epoch.java
@@ -30,7 +30,7 @@
       if (lock.tryLock() == null) {
         throw new IOException(folder + ": another process uses this state folder");
       }
-      last = read(Files.exists(file) ? Files.readString(file) : null);
+      last = parse(Files.exists(file) ? Files.readString(file) : null);
     } catch (OverlappingFileLockException e) {
       lock.close();
       throw new IOException(folder + ": another gateway of this process uses this state folder", e);
@@ -44,7 +44,7 @@
   }
 
   /** The number in a record's text; null: there is none. */
-  static long read(String text) {
+  static long parse(String text) {
     if (text == null) {
       return 0;
     }
--- a/src/main/java/hollyslip/recovery/InflightLog.java
+++ b/src/main/java/hollyslip/recovery/InflightLog.java
@@ -12,13 +12,13 @@
  * they were taken. Layout and steps: vhost-user protocol, "Inflight I/O tracking", split virtqueue. */
 public final class InflightLog {
   /** Bytes before the entries, and of one entry. */
-  public static final int HEADER = 16, ENTRY = 16;
+  public static final int HEADER_BYTES = 16, ENTRY_BYTES = 16;
 
   private static final int VERSION = 1;
 
   private final ByteBuffer region;
   private final int size;
-  private long counter;
+  private long nextCounter;
 
   /** @param region
    *          this queue's part of the shared memory
@@ -35,7 +35,7 @@
 
   /** Bytes that a queue of so many descriptors needs. */
   public static int bytes(int size) {
-    return HEADER + ENTRY * size;
+    return HEADER_BYTES + ENTRY_BYTES * size;
   }
 
   /** Makes the region ready; what it holds from before stays.
@@ -48,39 +48,39 @@
       region.putLong(0, 0).putShort(8, (short) VERSION).putShort(10, (short) size);
       region.putShort(12, (short) 0).putShort(14, (short) usedIdx);
       for (int i = 0; i < size; i++) {
-        region.put(at(i), (byte) 0);
+        region.put(entryOffset(i), (byte) 0);
       }
     }
     if (region.getShort(14) != (short) usedIdx) {
       // Killed between publishing an answer and noting it here: the last one is answered.
       int last = Short.toUnsignedInt(region.getShort(12));
       if (last < size) {
-        region.put(at(last), (byte) 0);
+        region.put(entryOffset(last), (byte) 0);
       }
       region.putShort(14, (short) usedIdx);
     }
     List<Integer> heads = new ArrayList<>();
     for (int i = 0; i < size; i++) {
-      if (region.get(at(i)) == 1) {
+      if (region.get(entryOffset(i)) == 1) {
         heads.add(i);
-        counter = Math.max(counter, region.getLong(at(i) + 8) + 1);
+        nextCounter = Math.max(nextCounter, region.getLong(entryOffset(i) + 8) + 1);
       }
     }
-    heads.sort(Comparator.comparingLong(h -> region.getLong(at(h) + 8)));
+    heads.sort(Comparator.comparingLong(h -> region.getLong(entryOffset(h) + 8)));
     return heads;
   }
 
   /** A request was taken. */
   public void taken(int head) {
-    region.putLong(at(head) + 8, counter++);
+    region.putLong(entryOffset(head) + 8, nextCounter++);
     VarHandle.releaseFence();
-    region.put(at(head), (byte) 1);
+    region.put(entryOffset(head), (byte) 1);
     VarHandle.releaseFence();
   }
 
   /** A request's answer is about to be published. */
   public void answering(int head) {
-    region.putShort(at(head) + 6, region.getShort(12));
+    region.putShort(entryOffset(head) + 6, region.getShort(12));
     region.putShort(12, (short) head);
     VarHandle.releaseFence();
   }
@@ -88,12 +88,12 @@
   /** It is published, with this index of the used ring. */
   public void answered(int head, int usedIdx) {
     VarHandle.releaseFence();
-    region.put(at(head), (byte) 0);
+    region.put(entryOffset(head), (byte) 0);
     VarHandle.releaseFence();
     region.putShort(14, (short) usedIdx);
   }
 
-  private int at(int head) {
-    return HEADER + ENTRY * head;
+  private int entryOffset(int head) {
+    return HEADER_BYTES + ENTRY_BYTES * head;
   }
 }
--- a/src/main/java/hollyslip/recovery/Succession.java
+++ b/src/main/java/hollyslip/recovery/Succession.java
@@ -22,7 +22,7 @@
   public record Holder(long epoch, long instance) {
     public static final Holder NOBODY = new Holder(0, 0);
 
-    private boolean is(Holder other) {
+    private boolean sameAs(Holder other) {
       return epoch == other.epoch && instance == other.instance;
     }
   }
@@ -40,7 +40,7 @@
     YIELD
   }
 
-  /** A verdict, with the epoch for {@link Verdict#TAKE} and the holder that decided it. */
+  /** A verdict, with the epoch for {@link AnswerAggregator#TAKE} and the holder that decided it. */
   public record Step(Verdict verdict, long epoch, Holder other) {}
 
   /** At a start: {@code recorded} is the epoch on our disk, 0 without one. Who lives with an epoch that our
@@ -69,7 +69,7 @@
    * with the higher instance goes on, so that both decide the same. */
   public static Step heard(Holder mine, Known told) {
     Holder other = told.holder;
-    if (other.epoch < mine.epoch || other.is(mine)) {
+    if (other.epoch < mine.epoch || other.sameAs(mine)) {
       return new Step(Verdict.GO_ON, mine.epoch, other);
     }
     boolean wins = told.open == 0 || other.epoch == mine.epoch && mine.instance > other.instance;
--- a/src/main/java/hollyslip/volume/Splitter.java
+++ b/src/main/java/hollyslip/volume/Splitter.java
@@ -7,7 +7,7 @@
  * Parts that follow one another on the same shard without a gap are one part again, up to {@code mostBytes}:
  * the seam for merging neighbours of different requests. */
 public final class Splitter {
-  private final long mostBytes;
+  private final long maxRangeBytes;
 
   /** @param mostBytes
    *          longest part, bytes: what a node takes in one command */
@@ -16,31 +16,31 @@
       throw new IllegalArgumentException("mostBytes: must be a multiple of " + Volume.BLOCK + ", not "
           + mostBytes);
     }
-    this.mostBytes = mostBytes;
+    this.maxRangeBytes = mostBytes;
   }
 
   /** A part of a request: {@code from} bytes into the request, at {@code offset} of the shard. */
-  public record Part(int shard, long offset, long from, long length) {}
+  public record ShardRange(int shard, long offset, long requestOffset, long length) {}
 
   /** The parts of a range, in order; the range must lie inside the volume. */
-  public List<Part> split(Volume volume, long offset, long length) {
+  public List<ShardRange> split(Volume volume, long offset, long length) {
     if (!volume.holds(offset, length)) {
       throw new IllegalArgumentException("range " + offset + "+" + length + " is not inside volume " + volume
           .name());
     }
-    List<Part> parts = new ArrayList<>(1);
+    List<ShardRange> parts = new ArrayList<>(1);
     long done = 0;
     while (done < length) {
       long at = offset + done;
       Volume.Extent extent = volume.extents().get((int) (at / volume.extentBytes()));
       long inside = at % volume.extentBytes();
-      long n = Math.min(Math.min(length - done, volume.extentBytes() - inside), mostBytes);
-      Part last = parts.isEmpty() ? null : parts.get(parts.size() - 1);
+      long n = Math.min(Math.min(length - done, volume.extentBytes() - inside), maxRangeBytes);
+      ShardRange last = parts.isEmpty() ? null : parts.get(parts.size() - 1);
       if (last != null && last.shard == extent.shard() && last.offset + last.length == extent.offset()
-          + inside && last.length + n <= mostBytes) {
-        parts.set(parts.size() - 1, new Part(last.shard, last.offset, last.from, last.length + n));
+          + inside && last.length + n <= maxRangeBytes) {
+        parts.set(parts.size() - 1, new ShardRange(last.shard, last.offset, last.requestOffset, last.length + n));
       } else {
-        parts.add(new Part(extent.shard(), extent.offset() + inside, done, n));
+        parts.add(new ShardRange(extent.shard(), extent.offset() + inside, done, n));
       }
       done += n;
     }
--- a/src/test/java/hollyslip/engine/DecisionsTest.java
+++ b/src/test/java/hollyslip/engine/DecisionsTest.java
@@ -16,25 +16,25 @@
 
 /** What the engine decides by itself. */
 class DecisionsTest {
-  private static Piece piece(long id, int shard, long offset, long length) {
+  private static SubRequest piece(long id, int shard, long offset, long length) {
     Io io = new Io("v", IoKind.WRITE, offset, length, List.of(), 0, null);
-    return new Piece(id, new Operation(null, io, null, null, 0), shard, offset, 0, length);
+    return new SubRequest(id, new ActiveRequest(null, io, null, null, 0), shard, offset, 0, length);
   }
 
   @Test
   void overlappingChangesGoInOrderOfArrival() {
     RangeLocks locks = new RangeLocks();
-    Piece a = piece(1, 0, 0, 100);
-    Piece b = piece(2, 0, 50, 100);
-    Piece c = piece(3, 0, 120, 10);
-    Piece d = piece(4, 0, 300, 10);
-    Piece other = piece(5, 1, 0, 100);
-    assertTrue(locks.lock(a));
-    assertFalse(locks.lock(b));
-    assertFalse(locks.lock(c), "it overlaps one that waits before it");
-    assertTrue(locks.lock(d));
-    assertTrue(locks.lock(other));
-    assertTrue(locks.awaited(a));
+    SubRequest a = piece(1, 0, 0, 100);
+    SubRequest b = piece(2, 0, 50, 100);
+    SubRequest c = piece(3, 0, 120, 10);
+    SubRequest d = piece(4, 0, 300, 10);
+    SubRequest other = piece(5, 1, 0, 100);
+    assertTrue(locks.lockOrEnqueue(a));
+    assertFalse(locks.lockOrEnqueue(b));
+    assertFalse(locks.lockOrEnqueue(c), "it overlaps one that waits before it");
+    assertTrue(locks.lockOrEnqueue(d));
+    assertTrue(locks.lockOrEnqueue(other));
+    assertTrue(locks.hasWaiters(a));
     assertEquals(List.of(a), locks.blockers(b));
     assertEquals(List.of(b), locks.unlock(a));
     assertEquals(List.of(c), locks.unlock(b));
@@ -44,13 +44,13 @@
   @Test
   void whoGivesUpWaitingLetsOthersPass() {
     RangeLocks locks = new RangeLocks();
-    Piece a = piece(1, 0, 0, 100);
-    Piece b = piece(2, 0, 50, 100);
-    Piece c = piece(3, 0, 120, 10);
-    locks.lock(a);
-    locks.lock(b);
-    locks.lock(c);
-    assertEquals(List.of(c), locks.leave(b));
+    SubRequest a = piece(1, 0, 0, 100);
+    SubRequest b = piece(2, 0, 50, 100);
+    SubRequest c = piece(3, 0, 120, 10);
+    locks.lockOrEnqueue(a);
+    locks.lockOrEnqueue(b);
+    locks.lockOrEnqueue(c);
+    assertEquals(List.of(c), locks.cancelWait(b));
     locks.unlock(a);
     locks.unlock(c);
     assertEquals(0, locks.size());
@@ -61,18 +61,18 @@
   void holdersNeverOverlap(@ForAll @Size(min = 1, max = 40) List<@IntRange(max = 63) Integer> offsets,
       @ForAll @IntRange(min = 1, max = 20) int length) {
     RangeLocks locks = new RangeLocks();
-    List<Piece> held = new ArrayList<>();
+    List<SubRequest> held = new ArrayList<>();
     long id = 0;
     for (int offset : offsets) {
-      Piece p = piece(id++, 0, offset, length);
-      if (locks.lock(p)) {
+      SubRequest p = piece(id++, 0, offset, length);
+      if (locks.lockOrEnqueue(p)) {
         held.add(p);
       }
       if (offset % 3 == 0 && !held.isEmpty()) {
         held.addAll(locks.unlock(held.remove(0)));
       }
-      for (Piece x : held) {
-        for (Piece y : held) {
+      for (SubRequest x : held) {
+        for (SubRequest y : held) {
           assertTrue(x == y || x.offset + x.length <= y.offset || y.offset + y.length <= x.offset);
         }
       }
@@ -94,32 +94,32 @@
   }
 
   private static Answer verdict(boolean repeatable, Answer... answers) {
-    Verdict v = new Verdict(repeatable);
+    AnswerAggregator v = new AnswerAggregator(repeatable);
     for (Answer a : answers) {
       v.add(a);
     }
-    assertEquals(answers.length, v.pieces());
-    return v.answer();
+    assertEquals(answers.length, v.count());
+    return v.combined();
   }
 
   @Test
   void boundsTurnAwayAndLetIn() {
-    Bounds b = new Bounds(2, 100);
-    assertTrue(b.take(60));
-    assertFalse(b.take(60), "bytes");
-    assertTrue(b.take(40));
-    assertFalse(b.take(0), "requests");
-    assertFalse(b.roomy());
-    b.give(60);
-    b.give(40);
-    assertTrue(b.roomy());
-    assertTrue(b.take(500), "alone, a larger one gets in");
-    assertFalse(b.take(1));
+    InflightLimits b = new InflightLimits(2, 100);
+    assertTrue(b.tryAcquire(60));
+    assertFalse(b.tryAcquire(60), "bytes");
+    assertTrue(b.tryAcquire(40));
+    assertFalse(b.tryAcquire(0), "requests");
+    assertFalse(b.belowResumeThreshold());
+    b.release(60);
+    b.release(40);
+    assertTrue(b.belowResumeThreshold());
+    assertTrue(b.tryAcquire(500), "alone, a larger one gets in");
+    assertFalse(b.tryAcquire(1));
   }
 
   @Test
   void aStormIsOneLineASecond() {
-    Sampler s = new Sampler();
+    LogSampler s = new LogSampler();
     assertEquals(1, s.admit(5_000_000));
     assertEquals(0, s.admit(5_500_000));
     assertEquals(0, s.admit(5_999_999));
@@ -128,33 +128,33 @@
 
   @Test
   void timersRunInOrderAndCancelledOnesNot() {
-    Timers t = new Timers();
+    TimerQueue t = new TimerQueue();
     List<String> ran = new ArrayList<>();
-    t.set(20, () -> ran.add("b"));
-    t.set(10, () -> ran.add("a"));
-    t.set(20, () -> ran.add("c"));
-    Timers.Entry gone = t.set(5, () -> ran.add("gone"));
+    t.schedule(20, () -> ran.add("b"));
+    t.schedule(10, () -> ran.add("a"));
+    t.schedule(20, () -> ran.add("c"));
+    TimerQueue.Timer gone = t.schedule(5, () -> ran.add("gone"));
     gone.cancel();
     assertEquals(3, t.size(), "what is cancelled is gone, with all that it points to");
-    assertEquals(10, t.next());
-    t.run(20);
+    assertEquals(10, t.nextDueTime());
+    t.runDue(20);
     assertEquals(List.of("a", "b", "c"), ran);
-    assertEquals(Long.MAX_VALUE, t.next());
+    assertEquals(Long.MAX_VALUE, t.nextDueTime());
   }
 
   /** Against a sorted list: any order of setting, cancelling and running. */
   @Property(tries = 300, seed = "22")
   void timersAreAHeapWithRemoval(@ForAll @Size(min = 1, max = 200) List<@IntRange(max = 99) Integer> steps) {
-    Timers t = new Timers();
+    TimerQueue t = new TimerQueue();
     List<long[]> left = new ArrayList<>();
-    List<Timers.Entry> entries = new ArrayList<>();
+    List<TimerQueue.Timer> entries = new ArrayList<>();
     List<Long> ran = new ArrayList<>();
     List<Long> expected = new ArrayList<>();
     long id = 0;
     for (int step : steps) {
       if (step < 60 || left.isEmpty()) {
         long n = id++;
-        entries.add(t.set(step, () -> ran.add(n)));
+        entries.add(t.schedule(step, () -> ran.add(n)));
         left.add(new long[]{step, n});
       } else if (step < 85) {
         long[] gone = left.remove(step % left.size());
@@ -162,7 +162,7 @@
         entries.get((int) gone[1]).cancel();
       } else {
         long now = step - 60;
-        t.run(now);
+        t.runDue(now);
         left.stream()
             .filter(e -> e[0] <= now)
             .sorted((a, b) -> a[0] != b[0] ? Long.compare(a[0], b[0]) : Long.compare(a[1], b[1]))
@@ -170,7 +170,7 @@
         left.removeIf(e -> e[0] <= now);
       }
       assertEquals(left.size(), t.size());
-      assertEquals(left.stream().mapToLong(e -> e[0]).min().orElse(Long.MAX_VALUE), t.next());
+      assertEquals(left.stream().mapToLong(e -> e[0]).min().orElse(Long.MAX_VALUE), t.nextDueTime());
     }
     assertEquals(expected, ran);
   }
@@ -181,8 +181,8 @@
     ByteBuffer second = ByteBuffer.allocate(10);
     second.put(2, (byte) 7);
     Io io = new Io("v", IoKind.READ, 0, 20, List.of(first, second), 0, null);
-    Operation op = new Operation(null, io, null, null, 0);
-    List<ByteBuffer> mine = new Piece(1, op, 0, 0, 8, 6).data();
+    ActiveRequest op = new ActiveRequest(null, io, null, null, 0);
+    List<ByteBuffer> mine = new SubRequest(1, op, 0, 0, 8, 6).data();
     assertEquals(List.of(2, 4), mine.stream().map(ByteBuffer::remaining).toList());
     assertEquals(7, mine.get(1).get(2));
     assertEquals(0, first.position());
--- a/src/test/java/hollyslip/engine/LaneBalanceTest.java
+++ b/src/test/java/hollyslip/engine/LaneBalanceTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hollyslip.engine.LaneBalance.Load;
-import hollyslip.engine.LaneBalance.Move;
+import hollyslip.engine.LaneBalancer.Load;
+import hollyslip.engine.LaneBalancer.Move;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 class LaneBalanceTest {
-  private static Move after(LaneBalance b, int intervals, int lanes, List<Load> loads) {
+  private static Move after(LaneBalancer b, int intervals, int lanes, List<Load> loads) {
     Move last = null;
     for (int i = 0; i < intervals; i++) {
       last = b.decide(lanes, loads);
@@ -27,25 +27,25 @@
   void aLaneThatStaysHotGivesTheVolumeThatEvensMost() {
     List<Load> loads = List.of(new Load(1, 0, 500), new Load(2, 0, 300), new Load(3, 0, 100), new Load(4, 1,
         200));
-    LaneBalance b = new LaneBalance();
-    assertNull(after(b, LaneBalance.PATIENCE - 1, 2, loads), "a burst");
+    LaneBalancer b = new LaneBalancer();
+    assertNull(after(b, LaneBalancer.HOT_INTERVALS_BEFORE_MOVE - 1, 2, loads), "a burst");
     assertEquals(new Move(2, 0, 1), b.decide(2, loads));
   }
 
   @Test
   void nothingMovesWhereNothingIsGained() {
-    assertNull(after(new LaneBalance(), 50, 4, List.of(new Load(1, 0, 900))), "one volume alone is hot");
-    assertNull(after(new LaneBalance(), 50, 2, List.of(new Load(1, 0, 110), new Load(2, 1, 100))),
+    assertNull(after(new LaneBalancer(), 50, 4, List.of(new Load(1, 0, 900))), "one volume alone is hot");
+    assertNull(after(new LaneBalancer(), 50, 2, List.of(new Load(1, 0, 110), new Load(2, 1, 100))),
         "near even");
-    assertNull(after(new LaneBalance(), 50, 2, List.of()), "quiet");
+    assertNull(after(new LaneBalancer(), 50, 2, List.of()), "quiet");
   }
 
   @Test
   void whatMovedRests() {
-    LaneBalance b = new LaneBalance();
-    assertEquals(new Move(1, 0, 1), after(b, LaneBalance.PATIENCE, 2, List.of(new Load(1, 0, 100), new Load(2,
+    LaneBalancer b = new LaneBalancer();
+    assertEquals(new Move(1, 0, 1), after(b, LaneBalancer.HOT_INTERVALS_BEFORE_MOVE, 2, List.of(new Load(1, 0, 100), new Load(2,
         0, 100))));
-    assertNull(after(b, LaneBalance.REST / 2, 2, List.of(new Load(1, 1, 100), new Load(2, 1, 0), new Load(3,
+    assertNull(after(b, LaneBalancer.REST_INTERVALS_AFTER_MOVE / 2, 2, List.of(new Load(1, 1, 100), new Load(2, 1, 0), new Load(3,
         1,
         1))), "it would go straight back");
   }
@@ -59,7 +59,7 @@
     for (int v = 0; v < volumes; v++) {
       loads.add(new Load(v, random.nextInt(lanes), random.nextInt(1_000)));
     }
-    LaneBalance b = new LaneBalance();
+    LaneBalancer b = new LaneBalancer();
     int lastMove = 0;
     for (int i = 0; i < 3_000; i++) {
       Move m = b.decide(lanes, loads);
--- a/src/test/java/hollyslip/volume/VolumeTest.java
+++ b/src/test/java/hollyslip/volume/VolumeTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hollyslip.volume.Splitter.Part;
+import hollyslip.volume.Splitter.ShardRange;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -22,8 +22,8 @@
   @Test
   void aRequestIsCutAtExtents() {
     Splitter s = new Splitter(1 << 20);
-    assertEquals(List.of(new Part(2, 512, 0, 1024)), s.split(V, 512, 1024));
-    assertEquals(List.of(new Part(2, 3584, 0, 512), new Part(5, 8192, 512, 4096), new Part(2, 4096, 4608,
+    assertEquals(List.of(new ShardRange(2, 512, 0, 1024)), s.split(V, 512, 1024));
+    assertEquals(List.of(new ShardRange(2, 3584, 0, 512), new ShardRange(5, 8192, 512, 4096), new ShardRange(2, 4096, 4608,
         512)), s.split(V, 3584, 5120));
     assertEquals(List.of(2, 5), Splitter.shards(V));
     assertThrows(IllegalArgumentException.class, () -> s.split(V, 10 * 1024 - 512, 1024));
@@ -33,7 +33,7 @@
   void neighboursOnOneShardAreOnePartUpToTheBound() {
     Volume row = new Volume(1, "v", "t", "p", 1, 8192, 4096, List.of(new Volume.Extent(2, 0),
         new Volume.Extent(2, 4096)));
-    assertEquals(List.of(new Part(2, 2048, 0, 4096)), new Splitter(1 << 20).split(row, 2048, 4096));
+    assertEquals(List.of(new ShardRange(2, 2048, 0, 4096)), new Splitter(1 << 20).split(row, 2048, 4096));
     assertEquals(2, new Splitter(2048).split(row, 2048, 4096).size());
   }
 
@@ -44,8 +44,8 @@
     long offset = from * 512L;
     long length = Math.min(blocks * 512L, V.bytes() - offset);
     long done = 0;
-    for (Part p : new Splitter(1024).split(V, offset, length)) {
-      assertEquals(done, p.from());
+    for (ShardRange p : new Splitter(1024).split(V, offset, length)) {
+      assertEquals(done, p.requestOffset());
       Volume.Extent e = V.extents().get((int) ((offset + done) / 4096));
       assertEquals(e.shard(), p.shard());
       assertEquals(e.offset() + (offset + done) % 4096, p.offset());
