--- a/src/main/java/hollyslip/door/AdmissionQueue.java
+++ b/src/main/java/hollyslip/door/AdmissionQueue.java
@@ -5,32 +5,34 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** The queue in front of the module: fair among tenants, then among the volumes of each, by start-time fair
- * queueing with weights. It lets so many requests in at a time, and holds so many at most; state is kept only
- * for who has a request waiting or inside, so memory is bounded by those two figures, however many clients
- * there are, and nothing is shared by chance as hashed buckets would.
+/** Admission queue in front of the scheduler: start-time fair queueing with weights, among tenants and then
+ * among the volumes of each. It limits how many requests are admitted at a time and how many wait. State is
+ * kept only for tenants and volumes with a request waiting or admitted, so memory is bounded by those two
+ * limits however many clients there are, and no two of them share a queue by chance, as hashed buckets would
+ * have it.
  *
  * <p>
- * A full door turns away the newest request of the tenant that has most waiting for its weight, never one of
- * a tenant below its part. Who is turned away is told when its line will have drained, one after the other,
- * so that those who come back as told find it short; while such appointments stand, who comes without one
- * gets the next. Appointments are known by hashed owners ({@link RetryReservations}), the one place where chance
- * comes in. Times are us. Free of I/O, clock and threads.
+ * When the queue is full, it rejects the newest request of the tenant with the most waiting requests for its
+ * weight, never one of a tenant below its share. A rejected client is told when its queue will have drained;
+ * these times are handed out one after another, so that clients that retry as told find the queue short.
+ * While such reservations are outstanding, a client that arrives without one gets the next one instead of a
+ * place in the queue. Reservations are stored by a hash of their owner ({@link RetryReservations}), the only
+ * place where collisions can occur. Times are us. Without I/O, clock or threads.
  *
  * @param <T>
  *          a request */
 public final class AdmissionQueue<T> {
-  /** Span over which a drain rate is averaged, us. */
+  /** Time constant of the averaged drain rate, us. */
   private static final double RATE_AVERAGING_US = 1e6;
 
-  /** Whose a request is; weights are shares, of the tenant among tenants and of the volume within its
+  /** Owner of a request; the weights are shares of the tenant among tenants and of the volume within its
    * tenant. */
   public record Owner(String tenant, double tenantWeight, long volume, double volumeWeight) {}
 
-  /** A request turned away, and when to come back, us from now. */
+  /** A rejected request, and when its client should retry, us from now. */
   public record Rejected<T>(T item, long retryInUs) {}
 
-  /** A request's place; it is the owner's handle to {@link #cancel} and {@link #release}. */
+  /** Handle to a request in the queue, for {@link #cancel} and {@link #release}. */
   public static final class Ticket<T> {
     private final T item;
     private final double cost;
@@ -39,24 +41,24 @@
     private boolean waiting = true;
     private boolean admitted;
 
-    private Ticket(T item, double cost, boolean appointed, VolumeFlow<T> line) {
+    private Ticket(T item, double cost, boolean hasReservation, VolumeFlow<T> flow) {
       this.item = item;
       this.cost = cost;
-      this.hasReservation = appointed;
-      this.flow = line;
+      this.hasReservation = hasReservation;
+      this.flow = flow;
     }
 
     public T item() {
       return item;
     }
 
-    /** Whether it still waits at the door. */
+    /** Whether the request still waits for admission. */
     public boolean waiting() {
       return waiting;
     }
   }
 
-  /** Something that is served in turn, by its start tag. */
+  /** A queue or group of queues, served in order of start tags. */
   private abstract static class Flow implements Comparable<Flow> {
     final long sequence;
     double weight;
@@ -64,30 +66,32 @@
     int admitted;
     int waiting;
 
-    Flow(long number) {
-      this.sequence = number;
+    Flow(long sequence) {
+      this.sequence = sequence;
     }
 
     @Override
-    public int compareTo(Flow o) {
-      return startTag != o.startTag ? Double.compare(startTag, o.startTag) : Long.compare(sequence, o.sequence);
+    public int compareTo(Flow other) {
+      return startTag != other.startTag
+          ? Double.compare(startTag, other.startTag)
+          : Long.compare(sequence, other.sequence);
     }
   }
 
-  /** A volume's. */
+  /** The requests of one volume. */
   private static final class VolumeFlow<T> extends Flow {
     final long volume;
     final TenantFlow<T> tenant;
     final ArrayDeque<Ticket<T>> tickets = new ArrayDeque<>(1);
 
-    VolumeFlow(long number, long volume, TenantFlow<T> tenant) {
-      super(number);
+    VolumeFlow(long sequence, long volume, TenantFlow<T> tenant) {
+      super(sequence);
       this.volume = volume;
       this.tenant = tenant;
     }
   }
 
-  /** A tenant's. */
+  /** The volumes of one tenant. */
   private static final class TenantFlow<T> extends Flow {
     final String name;
     final Map<Long, VolumeFlow<T>> volumes = new LinkedHashMap<>();
@@ -97,14 +101,14 @@
     double waitingCost;
     long reservedUntil;
 
-    TenantFlow(long number, String name) {
-      super(number);
+    TenantFlow(long sequence, String name) {
+      super(sequence);
       this.name = name;
     }
   }
 
-  /** Cost a us while there was something to drain; recent times count most. The first drain after an empty
-   * line tells nothing: how long it took was up to who came. */
+  /** Exponentially weighted drain rate, cost per us, over times with requests waiting. The first drain of a
+   * busy period is not measured, because the time before it depends on when requests arrived. */
   private static final class DrainRate {
     private double drainedCost, drainUs;
     private long lastDrainAt;
@@ -114,11 +118,11 @@
       firstDrain = true;
     }
 
-    void addDrain(double more, long now) {
+    void addDrain(double cost, long now) {
       if (!firstDrain) {
-        double keep = Math.exp((lastDrainAt - now) / RATE_AVERAGING_US);
-        drainedCost = drainedCost * keep + more;
-        drainUs = drainUs * keep + now - lastDrainAt;
+        double decay = Math.exp((lastDrainAt - now) / RATE_AVERAGING_US);
+        drainedCost = drainedCost * decay + cost;
+        drainUs = drainUs * decay + now - lastDrainAt;
       }
       firstDrain = false;
       lastDrainAt = now;
@@ -142,18 +146,18 @@
   private final RetryReservations reservations = new RetryReservations();
   private Ticket<T> lastEnqueued;
 
-  /** @param mostWaiting
-   *          requests held at the door at most
-   * @param room
-   *          requests let in at a time */
-  public AdmissionQueue(int mostWaiting, int room) {
-    this.maxWaiting = Math.max(1, mostWaiting);
-    this.maxAdmitted = Math.max(1, room);
+  /** @param maxWaiting
+   *          maximum number of waiting requests
+   * @param maxAdmitted
+   *          number of requests admitted at a time */
+  public AdmissionQueue(int maxWaiting, int maxAdmitted) {
+    this.maxWaiting = Math.max(1, maxWaiting);
+    this.maxAdmitted = Math.max(1, maxAdmitted);
   }
 
-  /** How many may be inside from now on. */
-  public void setMaxAdmitted(int next) {
-    maxAdmitted = Math.max(1, next);
+  /** Sets the number of requests admitted at a time. */
+  public void setMaxAdmitted(int limit) {
+    maxAdmitted = Math.max(1, limit);
   }
 
   public int waiting() {
@@ -164,257 +168,265 @@
     return admitted;
   }
 
-  /** Tenants and volumes that state is kept for. */
+  /** Number of tenants and volumes for which state is kept. */
   public int flowCount() {
-    return tenants.size() + tenants.values().stream().mapToInt(t -> t.volumes.size()).sum();
+    return tenants.size() + tenants.values().stream().mapToInt(tenant -> tenant.volumes.size()).sum();
   }
 
   private VolumeFlow<T> flowOf(Owner owner) {
-    TenantFlow<T> t = tenants.get(owner.tenant());
-    if (t == null) {
-      t = new TenantFlow<>(nextSequence++, owner.tenant());
-      tenants.put(owner.tenant(), t);
+    TenantFlow<T> tenant = tenants.get(owner.tenant());
+    if (tenant == null) {
+      tenant = new TenantFlow<>(nextSequence++, owner.tenant());
+      tenants.put(owner.tenant(), tenant);
     }
-    VolumeFlow<T> line = t.volumes.get(owner.volume());
-    if (line == null) {
-      line = new VolumeFlow<>(nextSequence++, owner.volume(), t);
-      t.volumes.put(owner.volume(), line);
+    VolumeFlow<T> flow = tenant.volumes.get(owner.volume());
+    if (flow == null) {
+      flow = new VolumeFlow<>(nextSequence++, owner.volume(), tenant);
+      tenant.volumes.put(owner.volume(), flow);
     }
-    return line;
+    return flow;
   }
 
-  /** Lets a request straight in, if nobody waits or is told to come back and there is room; else null, and it
-   * is to {@link #enqueue}. */
+  /** Admits a request at once if no request waits, no reservation is outstanding and there is capacity;
+   * otherwise returns null, and the caller has to {@link #enqueue} it. */
   public Ticket<T> tryAdmit(long now, T item, Owner owner, double cost) {
     if (waiting > 0 || admitted >= maxAdmitted || reservedUntil > now) {
       return null;
     }
-    VolumeFlow<T> line = flowOf(owner);
-    if (line.tenant.reservedUntil > now) {
-      removeIfIdle(line);
+    VolumeFlow<T> flow = flowOf(owner);
+    if (flow.tenant.reservedUntil > now) {
+      removeIfIdle(flow);
       return null;
     }
-    return admitDirectly(new Ticket<>(item, cost, false, line), owner);
+    return admitDirectly(new Ticket<>(item, cost, false, flow), owner);
   }
 
-  /** A request comes to the door and waits there. */
+  /** Appends a request to its volume's queue. */
   public Ticket<T> enqueue(long now, T item, Owner owner, double cost) {
-    return append(now, new Ticket<>(item, cost, reservations.consume(now, owner.tenant(), owner.volume()), flowOf(
-        owner)), owner);
+    return append(now, new Ticket<>(item, cost, reservations.consume(now, owner.tenant(), owner.volume()),
+        flowOf(
+            owner)), owner);
   }
 
-  private Ticket<T> admitDirectly(Ticket<T> place, Owner owner) {
-    VolumeFlow<T> line = place.flow;
-    TenantFlow<T> t = line.tenant;
-    t.weight = owner.tenantWeight();
-    line.weight = owner.volumeWeight();
-    t.startTag = Math.max(t.startTag, virtualTime);
-    line.startTag = Math.max(line.startTag, t.virtualTime);
-    place.waiting = false;
-    recordAdmission(place);
-    return place;
+  private Ticket<T> admitDirectly(Ticket<T> ticket, Owner owner) {
+    VolumeFlow<T> flow = ticket.flow;
+    TenantFlow<T> tenant = flow.tenant;
+    tenant.weight = owner.tenantWeight();
+    flow.weight = owner.volumeWeight();
+    tenant.startTag = Math.max(tenant.startTag, virtualTime);
+    flow.startTag = Math.max(flow.startTag, tenant.virtualTime);
+    ticket.waiting = false;
+    recordAdmission(ticket);
+    return ticket;
   }
 
-  private Ticket<T> append(long now, Ticket<T> place, Owner owner) {
-    VolumeFlow<T> line = place.flow;
-    TenantFlow<T> t = line.tenant;
-    ready.remove(t);
-    t.ready.remove(line);
-    t.weight = owner.tenantWeight();
-    line.weight = owner.volumeWeight();
-    lastEnqueued = place;
-    if (t.waiting == 0) {
-      t.startTag = Math.max(t.startTag, virtualTime);
-      t.drainRate.startBusyPeriod();
-    }
-    if (line.waiting == 0) {
-      line.startTag = Math.max(line.startTag, t.virtualTime);
+  private Ticket<T> append(long now, Ticket<T> ticket, Owner owner) {
+    VolumeFlow<T> flow = ticket.flow;
+    TenantFlow<T> tenant = flow.tenant;
+    ready.remove(tenant);
+    tenant.ready.remove(flow);
+    tenant.weight = owner.tenantWeight();
+    flow.weight = owner.volumeWeight();
+    lastEnqueued = ticket;
+    if (tenant.waiting == 0) {
+      tenant.startTag = Math.max(tenant.startTag, virtualTime);
+      tenant.drainRate.startBusyPeriod();
+    }
+    if (flow.waiting == 0) {
+      flow.startTag = Math.max(flow.startTag, tenant.virtualTime);
     }
     if (waiting == 0) {
       drainRate.startBusyPeriod();
     }
-    line.tickets.add(place);
-    addWaiting(line, 1, place.cost);
-    t.ready.add(line);
-    ready.add(t);
-    return place;
+    flow.tickets.add(ticket);
+    addWaiting(flow, 1, ticket.cost);
+    tenant.ready.add(flow);
+    ready.add(tenant);
+    return ticket;
   }
 
-  /** Goes in: the tags move on. */
-  private void recordAdmission(Ticket<T> place) {
-    VolumeFlow<T> line = place.flow;
-    TenantFlow<T> t = line.tenant;
-    virtualTime = t.startTag;
-    t.virtualTime = line.startTag;
-    t.startTag += place.cost / t.weight;
-    line.startTag += place.cost / line.weight;
-    place.admitted = true;
+  /** Counts an admission and advances the virtual times and start tags. */
+  private void recordAdmission(Ticket<T> ticket) {
+    VolumeFlow<T> flow = ticket.flow;
+    TenantFlow<T> tenant = flow.tenant;
+    virtualTime = tenant.startTag;
+    tenant.virtualTime = flow.startTag;
+    tenant.startTag += ticket.cost / tenant.weight;
+    flow.startTag += ticket.cost / flow.weight;
+    ticket.admitted = true;
     admitted++;
-    t.admitted++;
-    line.admitted++;
+    tenant.admitted++;
+    flow.admitted++;
   }
 
-  private void addWaiting(VolumeFlow<T> line, int n, double cost) {
-    line.waiting += n;
-    line.tenant.waiting += n;
-    line.tenant.waitingCost += cost;
-    waiting += n;
+  private void addWaiting(VolumeFlow<T> flow, int delta, double cost) {
+    flow.waiting += delta;
+    flow.tenant.waiting += delta;
+    flow.tenant.waitingCost += cost;
+    waiting += delta;
     waitingCost += cost;
   }
 
-  /** Whom the door turns away now since it holds too many; null: nobody. To be asked after each
-   * {@link #enqueue}. */
+  /** Removes and returns a request that must be rejected; null if there is none. Call after each
+   * {@link #enqueue} until it returns null. */
   public Rejected<T> pollRejected(long now) {
-    Ticket<T> place = lastEnqueued;
+    Ticket<T> ticket = lastEnqueued;
     lastEnqueued = null;
-    boolean early = place != null && place.waiting && !place.hasReservation && hasOutstandingReservations(now, place.flow.tenant);
-    if (!early && waiting <= maxWaiting) {
+    boolean unreserved = ticket != null && ticket.waiting && !ticket.hasReservation
+        && hasOutstandingReservations(now, ticket.flow.tenant);
+    if (!unreserved && waiting <= maxWaiting) {
       return null;
     }
-    Ticket<T> last = early ? place : lastTicket(longestFlow());
-    cancel(last);
-    return new Rejected<>(last.item, reserveRetry(now, last));
+    Ticket<T> rejected = unreserved ? ticket : lastTicket(longestFlow());
+    cancel(rejected);
+    return new Rejected<>(rejected.item, reserveRetry(now, rejected));
   }
 
-  /** Whether those who were told to come back to this tenant's line, or to the door by way of none, are still
-   * to come. */
-  private boolean hasOutstandingReservations(long now, TenantFlow<T> t) {
-    return (usesOwnRate(t) ? t.reservedUntil : reservedUntil) > now;
+  /** Whether retries that were reserved for this tenant, or for the whole queue if it has no rate of its own,
+   * are still outstanding. */
+  private boolean hasOutstandingReservations(long now, TenantFlow<T> tenant) {
+    return (usesOwnRate(tenant) ? tenant.reservedUntil : reservedUntil) > now;
   }
 
-  /** A tenant with a line has a rate of its own; the others go by that of the door. */
-  private boolean usesOwnRate(TenantFlow<T> t) {
-    return t.drainRate.costPerUs() > 0 && (t.waiting > 1 || t.reservedUntil > 0);
+  /** Whether retry times come from the tenant's own drain rate, which only a tenant with a backlog has, or
+   * from that of the whole queue. */
+  private boolean usesOwnRate(TenantFlow<T> tenant) {
+    return tenant.drainRate.costPerUs() > 0 && (tenant.waiting > 1 || tenant.reservedUntil > 0);
   }
 
-  /** The line that is longest for its weight, of the tenant that has most for its weight; the newest of
-   * equals. */
+  /** Of the tenant with the most waiting requests for its weight, the volume with the most for its weight;
+   * the newest of equals. */
   private VolumeFlow<T> longestFlow() {
     TenantFlow<T> most = null;
-    for (TenantFlow<T> t : tenants.values()) {
-      if (t.waiting > 0 && (most == null || t.waiting / t.weight >= most.waiting / most.weight)) {
-        most = t;
+    for (TenantFlow<T> tenant : tenants.values()) {
+      if (tenant.waiting > 0 && (most == null || tenant.waiting / tenant.weight >= most.waiting
+          / most.weight)) {
+        most = tenant;
       }
     }
     VolumeFlow<T> longest = null;
-    for (VolumeFlow<T> l : most.volumes.values()) {
-      if (l.waiting > 0 && (longest == null || l.waiting / l.weight >= longest.waiting / longest.weight)) {
-        longest = l;
+    for (VolumeFlow<T> flow : most.volumes.values()) {
+      if (flow.waiting > 0 && (longest == null || flow.waiting / flow.weight >= longest.waiting
+          / longest.weight)) {
+        longest = flow;
       }
     }
     return longest;
   }
 
-  private Ticket<T> lastTicket(VolumeFlow<T> line) {
-    while (!line.tickets.peekLast().waiting) {
-      line.tickets.pollLast();
+  private Ticket<T> lastTicket(VolumeFlow<T> flow) {
+    while (!flow.tickets.peekLast().waiting) {
+      flow.tickets.pollLast();
     }
-    return line.tickets.peekLast();
+    return flow.tickets.peekLast();
   }
 
-  /** When the line will have drained, after those who were told so before. */
-  private long reserveRetry(long now, Ticket<T> place) {
-    TenantFlow<T> t = place.flow.tenant;
-    boolean own = usesOwnRate(t);
-    double perUs = own ? t.drainRate.costPerUs() : drainRate.costPerUs();
+  /** Reserves a retry for when the queue will have drained, after the retries reserved before; returns the
+   * delay, us. */
+  private long reserveRetry(long now, Ticket<T> ticket) {
+    TenantFlow<T> tenant = ticket.flow.tenant;
+    boolean ownRate = usesOwnRate(tenant);
+    double perUs = ownRate ? tenant.drainRate.costPerUs() : drainRate.costPerUs();
     if (perUs <= 0) {
       return 0;
     }
-    long drained = now + (long) ((own ? t.waitingCost : waitingCost) / perUs);
-    long at = Math.max(drained, own ? t.reservedUntil : reservedUntil);
-    long until = at + (long) Math.ceil(place.cost / perUs);
-    if (own) {
-      t.reservedUntil = until;
+    long drained = now + (long) ((ownRate ? tenant.waitingCost : waitingCost) / perUs);
+    long retryAt = Math.max(drained, ownRate ? tenant.reservedUntil : reservedUntil);
+    long end = retryAt + (long) Math.ceil(ticket.cost / perUs);
+    if (ownRate) {
+      tenant.reservedUntil = end;
     } else {
-      reservedUntil = until;
+      reservedUntil = end;
     }
-    reservations.reserve(now, at, t.name, place.flow.volume);
-    return at - now;
+    reservations.reserve(now, retryAt, tenant.name, ticket.flow.volume);
+    return retryAt - now;
   }
 
-  /** The next to be let in; null: nobody, or there is no room. Beyond the room, up to twice of it, only those
-   * get in who have less than their even part inside, of the tenants or, up to half as much, of their
-   * tenant's volumes: what is inside may be kept there by a limit or a node that is away, and nobody else
-   * waits for that. */
+  /** Removes and returns the next request to admit; null if there is none or no capacity. Once
+   * {@link #admitted} has reached the limit, only those below an even share are admitted: up to twice the
+   * limit, a tenant with less than an even share of the limit; up to one and a half times, also a volume with
+   * less than an even part of its tenant's share. Admitted requests may be held up by a rate limit or an
+   * unavailable node, and this keeps them from blocking everyone else. */
   public Ticket<T> pollAdmitted(long now) {
     if (waiting == 0 || admitted >= 2 * maxAdmitted) {
       return null;
     }
     if (admitted < maxAdmitted) {
-      TenantFlow<T> t = ready.first();
-      return admit(now, t, t.ready.first());
-    }
-    int part = Math.max(1, maxAdmitted / tenants.size());
-    boolean siblings = admitted < maxAdmitted + maxAdmitted / 2;
-    for (TenantFlow<T> t : ready) {
-      int each = Math.max(1, part / t.volumes.size());
-      for (VolumeFlow<T> l : t.ready) {
-        if (t.admitted < part || siblings && l.admitted < each) {
-          return admit(now, t, l);
+      TenantFlow<T> tenant = ready.first();
+      return admit(now, tenant, tenant.ready.first());
+    }
+    int tenantShare = Math.max(1, maxAdmitted / tenants.size());
+    boolean withinTenant = admitted < maxAdmitted + maxAdmitted / 2;
+    for (TenantFlow<T> tenant : ready) {
+      int volumeShare = Math.max(1, tenantShare / tenant.volumes.size());
+      for (VolumeFlow<T> flow : tenant.ready) {
+        if (tenant.admitted < tenantShare || withinTenant && flow.admitted < volumeShare) {
+          return admit(now, tenant, flow);
         }
       }
     }
     return null;
   }
 
-  private Ticket<T> admit(long now, TenantFlow<T> t, VolumeFlow<T> line) {
-    Ticket<T> place = line.tickets.poll();
-    while (!place.waiting) {
-      place = line.tickets.poll();
-    }
-    ready.remove(t);
-    t.ready.remove(line);
-    recordAdmission(place);
-    place.waiting = false;
-    addWaiting(line, -1, -place.cost);
-    t.drainRate.addDrain(place.cost, now);
-    drainRate.addDrain(place.cost, now);
-    if (line.waiting > 0) {
-      t.ready.add(line);
-    }
-    if (t.waiting > 0) {
-      ready.add(t);
-    }
-    return place;
+  private Ticket<T> admit(long now, TenantFlow<T> tenant, VolumeFlow<T> flow) {
+    Ticket<T> ticket = flow.tickets.poll();
+    while (!ticket.waiting) {
+      ticket = flow.tickets.poll();
+    }
+    ready.remove(tenant);
+    tenant.ready.remove(flow);
+    recordAdmission(ticket);
+    ticket.waiting = false;
+    addWaiting(flow, -1, -ticket.cost);
+    tenant.drainRate.addDrain(ticket.cost, now);
+    drainRate.addDrain(ticket.cost, now);
+    if (flow.waiting > 0) {
+      tenant.ready.add(flow);
+    }
+    if (tenant.waiting > 0) {
+      ready.add(tenant);
+    }
+    return ticket;
   }
 
-  /** A request leaves the door before it was let in. */
-  public void cancel(Ticket<T> place) {
-    if (!place.waiting) {
+  /** Removes a request that has not been admitted. */
+  public void cancel(Ticket<T> ticket) {
+    if (!ticket.waiting) {
       return;
     }
-    place.waiting = false;
-    VolumeFlow<T> line = place.flow;
-    addWaiting(line, -1, -place.cost);
-    if (line.waiting == 0) {
-      line.tickets.clear();
-      line.tenant.ready.remove(line);
+    ticket.waiting = false;
+    VolumeFlow<T> flow = ticket.flow;
+    addWaiting(flow, -1, -ticket.cost);
+    if (flow.waiting == 0) {
+      flow.tickets.clear();
+      flow.tenant.ready.remove(flow);
     }
-    if (line.tenant.waiting == 0) {
-      ready.remove(line.tenant);
+    if (flow.tenant.waiting == 0) {
+      ready.remove(flow.tenant);
     }
-    removeIfIdle(line);
+    removeIfIdle(flow);
   }
 
-  /** A request that was let in needs its place no more; again changes nothing. */
-  public void release(Ticket<T> place) {
-    if (place.admitted) {
-      place.admitted = false;
+  /** Releases the capacity of an admitted request; idempotent. */
+  public void release(Ticket<T> ticket) {
+    if (ticket.admitted) {
+      ticket.admitted = false;
       admitted--;
-      place.flow.admitted--;
-      place.flow.tenant.admitted--;
-      removeIfIdle(place.flow);
+      ticket.flow.admitted--;
+      ticket.flow.tenant.admitted--;
+      removeIfIdle(ticket.flow);
     }
   }
 
-  /** Who has nothing waiting nor inside is forgotten; a tag that is ahead is lost, at most one request. */
-  private void removeIfIdle(VolumeFlow<T> line) {
-    TenantFlow<T> t = line.tenant;
-    if (line.waiting == 0 && line.admitted == 0) {
-      t.volumes.remove(line.volume, line);
+  /** Drops the state of a volume and of a tenant with no request waiting or admitted. A start tag that is
+   * ahead is lost, which gains its owner at most one request. */
+  private void removeIfIdle(VolumeFlow<T> flow) {
+    TenantFlow<T> tenant = flow.tenant;
+    if (flow.waiting == 0 && flow.admitted == 0) {
+      tenant.volumes.remove(flow.volume, flow);
     }
-    if (t.waiting == 0 && t.admitted == 0 && t.volumes.isEmpty()) {
-      tenants.remove(t.name, t);
+    if (tenant.waiting == 0 && tenant.admitted == 0 && tenant.volumes.isEmpty()) {
+      tenants.remove(tenant.name, tenant);
     }
   }
 }
--- a/src/main/java/hollyslip/engine/ActiveRequest.java
+++ b/src/main/java/hollyslip/engine/ActiveRequest.java
@@ -6,8 +6,8 @@
 import hollyslip.volume.Volume;
 import java.util.List;
 
-/** A request that the engine has taken, until its client's data is free again; as a letter it says that it
- * has come. */
+/** A request held by the engine, from acceptance until its client's data is released. As a mailbox message it
+ * announces its own arrival. */
 final class ActiveRequest implements Runnable {
   final Io io;
   final Volume volume;
@@ -17,36 +17,40 @@
   final AnswerAggregator answers;
   private final Engine engine;
   List<SubRequest> subRequests = List.of();
-  /** At the door, then inside. */
+  /** Ticket of the admission queue: waiting at first, then admitted. */
   AdmissionQueue.Ticket<ActiveRequest> ticket;
-  /** Ends its wait at the door. */
+  /** Ends the wait for admission before the deadline. */
   TimerQueue.Timer admissionTimer;
-  /** Counted there; null: not. */
+  /** State of the volume that counts this request; null if it is not counted. */
   Engine.VolumeState volumeState;
   long admittedAt;
-  /** Whether it had to wait at the door. */
+  /** Whether it had to wait for admission. */
   boolean queuedForAdmission;
   boolean answered;
   boolean released;
-  /** Attempts whose outcome is not told yet: they may touch the data. */
+  /** Attempts whose outcome has not been reported; they may still touch the data. */
   int pendingAttempts;
 
-  ActiveRequest(Engine engine, Io io, Volume volume, RequestClass rules, long takenAt) {
+  ActiveRequest(Engine engine, Io io, Volume volume, RequestClass requestClass, long takenAt) {
     this.engine = engine;
     this.io = io;
     this.volume = volume;
-    this.requestClass = rules;
+    this.requestClass = requestClass;
     this.takenAt = takenAt;
-    deadline = takenAt + (io.remainingUs() > 0 ? io.remainingUs() : rules == null ? 0 : rules.deadlineUs());
-    answers = new AnswerAggregator(rules == null || rules.effect() == HostScheduler.Effect.SAFE);
+    deadline = takenAt + (io.remainingUs() > 0
+        ? io.remainingUs()
+        : requestClass == null ? 0 : requestClass.deadlineUs());
+    answers = new AnswerAggregator(requestClass == null || requestClass
+        .effect() == HostScheduler.Effect.SAFE);
   }
 
-  /** What the client may be told for such an answer. Guards against "refused", which says that trying again
-   * is harmless, of a change that a process before this one may have done. Harm: a change that never ran is
-   * answered as failed. */
+  /** Maps the combined answer to the one that the client may see. A refusal promises that a retry is
+   * harmless, which cannot be said of a write that an earlier gateway process may have run: it is answered as
+   * failed. The cost is that a write which never ran is reported as failed too. */
   Answer clientAnswer(Answer answer) {
-    boolean unsure = io.resumed() && requestClass != null && requestClass.effect() != HostScheduler.Effect.SAFE;
-    return unsure && answer.kind() == Answer.Kind.REFUSED ? Answer.FAILED : answer;
+    boolean mayHaveRun = io.resumed() && requestClass != null && requestClass
+        .effect() != HostScheduler.Effect.SAFE;
+    return mayHaveRun && answer.kind() == Answer.Kind.REFUSED ? Answer.FAILED : answer;
   }
 
   Engine engine() {
--- a/src/main/java/hollyslip/engine/Answer.java
+++ b/src/main/java/hollyslip/engine/Answer.java
@@ -1,14 +1,14 @@
 package hollyslip.engine;
 
-/** The one final answer of a request.
+/** The single final answer of a request.
  *
  * @param kind
- *          which
+ *          the outcome
  * @param retryInUs
- *          for a refusal: how long the client ought to keep away, us; 0: no advice */
+ *          for a refusal: how long the client should wait before a retry, us; 0 for no advice */
 public record Answer(Kind kind, long retryInUs) {
-  /** Served; refused: nothing of it took effect, or doing it again is harmless; failed: no word on its
-   * effect. */
+  /** SERVED: done. REFUSED: nothing of it took effect, or doing it again is harmless. FAILED: its effect is
+   * unknown. */
   public enum Kind {
     SERVED, REFUSED, FAILED
   }
@@ -16,7 +16,6 @@
   static final Answer SERVED = new Answer(Kind.SERVED, 0);
   public static final Answer FAILED = new Answer(Kind.FAILED, 0);
 
-  /** A refusal. */
   public static Answer refused(long retryInUs) {
     return new Answer(Kind.REFUSED, retryInUs);
   }
--- a/src/main/java/hollyslip/engine/AnswerAggregator.java
+++ b/src/main/java/hollyslip/engine/AnswerAggregator.java
@@ -1,8 +1,8 @@
 package hollyslip.engine;
 
-/** Makes one answer of those of a request's pieces: served if all are; failed if one failed. If some are
- * refused and others served, the client may be told "refused" only where doing the served part again is
- * harmless by the request's class; otherwise the answer is failed. */
+/** Combines the answers of a request's sub-requests: served if all are served, failed if one failed. If some
+ * are refused and others served, the client may be told "refused" only where the request's class makes
+ * repeating the served part harmless; otherwise the request has failed. */
 final class AnswerAggregator {
   private final boolean safeToRepeat;
   private int served;
@@ -10,10 +10,10 @@
   private int failed;
   private long retryInUs;
 
-  /** @param repeatable
-   *          whether the class may be done again after it has had its effect */
-  AnswerAggregator(boolean repeatable) {
-    this.safeToRepeat = repeatable;
+  /** @param safeToRepeat
+   *          whether requests of the class may run again after they took effect */
+  AnswerAggregator(boolean safeToRepeat) {
+    this.safeToRepeat = safeToRepeat;
   }
 
   void add(Answer answer) {
--- a/src/main/java/hollyslip/engine/Attempt.java
+++ b/src/main/java/hollyslip/engine/Attempt.java
@@ -5,8 +5,8 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** One sending of a piece of a request to a node; as a letter it says what came of it, as a timer that it is
- * to be given up. */
+/** One transmission of a sub-request to a node. As a mailbox message it delivers its outcome; as a timer task
+ * it times the attempt out. */
 public final class Attempt implements Runnable, TimerQueue.Task {
   private final Engine engine;
   final SubRequest subRequest;
@@ -19,79 +19,79 @@
   TimerQueue.Timer timer;
   private Result result;
   private List<Double> report;
-  /** For the node port alone: where it keeps what it needs to find the attempt again. */
+  /** For the {@link NodePort} only: its own reference for finding the attempt again. */
   public Object handle;
 
-  Attempt(Engine engine, SubRequest piece, int number, long node, long sentAt) {
+  Attempt(Engine engine, SubRequest subRequest, int number, long node, long sentAt) {
     this.engine = engine;
-    this.subRequest = piece;
+    this.subRequest = subRequest;
     this.number = number;
     this.node = node;
     this.sentAt = sentAt;
   }
 
-  /** An attempt that no engine knows of, for measurements of a node client alone. */
+  /** Creates an attempt that belongs to no engine, for measuring a node client by itself. */
   public static Attempt bare(long request, IoKind kind, int shard, long offset, List<ByteBuffer> data) {
     long length = data.stream().mapToLong(ByteBuffer::remaining).sum();
     Io io = new Io("", kind, offset, length, data, 0, null);
-    ActiveRequest op = new ActiveRequest(null, io, null, null, 0);
-    return new Attempt(null, new SubRequest(request, op, shard, offset, 0, length), 0, 0, 0);
+    ActiveRequest activeRequest = new ActiveRequest(null, io, null, null, 0);
+    return new Attempt(null, new SubRequest(request, activeRequest, shard, offset, 0, length), 0, 0, 0);
   }
 
-  /** Notes what came of it; then it is posted. By the one who tells. */
-  void setOutcome(Result what, List<Double> nodesReport) {
-    result = what;
-    report = nodesReport;
+  /** Sets the outcome; called by the reporting thread before it posts the attempt to the mailbox. */
+  void setOutcome(Result outcome, List<Double> nodeReport) {
+    result = outcome;
+    report = nodeReport;
   }
 
-  /** Read as a letter. */
+  /** Delivers the outcome, as a mailbox message. */
   @Override
   public void run() {
     engine.onAttemptEnded(this, result, report);
   }
 
-  /** Its time is up. */
+  /** Times the attempt out. */
   @Override
   public void onDue() {
     engine.withdraw(this, Result.TIMEOUT);
   }
 
-  /** The node that it goes to. */
+  /** ID of the node that it is sent to. */
   public long node() {
     return node;
   }
 
-  /** Number of the request at the module, and of the attempt within it: for logs. */
+  /** ID of the sub-request, under which the scheduler knows it. */
   public long request() {
     return subRequest.id;
   }
 
-  /** Number of the attempt, from 0. */
+  /** Number of the attempt within its sub-request, from 0. */
   public int number() {
     return number;
   }
 
-  /** What is to be done. */
   public IoKind kind() {
     return subRequest.kind;
   }
 
-  /** Shard on which the data lies. */
+  /** Shard that holds the data. */
   public int shard() {
     return subRequest.shard;
   }
 
-  /** First byte within the shard. */
+  /** Byte offset within the shard. */
   public long offset() {
     return subRequest.offset;
   }
 
-  /** Bytes. */
+  /** Length in bytes. */
   public long length() {
     return subRequest.length;
   }
 
-  /** The client's memory for these bytes, in order; fresh views, so positions may be moved. */
+  /** The client's memory for this range, in order; new views on each call, so that their positions may be
+   * moved. */
   public List<ByteBuffer> data() {
     return subRequest.data();
   }
--- a/src/main/java/hollyslip/engine/Engine.java
+++ b/src/main/java/hollyslip/engine/Engine.java
@@ -27,51 +27,53 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Drives one {@link HostScheduler}: tells it what happens, carries out what it decides. It is the only owner
- * of the module and runs it on one thread that never blocks.
+/** Event loop around one {@link HostScheduler}: reports events to it and carries out the actions that it
+ * returns. The engine is the only user of its scheduler and runs it on a single thread that never blocks.
  *
  * <p>
- * The way of one request, top to bottom: a front calls {@link #offer}; {@link #accept} has it wait at the
- * {@link AdmissionQueue}, fairly among tenants; {@link #admitWaiting} cuts it into pieces; a change of blocks waits for its
- * range ({@link RangeLocks}); {@link #submit} tells the module; {@link #perform} sends where the module
- * says; {@link #termination} takes what came of an attempt back to the module; {@link #answerSubRequest} collects the
- * answers of the pieces and gives the client its one. */
+ * Path of a request: a front calls {@link #offer}; {@link #accept} passes it through the
+ * {@link AdmissionQueue}, which is fair among tenants; {@link #startSubRequests} splits it along extents, and
+ * a sub-request that modifies data waits for its block range ({@link RangeLocks}); {@link #submit} reports it
+ * to the scheduler; {@link #perform} sends attempts where the scheduler says; {@link #onAttemptEnded} reports
+ * the outcome of an attempt; {@link #answerSubRequest} collects the answers of the sub-requests into the one
+ * answer for the client. */
 public final class Engine implements Intake {
   private static final Logger LOG = LoggerFactory.getLogger(Engine.class);
 
-  /** Letters read before timers and sends get their turn, so that none starves. */
+  /** Messages processed before timers and sends get their turn, so that a full mailbox cannot starve them. */
   private static final int MAX_MESSAGES_PER_TURN = 256;
 
-  /** Requests let in for each node that serves: what one host may have out at it, and as many to choose
-   * from. */
+  /** Requests admitted per node that is on: what one host may have outstanding at a node, and as many again
+   * for the scheduler to choose from. */
   private static final int ADMITTED_PER_NODE = 64;
 
-  /** The module's time is taken at one event in so many and one: reading the clock costs as much as a part of
-   * what is measured. */
-  private static final long MODULE_TIME_SAMPLE_MASK = 15;
+  /** Scheduler time is measured for one event in 16 ({@code counter & mask == 0}), since reading the clock
+   * costs as much as a part of what is measured. */
+  private static final long SCHEDULER_TIME_SAMPLE_MASK = 15;
 
-  /** Longest sleep, us: only a bound, timers and letters wake it. */
+  /** Longest sleep, us. Only an upper bound: timers and messages wake the thread earlier. */
   private static final long MAX_PARK_US = 1_000_000;
 
-  /** What the engine is built from.
+  /** Configuration of an engine.
    *
    * @param settings
-   *          of the module
+   *          of the scheduler
    * @param classifier
-   *          class and units of a request
+   *          determines the class and the units of a request
    * @param splitter
-   *          cuts requests at extents
+   *          splits requests along extents
    * @param maxRequests
-   *          requests held at most
+   *          maximum number of requests held
    * @param maxBytes
-   *          bytes of requests held at most
+   *          maximum number of request bytes held
    * @param firstRequestId
-   *          number of its first request: those of two lanes of one process must differ, as nodes see them in
-   *          the cookies of one client */
+   *          ID of the first request. The ID ranges of two lanes in one process must differ, because nodes
+   *          see the IDs in the cookies of one client. */
   public record Config(HostScheduler.Settings settings, Classifier classifier, Splitter splitter,
       long maxRequests, long maxBytes, long firstRequestId) {}
 
-  /** Totals since the start; {@code moduleNs} is the time spent inside the module, from samples. */
+  /** Totals since the start; {@code moduleNs} is the time spent inside the scheduler, extrapolated from
+   * samples. */
   public record Totals(long taken, long served, long refused, long failed, long departed, long attempts,
       long held, long moduleNs) {
     Totals plus(Totals o) {
@@ -89,14 +91,15 @@
   private final InflightLimits limits;
   private final RangeLocks rangeLocks = new RangeLocks();
   private final Long2ObjectHashMap<SubRequest> subRequests = new Long2ObjectHashMap<>();
-  /** Actions of the events that are being told, the innermost last: carrying one out may tell the next. */
+  /** One buffer of actions per nesting level, the innermost last: performing an action may report the next
+   * event before the remaining actions are performed. */
   private final List<ActionBuffer> actionBuffers = new ArrayList<>();
   private int nestingDepth;
   private final List<Runnable> capacityListeners = new CopyOnWriteArrayList<>();
   private final CompletableFuture<Void> termination = new CompletableFuture<>();
   private final LongAdder taken = new LongAdder(), served = new LongAdder(), refused = new LongAdder();
   private final LongAdder failed = new LongAdder(), abandoned = new LongAdder(), attempts = new LongAdder();
-  /** Written by the engine's thread alone. */
+  /** Written by the engine's thread only. */
   private volatile long moduleNs;
   private final LogSampler refusalLog = new LogSampler(), failureLog = new LogSampler();
   private final Map<String, Volume> volumes = new ConcurrentHashMap<>();
@@ -104,38 +107,39 @@
   private final Map<String, HostScheduler.Plan> plansByName = new HashMap<>();
   private final Map<Long, NodeState> nodeStates = new HashMap<>();
   private final AdmissionQueue<ActiveRequest> admissionQueue;
-  /** How long a request counts as inside at most, us: one that waits longer for a limit or a node that is
-   * away does not keep others at the door. Harm: the module holds more at a time then. */
+  /** Longest time, us, for which an admitted request counts against the admission limit. One that waits
+   * longer, for a rate limit or an unavailable node, no longer keeps others out of the scheduler; the cost is
+   * that the scheduler then holds more requests at a time. */
   private final long maxAdmittedUs;
   private volatile boolean stopping;
   private volatile boolean refusing;
   private volatile boolean frontsAwaitCapacity;
   private NodePort transport;
-  /** Events told to the module. */
+  /** Events reported to the scheduler. */
   private long handledEvents;
   private long now;
   private long nextSubRequestId;
   private boolean admitting;
-  /** Requests let in, in that order, for at most {@link #maxAdmittedUs}. */
+  /** Admitted requests in order of admission, each for at most {@link #maxAdmittedUs}. */
   private final ArrayDeque<ActiveRequest> admitted = new ArrayDeque<>();
 
-  /** What the engine keeps of a volume by its id. */
+  /** State of a volume that is served here. */
   static final class VolumeState {
     private AdmissionQueue.Owner owner;
     private CompletableFuture<Void> drained = new CompletableFuture<>();
     private boolean draining;
-    /** Requests of it that are taken and not released, and pieces that hold or wait for blocks. */
+    /** Requests accepted and not yet released; sub-requests that hold or wait for a block range. */
     private int activeRequests, lockingSubRequests;
-    /** When an attempt last ended that may still run. */
+    /** When an attempt last ended with an unknown effect. */
     private long lastUncertainAt = Long.MIN_VALUE / 2;
-    /** Complete when another engine may take the volume on; null: it stays. */
+    /** Completes when another engine may take over the volume; null if no hand-over is in progress. */
     private CompletableFuture<Void> handedOver;
 
     VolumeState(AdmissionQueue.Owner owner) {
       this.owner = owner;
     }
 
-    /** Served on such terms, whatever was before. */
+    /** Serves the volume for this owner, and ends a drain that was in progress. */
     void resumeWith(AdmissionQueue.Owner next) {
       owner = next;
       if (draining) {
@@ -145,33 +149,34 @@
     }
   }
 
-  public Engine(Config config, Map<String, Volume> volumes, HostScheduler module) {
-    this(config, volumes, module, Engine::clock);
+  public Engine(Config config, Map<String, Volume> volumes, HostScheduler scheduler) {
+    this(config, volumes, scheduler, Engine::clock);
   }
 
-  /** @param time
-   *          the engine's clock, us, which never goes back: another than {@link #clock} where time is a
-   *          model's */
-  public Engine(Config config, Map<String, Volume> volumes, HostScheduler module, LongSupplier time) {
+  /** @param timeSource
+   *          monotonic clock of the engine, us; differs from {@link #clock} where time is simulated */
+  public Engine(Config config, Map<String, Volume> volumes, HostScheduler scheduler,
+      LongSupplier timeSource) {
     this.config = config;
-    this.timeSource = time;
+    this.timeSource = timeSource;
     nextSubRequestId = config.firstRequestId();
-    this.scheduler = module;
+    this.scheduler = scheduler;
     config.settings().plans().forEach(p -> plansByName.put(p.name(), p));
     volumes.values().forEach(this::addVolume);
     maxAdmittedUs = config.settings().classes().stream().mapToLong(RequestClass::aimUs).min().orElseThrow();
-    admissionQueue = new AdmissionQueue<>((int) Math.min(Integer.MAX_VALUE, config.maxRequests() / 2), ADMITTED_PER_NODE);
+    admissionQueue = new AdmissionQueue<>((int) Math.min(Integer.MAX_VALUE, config.maxRequests() / 2),
+        ADMITTED_PER_NODE);
     limits = new InflightLimits(config.maxRequests(), config.maxBytes());
     config.settings().classes().forEach(c -> classesByName.put(c.name(), c));
   }
 
-  /** Serves a volume on its plan of the settings; before {@link #start}. */
+  /** Serves a volume on the plan that the settings give for it; call before {@link #start}. */
   void addVolume(Volume v) {
     volumes.put(v.name(), v);
     volumeStates.put(v.id(), new VolumeState(flowOwner(v)));
   }
 
-  /** Starts the engine's thread; {@code nodes} is where attempts go. */
+  /** Starts the engine's thread; attempts are sent through {@code nodes}. */
   public void start(NodePort nodes) {
     transport = nodes;
     Thread thread = new Thread(this::run, "engine");
@@ -179,22 +184,22 @@
     thread.start();
   }
 
-  /** Has it run without a thread of its own: by {@link #step}, always on one thread, the one that makes all
-   * other calls too. */
+  /** Starts without a thread: the caller drives the engine through {@link #step}, and makes all other calls
+   * on that same thread. */
   public void startDriven(NodePort nodes) {
     transport = nodes;
   }
 
-  /** Does all there is to do at this time; gives the time, us, at which there is something again if nothing
-   * comes in before, {@code Long.MAX_VALUE}: never. */
+  /** Processes everything that is due. Returns the time, us, at which there is work again if no message
+   * arrives before; {@code Long.MAX_VALUE} for never. */
   public long step() {
     while (!processTurn() || !mailbox.isEmpty()) {
-      // Each turn reads a batch of letters; what it does may post further ones.
+      // Each turn processes one batch of messages and may post further ones.
     }
     return nextDueTime();
   }
 
-  /** The engine's clock, us: monotonic, the same for all processes of a machine. */
+  /** Clock of the engine, us: monotonic and common to all processes of a machine. */
   public static long clock() {
     return System.nanoTime() / 1_000;
   }
@@ -207,7 +212,7 @@
     }
     if (io.kind() != IoKind.FLUSH && !volume.holds(io.offset(), io.length())) {
       throw new IllegalArgumentException("range: " + io.offset() + "+" + io.length()
-          + " is not blocks of volume " + io.volume());
+          + " is not a block-aligned range of volume " + io.volume());
     }
     if (stopping) {
       return false;
@@ -216,9 +221,9 @@
       frontsAwaitCapacity = true;
       return false;
     }
-    ActiveRequest op = new ActiveRequest(this, io, volume, requestClass(io), timeSource.getAsLong());
-    io.activeRequest = op;
-    mailbox.post(op);
+    ActiveRequest request = new ActiveRequest(this, io, volume, requestClass(io), timeSource.getAsLong());
+    io.activeRequest = request;
+    mailbox.post(request);
     return true;
   }
 
@@ -241,7 +246,7 @@
     mailbox.post(() -> abandonRequest(io.activeRequest));
   }
 
-  /** News of the node list. From any thread. */
+  /** Applies an update of the node list. Thread-safe. */
   public void nodes(NodeList list) {
     mailbox.post(() -> {
       handleEvent(list);
@@ -249,119 +254,123 @@
         nodeStates.clear();
       }
       list.nodes().forEach(n -> nodeStates.put(n.node(), n.state()));
-      admissionQueue.setMaxAdmitted(ADMITTED_PER_NODE * (int) nodeStates.values().stream().filter(s -> s == NodeState.ON).count());
+      admissionQueue.setMaxAdmitted(ADMITTED_PER_NODE * (int) nodeStates.values()
+          .stream()
+          .filter(s -> s == NodeState.ON)
+          .count());
       admitWaiting();
     });
   }
 
-  /** A call for the node list failed. From any thread. */
+  /** Reports that fetching the node list failed. Thread-safe. */
   public void listFailed() {
     mailbox.post(() -> handleEvent(new HostScheduler.ListFailed()));
   }
 
-  /** What came of an attempt; {@code report} may be null. From any thread, once an attempt that was not
-   * withdrawn. {@code TIMEOUT} and {@code CANCELLED} are the engine's own to tell. */
+  /** Reports the outcome of an attempt, once for each attempt that was not withdrawn; {@code report} may be
+   * null. {@code TIMEOUT} and {@code CANCELLED} are only ever reported by the engine itself. Thread-safe. */
   public void outcome(Attempt attempt, Result result, List<Double> report) {
     attempt.setOutcome(result, report);
     mailbox.post(attempt);
   }
 
-  /** An attempt that ended without a word of its effect can have none any more. From any thread. */
+  /** Reports that an attempt which ended with an unknown effect can no longer have any. Thread-safe. */
   public void resolved(Attempt attempt) {
     mailbox.post(() -> resolve(attempt));
   }
 
-  /** What came of a probe; {@code report} may be null. From any thread. */
+  /** Reports the outcome of a probe; {@code report} may be null. Thread-safe. */
   public void probed(long node, Result result, long tookUs, List<Double> report) {
     mailbox.post(() -> handleEvent(new HostScheduler.Probed(node, result, tookUs, report)));
   }
 
-  /** Runs something on the engine's thread. */
+  /** Runs a task on the engine's thread. */
   public void execute(Runnable task) {
     mailbox.post(task);
   }
 
-  /** Runs something on the engine's thread after so many us; call on the engine's thread. */
+  /** Runs a task on the engine's thread after a delay in us; call on the engine's thread. */
   public void after(long us, Runnable task) {
     timers.schedule(timeSource.getAsLong() + us, task::run);
   }
 
-  /** A volume of the settings shares as its plan's weight says. */
+  /** Owner of a volume from the settings, weighted by the volume's plan. */
   private AdmissionQueue.Owner flowOwner(Volume v) {
     HostScheduler.Plan plan = plansByName.get(v.plan());
     double weight = plan == null || plan.weight() <= 0 ? 1 : plan.weight();
     return new AdmissionQueue.Owner(v.tenant(), weight, v.id(), weight);
   }
 
-  /** Serves a volume from now on, or on other terms; complete when the module has been told. Requests in
-   * flight keep the size that they came with. From any thread. */
+  /** Starts serving a volume, or changes its terms; completes when the scheduler has been told. Requests in
+   * flight keep the volume size with which they arrived. Thread-safe. */
   public CompletableFuture<Void> serve(Volume volume, HostScheduler.VolumeChanged terms) {
-    CompletableFuture<Void> told = new CompletableFuture<>();
+    CompletableFuture<Void> applied = new CompletableFuture<>();
     mailbox.post(() -> {
-      AdmissionQueue.Owner owner = new AdmissionQueue.Owner(volume.tenant(), terms.groupWeight(), volume.id(), terms.plan()
-          .weight());
+      AdmissionQueue.Owner owner = new AdmissionQueue.Owner(volume.tenant(), terms.groupWeight(), volume.id(),
+          terms.plan()
+              .weight());
       volumeStates.computeIfAbsent(volume.id(), k -> new VolumeState(owner)).resumeWith(owner);
       handleEvent(terms);
       volumes.put(volume.name(), volume);
-      told.complete(null);
+      applied.complete(null);
     });
-    return told;
+    return applied;
   }
 
-  /** Takes no more requests of a volume, which are refused from now on; complete when all that it had are
-   * answered and nothing of them is out. From any thread; a volume that is not served is drained. */
+  /** Stops accepting requests for a volume: new ones are refused. Completes when all earlier ones are
+   * answered and no attempt for them is pending; at once for a volume that is not served. Thread-safe. */
   public CompletableFuture<Void> drain(Volume volume) {
     CompletableFuture<Void> done = new CompletableFuture<>();
     mailbox.post(() -> {
-      VolumeState s = volumeStates.get(volume.id());
-      if (s == null) {
+      VolumeState state = volumeStates.get(volume.id());
+      if (state == null) {
         done.complete(null);
         return;
       }
-      s.draining = true;
-      s.drained.thenRun(() -> done.complete(null));
-      removeIfDrained(volume, s);
+      state.draining = true;
+      state.drained.thenRun(() -> done.complete(null));
+      removeIfDrained(volume, state);
     });
     return done;
   }
 
-  /** Gives a volume up, of which nothing is offered any more: complete when all that was taken has its
-   * answer, no change of it can have an effect any more, and requests in order are as settled as the rules
-   * ask. */
+  /** Releases a volume, for which no more requests may be offered, to another engine. Completes when every
+   * accepted request is answered, no write can take effect any more, and the settling time for ordered
+   * requests ({@code orderSettleUs}) has passed. */
   CompletableFuture<Void> handOver(Volume volume) {
     CompletableFuture<Void> done = new CompletableFuture<>();
     mailbox.post(() -> {
-      VolumeState s = volumeStates.get(volume.id());
-      if (s == null) {
+      VolumeState state = volumeStates.get(volume.id());
+      if (state == null) {
         done.complete(null);
       } else {
-        s.handedOver = done;
-        completeHandOver(volume, s);
+        state.handedOver = done;
+        completeHandOver(volume, state);
       }
     });
     return done;
   }
 
-  private void completeHandOver(Volume volume, VolumeState s) {
-    if (s.handedOver == null || s.activeRequests > 0 || s.lockingSubRequests > 0) {
+  private void completeHandOver(Volume volume, VolumeState state) {
+    if (state.handedOver == null || state.activeRequests > 0 || state.lockingSubRequests > 0) {
       return;
     }
-    long settled = s.lastUncertainAt + config.settings().rules().orderSettleUs();
-    if (now < settled) {
-      timers.schedule(settled, () -> completeHandOver(volume, s));
-    } else if (volumeStates.remove(volume.id(), s)) {
+    long settledAt = state.lastUncertainAt + config.settings().rules().orderSettleUs();
+    if (now < settledAt) {
+      timers.schedule(settledAt, () -> completeHandOver(volume, state));
+    } else if (volumeStates.remove(volume.id(), state)) {
       volumes.remove(volume.name());
       handleEvent(new HostScheduler.VolumeRemoved(volume.id()));
-      s.handedOver.complete(null);
+      state.handedOver.complete(null);
     }
   }
 
-  /** Forgets a draining volume once nothing of it is held. */
-  private void removeIfDrained(Volume volume, VolumeState s) {
-    if (s.draining && s.activeRequests == 0 && volumeStates.remove(volume.id(), s)) {
+  /** Removes a draining volume once none of its requests is held. */
+  private void removeIfDrained(Volume volume, VolumeState state) {
+    if (state.draining && state.activeRequests == 0 && volumeStates.remove(volume.id(), state)) {
       volumes.remove(volume.name());
       handleEvent(new HostScheduler.VolumeRemoved(volume.id()));
-      s.drained.complete(null);
+      state.drained.complete(null);
     }
   }
 
@@ -370,24 +379,24 @@
     return volumes;
   }
 
-  /** Refuses at once all that comes from now on; what is held goes on. From any thread. It is for a gateway
-   * of which nodes run nothing any more: its clients need not wait for their deadlines to hear so. */
+  /** Refuses all requests from now on; requests already held continue. For a gateway that the nodes have
+   * fenced: its clients learn of it at once instead of at their deadlines. Thread-safe. */
   public void refuseAll() {
     refusing = true;
   }
 
-  /** Takes nothing more, answers all it holds, then ends. From any thread; calls again change nothing. */
+  /** Stops accepting requests, answers those that are held, then ends. Thread-safe and idempotent. */
   public CompletableFuture<Void> stop() {
     mailbox.post(() -> stopping = true);
     return termination;
   }
 
-  /** Complete when the engine has ended. */
+  /** Completes when the engine has ended. */
   public CompletableFuture<Void> termination() {
     return termination;
   }
 
-  /** Totals since the start. From any thread; the figures need not be of one instant. */
+  /** Totals since the start. Thread-safe; the figures need not be from the same instant. */
   public Totals totals() {
     return new Totals(taken.sum(), served.sum(), refused.sum(), failed.sum(), abandoned.sum(), attempts.sum(),
         limits.requests(), moduleNs);
@@ -413,29 +422,29 @@
     }
   }
 
-  /** One turn; whether all letters were read. */
+  /** Runs one turn; returns whether the mailbox was emptied. */
   private boolean processTurn() {
     now = timeSource.getAsLong();
-    int read = 0;
-    for (Runnable letter = mailbox.poll(); letter != null; letter = mailbox.poll()) {
-      letter.run();
-      if (++read == MAX_MESSAGES_PER_TURN) {
+    int processed = 0;
+    for (Runnable message = mailbox.poll(); message != null; message = mailbox.poll()) {
+      message.run();
+      if (++processed == MAX_MESSAGES_PER_TURN) {
         break;
       }
     }
     now = Math.max(now, timeSource.getAsLong());
     timers.runDue(now);
-    for (ActiveRequest op = admitted.peek(); op != null && (op.released || op.admittedAt
-        + maxAdmittedUs <= now); op = admitted.peek()) {
+    for (ActiveRequest request = admitted.peek(); request != null && (request.released || request.admittedAt
+        + maxAdmittedUs <= now); request = admitted.peek()) {
       admitted.poll();
-      releaseAdmission(op);
+      releaseAdmission(request);
     }
     transport.flush();
     if (frontsAwaitCapacity && limits.belowResumeThreshold()) {
       frontsAwaitCapacity = false;
       capacityListeners.forEach(Runnable::run);
     }
-    return read < MAX_MESSAGES_PER_TURN;
+    return processed < MAX_MESSAGES_PER_TURN;
   }
 
   private long nextDueTime() {
@@ -444,62 +453,64 @@
         : Math.min(timers.nextDueTime(), admitted.peek().admittedAt + maxAdmittedUs);
   }
 
-  // A request comes in.
+  // Admission.
 
-  void accept(ActiveRequest op) {
+  void accept(ActiveRequest request) {
     taken.increment();
-    VolumeState served = volumeStates.get(op.volume.id());
-    if (served == null || served.draining || refusing) {
-      refuse(op, 0);
+    VolumeState state = volumeStates.get(request.volume.id());
+    if (state == null || state.draining || refusing) {
+      refuse(request, 0);
       return;
     }
-    served.activeRequests++;
-    op.volumeState = served;
-    double units = config.classifier().units(op.io.kind(), op.io.length());
-    op.ticket = admissionQueue.tryAdmit(now, op, served.owner, units);
-    if (op.ticket != null) {
-      admit(op);
+    state.activeRequests++;
+    request.volumeState = state;
+    double units = config.classifier().units(request.io.kind(), request.io.length());
+    request.ticket = admissionQueue.tryAdmit(now, request, state.owner, units);
+    if (request.ticket != null) {
+      admit(request);
       return;
     }
-    op.queuedForAdmission = true;
-    op.ticket = admissionQueue.enqueue(now, op, served.owner, units);
-    for (AdmissionQueue.Rejected<ActiveRequest> t = admissionQueue.pollRejected(now); t != null; t = admissionQueue.pollRejected(now)) {
-      refuse(t.item(), t.retryInUs());
+    request.queuedForAdmission = true;
+    request.ticket = admissionQueue.enqueue(now, request, state.owner, units);
+    for (AdmissionQueue.Rejected<ActiveRequest> rejected = admissionQueue.pollRejected(
+        now); rejected != null; rejected = admissionQueue.pollRejected(now)) {
+      refuse(rejected.item(), rejected.retryInUs());
     }
     admitWaiting();
-    if (op.ticket.waiting()) {
-      op.admissionTimer = timers.schedule(op.deadline - config.settings().tickUs(), () -> {
-        if (op.ticket.waiting()) {
-          admissionQueue.cancel(op.ticket);
-          refuse(op, 0);
+    if (request.ticket.waiting()) {
+      request.admissionTimer = timers.schedule(request.deadline - config.settings().tickUs(), () -> {
+        if (request.ticket.waiting()) {
+          admissionQueue.cancel(request.ticket);
+          refuse(request, 0);
         }
       });
     }
   }
 
-  /** Refuses a request that has not been let in: nothing of it ran. */
-  private void refuse(ActiveRequest op, long retryInUs) {
-    answer(op, Answer.refused(retryInUs));
-    releaseIfDone(op);
+  /** Refuses a request that has not been admitted, so nothing of it has run. */
+  private void refuse(ActiveRequest request, long retryInUs) {
+    answer(request, Answer.refused(retryInUs));
+    releaseIfDone(request);
   }
 
   private void admitWaiting() {
-    for (AdmissionQueue.Ticket<ActiveRequest> p = admissionQueue.pollAdmitted(now); p != null; p = admissionQueue.pollAdmitted(now)) {
-      admit(p.item());
+    for (AdmissionQueue.Ticket<ActiveRequest> ticket = admissionQueue.pollAdmitted(
+        now); ticket != null; ticket = admissionQueue.pollAdmitted(now)) {
+      admit(ticket.item());
     }
   }
 
-  private void admit(ActiveRequest op) {
-    if (op.admissionTimer != null) {
-      op.admissionTimer.cancel();
+  private void admit(ActiveRequest request) {
+    if (request.admissionTimer != null) {
+      request.admissionTimer.cancel();
     }
-    op.admittedAt = now;
-    admitted.add(op);
-    startSubRequests(op);
+    request.admittedAt = now;
+    admitted.add(request);
+    startSubRequests(request);
   }
 
-  private void releaseAdmission(ActiveRequest op) {
-    admissionQueue.release(op.ticket);
+  private void releaseAdmission(ActiveRequest request) {
+    admissionQueue.release(request.ticket);
     if (!admitting) {
       admitting = true;
       admitWaiting();
@@ -507,47 +518,50 @@
     }
   }
 
-  private void startSubRequests(ActiveRequest op) {
-    op.subRequests = split(op);
-    for (SubRequest piece : op.subRequests) {
-      if (piece.kind.changes()) {
-        piece.countedAsLocking = true;
-        op.volumeState.lockingSubRequests++;
+  private void startSubRequests(ActiveRequest request) {
+    request.subRequests = split(request);
+    for (SubRequest subRequest : request.subRequests) {
+      if (subRequest.kind.changes()) {
+        subRequest.countedAsLocking = true;
+        request.volumeState.lockingSubRequests++;
       }
-      if (!piece.kind.changes() || rangeLocks.lockOrEnqueue(piece)) {
-        submit(piece);
+      if (!subRequest.kind.changes() || rangeLocks.lockOrEnqueue(subRequest)) {
+        submit(subRequest);
       } else {
-        awaitRange(piece);
+        awaitRange(subRequest);
       }
     }
   }
 
-  private List<SubRequest> split(ActiveRequest op) {
-    List<SubRequest> cut = new ArrayList<>(1);
-    if (op.io.kind() == IoKind.FLUSH) {
-      for (int shard : Splitter.shards(op.volume)) {
-        cut.add(new SubRequest(nextSubRequestId++, op, shard, 0, 0, 0));
+  private List<SubRequest> split(ActiveRequest request) {
+    List<SubRequest> parts = new ArrayList<>(1);
+    if (request.io.kind() == IoKind.FLUSH) {
+      for (int shard : Splitter.shards(request.volume)) {
+        parts.add(new SubRequest(nextSubRequestId++, request, shard, 0, 0, 0));
       }
     } else {
-      for (Splitter.ShardRange p : config.splitter().split(op.volume, op.io.offset(), op.io.length())) {
-        cut.add(new SubRequest(nextSubRequestId++, op, p.shard(), p.offset(), p.requestOffset(), p.length()));
+      for (Splitter.ShardRange p : config.splitter()
+          .split(request.volume, request.io.offset(), request.io.length())) {
+        parts.add(new SubRequest(nextSubRequestId++, request, p.shard(), p.offset(), p.requestOffset(), p
+            .length()));
       }
     }
-    return cut;
+    return parts;
   }
 
-  /** A change whose blocks another one holds: it is refused a tick before its client's time ends, since
-   * nothing of it ran. */
-  private void awaitRange(SubRequest piece) {
-    for (SubRequest holder : rangeLocks.blockers(piece)) {
+  /** Waits for a block range that another sub-request holds. It is refused one tick before its client's
+   * deadline, which is safe because nothing of it has run. */
+  private void awaitRange(SubRequest subRequest) {
+    for (SubRequest holder : rangeLocks.blockers(subRequest)) {
       holder.attempts.forEach(this::fenceIfAbandoned);
     }
-    piece.lockWaitTimer = timers.schedule(piece.request.deadline - config.settings().tickUs(), () -> {
-      if (!piece.submitted && !piece.answered) {
-        rangeLocks.cancelWait(piece).forEach(this::submit);
-        answerSubRequest(piece, Answer.refused(0));
-      }
-    });
+    subRequest.lockWaitTimer = timers.schedule(subRequest.request.deadline - config.settings().tickUs(),
+        () -> {
+          if (!subRequest.submitted && !subRequest.answered) {
+            rangeLocks.cancelWait(subRequest).forEach(this::submit);
+            answerSubRequest(subRequest, Answer.refused(0));
+          }
+        });
   }
 
   private void fenceIfAbandoned(Attempt attempt) {
@@ -556,43 +570,46 @@
     }
   }
 
-  /** Tells the module of a piece that may be sent as far as its blocks go. One that waited, at the door or
-   * for its blocks, earns no further attempts: it was taken before, and a window's attempts must not exceed
-   * what was taken in it. Harm: fewer further attempts while there are queues. */
-  private void submit(SubRequest piece) {
-    ActiveRequest op = piece.request;
-    piece.submitted = true;
-    if (piece.lockWaitTimer != null) {
-      piece.lockWaitTimer.cancel();
+  /** Reports a sub-request whose block range is free to the scheduler. One that waited, for admission or for
+   * its range, earns no further attempts: it counts as taken in an earlier window, and the attempts of a
+   * window must not exceed the requests taken in it. The cost is fewer further attempts while requests
+   * queue. */
+  private void submit(SubRequest subRequest) {
+    ActiveRequest request = subRequest.request;
+    subRequest.submitted = true;
+    if (subRequest.lockWaitTimer != null) {
+      subRequest.lockWaitTimer.cancel();
     }
-    subRequests.put(piece.id, piece);
-    long extent = op.io.offset() / op.volume.extentBytes();
-    handleEvent(new HostScheduler.Request(piece.id, op.requestClass.name(), op.volume.plan(), op.volume.id() << 24 | extent,
-        op.volume.id(), config.classifier().units(piece.kind, piece.length), piece.shard, op.volume.hosts(),
-        op.deadline - now, op.queuedForAdmission || piece.lockWaitTimer != null));
+    subRequests.put(subRequest.id, subRequest);
+    long extent = request.io.offset() / request.volume.extentBytes();
+    handleEvent(new HostScheduler.Request(subRequest.id, request.requestClass.name(), request.volume.plan(),
+        request.volume.id() << 24 | extent,
+        request.volume.id(), config.classifier().units(subRequest.kind, subRequest.length), subRequest.shard,
+        request.volume.hosts(),
+        request.deadline - now, request.queuedForAdmission || subRequest.lockWaitTimer != null));
   }
 
-  // The module decides.
+  // Events and actions of the scheduler.
 
   private void handleEvent(Event event) {
     if (nestingDepth == actionBuffers.size()) {
       actionBuffers.add(new ActionBuffer());
     }
-    ActionBuffer decided = actionBuffers.get(nestingDepth++);
-    boolean sampled = (++handledEvents & MODULE_TIME_SAMPLE_MASK) == 0;
-    long from = sampled ? System.nanoTime() : 0;
-    scheduler.handle(now, event, decided);
+    ActionBuffer buffer = actionBuffers.get(nestingDepth++);
+    boolean sampled = (++handledEvents & SCHEDULER_TIME_SAMPLE_MASK) == 0;
+    long startNs = sampled ? System.nanoTime() : 0;
+    scheduler.handle(now, event, buffer);
     if (sampled) {
-      moduleNs += (System.nanoTime() - from) * (MODULE_TIME_SAMPLE_MASK + 1);
+      moduleNs += (System.nanoTime() - startNs) * (SCHEDULER_TIME_SAMPLE_MASK + 1);
     }
-    for (int i = 0; i < decided.actions.size(); i++) {
-      perform(decided.actions.get(i));
+    for (int i = 0; i < buffer.actions.size(); i++) {
+      perform(buffer.actions.get(i));
     }
-    decided.actions.clear();
+    buffer.actions.clear();
     nestingDepth--;
   }
 
-  /** What the module decided on one event, in order. */
+  /** Collects the actions for one event, in order. */
   private static final class ActionBuffer implements Consumer<Action> {
     final List<Action> actions = new ArrayList<>();
 
@@ -620,23 +637,23 @@
     }
   }
 
-  private void send(SubRequest piece, HostScheduler.Send order) {
-    ActiveRequest op = piece.request;
-    Attempt attempt = new Attempt(this, piece, piece.attempts.size(), order.node(), now);
-    piece.attempts.add(attempt);
+  private void send(SubRequest subRequest, HostScheduler.Send order) {
+    ActiveRequest request = subRequest.request;
+    Attempt attempt = new Attempt(this, subRequest, subRequest.attempts.size(), order.node(), now);
+    subRequest.attempts.add(attempt);
     attempts.increment();
-    op.pendingAttempts++;
-    if (piece.kind.changes()) {
-      piece.unresolvedAttempts++;
+    request.pendingAttempts++;
+    if (subRequest.kind.changes()) {
+      subRequest.unresolvedAttempts++;
     }
-    long until = order.timeoutAt() > 0 ? Math.min(order.timeoutAt(), op.deadline) : op.deadline;
-    attempt.timer = timers.schedule(until, attempt);
+    long giveUpAt = order.timeoutAt() > 0 ? Math.min(order.timeoutAt(), request.deadline) : request.deadline;
+    attempt.timer = timers.schedule(giveUpAt, attempt);
     transport.send(attempt);
   }
 
-  // What came of it.
+  // Attempts and answers.
 
-  /** Gives an attempt up, if its outcome has not come: the module hears what is true of it. */
+  /** Withdraws an attempt that has no outcome yet, and reports to the scheduler whether it may still run. */
   void withdraw(Attempt attempt, Result reason) {
     if (attempt.ended) {
       return;
@@ -654,146 +671,150 @@
     }
     attempt.ended = true;
     attempt.timer.cancel();
-    SubRequest piece = attempt.subRequest;
-    piece.request.pendingAttempts--;
+    SubRequest subRequest = attempt.subRequest;
+    subRequest.request.pendingAttempts--;
     attempt.mayStillRun = !result.provesNotRun() && result != Result.OK && result != Result.ERROR;
     if (attempt.mayStillRun) {
-      piece.request.volumeState.lastUncertainAt = now;
+      subRequest.request.volumeState.lastUncertainAt = now;
     }
-    boolean before = piece.answered;
-    if (result == Result.OK && !before) {
-      answerSubRequest(piece, Answer.SERVED);
+    boolean wasAnswered = subRequest.answered;
+    if (result == Result.OK && !wasAnswered) {
+      answerSubRequest(subRequest, Answer.SERVED);
     }
-    handleEvent(new HostScheduler.Outcome(piece.id, attempt.number, attempt.node(), result, piece.answered, Math.max(
-        0, now - attempt.sentAt), 0, 0, report));
+    handleEvent(new HostScheduler.Outcome(subRequest.id, attempt.number, attempt.node(), result,
+        subRequest.answered, Math.max(
+            0, now - attempt.sentAt), 0, 0, report));
     if (!attempt.mayStillRun) {
       resolve(attempt);
-    } else if (piece.kind.changes() && rangeLocks.hasWaiters(piece)) {
+    } else if (subRequest.kind.changes() && rangeLocks.hasWaiters(subRequest)) {
       fenceIfAbandoned(attempt);
     }
-    releaseIfDone(piece);
+    releaseIfDone(subRequest);
   }
 
-  /** An attempt can have no effect any more. */
+  /** Marks an attempt as unable to have any further effect. */
   private void resolve(Attempt attempt) {
-    SubRequest piece = attempt.subRequest;
+    SubRequest subRequest = attempt.subRequest;
     if (!attempt.resolved) {
       attempt.resolved = true;
-      if (piece.kind.changes()) {
-        piece.unresolvedAttempts--;
-        unlockIfResolved(piece);
+      if (subRequest.kind.changes()) {
+        subRequest.unresolvedAttempts--;
+        unlockIfResolved(subRequest);
       }
     }
   }
 
-  private void unlockIfResolved(SubRequest piece) {
-    if (piece.answered && piece.unresolvedAttempts == 0) {
-      rangeLocks.unlock(piece).forEach(this::submit);
-      if (piece.countedAsLocking) {
-        piece.countedAsLocking = false;
-        piece.request.volumeState.lockingSubRequests--;
-        completeHandOver(piece.request.volume, piece.request.volumeState);
+  private void unlockIfResolved(SubRequest subRequest) {
+    if (subRequest.answered && subRequest.unresolvedAttempts == 0) {
+      rangeLocks.unlock(subRequest).forEach(this::submit);
+      if (subRequest.countedAsLocking) {
+        subRequest.countedAsLocking = false;
+        subRequest.request.volumeState.lockingSubRequests--;
+        completeHandOver(subRequest.request.volume, subRequest.request.volumeState);
       }
     }
   }
 
-  /** Takes the one answer of a piece; gives the client its own when all pieces have theirs. */
-  private void answerSubRequest(SubRequest piece, Answer answer) {
-    if (piece == null || piece.answered) {
+  /** Records the only answer of a sub-request; answers the client when all sub-requests have theirs. */
+  private void answerSubRequest(SubRequest subRequest, Answer answer) {
+    if (subRequest == null || subRequest.answered) {
       return;
     }
-    piece.answered = true;
-    ActiveRequest op = piece.request;
-    op.answers.add(answer);
-    Result reason = now >= op.deadline - 2 * config.settings().tickUs() ? Result.TIMEOUT : Result.CANCELLED;
-    withdrawAttempts(piece, reason);
-    if (piece.kind.changes()) {
-      unlockIfResolved(piece);
+    subRequest.answered = true;
+    ActiveRequest request = subRequest.request;
+    request.answers.add(answer);
+    Result reason = now >= request.deadline - 2 * config.settings().tickUs()
+        ? Result.TIMEOUT
+        : Result.CANCELLED;
+    withdrawAttempts(subRequest, reason);
+    if (subRequest.kind.changes()) {
+      unlockIfResolved(subRequest);
     }
-    if (!op.answered && op.answers.count() == op.subRequests.size()) {
-      answer(op, op.answers.combined());
+    if (!request.answered && request.answers.count() == request.subRequests.size()) {
+      answer(request, request.answers.combined());
     }
-    releaseIfDone(piece);
+    releaseIfDone(subRequest);
   }
 
-  /** Gives the client its one answer. */
-  private void answer(ActiveRequest op, Answer all) {
-    Answer honest = op.clientAnswer(all);
-    op.answered = true;
-    switch (honest.kind()) {
+  /** Gives the client its only answer. */
+  private void answer(ActiveRequest request, Answer combined) {
+    Answer clientAnswer = request.clientAnswer(combined);
+    request.answered = true;
+    switch (clientAnswer.kind()) {
       case SERVED -> served.increment();
-      case REFUSED -> { refused.increment(); logSampled(refusalLog, "request.refused", op); }
-      case FAILED -> { failed.increment(); logSampled(failureLog, "request.failed", op); }
+      case REFUSED -> { refused.increment(); logSampled(refusalLog, "request.refused", request); }
+      case FAILED -> { failed.increment(); logSampled(failureLog, "request.failed", request); }
     }
-    op.io.listener().answered(honest);
+    request.io.listener().answered(clientAnswer);
   }
 
-  private void logSampled(LogSampler sampler, String event, ActiveRequest op) {
-    long facts = sampler.admit(now);
-    if (facts > 0) {
+  private void logSampled(LogSampler sampler, String event, ActiveRequest request) {
+    long occurrences = sampler.admit(now);
+    if (occurrences > 0) {
       LOG.atInfo()
-          .addKeyValue("volume", op.volume.name())
-          .addKeyValue("tenant", op.volume.tenant())
-          .addKeyValue("request", op.subRequests.isEmpty() ? -1 : op.subRequests.get(0).id)
-          .addKeyValue("kind", op.io.kind())
-          .addKeyValue("facts", facts)
+          .addKeyValue("volume", request.volume.name())
+          .addKeyValue("tenant", request.volume.tenant())
+          .addKeyValue("request", request.subRequests.isEmpty() ? -1 : request.subRequests.get(0).id)
+          .addKeyValue("kind", request.io.kind())
+          .addKeyValue("facts", occurrences)
           .log(event);
     }
   }
 
-  /** What is still out for a piece that has its answer must not touch the client's data again. */
-  private void withdrawAttempts(SubRequest piece, Result reason) {
-    for (Attempt a : piece.attempts) {
+  /** Withdraws the pending attempts of an answered sub-request, which must not touch the client's data
+   * again. */
+  private void withdrawAttempts(SubRequest subRequest, Result reason) {
+    for (Attempt a : subRequest.attempts) {
       withdraw(a, reason);
     }
   }
 
-  private void abandonRequest(ActiveRequest op) {
-    if (op == null || op.answered) {
+  private void abandonRequest(ActiveRequest request) {
+    if (request == null || request.answered) {
       return;
     }
-    op.answered = true;
+    request.answered = true;
     abandoned.increment();
-    admissionQueue.cancel(op.ticket);
-    for (SubRequest piece : op.subRequests) {
-      if (piece.answered) {
+    admissionQueue.cancel(request.ticket);
+    for (SubRequest subRequest : request.subRequests) {
+      if (subRequest.answered) {
         continue;
       }
-      piece.answered = true;
-      if (piece.submitted) {
-        handleEvent(new HostScheduler.Departed(piece.id));
+      subRequest.answered = true;
+      if (subRequest.submitted) {
+        handleEvent(new HostScheduler.Departed(subRequest.id));
       } else {
-        rangeLocks.cancelWait(piece).forEach(this::submit);
+        rangeLocks.cancelWait(subRequest).forEach(this::submit);
       }
-      withdrawAttempts(piece, Result.CANCELLED);
-      unlockIfResolved(piece);
-      releaseIfDone(piece);
+      withdrawAttempts(subRequest, Result.CANCELLED);
+      unlockIfResolved(subRequest);
+      releaseIfDone(subRequest);
     }
-    releaseIfDone(op);
+    releaseIfDone(request);
   }
 
-  /** Forgets what nothing will ask for again. */
-  private void releaseIfDone(SubRequest piece) {
-    boolean over = piece.answered;
-    for (int i = 0; i < piece.attempts.size(); i++) {
-      over &= piece.attempts.get(i).ended;
+  /** Drops a sub-request once it is answered and all its attempts have ended. */
+  private void releaseIfDone(SubRequest subRequest) {
+    boolean done = subRequest.answered;
+    for (int i = 0; i < subRequest.attempts.size(); i++) {
+      done &= subRequest.attempts.get(i).ended;
     }
-    if (over) {
-      subRequests.remove(piece.id);
+    if (done) {
+      subRequests.remove(subRequest.id);
     }
-    releaseIfDone(piece.request);
+    releaseIfDone(subRequest.request);
   }
 
-  private void releaseIfDone(ActiveRequest op) {
-    if (op.answered && op.pendingAttempts == 0 && !op.released) {
-      op.released = true;
-      op.io.listener().released();
-      limits.release(op.io.dataBytes());
-      if (op.volumeState != null) {
-        op.volumeState.activeRequests--;
-        removeIfDrained(op.volume, op.volumeState);
-        completeHandOver(op.volume, op.volumeState);
-        releaseAdmission(op);
+  private void releaseIfDone(ActiveRequest request) {
+    if (request.answered && request.pendingAttempts == 0 && !request.released) {
+      request.released = true;
+      request.io.listener().released();
+      limits.release(request.io.dataBytes());
+      if (request.volumeState != null) {
+        request.volumeState.activeRequests--;
+        removeIfDrained(request.volume, request.volumeState);
+        completeHandOver(request.volume, request.volumeState);
+        releaseAdmission(request);
       }
     }
   }
--- a/src/main/java/hollyslip/engine/InflightLimits.java
+++ b/src/main/java/hollyslip/engine/InflightLimits.java
@@ -2,35 +2,37 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What the engine holds at most. A front that is turned away keeps its request and asks again when told that
- * there is room: the ring is its own back-pressure and nothing is dropped. Safe for any thread. */
+/** Limits the requests and bytes that an engine holds. A rejected front keeps its request and offers it again
+ * when told that there is capacity: the ring provides the back-pressure and nothing is dropped.
+ * Thread-safe. */
 final class InflightLimits {
   private final long maxRequests;
   private final long maxBytes;
   private final AtomicLong requests = new AtomicLong();
   private final AtomicLong bytes = new AtomicLong();
 
-  InflightLimits(long mostRequests, long mostBytes) {
-    this.maxRequests = mostRequests;
-    this.maxBytes = mostBytes;
+  InflightLimits(long maxRequests, long maxBytes) {
+    this.maxRequests = maxRequests;
+    this.maxBytes = maxBytes;
   }
 
-  /** Takes a place; a request larger than all that may be held gets in when nothing else is. */
-  boolean tryAcquire(long size) {
+  /** Acquires capacity for one request. A request larger than the byte limit is accepted if nothing else
+   * holds any bytes. */
+  boolean tryAcquire(long requestBytes) {
     if (requests.incrementAndGet() > maxRequests) {
       requests.decrementAndGet();
       return false;
     }
-    if (bytes.addAndGet(size) > maxBytes && bytes.get() != size) {
-      bytes.addAndGet(-size);
+    if (bytes.addAndGet(requestBytes) > maxBytes && bytes.get() != requestBytes) {
+      bytes.addAndGet(-requestBytes);
       requests.decrementAndGet();
       return false;
     }
     return true;
   }
 
-  void release(long size) {
-    bytes.addAndGet(-size);
+  void release(long requestBytes) {
+    bytes.addAndGet(-requestBytes);
     requests.decrementAndGet();
   }
 
@@ -38,8 +40,8 @@
     return requests.get();
   }
 
-  /** Whether so much is free again that turned-away fronts should ask: a quarter, so that they come in
-   * batches. */
+  /** Whether a quarter of the capacity is free, so that rejected fronts should retry; the margin lets them
+   * come in batches. */
   boolean belowResumeThreshold() {
     return requests.get() <= maxRequests * 3 / 4 && bytes.get() <= maxBytes * 3 / 4;
   }
--- a/src/main/java/hollyslip/engine/Intake.java
+++ b/src/main/java/hollyslip/engine/Intake.java
@@ -3,23 +3,24 @@
 import hollyslip.volume.Volume;
 import java.util.Map;
 
-/** What fronts know of the engine: where requests are handed in. All calls from any thread. */
+/** The engine as fronts see it: where requests are submitted. Thread-safe. */
 public interface Intake {
-  /** Hands a request in. False: no room, or the gateway is stopping, or the volume is being moved; the front
-   * keeps the request and offers it again when {@link #onRoom} calls.
+  /** Submits a request. Returns false if there is no capacity, the gateway is stopping or the volume is being
+   * moved; the front keeps the request and offers it again when its {@link #onRoom} listener is called.
    *
    * @throws IllegalArgumentException
-   *           the volume is not known or does not hold the range */
+   *           the volume is unknown or does not contain the range */
   boolean offer(Io io);
 
-  /** The client of a request left: it gets no answer, its data is released soon. */
+  /** Reports that the client of a request has disconnected: the request gets no answer, and its data is
+   * released soon. */
   void depart(Io io);
 
-  /** Has this called, on an engine's thread, whenever there may be room again after a front was turned
-   * away. */
+  /** Registers a listener that an engine's thread calls whenever there may be capacity again after an offer
+   * was rejected. */
   void onRoom(Runnable listener);
 
-  /** Ends the listening of {@link #onRoom}. */
+  /** Removes a listener of {@link #onRoom}. */
   void forgetRoom(Runnable listener);
 
   /** The volumes served now, by name. */
--- a/src/main/java/hollyslip/engine/Io.java
+++ b/src/main/java/hollyslip/engine/Io.java
@@ -4,20 +4,20 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** A request as a front hands it in.
+/** A request as a front submits it.
  *
  * <p>
  * {@code data} is the client's own memory: for a write it is read while an attempt is being sent, for a read
- * it is written when an answer comes. It belongs to the engine from {@link Engine#offer} until
- * {@link Client#released}; the sum of what remains in the buffers is {@code length}. */
+ * it is filled when a response arrives. It belongs to the engine from {@link Engine#offer} until
+ * {@link Client#released}; the bytes remaining in the buffers add up to {@code length}. */
 public final class Io {
-  /** The front's side of a request. Both calls come on the engine's thread and must not block. */
+  /** Callbacks to the front. Both run on the engine's thread and must not block. */
   public interface Client {
-    /** The final answer; comes exactly once unless the client departed before. */
+    /** Delivers the final answer; called exactly once unless the client disconnected before. */
     void answered(Answer answer);
 
-    /** Nothing will touch the request's data any more; comes exactly once, after the answer or the
-     * departure. */
+    /** The request's data is no longer touched; called exactly once, after the answer or the
+     * disconnection. */
     void released();
   }
 
@@ -29,33 +29,33 @@
   private final long remainingUs;
   private final Client listener;
   private final boolean resumed;
-  /** What the engine makes of it once it is taken. */
+  /** Set once the engine has accepted the request. */
   volatile ActiveRequest activeRequest;
 
   /** @param volume
    *          name of the volume
    * @param kind
-   *          what to do
+   *          operation
    * @param offset
    *          first byte; a multiple of the block size
    * @param length
-   *          bytes; 0 for a flush
+   *          number of bytes; 0 for a flush
    * @param data
-   *          buffers, in order; empty for kinds without data
+   *          buffers in order; empty for operations without data
    * @param remainingUs
-   *          how long the client still waits, us; 0: as the request's class says
-   * @param client
-   *          who hears of the end */
+   *          how long the client still waits, us; 0 for the deadline of the request's class
+   * @param listener
+   *          receives the answer */
   public Io(String volume, IoKind kind, long offset, long length, List<ByteBuffer> data, long remainingUs,
-      Client client) {
-    this(volume, kind, offset, length, data, remainingUs, client, false);
+      Client listener) {
+    this(volume, kind, offset, length, data, remainingUs, listener, false);
   }
 
   /** @param resumed
-   *          a gateway process before this one had taken it and may have begun it: of a change nobody can say
-   *          then that trying again is harmless */
+   *          whether an earlier gateway process accepted the request and may have started it; a write can
+   *          then no longer be reported as safe to retry */
   public Io(String volume, IoKind kind, long offset, long length, List<ByteBuffer> data, long remainingUs,
-      Client client, boolean resumed) {
+      Client listener, boolean resumed) {
     this.resumed = resumed;
     this.volume = volume;
     this.kind = kind;
@@ -63,7 +63,7 @@
     this.length = length;
     this.data = data;
     this.remainingUs = remainingUs;
-    this.listener = client;
+    this.listener = listener;
   }
 
   public String volume() {
@@ -94,12 +94,12 @@
     return listener;
   }
 
-  /** Whether a process before may have begun it. */
+  /** Whether an earlier gateway process may have started it. */
   public boolean resumed() {
     return resumed;
   }
 
-  /** Bytes of data that are held for it. */
+  /** Number of data bytes held for this request. */
   long dataBytes() {
     return kind.carriesData() ? length : 0;
   }
--- a/src/main/java/hollyslip/engine/LaneBalancer.java
+++ b/src/main/java/hollyslip/engine/LaneBalancer.java
@@ -4,22 +4,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** Which volume moves to another lane, and when: decided once an interval from what each volume brought in
- * it. Free of I/O, clock and threads, the same for the same figures.
+/** Decides once per interval whether a volume moves to another lane, from the load of each volume. Without
+ * I/O, clock or threads, and deterministic.
  *
  * <p>
- * Guards against lanes that idle while one is overrun. A move empties the volume's limit bucket and pauses
- * its rings for as long as its last requests take, so it must gain: the two lanes must end nearer to each
- * other, and a volume that moved rests. Harm: a volume that alone is more than a lane can do stays where it
- * is. */
+ * This keeps lanes from idling while another is overloaded. A move empties the volume's rate limit bucket and
+ * pauses its rings until its last requests are answered, so a move must bring the two lanes closer together,
+ * and a volume that was moved stays for a while. The cost is that a volume which alone overloads a lane stays
+ * where it is. */
 final class LaneBalancer {
-  /** A lane is hot from this multiple of the mean on. */
+  /** A lane is hot above this multiple of the mean load. */
   static final double HOT_LANE_RATIO = 1.25;
 
-  /** Intervals for which a lane must have been hot before anything moves: a burst is over by then. */
+  /** Intervals for which a lane must have been hot before a volume moves, so that a burst causes no move. */
   static final int HOT_INTERVALS_BEFORE_MOVE = 3;
 
-  /** Intervals for which a volume that moved stays. */
+  /** Intervals for which a moved volume stays on its lane. */
   static final int REST_INTERVALS_AFTER_MOVE = 30;
 
   private final Map<Long, Long> lastMoveByVolume = new HashMap<>();
@@ -27,42 +27,44 @@
   private int hotLane = -1;
   private int hotIntervals;
 
-  /** What a volume brought in the interval, and its lane. */
-  record Load(long volume, int lane, long units) {}
+  /** Requests of a volume in an interval, and its lane. */
+  record Load(long volume, int lane, long requests) {}
 
-  /** A volume that is to move. */
+  /** A volume to be moved. */
   record Move(long volume, int from, int to) {}
 
-  /** One interval is over; null: nothing moves. */
+  /** Decides at the end of an interval; null if no volume moves. */
   Move decide(int lanes, List<Load> loads) {
     interval++;
-    lastMoveByVolume.values().removeIf(at -> interval - at > REST_INTERVALS_AFTER_MOVE);
-    long[] sum = new long[lanes];
-    loads.forEach(l -> sum[l.lane] += l.units);
-    int hot = 0;
-    int cold = 0;
-    long all = 0;
+    lastMoveByVolume.values().removeIf(movedAt -> interval - movedAt > REST_INTERVALS_AFTER_MOVE);
+    long[] laneLoads = new long[lanes];
+    loads.forEach(load -> laneLoads[load.lane] += load.requests);
+    int hottest = 0;
+    int coldest = 0;
+    long total = 0;
     for (int i = 0; i < lanes; i++) {
-      hot = sum[i] > sum[hot] ? i : hot;
-      cold = sum[i] < sum[cold] ? i : cold;
-      all += sum[i];
+      hottest = laneLoads[i] > laneLoads[hottest] ? i : hottest;
+      coldest = laneLoads[i] < laneLoads[coldest] ? i : coldest;
+      total += laneLoads[i];
     }
-    if (sum[hot] <= HOT_LANE_RATIO * all / lanes) {
+    if (laneLoads[hottest] <= HOT_LANE_RATIO * total / lanes) {
       hotIntervals = 0;
       return null;
     }
-    hotIntervals = hot == hotLane ? hotIntervals + 1 : 1;
-    hotLane = hot;
+    hotIntervals = hottest == hotLane ? hotIntervals + 1 : 1;
+    hotLane = hottest;
     if (hotIntervals < HOT_INTERVALS_BEFORE_MOVE) {
       return null;
     }
     Load best = null;
-    long gap = sum[hot] - sum[cold];
-    for (Load l : loads) {
-      boolean may = l.lane == hot && l.units > 0 && !lastMoveByVolume.containsKey(l.volume);
-      long left = Math.abs(gap - 2 * l.units);
-      if (may && left < gap && (best == null || left < Math.abs(gap - 2 * best.units))) {
-        best = l;
+    long gap = laneLoads[hottest] - laneLoads[coldest];
+    for (Load load : loads) {
+      boolean movable = load.lane == hottest && load.requests > 0 && !lastMoveByVolume.containsKey(
+          load.volume);
+      long gapAfterMove = Math.abs(gap - 2 * load.requests);
+      if (movable && gapAfterMove < gap && (best == null || gapAfterMove < Math.abs(gap - 2
+          * best.requests))) {
+        best = load;
       }
     }
     if (best == null) {
@@ -70,6 +72,6 @@
     }
     lastMoveByVolume.put(best.volume, interval);
     hotIntervals = 0;
-    return new Move(best.volume, hot, cold);
+    return new Move(best.volume, hottest, coldest);
   }
 }
--- a/src/main/java/hollyslip/engine/Lanes.java
+++ b/src/main/java/hollyslip/engine/Lanes.java
@@ -17,13 +17,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Several engines, each with a module and node connections of its own, on a core each: a lane acts as a host
- * among hosts. A volume is on one lane at a time, with all its rings, so its limit, reserve, order and
- * records are one module's; what hosts may do without knowing of each other, lanes may (docs/cores.md). */
+/** A group of engines, one per core, each with its own scheduler and node connections: a lane acts like one
+ * host among several. A volume is on one lane at a time, with all its rings, so that a single scheduler has
+ * its limit, reserve, order and records. Whatever hosts may do without knowing of each other, lanes may do
+ * too (docs/cores.md). */
 public final class Lanes implements Intake {
   private static final Logger LOG = LoggerFactory.getLogger(Lanes.class);
 
-  /** How often lanes are compared, ms. */
+  /** How often the loads of the lanes are compared, ms. */
   private static final long BALANCE_INTERVAL_MS = 1_000;
 
   private final List<Engine> engines;
@@ -32,48 +33,50 @@
   private final Map<String, Volume> volumes = new ConcurrentHashMap<>();
   private final Set<Runnable> capacityListeners = ConcurrentHashMap.newKeySet();
   private final LaneBalancer balancer = new LaneBalancer();
-  private final ScheduledExecutorService balanceTimer = Executors.newSingleThreadScheduledExecutor(r -> {
-    Thread t = new Thread(r, "lanes");
-    t.setDaemon(true);
-    return t;
+  private final ScheduledExecutorService balanceTimer = Executors.newSingleThreadScheduledExecutor(task -> {
+    Thread thread = new Thread(task, "lanes");
+    thread.setDaemon(true);
+    return thread;
   });
 
-  /** Where a volume's requests go; guarded by its own monitor, so that no request is under way to a lane that
-   * has been told to hand the volume over. */
+  /** Route of a volume's requests. Guarded by its own monitor, so that no request is on its way to a lane
+   * that has been told to hand the volume over. */
   private static final class Route {
     final long volumeId;
     int lane;
     boolean moving;
     VolumeChanged currentTerms;
     CompletableFuture<Void> lastChange = CompletableFuture.completedFuture(null);
-    long offeredRequests, balancedRequests;
+    long offeredRequests, countedRequests;
 
-    Route(long id, int lane) {
-      this.volumeId = id;
+    Route(long volumeId, int lane) {
+      this.volumeId = volumeId;
       this.lane = lane;
     }
   }
 
   /** @param engines
-   *          the lanes, not started; they must know no volumes yet
-   * @param fixed
+   *          the lanes, not started and without volumes
+   * @param configuredVolumes
    *          volumes of the settings
-   * @param terms
-   *          their terms, for a lane that takes one over */
-  public Lanes(List<Engine> engines, Map<String, Volume> fixed, Function<Volume, VolumeChanged> terms) {
+   * @param termsOf
+   *          their terms, for a lane that takes a volume over */
+  public Lanes(List<Engine> engines, Map<String, Volume> configuredVolumes,
+      Function<Volume, VolumeChanged> termsOf) {
     this.engines = List.copyOf(engines);
-    this.termsOf = terms;
-    fixed.values().forEach(v -> {
-      Route r = route(v);
+    this.termsOf = termsOf;
+    configuredVolumes.values().forEach(v -> {
+      Route route = route(v);
       volumes.put(v.name(), v);
-      engines.get(r.lane).addVolume(v);
+      engines.get(route.lane).addVolume(v);
     });
   }
 
-  /** Compares lanes from now on. */
+  /** Starts balancing the lanes. */
   public void start() {
     if (engines.size() > 1) {
-      balanceTimer.scheduleAtFixedRate(this::rebalance, BALANCE_INTERVAL_MS, BALANCE_INTERVAL_MS, TimeUnit.MILLISECONDS);
+      balanceTimer.scheduleAtFixedRate(this::rebalance, BALANCE_INTERVAL_MS, BALANCE_INTERVAL_MS,
+          TimeUnit.MILLISECONDS);
     }
   }
 
@@ -81,19 +84,18 @@
     return engines.size();
   }
 
-  /** A lane's engine. */
-  public Engine lane(int n) {
-    return engines.get(n);
+  public Engine lane(int index) {
+    return engines.get(index);
   }
 
-  /** The lane of a volume, -1: it is not known. */
+  /** The lane of a volume; -1 if the volume is unknown. */
   public int laneOf(String volume) {
-    Route r = routes.get(volume);
-    if (r == null) {
+    Route route = routes.get(volume);
+    if (route == null) {
       return -1;
     }
-    synchronized (r) {
-      return r.lane;
+    synchronized (route) {
+      return route.lane;
     }
   }
 
@@ -103,16 +105,16 @@
 
   @Override
   public boolean offer(Io io) {
-    Route r = routes.get(io.volume());
-    if (r == null) {
+    Route route = routes.get(io.volume());
+    if (route == null) {
       throw new IllegalArgumentException("volume: " + io.volume() + " is not known");
     }
-    synchronized (r) {
-      if (r.moving) {
+    synchronized (route) {
+      if (route.moving) {
         return false;
       }
-      r.offeredRequests++;
-      return engines.get(r.lane).offer(io);
+      route.offeredRequests++;
+      return engines.get(route.lane).offer(io);
     }
   }
 
@@ -140,77 +142,78 @@
     return Collections.unmodifiableMap(volumes);
   }
 
-  /** As {@link Engine#serve}, on the volume's lane. */
-  public CompletableFuture<Void> serve(Volume volume, VolumeChanged changed) {
-    Route r = route(volume);
-    synchronized (r) {
-      r.lastChange = r.lastChange.thenCompose(done -> {
-        synchronized (r) {
-          r.currentTerms = changed;
-          return engines.get(r.lane).serve(volume, changed);
+  /** Like {@link Engine#serve}, on the volume's lane. */
+  public CompletableFuture<Void> serve(Volume volume, VolumeChanged newTerms) {
+    Route route = route(volume);
+    synchronized (route) {
+      route.lastChange = route.lastChange.thenCompose(done -> {
+        synchronized (route) {
+          route.currentTerms = newTerms;
+          return engines.get(route.lane).serve(volume, newTerms);
         }
       });
-      return r.lastChange.thenRun(() -> volumes.put(volume.name(), volume));
+      return route.lastChange.thenRun(() -> volumes.put(volume.name(), volume));
     }
   }
 
-  /** As {@link Engine#drain}, on the volume's lane. */
+  /** Like {@link Engine#drain}, on the volume's lane. */
   public CompletableFuture<Void> drain(Volume volume) {
-    Route r = routes.get(volume.name());
-    if (r == null) {
+    Route route = routes.get(volume.name());
+    if (route == null) {
       return CompletableFuture.completedFuture(null);
     }
-    synchronized (r) {
-      r.lastChange = r.lastChange.thenCompose(done -> {
-        synchronized (r) {
-          return engines.get(r.lane).drain(volume);
+    synchronized (route) {
+      route.lastChange = route.lastChange.thenCompose(done -> {
+        synchronized (route) {
+          return engines.get(route.lane).drain(volume);
         }
       });
-      return r.lastChange.thenRun(() -> {
-        routes.remove(volume.name(), r);
+      return route.lastChange.thenRun(() -> {
+        routes.remove(volume.name(), route);
         volumes.remove(volume.name());
       });
     }
   }
 
-  /** Moves a volume to a lane: its requests wait in their rings while those that are inside are answered,
-   * then the other lane takes it on. Complete when the other lane serves it; what fails leaves it where it
-   * is. */
+  /** Moves a volume to a lane: its new requests wait in their rings until those in flight are answered, then
+   * the other lane takes over. Completes when the other lane serves the volume; a failed move leaves it on
+   * its lane. */
   public CompletableFuture<Void> move(String volume, int to) {
-    Route r = routes.get(volume);
-    if (r == null) {
+    Route route = routes.get(volume);
+    if (route == null) {
       return CompletableFuture.failedFuture(new IllegalArgumentException("volume: " + volume
           + " is not known"));
     }
-    synchronized (r) {
-      r.lastChange = r.lastChange.thenCompose(done -> moveNow(volume, r, to));
-      return r.lastChange;
+    synchronized (route) {
+      route.lastChange = route.lastChange.thenCompose(done -> moveNow(volume, route, to));
+      return route.lastChange;
     }
   }
 
-  private CompletableFuture<Void> moveNow(String volume, Route r, int to) {
+  private CompletableFuture<Void> moveNow(String volume, Route route, int to) {
     Volume v = volumes.get(volume);
     Engine from;
-    synchronized (r) {
-      if (v == null || r.lane == to) {
+    synchronized (route) {
+      if (v == null || route.lane == to) {
         return CompletableFuture.completedFuture(null);
       }
-      from = engines.get(r.lane);
-      r.moving = true;
+      from = engines.get(route.lane);
+      route.moving = true;
     }
-    VolumeChanged told = r.currentTerms != null ? r.currentTerms : termsOf.apply(v);
-    long at = System.nanoTime();
-    CompletableFuture<Void> done = from.handOver(v).thenCompose(none -> engines.get(to).serve(v, told));
-    return done.whenComplete((ok, error) -> {
-      synchronized (r) {
-        r.lane = error == null ? to : r.lane;
-        r.moving = false;
+    VolumeChanged volumeTerms = route.currentTerms != null ? route.currentTerms : termsOf.apply(v);
+    long startNs = System.nanoTime();
+    CompletableFuture<Void> moved = from.handOver(v)
+        .thenCompose(done -> engines.get(to).serve(v, volumeTerms));
+    return moved.whenComplete((ok, error) -> {
+      synchronized (route) {
+        route.lane = error == null ? to : route.lane;
+        route.moving = false;
       }
       capacityListeners.forEach(Runnable::run);
       LOG.atInfo()
           .addKeyValue("volume", volume)
           .addKeyValue("lane", to)
-          .addKeyValue("paused_us", (System.nanoTime() - at) / 1_000)
+          .addKeyValue("paused_us", (System.nanoTime() - startNs) / 1_000)
           .setCause(error)
           .log("volume.moved");
     });
@@ -219,42 +222,43 @@
   private void rebalance() {
     List<LaneBalancer.Load> loads = new ArrayList<>();
     Map<Long, String> names = new java.util.HashMap<>();
-    routes.forEach((name, r) -> {
-      synchronized (r) {
-        loads.add(new LaneBalancer.Load(r.volumeId, r.lane, r.offeredRequests - r.balancedRequests));
-        r.balancedRequests = r.offeredRequests;
+    routes.forEach((name, route) -> {
+      synchronized (route) {
+        loads.add(new LaneBalancer.Load(route.volumeId, route.lane, route.offeredRequests
+            - route.countedRequests));
+        route.countedRequests = route.offeredRequests;
       }
-      names.put(r.volumeId, name);
+      names.put(route.volumeId, name);
     });
     loads.sort((a, b) -> Long.compare(a.volume(), b.volume()));
-    LaneBalancer.Move m = balancer.decide(engines.size(), loads);
-    if (m != null) {
-      move(names.get(m.volume()), m.to());
+    LaneBalancer.Move move = balancer.decide(engines.size(), loads);
+    if (move != null) {
+      move(names.get(move.volume()), move.to());
     }
   }
 
-  /** News of the node list, for all lanes. */
+  /** Applies an update of the node list to all lanes. */
   public void nodes(NodeList list) {
     engines.forEach(e -> e.nodes(list));
   }
 
-  /** As {@link Engine#refuseAll}. */
+  /** Like {@link Engine#refuseAll}, on all lanes. */
   public void refuseAll() {
     engines.forEach(Engine::refuseAll);
   }
 
-  /** Sums over the lanes. */
+  /** Totals over all lanes. */
   public Engine.Totals totals() {
     return engines.stream().map(Engine::totals).reduce(Engine.Totals::plus).orElseThrow();
   }
 
-  /** As {@link Engine#stop}, all lanes. */
+  /** Like {@link Engine#stop}, on all lanes. */
   public CompletableFuture<Void> stop() {
     balanceTimer.shutdownNow();
     return allOf(Engine::stop);
   }
 
-  /** Complete when all lanes have ended; exceptionally as soon as one has with a fault. */
+  /** Completes when all lanes have ended; exceptionally as soon as one of them ends with a fault. */
   public CompletableFuture<Void> ended() {
     CompletableFuture<Void> all = allOf(Engine::termination);
     engines.forEach(e -> e.termination().exceptionally(error -> {
@@ -264,7 +268,7 @@
     return all;
   }
 
-  private CompletableFuture<Void> allOf(Function<Engine, CompletableFuture<Void>> each) {
-    return CompletableFuture.allOf(engines.stream().map(each).toArray(CompletableFuture<?>[]::new));
+  private CompletableFuture<Void> allOf(Function<Engine, CompletableFuture<Void>> operation) {
+    return CompletableFuture.allOf(engines.stream().map(operation).toArray(CompletableFuture<?>[]::new));
   }
 }
--- a/src/main/java/hollyslip/engine/Mailbox.java
+++ b/src/main/java/hollyslip/engine/Mailbox.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.locks.LockSupport;
 import org.jctools.queues.MpscUnboundedArrayQueue;
 
-/** What other threads have for the engine, and how it sleeps until there is something. Letters are the things
- * themselves that happened, so that posting one makes no garbage. */
+/** Messages from other threads to the engine, and the engine's sleep until one arrives. Requests and attempts
+ * are messages themselves, so that posting them allocates nothing. */
 final class Mailbox {
   private static final int CHUNK_SIZE = 4_096;
 
@@ -18,34 +18,34 @@
     owner = thread;
   }
 
-  /** Any thread. */
-  void post(Runnable letter) {
-    queue.add(letter);
+  /** Thread-safe. */
+  void post(Runnable message) {
+    queue.add(message);
     if (asleep) {
       LockSupport.unpark(owner);
     }
   }
 
-  /** The owner alone. */
+  /** Owner thread only. */
   Runnable poll() {
     return queue.poll();
   }
 
-  /** The owner alone. */
+  /** Owner thread only. */
   boolean isEmpty() {
     return queue.isEmpty();
   }
 
-  /** Waits for a letter, but no longer than so many us. */
+  /** Waits for a message, at most for the given us. Owner thread only. */
   void await(long us) {
     if (spin.until(us * 1_000, () -> !queue.isEmpty())) {
       return;
     }
-    long left = us * 1_000 - spin.lastSpinNs();
-    if (left > 0) {
+    long remainingNs = us * 1_000 - spin.lastSpinNs();
+    if (remainingNs > 0) {
       asleep = true;
       if (queue.isEmpty()) {
-        LockSupport.parkNanos(this, left);
+        LockSupport.parkNanos(this, remainingNs);
       }
       asleep = false;
     }
--- a/src/main/java/hollyslip/engine/NodePort.java
+++ b/src/main/java/hollyslip/engine/NodePort.java
@@ -1,37 +1,38 @@
 package hollyslip.engine;
 
-/** The engine's way out to the storage nodes. All calls come on the engine's thread and must not block; what
- * comes back is handed to {@link Engine#outcome}, {@link Engine#probed} and {@link Engine#resolved}, from any
- * thread. */
+/** Connects the engine to the storage nodes. All calls come on the engine's thread and must not block;
+ * results are reported through {@link Engine#outcome}, {@link Engine#probed} and {@link Engine#resolved},
+ * from any thread. */
 public interface NodePort {
-  /** Starts an attempt. A failure that is known at once may be told during the call. */
+  /** Starts an attempt. A failure that is known at once may be reported during the call. */
   void send(Attempt attempt);
 
-  /** What {@link #withdraw} found. */
+  /** Result of {@link #withdraw}. */
   enum Withdrawn {
-    /** No byte of it had left: it never runs. */
+    /** No byte had been sent: the attempt never runs. */
     NEVER_SENT,
-    /** It may run; {@link Engine#resolved} comes when it no longer can. */
+    /** It may still run; {@link Engine#resolved} is called once it no longer can. */
     MAY_RUN,
-    /** It had ended already; its outcome is under way. */
+    /** It had already ended; its outcome is on its way. */
     ENDED
   }
 
-  /** Gives an attempt up: after this call nothing touches its data. */
+  /** Withdraws an attempt: after this call nothing touches its data. */
   Withdrawn withdraw(Attempt attempt);
 
-  /** Asks that an attempt which may still run at its node be made harmless; something waits for it. */
+  /** Requests that an attempt which may still run at its node be fenced, because a request waits for its
+   * block range. */
   void fence(Attempt attempt);
 
-  /** Asks a node how it is. */
+  /** Sends a probe to a node. */
   void probe(long node);
 
-  /** Sends on what the calls before have collected: the end of a turn. */
+  /** Sends what the calls of this turn have buffered; called at the end of each turn. */
   void flush();
 
-  /** Asks for news of the node list; they come by {@link Engine#nodes}. */
+  /** Subscribes to the node list; updates arrive through {@link Engine#nodes}. */
   void watch();
 
-  /** Closes everything; nothing is told any more. */
+  /** Closes all connections; nothing is reported any more. */
   void close();
 }
--- a/src/main/java/hollyslip/engine/RangeLocks.java
+++ b/src/main/java/hollyslip/engine/RangeLocks.java
@@ -7,108 +7,110 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Keeps changes of the same blocks in order of arrival: a change holds its range of a shard from when it is
- * let through until it is answered and none of its attempts can have an effect any more; one that overlaps
- * waits.
+/** Orders writes (requests that modify data) to the same blocks by arrival: a write holds its range of a
+ * shard from when it is granted until it is answered and none of its attempts can have an effect any more; an
+ * overlapping write waits.
  *
  * <p>
- * Guards against the late write: a write given up here may sit in its node's queue and land after a newer
- * write to the same blocks was answered, so that reads would go back in time. Harm: a newer write to those
- * blocks waits until the node answers, is fenced or is known to be gone, and is refused if its client's time
- * ends before that. Reads and ranges that do not overlap wait for nothing. */
+ * This guards against late writes: a write that was withdrawn here may still sit in its node's queue and land
+ * after a newer write to the same blocks was answered, so that reads would go back in time. The cost is that
+ * the newer write waits until the node answers, the old write is fenced or it is known to be gone; it is
+ * refused if its client's deadline comes first. Reads and writes of other ranges do not wait. */
 final class RangeLocks {
   private final Map<Integer, ShardLocks> shards = new HashMap<>();
 
   private static final class ShardLocks {
-    /** By first byte; pieces that hold never overlap. */
+    /** By first byte; held ranges never overlap. */
     final TreeMap<Long, SubRequest> held = new TreeMap<>();
     final ArrayDeque<SubRequest> waiting = new ArrayDeque<>();
     long maxHeldLength;
   }
 
-  /** Whether the piece may go now; otherwise it waits and comes out of a later {@link #unlock}. */
-  boolean lockOrEnqueue(SubRequest piece) {
-    ShardLocks shard = shards.computeIfAbsent(piece.shard, k -> new ShardLocks());
-    if (!shard.waiting.isEmpty() && shard.waiting.stream().anyMatch(w -> overlaps(w, piece)) || blockers(shard,
-        piece) != null) {
-      shard.waiting.add(piece);
+  /** Locks the range and returns true, or queues the sub-request, which a later {@link #unlock} returns. */
+  boolean lockOrEnqueue(SubRequest subRequest) {
+    ShardLocks shard = shards.computeIfAbsent(subRequest.shard, k -> new ShardLocks());
+    if (!shard.waiting.isEmpty() && shard.waiting.stream().anyMatch(w -> overlaps(w, subRequest)) || blockers(
+        shard,
+        subRequest) != null) {
+      shard.waiting.add(subRequest);
       return false;
     }
-    hold(shard, piece);
+    hold(shard, subRequest);
     return true;
   }
 
-  /** Ends a hold and gives the pieces that may go now, in order. */
-  List<SubRequest> unlock(SubRequest piece) {
-    ShardLocks shard = shards.get(piece.shard);
-    if (shard == null || !shard.held.remove(piece.offset, piece)) {
+  /** Releases a range; returns the waiting sub-requests that now hold theirs, in order. */
+  List<SubRequest> unlock(SubRequest subRequest) {
+    ShardLocks shard = shards.get(subRequest.shard);
+    if (shard == null || !shard.held.remove(subRequest.offset, subRequest)) {
       return List.of();
     }
-    return grantWaiting(shard, piece.shard);
+    return grantWaiting(shard, subRequest.shard);
   }
 
-  /** A waiting piece gives up; gives the pieces that may go now because of it. */
-  List<SubRequest> cancelWait(SubRequest piece) {
-    ShardLocks shard = shards.get(piece.shard);
-    if (shard == null || !shard.waiting.remove(piece)) {
+  /** Removes a waiting sub-request; returns those that now hold their ranges because of it. */
+  List<SubRequest> cancelWait(SubRequest subRequest) {
+    ShardLocks shard = shards.get(subRequest.shard);
+    if (shard == null || !shard.waiting.remove(subRequest)) {
       return List.of();
     }
-    return grantWaiting(shard, piece.shard);
+    return grantWaiting(shard, subRequest.shard);
   }
 
-  /** What a waiting piece waits for: the pieces that hold its blocks. */
-  List<SubRequest> blockers(SubRequest piece) {
-    ShardLocks shard = shards.get(piece.shard);
-    List<SubRequest> found = shard == null ? null : blockers(shard, piece);
-    return found == null ? List.of() : found;
+  /** The sub-requests whose ranges a waiting one overlaps. */
+  List<SubRequest> blockers(SubRequest subRequest) {
+    ShardLocks shard = shards.get(subRequest.shard);
+    List<SubRequest> blockers = shard == null ? null : blockers(shard, subRequest);
+    return blockers == null ? List.of() : blockers;
   }
 
-  /** Whether something waits for the blocks that this piece holds. */
+  /** Whether a sub-request waits for a block that this one holds. */
   boolean hasWaiters(SubRequest holder) {
     ShardLocks shard = shards.get(holder.shard);
     return shard != null && !shard.waiting.isEmpty() && shard.waiting.stream()
         .anyMatch(w -> overlaps(w, holder));
   }
 
-  /** Pieces that hold or wait. */
+  /** Number of sub-requests that hold or wait for a range. */
   int size() {
     return shards.values().stream().mapToInt(s -> s.held.size() + s.waiting.size()).sum();
   }
 
-  private List<SubRequest> grantWaiting(ShardLocks shard, int number) {
-    List<SubRequest> free = new ArrayList<>();
-    List<SubRequest> still = new ArrayList<>();
+  private List<SubRequest> grantWaiting(ShardLocks shard, int shardNumber) {
+    List<SubRequest> granted = new ArrayList<>();
+    List<SubRequest> stillWaiting = new ArrayList<>();
     while (!shard.waiting.isEmpty()) {
-      SubRequest w = shard.waiting.poll();
-      if (blockers(shard, w) == null && still.stream().noneMatch(s -> overlaps(s, w))) {
-        hold(shard, w);
-        free.add(w);
+      SubRequest waiter = shard.waiting.poll();
+      if (blockers(shard, waiter) == null && stillWaiting.stream().noneMatch(s -> overlaps(s, waiter))) {
+        hold(shard, waiter);
+        granted.add(waiter);
       } else {
-        still.add(w);
+        stillWaiting.add(waiter);
       }
     }
-    shard.waiting.addAll(still);
+    shard.waiting.addAll(stillWaiting);
     if (shard.held.isEmpty() && shard.waiting.isEmpty()) {
-      shards.remove(number);
+      shards.remove(shardNumber);
     }
-    return free;
+    return granted;
   }
 
-  private static void hold(ShardLocks shard, SubRequest piece) {
-    shard.held.put(piece.offset, piece);
-    shard.maxHeldLength = Math.max(shard.maxHeldLength, piece.length);
+  private static void hold(ShardLocks shard, SubRequest subRequest) {
+    shard.held.put(subRequest.offset, subRequest);
+    shard.maxHeldLength = Math.max(shard.maxHeldLength, subRequest.length);
   }
 
-  private static List<SubRequest> blockers(ShardLocks shard, SubRequest piece) {
-    List<SubRequest> found = null;
-    for (SubRequest h : shard.held.subMap(piece.offset - shard.maxHeldLength, false, piece.offset + piece.length, false)
+  private static List<SubRequest> blockers(ShardLocks shard, SubRequest subRequest) {
+    List<SubRequest> blockers = null;
+    for (SubRequest holder : shard.held.subMap(subRequest.offset - shard.maxHeldLength, false,
+        subRequest.offset + subRequest.length, false)
         .values()) {
-      if (overlaps(h, piece)) {
-        found = found == null ? new ArrayList<>(2) : found;
-        found.add(h);
+      if (overlaps(holder, subRequest)) {
+        blockers = blockers == null ? new ArrayList<>(2) : blockers;
+        blockers.add(holder);
       }
     }
-    return found;
+    return blockers;
   }
 
   private static boolean overlaps(SubRequest a, SubRequest b) {
--- a/src/main/java/hollyslip/engine/Spin.java
+++ b/src/main/java/hollyslip/engine/Spin.java
@@ -2,34 +2,34 @@
 
 import java.util.function.BooleanSupplier;
 
-/** How long a thread looks for work before it sleeps: waking it costs tens of us, so where work comes often
- * it looks longer, where looking was in vain, shorter. Harm: up to the most of it is burnt of a core before
- * each sleep. For one thread. */
+/** Spins for work before the thread sleeps, since waking it takes tens of us: longer where work arrives
+ * often, shorter where spinning was in vain. The cost is up to {@code MAX_SPIN_NS} of a core before each
+ * sleep. For a single thread. */
 public final class Spin {
   private static final long MIN_SPIN_NS = 5_000, MAX_SPIN_NS = 120_000;
 
   private long spinNs = MAX_SPIN_NS / 4;
   private long lastSpinNs;
 
-  /** Looks until there is work or the time is up; whether there is. */
-  public boolean until(long mostNs, BooleanSupplier work) {
-    long from = System.nanoTime();
-    long most = Math.min(spinNs, mostNs);
+  /** Spins until there is work or the time is up; returns whether there is work. */
+  public boolean until(long maxNs, BooleanSupplier work) {
+    long startNs = System.nanoTime();
+    long limitNs = Math.min(spinNs, maxNs);
     do {
       if (work.getAsBoolean()) {
         spinNs = Math.min(MAX_SPIN_NS, spinNs * 2);
         return true;
       }
       Thread.onSpinWait();
-      lastSpinNs = System.nanoTime() - from;
-    } while (lastSpinNs < most);
-    if (most == spinNs) {
+      lastSpinNs = System.nanoTime() - startNs;
+    } while (lastSpinNs < limitNs);
+    if (limitNs == spinNs) {
       spinNs = Math.max(MIN_SPIN_NS, spinNs / 2);
     }
     return false;
   }
 
-  /** How long the last look in vain took, ns. */
+  /** Duration of the last spin without work, ns. */
   long lastSpinNs() {
     return lastSpinNs;
   }
--- a/src/main/java/hollyslip/engine/SubRequest.java
+++ b/src/main/java/hollyslip/engine/SubRequest.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A part of a request that lies on one shard: one request of the module. */
+/** The part of a request that lies on one shard; the scheduler sees it as a request of its own. */
 final class SubRequest {
   final long id;
   final ActiveRequest request;
@@ -14,47 +14,47 @@
   final long offset;
   final long requestOffset;
   final long length;
-  /** Attempts, in order of their numbers. */
+  /** Indexed by attempt number. */
   final List<Attempt> attempts = new ArrayList<>(1);
-  /** Ends its wait for its blocks. */
+  /** Ends the wait for the block range before the deadline. */
   TimerQueue.Timer lockWaitTimer;
   boolean submitted;
-  /** Whether it counts among those that hold or wait for blocks. */
+  /** Whether its volume counts it as holding or waiting for a block range. */
   boolean countedAsLocking;
   boolean answered;
   /** Attempts that may still have an effect at a node. */
   int unresolvedAttempts;
 
-  SubRequest(long id, ActiveRequest operation, int shard, long offset, long from, long length) {
+  SubRequest(long id, ActiveRequest request, int shard, long offset, long requestOffset, long length) {
     this.id = id;
-    this.request = operation;
-    this.kind = operation.io.kind();
+    this.request = request;
+    this.kind = request.io.kind();
     this.shard = shard;
     this.offset = offset;
-    this.requestOffset = from;
+    this.requestOffset = requestOffset;
     this.length = length;
   }
 
-  /** Views of the request's buffers that cover this piece. */
+  /** Views of the request's buffers that cover this sub-request. */
   List<ByteBuffer> data() {
-    List<ByteBuffer> all = request.io.data();
-    if (all.isEmpty()) {
-      return all;
+    List<ByteBuffer> buffers = request.io.data();
+    if (buffers.isEmpty()) {
+      return buffers;
     }
-    List<ByteBuffer> mine = new ArrayList<>(all.size());
+    List<ByteBuffer> views = new ArrayList<>(buffers.size());
     long skip = requestOffset;
-    long left = length;
-    for (ByteBuffer b : all) {
-      int size = b.remaining();
+    long remaining = length;
+    for (ByteBuffer buffer : buffers) {
+      int size = buffer.remaining();
       if (skip >= size) {
         skip -= size;
-      } else if (left > 0) {
-        int n = (int) Math.min(left, size - skip);
-        mine.add(b.slice(b.position() + (int) skip, n));
-        left -= n;
+      } else if (remaining > 0) {
+        int count = (int) Math.min(remaining, size - skip);
+        views.add(buffer.slice(buffer.position() + (int) skip, count));
+        remaining -= count;
         skip = 0;
       }
     }
-    return mine;
+    return views;
   }
 }
--- a/src/main/java/hollyslip/engine/TimerQueue.java
+++ b/src/main/java/hollyslip/engine/TimerQueue.java
@@ -2,11 +2,10 @@
 
 import java.util.Arrays;
 
-/** Due times on the engine's clock, us, earliest first, then in the order in which they were set. A cancelled
- * one is gone at once: nearly all are cancelled, long before they are due, and would be kept alive by the
- * heap, with all that they point to. */
+/** Timers on the engine's clock, us: by due time, then in the order in which they were set. A cancelled timer
+ * is removed at once, since nearly all timers are cancelled long before they are due, and the heap would keep
+ * them and all that they refer to alive. */
 final class TimerQueue {
-  /** What is to be done. */
   interface Task {
     void onDue();
   }
@@ -15,20 +14,19 @@
   private int count;
   private long nextSequence;
 
-  /** A timer. */
   final class Timer {
     private final long dueAt;
     private final long sequence;
     private Task task;
     private int heapIndex;
 
-    private Timer(long at, long order, Task task) {
-      this.dueAt = at;
-      this.sequence = order;
+    private Timer(long dueAt, long sequence, Task task) {
+      this.dueAt = dueAt;
+      this.sequence = sequence;
       this.task = task;
     }
 
-    /** It does nothing any more; again, or after it was due, changes nothing. */
+    /** Cancels the timer; no effect if it was cancelled before or has run. */
     void cancel() {
       if (task != null) {
         task = null;
@@ -36,21 +34,21 @@
       }
     }
 
-    private boolean before(Timer o) {
-      return dueAt != o.dueAt ? dueAt < o.dueAt : sequence < o.sequence;
+    private boolean before(Timer other) {
+      return dueAt != other.dueAt ? dueAt < other.dueAt : sequence < other.sequence;
     }
   }
 
-  Timer schedule(long at, Task task) {
-    Timer e = new Timer(at, nextSequence++, task);
+  Timer schedule(long dueAt, Task task) {
+    Timer timer = new Timer(dueAt, nextSequence++, task);
     if (count == heap.length) {
       heap = Arrays.copyOf(heap, 2 * count);
     }
-    siftUp(e, count++);
-    return e;
+    siftUp(timer, count++);
+    return timer;
   }
 
-  /** Runs what is due, also what it sets as due meanwhile. */
+  /** Runs all due timers, including those that they schedule as due in turn. */
   void runDue(long now) {
     while (count > 0 && heap[0].dueAt <= now) {
       Task task = heap[0].task;
@@ -60,7 +58,7 @@
     }
   }
 
-  /** Due time of the next one, or {@code Long.MAX_VALUE}. */
+  /** Due time of the next timer; {@code Long.MAX_VALUE} if there is none. */
   long nextDueTime() {
     return count == 0 ? Long.MAX_VALUE : heap[0].dueAt;
   }
@@ -69,41 +67,41 @@
     return count;
   }
 
-  private void remove(int place) {
+  private void remove(int index) {
     Timer last = heap[--count];
     heap[count] = null;
-    if (place < count) {
-      siftUp(last, place);
+    if (index < count) {
+      siftUp(last, index);
       siftDown(last, last.heapIndex);
     }
   }
 
-  private void setSlot(Timer e, int place) {
-    heap[place] = e;
-    e.heapIndex = place;
+  private void setSlot(Timer timer, int index) {
+    heap[index] = timer;
+    timer.heapIndex = index;
   }
 
-  private void siftUp(Timer e, int from) {
-    int at = from;
-    while (at > 0 && e.before(heap[(at - 1) / 2])) {
-      setSlot(heap[(at - 1) / 2], at);
-      at = (at - 1) / 2;
+  private void siftUp(Timer timer, int start) {
+    int index = start;
+    while (index > 0 && timer.before(heap[(index - 1) / 2])) {
+      setSlot(heap[(index - 1) / 2], index);
+      index = (index - 1) / 2;
     }
-    setSlot(e, at);
+    setSlot(timer, index);
   }
 
-  private void siftDown(Timer e, int from) {
-    int at = from;
-    for (int child = 2 * at + 1; child < count; child = 2 * at + 1) {
+  private void siftDown(Timer timer, int start) {
+    int index = start;
+    for (int child = 2 * index + 1; child < count; child = 2 * index + 1) {
       if (child + 1 < count && heap[child + 1].before(heap[child])) {
         child++;
       }
-      if (!heap[child].before(e)) {
+      if (!heap[child].before(timer)) {
         break;
       }
-      setSlot(heap[child], at);
-      at = child;
+      setSlot(heap[child], index);
+      index = child;
     }
-    setSlot(e, at);
+    setSlot(timer, index);
   }
 }
--- a/src/main/java/hollyslip/fleet/Membership.java
+++ b/src/main/java/hollyslip/fleet/Membership.java
@@ -9,8 +9,8 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** What the module is told of the nodes: the operator's list, and starts that were seen on the way to a node.
- * Free of I/O and clock; not safe for several threads at once. */
+/** The nodes as reported to the scheduler: the operator's list, combined with node starts that were observed
+ * on connections. Without I/O or clock. Thread-safe; the listener runs while the lock is held. */
 public final class Membership {
   private final long coldPeriodUs;
   private final Consumer<NodeList> listener;
@@ -22,65 +22,67 @@
     long bootId;
   }
 
-  /** @param coldUs
-   *          how long a started node is cold, us
-   * @param told
-   *          hears every change */
-  public Membership(long coldUs, Consumer<NodeList> told) {
-    this.coldPeriodUs = coldUs;
-    this.listener = told;
+  /** @param coldPeriodUs
+   *          how long a node is cold after its start, us
+   * @param listener
+   *          receives every change */
+  public Membership(long coldPeriodUs, Consumer<NodeList> listener) {
+    this.coldPeriodUs = coldPeriodUs;
+    this.listener = listener;
   }
 
-  /** The operator's whole list: nodes not named are gone. A start that was seen here stays known, whatever an
-   * older list says. */
+  /** Replaces the operator's list; nodes that are not in it are removed. An observed start is kept even if
+   * the list is older. */
   public synchronized void replace(List<Listed> list) {
-    Map<Long, KnownNode> before = new TreeMap<>(nodes);
+    Map<Long, KnownNode> previous = new TreeMap<>(nodes);
     nodes.clear();
-    for (Listed l : list) {
-      KnownNode k = before.getOrDefault(l.node(), new KnownNode());
-      long born = Math.max(l.bornUs(), k.entry == null ? 0 : k.entry.bornUs());
-      k.entry = new Listed(l.node(), l.zone(), l.cell(), l.state(), born);
-      nodes.put(l.node(), k);
+    for (Listed listed : list) {
+      KnownNode known = previous.getOrDefault(listed.node(), new KnownNode());
+      long bornUs = Math.max(listed.bornUs(), known.entry == null ? 0 : known.entry.bornUs());
+      known.entry = new Listed(listed.node(), listed.zone(), listed.cell(), listed.state(), bornUs);
+      nodes.put(listed.node(), known);
     }
     listener.accept(new NodeList(true, list()));
   }
 
-  /** One node's state changed: the operator's word. False: it is not listed. */
+  /** Sets a node's state as the operator gives it. Returns false if the node is not listed. */
   public synchronized boolean state(long node, NodeState state) {
-    KnownNode k = nodes.get(node);
-    if (k == null) {
+    KnownNode known = nodes.get(node);
+    if (known == null) {
       return false;
     }
-    k.entry = new Listed(node, k.entry.zone(), k.entry.cell(), state, k.entry.bornUs());
-    listener.accept(new NodeList(false, List.of(k.entry)));
+    known.entry = new Listed(node, known.entry.zone(), known.entry.cell(), state, known.entry.bornUs());
+    listener.accept(new NodeList(false, List.of(known.entry)));
     return true;
   }
 
-  /** A node said when it started: {@code boot} tells its starts apart. Whether this start is news and the
-   * node may still be cold; a first sight of one that started long ago is neither. */
+  /** Records the start that a node reports; {@code boot} distinguishes its starts. Returns whether this start
+   * is new and the node may still be cold, which excludes the first contact with a node that started long
+   * ago. */
   public synchronized boolean started(long node, long boot, long ageUs, long now) {
-    KnownNode k = nodes.get(node);
-    if (k == null || k.bootSeen && k.bootId == boot) {
+    KnownNode known = nodes.get(node);
+    if (known == null || known.bootSeen && known.bootId == boot) {
       return false;
     }
-    k.bootSeen = true;
-    k.bootId = boot;
+    known.bootSeen = true;
+    known.bootId = boot;
     if (ageUs >= coldPeriodUs) {
       return false;
     }
-    k.entry = new Listed(node, k.entry.zone(), k.entry.cell(), k.entry.state(), Math.max(1, now - ageUs));
-    listener.accept(new NodeList(false, List.of(k.entry)));
+    known.entry = new Listed(node, known.entry.zone(), known.entry.cell(), known.entry.state(), Math.max(1,
+        now - ageUs));
+    listener.accept(new NodeList(false, List.of(known.entry)));
     return true;
   }
 
-  /** The list as it stands. */
+  /** The current list. */
   public synchronized List<Listed> list() {
     List<Listed> all = new ArrayList<>();
-    nodes.values().forEach(k -> all.add(k.entry));
+    nodes.values().forEach(known -> all.add(known.entry));
     return all;
   }
 
-  /** Tells the whole list again. */
+  /** Reports the whole list to the listener again. */
   public synchronized void tellAgain() {
     listener.accept(new NodeList(true, list()));
   }
--- a/src/main/java/hollyslip/recovery/Epoch.java
+++ b/src/main/java/hollyslip/recovery/Epoch.java
@@ -10,30 +10,30 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** A number that grows with each start of a gateway, whatever the clock does: nodes fence earlier ones. Its
- * folder is one process's until {@link #close}. */
+/** Stores the epoch of a gateway, a number that grows with each start whatever the clock does: nodes fence
+ * earlier epochs. Locks its state directory against other processes until {@link #close}. */
 public final class Epoch implements AutoCloseable {
   private final Path file;
   private final FileChannel lock;
   private long last;
 
-  /** Opens the record of a state folder.
+  /** Opens the epoch file of a state directory.
    *
    * @throws IOException
-   *           another process has it, or it cannot be read: taking a guess could let an old process's writes
-   *           through */
-  public Epoch(Path folder) throws IOException {
-    Files.createDirectories(folder);
-    file = folder.resolve("epoch");
-    lock = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+   *           another process uses the directory, or the file cannot be read; assuming an epoch could let
+   *           writes of an old process through */
+  public Epoch(Path directory) throws IOException {
+    Files.createDirectories(directory);
+    file = directory.resolve("epoch");
+    lock = FileChannel.open(directory.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     try {
       if (lock.tryLock() == null) {
-        throw new IOException(folder + ": another process uses this state folder");
+        throw new IOException(directory + ": another process uses this state folder");
       }
       last = parse(Files.exists(file) ? Files.readString(file) : null);
     } catch (OverlappingFileLockException e) {
       lock.close();
-      throw new IOException(folder + ": another gateway of this process uses this state folder", e);
+      throw new IOException(directory + ": another gateway of this process uses this state folder", e);
     } catch (IllegalArgumentException e) {
       lock.close();
       throw new IOException(file + ": " + e.getMessage(), e);
@@ -43,41 +43,41 @@
     }
   }
 
-  /** The number in a record's text; null: there is none. */
+  /** Parses the content of the epoch file; a null content, when there is no file, counts as 0. */
   static long parse(String text) {
     if (text == null) {
       return 0;
     }
     try {
-      long n = Long.parseLong(text.strip());
-      if (n < 0 || n == Long.MAX_VALUE) {
-        throw new IllegalArgumentException("epoch: " + n + " is out of range");
+      long epoch = Long.parseLong(text.strip());
+      if (epoch < 0 || epoch == Long.MAX_VALUE) {
+        throw new IllegalArgumentException("epoch: " + epoch + " is out of range");
       }
-      return n;
+      return epoch;
     } catch (NumberFormatException e) {
       throw new IllegalArgumentException("epoch: not a number: '" + text.strip() + "'", e);
     }
   }
 
-  /** The number last taken here, 0: none. */
+  /** The epoch last stored; 0 if there is none. */
   public synchronized long last() {
     return last;
   }
 
-  /** Takes a number, above all that were taken here: on disk before this returns. */
+  /** Stores an epoch, which must be above the last one; it is durable when this returns. */
   public synchronized void take(long epoch) throws IOException {
     if (epoch <= last) {
       throw new IllegalArgumentException("epoch: " + epoch + " is not above " + last);
     }
-    Path fresh = file.resolveSibling(file.getFileName() + ".new");
-    try (FileChannel c = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
+    Path newFile = file.resolveSibling(file.getFileName() + ".new");
+    try (FileChannel channel = FileChannel.open(newFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
         StandardOpenOption.TRUNCATE_EXISTING)) {
-      c.write(ByteBuffer.wrap((epoch + "\n").getBytes(StandardCharsets.US_ASCII)));
-      c.force(true);
+      channel.write(ByteBuffer.wrap((epoch + "\n").getBytes(StandardCharsets.US_ASCII)));
+      channel.force(true);
     }
-    Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
-    try (FileChannel dir = FileChannel.open(file.getParent())) {
-      dir.force(true);
+    Files.move(newFile, file, StandardCopyOption.ATOMIC_MOVE);
+    try (FileChannel parent = FileChannel.open(file.getParent())) {
+      parent.force(true);
     }
     last = epoch;
   }
--- a/src/main/java/hollyslip/recovery/InflightLog.java
+++ b/src/main/java/hollyslip/recovery/InflightLog.java
@@ -7,11 +7,12 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** What of a split virtqueue is in flight, kept in memory that the client holds, so that a back end which was
- * killed finds it again: each request is then answered once and changes are done again in the order in which
- * they were taken. Layout and steps: vhost-user protocol, "Inflight I/O tracking", split virtqueue. */
+/** Records which requests of a split virtqueue are in flight, in memory that the client keeps, so that a back
+ * end that was killed finds them again: each request is then answered once, and writes are repeated in the
+ * order in which they were taken. Layout and steps follow the vhost-user protocol, "Inflight I/O tracking",
+ * split virtqueue. */
 public final class InflightLog {
-  /** Bytes before the entries, and of one entry. */
+  /** Size of the header before the entries, and of one entry. */
   public static final int HEADER_BYTES = 16, ENTRY_BYTES = 16;
 
   private static final int VERSION = 1;
@@ -23,7 +24,7 @@
   /** @param region
    *          this queue's part of the shared memory
    * @param size
-   *          entries, as many as the queue has descriptors */
+   *          number of entries, equal to the number of descriptors of the queue */
   public InflightLog(ByteBuffer region, int size) {
     this.region = region.order(ByteOrder.LITTLE_ENDIAN);
     this.size = size;
@@ -33,12 +34,12 @@
     }
   }
 
-  /** Bytes that a queue of so many descriptors needs. */
+  /** Size in bytes of the region for a queue of the given number of descriptors. */
   public static int bytes(int size) {
     return HEADER_BYTES + ENTRY_BYTES * size;
   }
 
-  /** Makes the region ready; what it holds from before stays.
+  /** Initializes the region; requests recorded in it before are kept.
    *
    * @param usedIdx
    *          index in the queue's used ring
@@ -52,7 +53,7 @@
       }
     }
     if (region.getShort(14) != (short) usedIdx) {
-      // Killed between publishing an answer and noting it here: the last one is answered.
+      // Killed after publishing an answer and before recording that here: the last request is answered.
       int last = Short.toUnsignedInt(region.getShort(12));
       if (last < size) {
         region.put(entryOffset(last), (byte) 0);
@@ -70,7 +71,7 @@
     return heads;
   }
 
-  /** A request was taken. */
+  /** Records that a request was taken. */
   public void taken(int head) {
     region.putLong(entryOffset(head) + 8, nextCounter++);
     VarHandle.releaseFence();
@@ -78,14 +79,14 @@
     VarHandle.releaseFence();
   }
 
-  /** A request's answer is about to be published. */
+  /** Records that a request's answer is about to be published. */
   public void answering(int head) {
     region.putShort(entryOffset(head) + 6, region.getShort(12));
     region.putShort(12, (short) head);
     VarHandle.releaseFence();
   }
 
-  /** It is published, with this index of the used ring. */
+  /** Records that the answer was published, and the index of the used ring after it. */
   public void answered(int head, int usedIdx) {
     VarHandle.releaseFence();
     region.put(entryOffset(head), (byte) 0);
--- a/src/main/java/hollyslip/recovery/Succession.java
+++ b/src/main/java/hollyslip/recovery/Succession.java
@@ -2,23 +2,23 @@
 
 import java.util.Collection;
 
-/** Which epoch a gateway takes, and which of two gateways of one name goes on: decided from its own record
- * and from what nodes say, free of I/O. Nodes let one holder of a name through at a time, the one of the
- * newest epoch, so a wrong guess here ends service, never order.
+/** Decides which epoch a gateway takes, and which of two gateways with one name continues, from the gateway's
+ * own epoch file and what nodes report; without I/O. For each name, nodes serve only the holder of the newest
+ * epoch, so a wrong decision here can end service but never break ordering.
  *
  * <p>
- * Guards against a state folder that is lost or restored from an older copy: its epoch begins again, and
- * nodes that saw a newer one run nothing of it. Harm: connections that a host left open when it lost its
- * power look like a living gateway until their node gives them up, and hold a start back. */
+ * This guards against a state directory that was lost or restored from an older copy: its epochs start over,
+ * and nodes that saw a newer one would run nothing of it. The cost is that connections which a host left open
+ * when it lost power look like a living gateway until their nodes drop them, and delay a start. */
 public final class Succession {
   private Succession() {}
 
-  /** Who holds a name.
+  /** Holder of a gateway name.
    *
    * @param epoch
-   *          grows with each start; 0: nobody
+   *          grows with each start; 0 if there is no holder
    * @param instance
-   *          drawn at each start: tells two processes of one epoch apart */
+   *          random number drawn at each start, which distinguishes two processes with the same epoch */
   public record Holder(long epoch, long instance) {
     public static final Holder NOBODY = new Holder(0, 0);
 
@@ -27,32 +27,33 @@
     }
   }
 
-  /** What a node knows of a name: its newest holder, and how many connections of that one are open there. */
+  /** What a node knows of a name: its newest holder and the number of that holder's open connections. */
   public record Known(Holder holder, int open) {}
 
-  /** What is to be done. */
+  /** What the gateway has to do. */
   public enum Verdict {
-    /** Go on as the holder. */
+    /** Continue as the holder. */
     GO_ON,
-    /** Take {@link Step#epoch} and go on with it. */
+    /** Take the epoch of the step and continue with it. */
     TAKE,
-    /** Another one lives: end. */
+    /** Another gateway is alive: stop. */
     YIELD
   }
 
-  /** A verdict, with the epoch for {@link AnswerAggregator#TAKE} and the holder that decided it. */
+  /** A verdict, with the epoch to take and the holder that led to it. */
   public record Step(Verdict verdict, long epoch, Holder other) {}
 
-  /** At a start: {@code recorded} is the epoch on our disk, 0 without one. Who lives with an epoch that our
-   * record does not have is another gateway; open connections of our own record's epoch are what a process
-   * left that used the same folder. */
-  public static Step start(long recorded, Collection<Known> heard) {
+  /** Decides at a start; {@code recorded} is the epoch on disk, 0 if there is none. A holder with open
+   * connections and an epoch above the recorded one is another gateway. Open connections with the recorded
+   * epoch were left by an earlier process that used the same directory. */
+  public static Step start(long recorded, Collection<Known> reports) {
     Holder newest = Holder.NOBODY;
     Holder living = null;
-    for (Known k : heard) {
-      newest = k.holder.epoch > newest.epoch ? k.holder : newest;
-      if (k.open > 0 && k.holder.epoch > recorded && (living == null || k.holder.epoch > living.epoch)) {
-        living = k.holder;
+    for (Known report : reports) {
+      newest = report.holder.epoch > newest.epoch ? report.holder : newest;
+      if (report.open > 0 && report.holder.epoch > recorded && (living == null
+          || report.holder.epoch > living.epoch)) {
+        living = report.holder;
       }
     }
     return living != null
@@ -60,19 +61,19 @@
         : new Step(Verdict.TAKE, Math.max(recorded, newest.epoch) + 1, newest);
   }
 
-  /** As {@link #start} when an operator says that no other one lives. */
-  public static Step takeOver(long recorded, Collection<Known> heard) {
-    return start(recorded, heard.stream().map(k -> new Known(k.holder, 0)).toList());
+  /** Like {@link #start}, when an operator says that no other gateway with the name is alive. */
+  public static Step takeOver(long recorded, Collection<Known> reports) {
+    return start(recorded, reports.stream().map(report -> new Known(report.holder, 0)).toList());
   }
 
-  /** In service: a node told who holds our name there after it had heard of us. Of two with one epoch the one
-   * with the higher instance goes on, so that both decide the same. */
-  public static Step heard(Holder mine, Known told) {
-    Holder other = told.holder;
+  /** Decides in service, when a node reports the holder of the name after it learned of this gateway. Of two
+   * with the same epoch the one with the higher instance continues, so that both decide the same. */
+  public static Step heard(Holder mine, Known report) {
+    Holder other = report.holder;
     if (other.epoch < mine.epoch || other.sameAs(mine)) {
       return new Step(Verdict.GO_ON, mine.epoch, other);
     }
-    boolean wins = told.open == 0 || other.epoch == mine.epoch && mine.instance > other.instance;
+    boolean wins = report.open == 0 || other.epoch == mine.epoch && mine.instance > other.instance;
     return wins
         ? new Step(Verdict.TAKE, other.epoch + 1, other)
         : new Step(Verdict.YIELD, 0, other);
--- a/src/main/java/hollyslip/volume/Classifier.java
+++ b/src/main/java/hollyslip/volume/Classifier.java
@@ -3,51 +3,51 @@
 import java.util.List;
 import java.util.Set;
 
-/** Says of which class a request is and how many units it counts: both as configured, by kind and size. */
+/** Determines a request's class and its number of units, both from configured rules by operation and size. */
 public final class Classifier {
   private final List<Row> rules;
   private final long unitBytes;
   private final int maxUnits;
 
-  /** One row: requests of these kinds up to {@code mostBytes} are of this class. */
+  /** Requests with one of these operations and at most {@code maxBytes} are of this class. */
   public record Row(String className, Set<IoKind> kinds, long maxBytes) {
     public Row {
       kinds = Set.copyOf(kinds);
     }
   }
 
-  /** @param rows
-   *          in order; the first that fits decides
+  /** @param rules
+   *          in order; the first match decides
    * @param unitBytes
-   *          bytes that one unit stands for
-   * @param mostUnits
-   *          units counted at most */
-  public Classifier(List<Row> rows, long unitBytes, int mostUnits) {
-    this.rules = List.copyOf(rows);
+   *          bytes per unit
+   * @param maxUnits
+   *          maximum number of units of a request */
+  public Classifier(List<Row> rules, long unitBytes, int maxUnits) {
+    this.rules = List.copyOf(rules);
     this.unitBytes = unitBytes;
-    this.maxUnits = mostUnits;
-    if (unitBytes < 1 || mostUnits < 1) {
-      throw new IllegalArgumentException("unitBytes, mostUnits: must be at least 1");
+    this.maxUnits = maxUnits;
+    if (unitBytes < 1 || maxUnits < 1) {
+      throw new IllegalArgumentException("unitBytes, maxUnits: must be at least 1");
     }
     for (IoKind kind : IoKind.values()) {
-      if (rows.stream().noneMatch(r -> r.kinds.contains(kind) && r.maxBytes == Long.MAX_VALUE)) {
+      if (rules.stream().noneMatch(r -> r.kinds.contains(kind) && r.maxBytes == Long.MAX_VALUE)) {
         throw new IllegalArgumentException("no request class takes " + kind + " of any size");
       }
     }
   }
 
-  /** Name of the class of a request of this kind and so many bytes. */
+  /** Name of the class of a request of the given size. */
   public String className(IoKind kind, long bytes) {
-    for (Row row : rules) {
-      if (bytes <= row.maxBytes && row.kinds.contains(kind)) {
-        return row.className;
+    for (Row rule : rules) {
+      if (bytes <= rule.maxBytes && rule.kinds.contains(kind)) {
+        return rule.className;
       }
     }
     throw new IllegalStateException("no class for " + kind + " of " + bytes + " bytes");
   }
 
-  /** Units of a request: its bytes over the bytes of a unit, rounded up, at least one, at most what one
-   * request may count; without data, one. */
+  /** Units of a request: its size divided by the unit size, rounded up, between 1 and the maximum; 1 for
+   * operations without data. */
   public double units(IoKind kind, long bytes) {
     return kind.carriesData() ? Math.max(1, Math.min(maxUnits, (bytes + unitBytes - 1) / unitBytes)) : 1;
   }
--- a/src/main/java/hollyslip/volume/IoKind.java
+++ b/src/main/java/hollyslip/volume/IoKind.java
@@ -1,6 +1,6 @@
 package hollyslip.volume;
 
-/** What a request does to its volume. */
+/** Operation of a request on its volume. */
 public enum IoKind {
   READ(false), WRITE(true), FLUSH(false), DISCARD(true), WRITE_ZEROES(true);
 
@@ -10,12 +10,12 @@
     this.changes = changes;
   }
 
-  /** Whether it changes what later reads return. */
+  /** Whether the operation changes what later reads return. */
   public boolean changes() {
     return changes;
   }
 
-  /** Whether bytes come with the request or with its answer. */
+  /** Whether the request or its response carries data. */
   public boolean carriesData() {
     return this == READ || this == WRITE;
   }
--- a/src/main/java/hollyslip/volume/Volume.java
+++ b/src/main/java/hollyslip/volume/Volume.java
@@ -2,30 +2,31 @@
 
 import java.util.List;
 
-/** A volume: a row of extents of one size, each on a shard. Immutable; a change makes a new value.
+/** A volume: a sequence of extents of equal size, each on a shard. Immutable.
  *
  * @param id
- *          the number under which the module knows the volume
+ *          number by which the scheduler knows the volume
  * @param name
  *          name, unique in the deployment
  * @param tenant
- *          whose it is
+ *          tenant that owns the volume
  * @param plan
- *          name of the plan it stands on
+ *          name of the volume's plan
  * @param hosts
- *          through how many gateways its requests come
+ *          number of gateways through which its requests come
  * @param bytes
- *          size, bytes, a multiple of {@link #BLOCK}
+ *          size in bytes, a multiple of {@link #BLOCK}
  * @param extentBytes
- *          size of an extent, bytes, a multiple of {@link #BLOCK}
+ *          extent size in bytes, a multiple of {@link #BLOCK}
  * @param extents
- *          where each extent lies, in order */
+ *          location of each extent, in order */
 public record Volume(long id, String name, String tenant, String plan, int hosts, long bytes,
     long extentBytes, List<Extent> extents) {
-  /** Bytes of a block, the unit of addresses: virtio 1.2, 5.2.4 ("capacity ... in 512-byte sectors"). */
+  /** Size in bytes of a block, the unit of addresses: virtio 1.2, 5.2.4 ("capacity ... in 512-byte
+   * sectors"). */
   public static final int BLOCK = 512;
 
-  /** Where an extent lies: {@code offset} bytes into the shard's data. */
+  /** Location of an extent: {@code offset} bytes into the shard's data. */
   public record Extent(int shard, long offset) {
     public Extent {
       if (shard < 0) {
@@ -60,7 +61,7 @@
     }
   }
 
-  /** Whether a range of bytes lies inside the volume, on block boundaries. */
+  /** Whether a byte range lies inside the volume and on block boundaries. */
   public boolean holds(long offset, long length) {
     return offset >= 0 && length > 0 && offset % BLOCK == 0 && length % BLOCK == 0 && offset <= bytes
         && length <= bytes - offset;
--- /dev/null
+++ b/src/test/java/hollyslip/recovery/EpochElectionTest.java
@@ -0,0 +1,98 @@
+package hollyslip.recovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import hollyslip.recovery.Succession.Holder;
+import hollyslip.recovery.Succession.Known;
+import hollyslip.recovery.Succession.Step;
+import hollyslip.recovery.Succession.Verdict;
+import java.util.ArrayList;
+import java.util.List;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
+import org.junit.jupiter.api.Test;
+
+class EpochElectionTest {
+  private static Known reported(long epoch, int open) {
+    return new Known(new Holder(epoch, 77), open);
+  }
+
+  @Test
+  void startTakesAnEpochAboveAllKnownOnes() {
+    assertEquals(1, Succession.start(0, List.of()).epoch());
+    assertEquals(4, Succession.start(3, List.of()).epoch());
+    assertEquals(9, Succession.start(0, List.of(reported(8, 0), reported(5, 0))).epoch(),
+        "lost state directory");
+    assertEquals(9, Succession.start(6, List.of(reported(8, 0))).epoch(), "restored from an older copy");
+    assertEquals(9, Succession.start(8, List.of(reported(8, 2))).epoch(),
+        "connections left by the last process");
+  }
+
+  @Test
+  void livingGatewayIsDistinguishedFromALostStateDirectory() {
+    Step decision = Succession.start(0, List.of(reported(8, 0), reported(8, 2)));
+    assertEquals(Verdict.YIELD, decision.verdict());
+    assertEquals(8, decision.other().epoch());
+    assertEquals(Verdict.YIELD, Succession.start(7, List.of(reported(8, 1))).verdict());
+    assertEquals(9, Succession.takeOver(0, List.of(reported(8, 2))).epoch());
+  }
+
+  @Test
+  void oneOfTwoContinuesInService() {
+    Holder mine = new Holder(5, 10);
+    assertEquals(Verdict.GO_ON, Succession.heard(mine, new Known(mine, 3)).verdict());
+    assertEquals(Verdict.GO_ON, Succession.heard(mine, reported(4, 3)).verdict());
+    assertEquals(Verdict.YIELD, Succession.heard(mine, reported(6, 1)).verdict());
+    assertEquals(7, Succession.heard(mine, reported(6, 0)).epoch(), "the other holder is gone");
+    Holder other = new Holder(5, 11);
+    assertEquals(Verdict.YIELD, Succession.heard(mine, new Known(other, 1)).verdict());
+    assertEquals(6, Succession.heard(other, new Known(mine, 1)).epoch());
+  }
+
+  /** Two gateways that started at the same time, each first at other nodes, reconnect repeatedly in any
+   * order: exactly one remains, and every node serves that one. */
+  @Property(tries = 2_000, seed = "11")
+  void exactlyOneOfTwoGatewaysWithOneNameRemains(@ForAll @IntRange(min = 1, max = 5) int nodes,
+      @ForAll long seed) {
+    var random = new java.util.SplittableRandom(seed);
+    Holder[] newest = new Holder[nodes];
+    Holder[] holders = {new Holder(1 + random.nextInt(2), 1 + random.nextInt(100)), new Holder(1 + random
+        .nextInt(
+            2), 200)};
+    boolean[] stopped = new boolean[2];
+    List<Integer> order = new ArrayList<>();
+    for (int i = 0; i < 40 * nodes; i++) {
+      order.add(random.nextInt(2 * nodes));
+    }
+    for (int round = 0; round < 8; round++) {
+      for (int i = 0; i < 2 * nodes; i++) {
+        order.add(i);
+      }
+    }
+    for (int step : order) {
+      int gateway = step % 2;
+      int node = step / 2;
+      if (stopped[gateway]) {
+        continue;
+      }
+      if (newest[node] == null || newest[node].epoch() < holders[gateway].epoch()) {
+        newest[node] = holders[gateway];
+      }
+      int other = 1 - gateway;
+      int open = !stopped[other] && newest[node].equals(holders[other]) ? 1 : 0;
+      Step decision = Succession.heard(holders[gateway], new Known(newest[node], open));
+      stopped[gateway] = decision.verdict() == Verdict.YIELD;
+      if (decision.verdict() == Verdict.TAKE) {
+        assertTrue(decision.epoch() > holders[gateway].epoch());
+        holders[gateway] = new Holder(decision.epoch(), holders[gateway].instance());
+      }
+    }
+    assertNotEquals(stopped[0], stopped[1], "exactly one continues");
+    for (Holder h : newest) {
+      assertEquals(holders[stopped[0] ? 1 : 0], h);
+    }
+  }
+}
--- a/src/test/java/hollyslip/recovery/RecoveryTest.java
+++ b/src/test/java/hollyslip/recovery/RecoveryTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a killed gateway finds again. */
+/** What a gateway finds after it was killed: the inflight log and the epoch file. */
 class RecoveryTest {
   @Test
-  void whatIsInFlightComesBackInOrder() {
+  void inflightRequestsAreRecoveredInOrder() {
     ByteBuffer region = ByteBuffer.allocate(InflightLog.bytes(8));
     InflightLog log = new InflightLog(region, 8);
     assertEquals(List.of(), log.recover(0));
@@ -26,70 +26,70 @@
     }
     log.answering(1);
     log.answered(1, 1);
-    InflightLog after = new InflightLog(region, 8);
-    assertEquals(List.of(5, 7, 2), after.recover(1));
-    after.taken(0);
+    InflightLog recovered = new InflightLog(region, 8);
+    assertEquals(List.of(5, 7, 2), recovered.recover(1));
+    recovered.taken(0);
     assertEquals(List.of(5, 7, 2, 0), new InflightLog(region, 8).recover(1));
   }
 
-  /** Killed between any two steps of an answer, a request is either answered or in flight, never both or
+  /** Killed between any two steps of answering, a request is either answered or in flight, never both or
    * neither. */
   @Test
-  void killedBetweenAnyTwoStepsNothingIsLostOrDoubled() {
+  void killBetweenStepsNeitherLosesNorRepeatsAnAnswer() {
     ByteBuffer region = ByteBuffer.allocate(InflightLog.bytes(8));
     InflightLog log = new InflightLog(region, 8);
     log.recover(0);
     log.taken(3);
     log.taken(4);
     log.answering(3);
-    assertEquals(List.of(3, 4), copy(region).recover(0), "not published yet");
-    assertEquals(List.of(4), copy(region).recover(1), "published, not noted");
+    assertEquals(List.of(3, 4), copyOf(region).recover(0), "not published yet");
+    assertEquals(List.of(4), copyOf(region).recover(1), "published but not recorded");
     log.answered(3, 1);
-    assertEquals(List.of(4), copy(region).recover(1));
+    assertEquals(List.of(4), copyOf(region).recover(1));
   }
 
-  private static InflightLog copy(ByteBuffer region) {
+  private static InflightLog copyOf(ByteBuffer region) {
     byte[] bytes = region.array().clone();
     return new InflightLog(ByteBuffer.wrap(bytes), 8);
   }
 
-  /** A long run with kills at random places, against a plain list. */
+  /** Random kills over a long run, compared with a plain list. */
   @Test
-  void aLongRunWithKills() {
+  void longRunWithRandomKills() {
     SplittableRandom random = new SplittableRandom(3);
     ByteBuffer region = ByteBuffer.allocate(InflightLog.bytes(16));
     InflightLog log = new InflightLog(region, 16);
     log.recover(0);
-    List<Integer> out = new ArrayList<>();
+    List<Integer> inflight = new ArrayList<>();
     int used = 0;
     for (int i = 0; i < 20_000; i++) {
       int head = random.nextInt(16);
-      if (!out.contains(head)) {
+      if (!inflight.contains(head)) {
         log.taken(head);
-        out.add(head);
+        inflight.add(head);
       } else {
-        out.remove((Integer) head);
+        inflight.remove((Integer) head);
         log.answering(head);
         used = used + 1 & 0xffff;
         if (random.nextInt(4) > 0) {
           log.answered(head, used);
         } else {
           log = new InflightLog(region, 16);
-          assertEquals(out, log.recover(used));
+          assertEquals(inflight, log.recover(used));
         }
       }
     }
   }
 
   @Test
-  void noiseInTheRegionIsNoFault() {
+  void randomRegionContentIsTolerated() {
     SplittableRandom random = new SplittableRandom(8);
     for (int i = 0; i < 500; i++) {
-      byte[] noise = new byte[InflightLog.bytes(8)];
-      random.nextBytes(noise);
-      noise[8] = 1;
-      noise[9] = 0;
-      List<Integer> heads = new InflightLog(ByteBuffer.wrap(noise), 8).recover(5);
+      byte[] content = new byte[InflightLog.bytes(8)];
+      random.nextBytes(content);
+      content[8] = 1;
+      content[9] = 0;
+      List<Integer> heads = new InflightLog(ByteBuffer.wrap(content), 8).recover(5);
       assertTrue(heads.stream().distinct().count() == heads.size() && heads.size() <= 8);
     }
     assertThrows(IllegalArgumentException.class, () -> new InflightLog(ByteBuffer.allocate(20), 8));
@@ -97,21 +97,21 @@
 
   @Test
   void epochsGrowAndAreNeverGuessed(@TempDir Path dir) throws Exception {
-    Path folder = dir.resolve("state");
-    Path file = folder.resolve("epoch");
-    try (Epoch epoch = new Epoch(folder)) {
+    Path directory = dir.resolve("state");
+    Path file = directory.resolve("epoch");
+    try (Epoch epoch = new Epoch(directory)) {
       assertEquals(0, epoch.last());
       epoch.take(1);
       epoch.take(9);
       assertThrows(IllegalArgumentException.class, () -> epoch.take(9));
-      IOException e = assertThrows(IOException.class, () -> new Epoch(folder));
+      IOException e = assertThrows(IOException.class, () -> new Epoch(directory));
       assertTrue(e.getMessage().contains("uses this state folder"), e.getMessage());
     }
-    try (Epoch epoch = new Epoch(folder)) {
+    try (Epoch epoch = new Epoch(directory)) {
       assertEquals(9, epoch.last());
     }
     Files.writeString(file, "rubbish");
-    IOException e = assertThrows(IOException.class, () -> new Epoch(folder));
+    IOException e = assertThrows(IOException.class, () -> new Epoch(directory));
     assertTrue(e.getMessage().contains("epoch: not a number: 'rubbish'"));
     assertEquals("rubbish", Files.readString(file));
   }
