--- a/src/main/java/hollyslip/engine/Intake.java
+++ b/src/main/java/hollyslip/engine/Intake.java
@@ -6,7 +6,8 @@
 /** The engine as fronts see it: where requests are submitted. Thread-safe. */
 public interface Intake {
   /** Submits a request. Returns false if there is no capacity, the gateway is stopping or the volume is being
-   * moved; the front keeps the request and offers it again when its {@link #onRoom} listener is called.
+   * moved; the front keeps the request and offers it again when a listener added by {@link #onRoom} is
+   * called.
    *
    * @throws IllegalArgumentException
    *           the volume is unknown or does not contain the range */
@@ -20,7 +21,7 @@
    * was rejected. */
   void onRoom(Runnable listener);
 
-  /** Removes a listener of {@link #onRoom}. */
+  /** Removes a listener added by {@link #onRoom}. */
   void forgetRoom(Runnable listener);
 
   /** The volumes served now, by name. */
--- a/src/main/java/hollyslip/recovery/Succession.java
+++ b/src/main/java/hollyslip/recovery/Succession.java
@@ -34,13 +34,13 @@
   public enum Verdict {
     /** Continue as the holder. */
     GO_ON,
-    /** Take the epoch of the step and continue with it. */
+    /** Take the epoch of this decision and continue with it. */
     TAKE,
     /** Another gateway is alive: stop. */
     YIELD
   }
 
-  /** A verdict, with the epoch to take and the holder that led to it. */
+  /** What to do, with the epoch to take and the holder that led to it. */
   public record Step(Verdict verdict, long epoch, Holder other) {}
 
   /** Decides at a start; {@code recorded} is the epoch on disk, 0 if there is none. A holder with open
