--- a/src/main/java/hollyslip/engine/Engine.java
+++ b/src/main/java/hollyslip/engine/Engine.java
@@ -7,7 +7,7 @@
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.HostScheduler.RequestClass;
 import hollyslip.HostScheduler.Result;
-import hollyslip.door.Door;
+import hollyslip.door.AdmissionQueue;
 import hollyslip.volume.Classifier;
 import hollyslip.volume.IoKind;
 import hollyslip.volume.Splitter;
@@ -27,51 +27,53 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Drives one {@link HostScheduler}: tells it what happens, carries out what it decides. It is the only owner
- * of the module and runs it on one thread that never blocks.
+/** Event loop around one {@link HostScheduler}: reports events to it and carries out the actions that it
+ * returns. The engine is the only user of its scheduler and runs it on a single thread that never blocks.
  *
  * <p>
- * The way of one request, top to bottom: a front calls {@link #offer}; {@link #take} has it wait at the
- * {@link Door}, fairly among tenants; {@link #letIn} cuts it into pieces; a change of blocks waits for its
- * range ({@link RangeLocks}); {@link #submit} tells the module; {@link #carryOut} sends where the module
- * says; {@link #ended} takes what came of an attempt back to the module; {@link #answerPiece} collects the
- * answers of the pieces and gives the client its one. */
+ * Path of a request: a front calls {@link #offer}; {@link #accept} passes it through the
+ * {@link AdmissionQueue}, which is fair among tenants; {@link #startSubRequests} splits it along extents, and
+ * a sub-request that modifies data waits for its block range ({@link RangeLocks}); {@link #submit} reports it
+ * to the scheduler; {@link #perform} sends attempts where the scheduler says; {@link #onAttemptEnded} reports
+ * the outcome of an attempt; {@link #answerSubRequest} collects the answers of the sub-requests into the one
+ * answer for the client. */
 public final class Engine implements Intake {
   private static final Logger LOG = LoggerFactory.getLogger(Engine.class);
 
-  /** Letters read before timers and sends get their turn, so that none starves. */
-  private static final int BATCH = 256;
+  /** Messages processed before timers and sends get their turn, so that a full mailbox cannot starve them. */
+  private static final int MAX_MESSAGES_PER_TURN = 256;
 
-  /** Requests let in for each node that serves: what one host may have out at it, and as many to choose
-   * from. */
-  private static final int ROOM_A_NODE = 64;
+  /** Requests admitted per node that is on: what one host may have outstanding at a node, and as many again
+   * for the scheduler to choose from. */
+  private static final int ADMITTED_PER_NODE = 64;
 
-  /** The module's time is taken at one event in so many and one: reading the clock costs as much as a part of
-   * what is measured. */
-  private static final long SAMPLED = 15;
+  /** Scheduler time is measured for one event in 16 ({@code counter & mask == 0}), since reading the clock
+   * costs as much as a part of what is measured. */
+  private static final long SCHEDULER_TIME_SAMPLE_MASK = 15;
 
-  /** Longest sleep, us: only a bound, timers and letters wake it. */
-  private static final long NAP = 1_000_000;
+  /** Longest sleep, us. Only an upper bound: timers and messages wake the thread earlier. */
+  private static final long MAX_PARK_US = 1_000_000;
 
-  /** What the engine is built from.
+  /** Configuration of an engine.
    *
    * @param settings
-   *          of the module
+   *          of the scheduler
    * @param classifier
-   *          class and units of a request
+   *          determines the class and the units of a request
    * @param splitter
-   *          cuts requests at extents
-   * @param mostRequests
-   *          requests held at most
-   * @param mostBytes
-   *          bytes of requests held at most
-   * @param firstRequest
-   *          number of its first request: those of two lanes of one process must differ, as nodes see them in
-   *          the cookies of one client */
+   *          splits requests along extents
+   * @param maxRequests
+   *          maximum number of requests held
+   * @param maxBytes
+   *          maximum number of request bytes held
+   * @param firstRequestId
+   *          ID of the first request. The ID ranges of two lanes in one process must differ, because nodes
+   *          see the IDs in the cookies of one client. */
   public record Config(HostScheduler.Settings settings, Classifier classifier, Splitter splitter,
-      long mostRequests, long mostBytes, long firstRequest) {}
+      long maxRequests, long maxBytes, long firstRequestId) {}
 
-  /** Totals since the start; {@code moduleNs} is the time spent inside the module, from samples. */
+  /** Totals since the start; {@code moduleNs} is the time spent inside the scheduler, extrapolated from
+   * samples. */
   public record Totals(long taken, long served, long refused, long failed, long departed, long attempts,
       long held, long moduleNs) {
     Totals plus(Totals o) {
@@ -81,62 +83,64 @@
   }
 
   private final Config config;
-  private final HostScheduler module;
-  private final LongSupplier time;
-  private final Map<String, RequestClass> classes = new HashMap<>();
+  private final HostScheduler scheduler;
+  private final LongSupplier timeSource;
+  private final Map<String, RequestClass> classesByName = new HashMap<>();
   private final Mailbox mailbox = new Mailbox();
-  private final Timers timers = new Timers();
-  private final Bounds bounds;
-  private final RangeLocks locks = new RangeLocks();
-  private final Long2ObjectHashMap<Piece> pieces = new Long2ObjectHashMap<>();
-  /** Actions of the events that are being told, the innermost last: carrying one out may tell the next. */
-  private final List<Decided> levels = new ArrayList<>();
-  private int level;
-  private final List<Runnable> turnedAway = new CopyOnWriteArrayList<>();
-  private final CompletableFuture<Void> stopped = new CompletableFuture<>();
+  private final TimerQueue timers = new TimerQueue();
+  private final InflightLimits limits;
+  private final RangeLocks rangeLocks = new RangeLocks();
+  private final Long2ObjectHashMap<SubRequest> subRequests = new Long2ObjectHashMap<>();
+  /** One buffer of actions per nesting level, the innermost last: performing an action may report the next
+   * event before the remaining actions are performed. */
+  private final List<ActionBuffer> actionBuffers = new ArrayList<>();
+  private int nestingDepth;
+  private final List<Runnable> capacityListeners = new CopyOnWriteArrayList<>();
+  private final CompletableFuture<Void> termination = new CompletableFuture<>();
   private final LongAdder taken = new LongAdder(), served = new LongAdder(), refused = new LongAdder();
-  private final LongAdder failed = new LongAdder(), departed = new LongAdder(), attempts = new LongAdder();
-  /** Written by the engine's thread alone. */
+  private final LongAdder failed = new LongAdder(), abandoned = new LongAdder(), attempts = new LongAdder();
+  /** Written by the engine's thread only. */
   private volatile long moduleNs;
-  private final Sampler refusals = new Sampler(), failures = new Sampler();
+  private final LogSampler refusalLog = new LogSampler(), failureLog = new LogSampler();
   private final Map<String, Volume> volumes = new ConcurrentHashMap<>();
-  private final Map<Long, Served> shares = new ConcurrentHashMap<>();
-  private final Map<String, HostScheduler.Plan> plans = new HashMap<>();
-  private final Map<Long, NodeState> states = new HashMap<>();
-  private final Door<Operation> door;
-  /** How long a request counts as inside at most, us: one that waits longer for a limit or a node that is
-   * away does not keep others at the door. Harm: the module holds more at a time then. */
-  private final long insideUs;
+  private final Map<Long, VolumeState> volumeStates = new ConcurrentHashMap<>();
+  private final Map<String, HostScheduler.Plan> plansByName = new HashMap<>();
+  private final Map<Long, NodeState> nodeStates = new HashMap<>();
+  private final AdmissionQueue<ActiveRequest> admissionQueue;
+  /** Longest time, us, for which an admitted request counts against the admission limit. One that waits
+   * longer, for a rate limit or an unavailable node, no longer keeps others out of the scheduler; the cost is
+   * that the scheduler then holds more requests at a time. */
+  private final long maxAdmittedUs;
   private volatile boolean stopping;
   private volatile boolean refusing;
-  private volatile boolean awaitingRoom;
-  private NodePort port;
-  /** Events told to the module. */
-  private long told;
+  private volatile boolean frontsAwaitCapacity;
+  private NodePort transport;
+  /** Events reported to the scheduler. */
+  private long handledEvents;
   private long now;
-  private long nextPiece;
-  private boolean lettingIn;
-  /** Requests let in, in that order, for at most {@link #insideUs}. */
-  private final ArrayDeque<Operation> inside = new ArrayDeque<>();
-
-  /** What the engine keeps of a volume by its id. */
-  static final class Served {
-    private Door.Owner owner;
+  private long nextSubRequestId;
+  private boolean admitting;
+  /** Admitted requests in order of admission, each for at most {@link #maxAdmittedUs}. */
+  private final ArrayDeque<ActiveRequest> admitted = new ArrayDeque<>();
+
+  /** State of a volume that is served here. */
+  static final class VolumeState {
+    private AdmissionQueue.Owner owner;
     private CompletableFuture<Void> drained = new CompletableFuture<>();
     private boolean draining;
-    /** Requests of it that are taken and not released, and pieces that hold or wait for blocks. */
-    private int held, locked;
-    /** When an attempt last ended that may still run. */
-    private long doubtAt = Long.MIN_VALUE / 2;
-    /** Complete when another engine may take the volume on; null: it stays. */
-    private CompletableFuture<Void> handed;
-
-    Served(Door.Owner owner) {
+    /** Requests accepted and not yet released; sub-requests that hold or wait for a block range. */
+    private int activeRequests, lockingSubRequests;
+    /** When an attempt last ended with an unknown effect. */
+    private long lastUncertainAt = Long.MIN_VALUE / 2;
+    /** Completes when another engine may take over the volume; null if no hand-over is in progress. */
+    private CompletableFuture<Void> handedOver;
+
+    VolumeState(AdmissionQueue.Owner owner) {
       this.owner = owner;
     }
 
-    /** Served on such terms, whatever was before. */
-    void again(Door.Owner next) {
+    /** Serves the volume for this owner, and ends a drain that was in progress. */
+    void resumeWith(AdmissionQueue.Owner next) {
       owner = next;
       if (draining) {
         draining = false;
@@ -145,56 +149,57 @@
     }
   }
 
-  public Engine(Config config, Map<String, Volume> volumes, HostScheduler module) {
-    this(config, volumes, module, Engine::clock);
+  public Engine(Config config, Map<String, Volume> volumes, HostScheduler scheduler) {
+    this(config, volumes, scheduler, Engine::clock);
   }
 
-  /** @param time
-   *          the engine's clock, us, which never goes back: another than {@link #clock} where time is a
-   *          model's */
-  public Engine(Config config, Map<String, Volume> volumes, HostScheduler module, LongSupplier time) {
+  /** @param timeSource
+   *          monotonic clock of the engine, us; differs from {@link #clock} where time is simulated */
+  public Engine(Config config, Map<String, Volume> volumes, HostScheduler scheduler,
+      LongSupplier timeSource) {
     this.config = config;
-    this.time = time;
-    nextPiece = config.firstRequest();
-    this.module = module;
-    config.settings().plans().forEach(p -> plans.put(p.name(), p));
-    volumes.values().forEach(this::begin);
-    insideUs = config.settings().classes().stream().mapToLong(RequestClass::aimUs).min().orElseThrow();
-    door = new Door<>((int) Math.min(Integer.MAX_VALUE, config.mostRequests() / 2), ROOM_A_NODE);
-    bounds = new Bounds(config.mostRequests(), config.mostBytes());
-    config.settings().classes().forEach(c -> classes.put(c.name(), c));
-  }
-
-  /** Serves a volume on its plan of the settings; before {@link #start}. */
-  void begin(Volume v) {
+    this.timeSource = timeSource;
+    nextSubRequestId = config.firstRequestId();
+    this.scheduler = scheduler;
+    config.settings().plans().forEach(p -> plansByName.put(p.name(), p));
+    volumes.values().forEach(this::addVolume);
+    maxAdmittedUs = config.settings().classes().stream().mapToLong(RequestClass::aimUs).min().orElseThrow();
+    admissionQueue = new AdmissionQueue<>((int) Math.min(Integer.MAX_VALUE, config.maxRequests() / 2),
+        ADMITTED_PER_NODE);
+    limits = new InflightLimits(config.maxRequests(), config.maxBytes());
+    config.settings().classes().forEach(c -> classesByName.put(c.name(), c));
+  }
+
+  /** Serves a volume on the plan that the settings give for it; call before {@link #start}. */
+  void addVolume(Volume v) {
     volumes.put(v.name(), v);
-    shares.put(v.id(), new Served(owner(v)));
+    volumeStates.put(v.id(), new VolumeState(flowOwner(v)));
   }
 
-  /** Starts the engine's thread; {@code nodes} is where attempts go. */
+  /** Starts the engine's thread; attempts are sent through {@code nodes}. */
   public void start(NodePort nodes) {
-    port = nodes;
+    transport = nodes;
     Thread thread = new Thread(this::run, "engine");
-    mailbox.owner(thread);
+    mailbox.setOwner(thread);
     thread.start();
   }
 
-  /** Has it run without a thread of its own: by {@link #step}, always on one thread, the one that makes all
-   * other calls too. */
+  /** Starts without a thread: the caller drives the engine through {@link #step}, and makes all other calls
+   * on that same thread. */
   public void startDriven(NodePort nodes) {
-    port = nodes;
+    transport = nodes;
   }
 
-  /** Does all there is to do at this time; gives the time, us, at which there is something again if nothing
-   * comes in before, {@code Long.MAX_VALUE}: never. */
+  /** Processes everything that is due. Returns the time, us, at which there is work again if no message
+   * arrives before; {@code Long.MAX_VALUE} for never. */
   public long step() {
-    while (!work() || !mailbox.isEmpty()) {
-      // Each turn reads a batch of letters; what it does may post further ones.
+    while (!processTurn() || !mailbox.isEmpty()) {
+      // Each turn processes one batch of messages and may post further ones.
     }
-    return nextDue();
+    return nextDueTime();
   }
 
-  /** The engine's clock, us: monotonic, the same for all processes of a machine. */
+  /** Clock of the engine, us: monotonic and common to all processes of a machine. */
   public static long clock() {
     return System.nanoTime() / 1_000;
   }
@@ -207,161 +212,165 @@
     }
     if (io.kind() != IoKind.FLUSH && !volume.holds(io.offset(), io.length())) {
       throw new IllegalArgumentException("range: " + io.offset() + "+" + io.length()
-          + " is not blocks of volume " + io.volume());
+          + " is not a block-aligned range of volume " + io.volume());
     }
     if (stopping) {
       return false;
     }
-    if (!bounds.take(io.held())) {
-      awaitingRoom = true;
+    if (!limits.tryAcquire(io.dataBytes())) {
+      frontsAwaitCapacity = true;
       return false;
     }
-    Operation op = new Operation(this, io, volume, rules(io), time.getAsLong());
-    io.operation = op;
-    mailbox.put(op);
+    ActiveRequest request = new ActiveRequest(this, io, volume, requestClass(io), timeSource.getAsLong());
+    io.activeRequest = request;
+    mailbox.post(request);
     return true;
   }
 
-  private RequestClass rules(Io io) {
-    return classes.get(config.classifier().className(io.kind(), io.length()));
+  private RequestClass requestClass(Io io) {
+    return classesByName.get(config.classifier().className(io.kind(), io.length()));
   }
 
   @Override
   public void onRoom(Runnable listener) {
-    turnedAway.add(listener);
+    capacityListeners.add(listener);
   }
 
   @Override
   public void forgetRoom(Runnable listener) {
-    turnedAway.remove(listener);
+    capacityListeners.remove(listener);
   }
 
   @Override
   public void depart(Io io) {
-    mailbox.put(() -> leave(io.operation));
+    mailbox.post(() -> abandonRequest(io.activeRequest));
   }
 
-  /** News of the node list. From any thread. */
+  /** Applies an update of the node list. Thread-safe. */
   public void nodes(NodeList list) {
-    mailbox.put(() -> {
-      tell(list);
+    mailbox.post(() -> {
+      handleEvent(list);
       if (list.whole()) {
-        states.clear();
+        nodeStates.clear();
       }
-      list.nodes().forEach(n -> states.put(n.node(), n.state()));
-      door.room(ROOM_A_NODE * (int) states.values().stream().filter(s -> s == NodeState.ON).count());
-      letIn();
+      list.nodes().forEach(n -> nodeStates.put(n.node(), n.state()));
+      admissionQueue.setMaxAdmitted(ADMITTED_PER_NODE * (int) nodeStates.values()
+          .stream()
+          .filter(s -> s == NodeState.ON)
+          .count());
+      admitWaiting();
     });
   }
 
-  /** A call for the node list failed. From any thread. */
+  /** Reports that fetching the node list failed. Thread-safe. */
   public void listFailed() {
-    mailbox.put(() -> tell(new HostScheduler.ListFailed()));
+    mailbox.post(() -> handleEvent(new HostScheduler.ListFailed()));
   }
 
-  /** What came of an attempt; {@code report} may be null. From any thread, once an attempt that was not
-   * withdrawn. {@code TIMEOUT} and {@code CANCELLED} are the engine's own to tell. */
+  /** Reports the outcome of an attempt, once for each attempt that was not withdrawn; {@code report} may be
+   * null. {@code TIMEOUT} and {@code CANCELLED} are only ever reported by the engine itself. Thread-safe. */
   public void outcome(Attempt attempt, Result result, List<Double> report) {
-    attempt.tell(result, report);
-    mailbox.put(attempt);
+    attempt.setOutcome(result, report);
+    mailbox.post(attempt);
   }
 
-  /** An attempt that ended without a word of its effect can have none any more. From any thread. */
+  /** Reports that an attempt which ended with an unknown effect can no longer have any. Thread-safe. */
   public void resolved(Attempt attempt) {
-    mailbox.put(() -> harmless(attempt));
+    mailbox.post(() -> resolve(attempt));
   }
 
-  /** What came of a probe; {@code report} may be null. From any thread. */
+  /** Reports the outcome of a probe; {@code report} may be null. Thread-safe. */
   public void probed(long node, Result result, long tookUs, List<Double> report) {
-    mailbox.put(() -> tell(new HostScheduler.Probed(node, result, tookUs, report)));
+    mailbox.post(() -> handleEvent(new HostScheduler.Probed(node, result, tookUs, report)));
   }
 
-  /** Runs something on the engine's thread. */
+  /** Runs a task on the engine's thread. */
   public void execute(Runnable task) {
-    mailbox.put(task);
+    mailbox.post(task);
   }
 
-  /** Runs something on the engine's thread after so many us; call on the engine's thread. */
+  /** Runs a task on the engine's thread after a delay in us; call on the engine's thread. */
   public void after(long us, Runnable task) {
-    timers.set(time.getAsLong() + us, task::run);
+    timers.schedule(timeSource.getAsLong() + us, task::run);
   }
 
-  /** A volume of the settings shares as its plan's weight says. */
-  private Door.Owner owner(Volume v) {
-    HostScheduler.Plan plan = plans.get(v.plan());
+  /** Owner of a volume from the settings, weighted by the volume's plan. */
+  private AdmissionQueue.Owner flowOwner(Volume v) {
+    HostScheduler.Plan plan = plansByName.get(v.plan());
     double weight = plan == null || plan.weight() <= 0 ? 1 : plan.weight();
-    return new Door.Owner(v.tenant(), weight, v.id(), weight);
+    return new AdmissionQueue.Owner(v.tenant(), weight, v.id(), weight);
   }
 
-  /** Serves a volume from now on, or on other terms; complete when the module has been told. Requests in
-   * flight keep the size that they came with. From any thread. */
+  /** Starts serving a volume, or changes its terms; completes when the scheduler has been told. Requests in
+   * flight keep the volume size with which they arrived. Thread-safe. */
   public CompletableFuture<Void> serve(Volume volume, HostScheduler.VolumeChanged terms) {
-    CompletableFuture<Void> told = new CompletableFuture<>();
-    mailbox.put(() -> {
-      Door.Owner owner = new Door.Owner(volume.tenant(), terms.groupWeight(), volume.id(), terms.plan()
-          .weight());
-      shares.computeIfAbsent(volume.id(), k -> new Served(owner)).again(owner);
-      tell(terms);
+    CompletableFuture<Void> applied = new CompletableFuture<>();
+    mailbox.post(() -> {
+      AdmissionQueue.Owner owner = new AdmissionQueue.Owner(volume.tenant(), terms.groupWeight(), volume.id(),
+          terms.plan()
+              .weight());
+      volumeStates.computeIfAbsent(volume.id(), k -> new VolumeState(owner)).resumeWith(owner);
+      handleEvent(terms);
       volumes.put(volume.name(), volume);
-      told.complete(null);
+      applied.complete(null);
     });
-    return told;
+    return applied;
   }
 
-  /** Takes no more requests of a volume, which are refused from now on; complete when all that it had are
-   * answered and nothing of them is out. From any thread; a volume that is not served is drained. */
+  /** Stops accepting requests for a volume: new ones are refused. Completes when all earlier ones are
+   * answered and no attempt for them is pending; at once for a volume that is not served. Thread-safe. */
   public CompletableFuture<Void> drain(Volume volume) {
     CompletableFuture<Void> done = new CompletableFuture<>();
-    mailbox.put(() -> {
-      Served s = shares.get(volume.id());
-      if (s == null) {
+    mailbox.post(() -> {
+      VolumeState state = volumeStates.get(volume.id());
+      if (state == null) {
         done.complete(null);
         return;
       }
-      s.draining = true;
-      s.drained.thenRun(() -> done.complete(null));
-      gone(volume, s);
+      state.draining = true;
+      state.drained.thenRun(() -> done.complete(null));
+      removeIfDrained(volume, state);
     });
     return done;
   }
 
-  /** Gives a volume up, of which nothing is offered any more: complete when all that was taken has its
-   * answer, no change of it can have an effect any more, and requests in order are as settled as the rules
-   * ask. */
+  /** Releases a volume, for which no more requests may be offered, to another engine. Completes when every
+   * accepted request is answered, no write can take effect any more, and the settling time for ordered
+   * requests ({@code orderSettleUs}) has passed. */
   CompletableFuture<Void> handOver(Volume volume) {
     CompletableFuture<Void> done = new CompletableFuture<>();
-    mailbox.put(() -> {
-      Served s = shares.get(volume.id());
-      if (s == null) {
+    mailbox.post(() -> {
+      VolumeState state = volumeStates.get(volume.id());
+      if (state == null) {
         done.complete(null);
       } else {
-        s.handed = done;
-        hand(volume, s);
+        state.handedOver = done;
+        completeHandOver(volume, state);
       }
     });
     return done;
   }
 
-  private void hand(Volume volume, Served s) {
-    if (s.handed == null || s.held > 0 || s.locked > 0) {
+  private void completeHandOver(Volume volume, VolumeState state) {
+    if (state.handedOver == null || state.activeRequests > 0 || state.lockingSubRequests > 0) {
       return;
     }
-    long settled = s.doubtAt + config.settings().rules().orderSettleUs();
-    if (now < settled) {
-      timers.set(settled, () -> hand(volume, s));
-    } else if (shares.remove(volume.id(), s)) {
+    long settledAt = state.lastUncertainAt + config.settings().rules().orderSettleUs();
+    if (now < settledAt) {
+      timers.schedule(settledAt, () -> completeHandOver(volume, state));
+    } else if (volumeStates.remove(volume.id(), state)) {
       volumes.remove(volume.name());
-      tell(new HostScheduler.VolumeRemoved(volume.id()));
-      s.handed.complete(null);
+      handleEvent(new HostScheduler.VolumeRemoved(volume.id()));
+      state.handedOver.complete(null);
     }
   }
 
-  /** Forgets a draining volume once nothing of it is held. */
-  private void gone(Volume volume, Served s) {
-    if (s.draining && s.held == 0 && shares.remove(volume.id(), s)) {
+  /** Removes a draining volume once none of its requests is held. */
+  private void removeIfDrained(Volume volume, VolumeState state) {
+    if (state.draining && state.activeRequests == 0 && volumeStates.remove(volume.id(), state)) {
       volumes.remove(volume.name());
-      tell(new HostScheduler.VolumeRemoved(volume.id()));
-      s.drained.complete(null);
+      handleEvent(new HostScheduler.VolumeRemoved(volume.id()));
+      state.drained.complete(null);
     }
   }
 
@@ -370,230 +379,238 @@
     return volumes;
   }
 
-  /** Refuses at once all that comes from now on; what is held goes on. From any thread. It is for a gateway
-   * of which nodes run nothing any more: its clients need not wait for their deadlines to hear so. */
+  /** Refuses all requests from now on; requests already held continue. For a gateway that the nodes have
+   * fenced: its clients learn of it at once instead of at their deadlines. Thread-safe. */
   public void refuseAll() {
     refusing = true;
   }
 
-  /** Takes nothing more, answers all it holds, then ends. From any thread; calls again change nothing. */
+  /** Stops accepting requests, answers those that are held, then ends. Thread-safe and idempotent. */
   public CompletableFuture<Void> stop() {
-    mailbox.put(() -> stopping = true);
-    return stopped;
+    mailbox.post(() -> stopping = true);
+    return termination;
   }
 
-  /** Complete when the engine has ended. */
-  public CompletableFuture<Void> ended() {
-    return stopped;
+  /** Completes when the engine has ended. */
+  public CompletableFuture<Void> termination() {
+    return termination;
   }
 
-  /** Totals since the start. From any thread; the figures need not be of one instant. */
+  /** Totals since the start. Thread-safe; the figures need not be from the same instant. */
   public Totals totals() {
-    return new Totals(taken.sum(), served.sum(), refused.sum(), failed.sum(), departed.sum(), attempts.sum(),
-        bounds.requests(), moduleNs);
+    return new Totals(taken.sum(), served.sum(), refused.sum(), failed.sum(), abandoned.sum(), attempts.sum(),
+        limits.requests(), moduleNs);
   }
 
   private void run() {
     try {
-      while (!(stopping && bounds.requests() == 0)) {
-        turn();
+      while (!(stopping && limits.requests() == 0)) {
+        runTurn();
       }
-      port.close();
-      stopped.complete(null);
+      transport.close();
+      termination.complete(null);
     } catch (Throwable e) {
       LOG.atError().setCause(e).log("engine.fault");
-      stopped.completeExceptionally(e);
+      termination.completeExceptionally(e);
       throw e;
     }
   }
 
-  private void turn() {
-    if (work()) {
-      mailbox.await(Math.min(NAP, Math.max(0, nextDue() - time.getAsLong())));
+  private void runTurn() {
+    if (processTurn()) {
+      mailbox.await(Math.min(MAX_PARK_US, Math.max(0, nextDueTime() - timeSource.getAsLong())));
     }
   }
 
-  /** One turn; whether all letters were read. */
-  private boolean work() {
-    now = time.getAsLong();
-    int read = 0;
-    for (Runnable letter = mailbox.poll(); letter != null; letter = mailbox.poll()) {
-      letter.run();
-      if (++read == BATCH) {
+  /** Runs one turn; returns whether the mailbox was emptied. */
+  private boolean processTurn() {
+    now = timeSource.getAsLong();
+    int processed = 0;
+    for (Runnable message = mailbox.poll(); message != null; message = mailbox.poll()) {
+      message.run();
+      if (++processed == MAX_MESSAGES_PER_TURN) {
         break;
       }
     }
-    now = Math.max(now, time.getAsLong());
-    timers.run(now);
-    for (Operation op = inside.peek(); op != null && (op.released || op.letInAt
-        + insideUs <= now); op = inside.peek()) {
-      inside.poll();
-      leaveRoom(op);
+    now = Math.max(now, timeSource.getAsLong());
+    timers.runDue(now);
+    for (ActiveRequest request = admitted.peek(); request != null && (request.released || request.admittedAt
+        + maxAdmittedUs <= now); request = admitted.peek()) {
+      admitted.poll();
+      releaseAdmission(request);
     }
-    port.flush();
-    if (awaitingRoom && bounds.roomy()) {
-      awaitingRoom = false;
-      turnedAway.forEach(Runnable::run);
+    transport.flush();
+    if (frontsAwaitCapacity && limits.belowResumeThreshold()) {
+      frontsAwaitCapacity = false;
+      capacityListeners.forEach(Runnable::run);
     }
-    return read < BATCH;
+    return processed < MAX_MESSAGES_PER_TURN;
   }
 
-  private long nextDue() {
-    return inside.isEmpty() || door.waiting() == 0
-        ? timers.next()
-        : Math.min(timers.next(), inside.peek().letInAt + insideUs);
+  private long nextDueTime() {
+    return admitted.isEmpty() || admissionQueue.waiting() == 0
+        ? timers.nextDueTime()
+        : Math.min(timers.nextDueTime(), admitted.peek().admittedAt + maxAdmittedUs);
   }
 
-  // A request comes in.
+  // Admission.
 
-  void take(Operation op) {
+  void accept(ActiveRequest request) {
     taken.increment();
-    Served served = shares.get(op.volume.id());
-    if (served == null || served.draining || refusing) {
-      turnAway(op, 0);
+    VolumeState state = volumeStates.get(request.volume.id());
+    if (state == null || state.draining || refusing) {
+      refuse(request, 0);
       return;
     }
-    served.held++;
-    op.served = served;
-    double units = config.classifier().units(op.io.kind(), op.io.length());
-    op.place = door.pass(now, op, served.owner, units);
-    if (op.place != null) {
-      goIn(op);
+    state.activeRequests++;
+    request.volumeState = state;
+    double units = config.classifier().units(request.io.kind(), request.io.length());
+    request.ticket = admissionQueue.tryAdmit(now, request, state.owner, units);
+    if (request.ticket != null) {
+      admit(request);
       return;
     }
-    op.waited = true;
-    op.place = door.enter(now, op, served.owner, units);
-    for (Door.Turned<Operation> t = door.over(now); t != null; t = door.over(now)) {
-      turnAway(t.item(), t.retryInUs());
-    }
-    letIn();
-    if (op.place.waiting()) {
-      op.patience = timers.set(op.deadline - config.settings().tickUs(), () -> {
-        if (op.place.waiting()) {
-          door.leave(op.place);
-          turnAway(op, 0);
+    request.queuedForAdmission = true;
+    request.ticket = admissionQueue.enqueue(now, request, state.owner, units);
+    for (AdmissionQueue.Rejected<ActiveRequest> rejected = admissionQueue.pollRejected(
+        now); rejected != null; rejected = admissionQueue.pollRejected(now)) {
+      refuse(rejected.item(), rejected.retryInUs());
+    }
+    admitWaiting();
+    if (request.ticket.waiting()) {
+      request.admissionTimer = timers.schedule(request.deadline - config.settings().tickUs(), () -> {
+        if (request.ticket.waiting()) {
+          admissionQueue.cancel(request.ticket);
+          refuse(request, 0);
         }
       });
     }
   }
 
-  /** Refuses a request that has not been let in: nothing of it ran. */
-  private void turnAway(Operation op, long retryInUs) {
-    answer(op, Answer.refused(retryInUs));
-    free(op);
+  /** Refuses a request that has not been admitted, so nothing of it has run. */
+  private void refuse(ActiveRequest request, long retryInUs) {
+    answer(request, Answer.refused(retryInUs));
+    releaseIfDone(request);
   }
 
-  private void letIn() {
-    for (Door.Place<Operation> p = door.next(now); p != null; p = door.next(now)) {
-      goIn(p.item());
+  private void admitWaiting() {
+    for (AdmissionQueue.Ticket<ActiveRequest> ticket = admissionQueue.pollAdmitted(
+        now); ticket != null; ticket = admissionQueue.pollAdmitted(now)) {
+      admit(ticket.item());
     }
   }
 
-  private void goIn(Operation op) {
-    if (op.patience != null) {
-      op.patience.cancel();
+  private void admit(ActiveRequest request) {
+    if (request.admissionTimer != null) {
+      request.admissionTimer.cancel();
     }
-    op.letInAt = now;
-    inside.add(op);
-    begin(op);
+    request.admittedAt = now;
+    admitted.add(request);
+    startSubRequests(request);
   }
 
-  private void leaveRoom(Operation op) {
-    door.left(op.place);
-    if (!lettingIn) {
-      lettingIn = true;
-      letIn();
-      lettingIn = false;
+  private void releaseAdmission(ActiveRequest request) {
+    admissionQueue.release(request.ticket);
+    if (!admitting) {
+      admitting = true;
+      admitWaiting();
+      admitting = false;
     }
   }
 
-  private void begin(Operation op) {
-    op.pieces = cut(op);
-    for (Piece piece : op.pieces) {
-      if (piece.kind.changes()) {
-        piece.locked = true;
-        op.served.locked++;
+  private void startSubRequests(ActiveRequest request) {
+    request.subRequests = split(request);
+    for (SubRequest subRequest : request.subRequests) {
+      if (subRequest.kind.changes()) {
+        subRequest.countedAsLocking = true;
+        request.volumeState.lockingSubRequests++;
       }
-      if (!piece.kind.changes() || locks.lock(piece)) {
-        submit(piece);
+      if (!subRequest.kind.changes() || rangeLocks.lockOrEnqueue(subRequest)) {
+        submit(subRequest);
       } else {
-        await(piece);
+        awaitRange(subRequest);
       }
     }
   }
 
-  private List<Piece> cut(Operation op) {
-    List<Piece> cut = new ArrayList<>(1);
-    if (op.io.kind() == IoKind.FLUSH) {
-      for (int shard : Splitter.shards(op.volume)) {
-        cut.add(new Piece(nextPiece++, op, shard, 0, 0, 0));
+  private List<SubRequest> split(ActiveRequest request) {
+    List<SubRequest> parts = new ArrayList<>(1);
+    if (request.io.kind() == IoKind.FLUSH) {
+      for (int shard : Splitter.shards(request.volume)) {
+        parts.add(new SubRequest(nextSubRequestId++, request, shard, 0, 0, 0));
       }
     } else {
-      for (Splitter.Part p : config.splitter().split(op.volume, op.io.offset(), op.io.length())) {
-        cut.add(new Piece(nextPiece++, op, p.shard(), p.offset(), p.from(), p.length()));
+      for (Splitter.ShardRange p : config.splitter()
+          .split(request.volume, request.io.offset(), request.io.length())) {
+        parts.add(new SubRequest(nextSubRequestId++, request, p.shard(), p.offset(), p.requestOffset(), p
+            .length()));
       }
     }
-    return cut;
+    return parts;
   }
 
-  /** A change whose blocks another one holds: it is refused a tick before its client's time ends, since
-   * nothing of it ran. */
-  private void await(Piece piece) {
-    for (Piece holder : locks.blockers(piece)) {
+  /** Waits for a block range that another sub-request holds. It is refused one tick before its client's
+   * deadline, which is safe because nothing of it has run. */
+  private void awaitRange(SubRequest subRequest) {
+    for (SubRequest holder : rangeLocks.blockers(subRequest)) {
       holder.attempts.forEach(this::fenceIfAbandoned);
     }
-    piece.patience = timers.set(piece.operation.deadline - config.settings().tickUs(), () -> {
-      if (!piece.known && !piece.answered) {
-        locks.leave(piece).forEach(this::submit);
-        answerPiece(piece, Answer.refused(0));
-      }
-    });
+    subRequest.lockWaitTimer = timers.schedule(subRequest.request.deadline - config.settings().tickUs(),
+        () -> {
+          if (!subRequest.submitted && !subRequest.answered) {
+            rangeLocks.cancelWait(subRequest).forEach(this::submit);
+            answerSubRequest(subRequest, Answer.refused(0));
+          }
+        });
   }
 
   private void fenceIfAbandoned(Attempt attempt) {
-    if (attempt.over && attempt.mayRun && !attempt.resolved) {
-      port.fence(attempt);
+    if (attempt.ended && attempt.mayStillRun && !attempt.resolved) {
+      transport.fence(attempt);
     }
   }
 
-  /** Tells the module of a piece that may be sent as far as its blocks go. One that waited, at the door or
-   * for its blocks, earns no further attempts: it was taken before, and a window's attempts must not exceed
-   * what was taken in it. Harm: fewer further attempts while there are queues. */
-  private void submit(Piece piece) {
-    Operation op = piece.operation;
-    piece.known = true;
-    if (piece.patience != null) {
-      piece.patience.cancel();
+  /** Reports a sub-request whose block range is free to the scheduler. One that waited, for admission or for
+   * its range, earns no further attempts: it counts as taken in an earlier window, and the attempts of a
+   * window must not exceed the requests taken in it. The cost is fewer further attempts while requests
+   * queue. */
+  private void submit(SubRequest subRequest) {
+    ActiveRequest request = subRequest.request;
+    subRequest.submitted = true;
+    if (subRequest.lockWaitTimer != null) {
+      subRequest.lockWaitTimer.cancel();
     }
-    pieces.put(piece.id, piece);
-    long extent = op.io.offset() / op.volume.extentBytes();
-    tell(new HostScheduler.Request(piece.id, op.rules.name(), op.volume.plan(), op.volume.id() << 24 | extent,
-        op.volume.id(), config.classifier().units(piece.kind, piece.length), piece.shard, op.volume.hosts(),
-        op.deadline - now, op.waited || piece.patience != null));
+    subRequests.put(subRequest.id, subRequest);
+    long extent = request.io.offset() / request.volume.extentBytes();
+    handleEvent(new HostScheduler.Request(subRequest.id, request.requestClass.name(), request.volume.plan(),
+        request.volume.id() << 24 | extent,
+        request.volume.id(), config.classifier().units(subRequest.kind, subRequest.length), subRequest.shard,
+        request.volume.hosts(),
+        request.deadline - now, request.queuedForAdmission || subRequest.lockWaitTimer != null));
   }
 
-  // The module decides.
+  // Events and actions of the scheduler.
 
-  private void tell(Event event) {
-    if (level == levels.size()) {
-      levels.add(new Decided());
+  private void handleEvent(Event event) {
+    if (nestingDepth == actionBuffers.size()) {
+      actionBuffers.add(new ActionBuffer());
     }
-    Decided decided = levels.get(level++);
-    boolean sampled = (++told & SAMPLED) == 0;
-    long from = sampled ? System.nanoTime() : 0;
-    module.handle(now, event, decided);
+    ActionBuffer buffer = actionBuffers.get(nestingDepth++);
+    boolean sampled = (++handledEvents & SCHEDULER_TIME_SAMPLE_MASK) == 0;
+    long startNs = sampled ? System.nanoTime() : 0;
+    scheduler.handle(now, event, buffer);
     if (sampled) {
-      moduleNs += (System.nanoTime() - from) * (SAMPLED + 1);
+      moduleNs += (System.nanoTime() - startNs) * (SCHEDULER_TIME_SAMPLE_MASK + 1);
     }
-    for (int i = 0; i < decided.actions.size(); i++) {
-      carryOut(decided.actions.get(i));
+    for (int i = 0; i < buffer.actions.size(); i++) {
+      perform(buffer.actions.get(i));
     }
-    decided.actions.clear();
-    level--;
+    buffer.actions.clear();
+    nestingDepth--;
   }
 
-  /** What the module decided on one event, in order. */
-  private static final class Decided implements Consumer<Action> {
+  /** Collects the actions for one event, in order. */
+  private static final class ActionBuffer implements Consumer<Action> {
     final List<Action> actions = new ArrayList<>();
 
     @Override
@@ -602,198 +619,202 @@
     }
   }
 
-  private void carryOut(Action action) {
+  private void perform(Action action) {
     if (action instanceof HostScheduler.Send s) {
-      send(pieces.get(s.request()), s);
+      send(subRequests.get(s.request()), s);
     } else if (action instanceof HostScheduler.Refuse r) {
-      answerPiece(pieces.get(r.request()), Answer.refused(r.retryInUs()));
+      answerSubRequest(subRequests.get(r.request()), Answer.refused(r.retryInUs()));
     } else if (action instanceof HostScheduler.Fail f) {
-      answerPiece(pieces.get(f.request()), Answer.FAILED);
+      answerSubRequest(subRequests.get(f.request()), Answer.FAILED);
     } else if (action instanceof HostScheduler.Cancel c) {
-      withdraw(pieces.get(c.request()).attempts.get(c.attempt()), Result.CANCELLED);
+      withdraw(subRequests.get(c.request()).attempts.get(c.attempt()), Result.CANCELLED);
     } else if (action instanceof HostScheduler.Probe p) {
-      port.probe(p.node());
+      transport.probe(p.node());
     } else if (action instanceof HostScheduler.SetTimer t) {
-      timers.set(t.at(), () -> tell(new HostScheduler.TimerDue(t.id())));
+      timers.schedule(t.at(), () -> handleEvent(new HostScheduler.TimerDue(t.id())));
     } else if (action instanceof HostScheduler.Watch) {
-      port.watch();
+      transport.watch();
     }
   }
 
-  private void send(Piece piece, HostScheduler.Send order) {
-    Operation op = piece.operation;
-    Attempt attempt = new Attempt(this, piece, piece.attempts.size(), order.node(), now);
-    piece.attempts.add(attempt);
+  private void send(SubRequest subRequest, HostScheduler.Send order) {
+    ActiveRequest request = subRequest.request;
+    Attempt attempt = new Attempt(this, subRequest, subRequest.attempts.size(), order.node(), now);
+    subRequest.attempts.add(attempt);
     attempts.increment();
-    op.out++;
-    if (piece.kind.changes()) {
-      piece.unresolved++;
+    request.pendingAttempts++;
+    if (subRequest.kind.changes()) {
+      subRequest.unresolvedAttempts++;
     }
-    long until = order.timeoutAt() > 0 ? Math.min(order.timeoutAt(), op.deadline) : op.deadline;
-    attempt.timer = timers.set(until, attempt);
-    port.send(attempt);
+    long giveUpAt = order.timeoutAt() > 0 ? Math.min(order.timeoutAt(), request.deadline) : request.deadline;
+    attempt.timer = timers.schedule(giveUpAt, attempt);
+    transport.send(attempt);
   }
 
-  // What came of it.
+  // Attempts and answers.
 
-  /** Gives an attempt up, if its outcome has not come: the module hears what is true of it. */
+  /** Withdraws an attempt that has no outcome yet, and reports to the scheduler whether it may still run. */
   void withdraw(Attempt attempt, Result reason) {
-    if (attempt.over) {
+    if (attempt.ended) {
       return;
     }
-    switch (port.withdraw(attempt)) {
-      case NEVER_SENT -> ended(attempt, Result.MOOT, null);
-      case MAY_RUN -> ended(attempt, reason, null);
+    switch (transport.withdraw(attempt)) {
+      case NEVER_SENT -> onAttemptEnded(attempt, Result.MOOT, null);
+      case MAY_RUN -> onAttemptEnded(attempt, reason, null);
       case ENDED -> {}
     }
   }
 
-  void ended(Attempt attempt, Result result, List<Double> report) {
-    if (attempt.over) {
+  void onAttemptEnded(Attempt attempt, Result result, List<Double> report) {
+    if (attempt.ended) {
       return;
     }
-    attempt.over = true;
+    attempt.ended = true;
     attempt.timer.cancel();
-    Piece piece = attempt.piece;
-    piece.operation.out--;
-    attempt.mayRun = !result.provesNotRun() && result != Result.OK && result != Result.ERROR;
-    if (attempt.mayRun) {
-      piece.operation.served.doubtAt = now;
-    }
-    boolean before = piece.answered;
-    if (result == Result.OK && !before) {
-      answerPiece(piece, Answer.SERVED);
-    }
-    tell(new HostScheduler.Outcome(piece.id, attempt.number, attempt.node(), result, piece.answered, Math.max(
-        0, now - attempt.sentAt), 0, 0, report));
-    if (!attempt.mayRun) {
-      harmless(attempt);
-    } else if (piece.kind.changes() && locks.awaited(piece)) {
+    SubRequest subRequest = attempt.subRequest;
+    subRequest.request.pendingAttempts--;
+    attempt.mayStillRun = !result.provesNotRun() && result != Result.OK && result != Result.ERROR;
+    if (attempt.mayStillRun) {
+      subRequest.request.volumeState.lastUncertainAt = now;
+    }
+    boolean wasAnswered = subRequest.answered;
+    if (result == Result.OK && !wasAnswered) {
+      answerSubRequest(subRequest, Answer.SERVED);
+    }
+    handleEvent(new HostScheduler.Outcome(subRequest.id, attempt.number, attempt.node(), result,
+        subRequest.answered, Math.max(
+            0, now - attempt.sentAt), 0, 0, report));
+    if (!attempt.mayStillRun) {
+      resolve(attempt);
+    } else if (subRequest.kind.changes() && rangeLocks.hasWaiters(subRequest)) {
       fenceIfAbandoned(attempt);
     }
-    free(piece);
+    releaseIfDone(subRequest);
   }
 
-  /** An attempt can have no effect any more. */
-  private void harmless(Attempt attempt) {
-    Piece piece = attempt.piece;
+  /** Marks an attempt as unable to have any further effect. */
+  private void resolve(Attempt attempt) {
+    SubRequest subRequest = attempt.subRequest;
     if (!attempt.resolved) {
       attempt.resolved = true;
-      if (piece.kind.changes()) {
-        piece.unresolved--;
-        unlock(piece);
+      if (subRequest.kind.changes()) {
+        subRequest.unresolvedAttempts--;
+        unlockIfResolved(subRequest);
       }
     }
   }
 
-  private void unlock(Piece piece) {
-    if (piece.answered && piece.unresolved == 0) {
-      locks.unlock(piece).forEach(this::submit);
-      if (piece.locked) {
-        piece.locked = false;
-        piece.operation.served.locked--;
-        hand(piece.operation.volume, piece.operation.served);
+  private void unlockIfResolved(SubRequest subRequest) {
+    if (subRequest.answered && subRequest.unresolvedAttempts == 0) {
+      rangeLocks.unlock(subRequest).forEach(this::submit);
+      if (subRequest.countedAsLocking) {
+        subRequest.countedAsLocking = false;
+        subRequest.request.volumeState.lockingSubRequests--;
+        completeHandOver(subRequest.request.volume, subRequest.request.volumeState);
       }
     }
   }
 
-  /** Takes the one answer of a piece; gives the client its own when all pieces have theirs. */
-  private void answerPiece(Piece piece, Answer answer) {
-    if (piece == null || piece.answered) {
+  /** Records the only answer of a sub-request; answers the client when all sub-requests have theirs. */
+  private void answerSubRequest(SubRequest subRequest, Answer answer) {
+    if (subRequest == null || subRequest.answered) {
       return;
     }
-    piece.answered = true;
-    Operation op = piece.operation;
-    op.verdict.add(answer);
-    Result reason = now >= op.deadline - 2 * config.settings().tickUs() ? Result.TIMEOUT : Result.CANCELLED;
-    giveUpOthers(piece, reason);
-    if (piece.kind.changes()) {
-      unlock(piece);
+    subRequest.answered = true;
+    ActiveRequest request = subRequest.request;
+    request.answers.add(answer);
+    Result reason = now >= request.deadline - 2 * config.settings().tickUs()
+        ? Result.TIMEOUT
+        : Result.CANCELLED;
+    withdrawAttempts(subRequest, reason);
+    if (subRequest.kind.changes()) {
+      unlockIfResolved(subRequest);
     }
-    if (!op.answered && op.verdict.pieces() == op.pieces.size()) {
-      answer(op, op.verdict.answer());
+    if (!request.answered && request.answers.count() == request.subRequests.size()) {
+      answer(request, request.answers.combined());
     }
-    free(piece);
+    releaseIfDone(subRequest);
   }
 
-  /** Gives the client its one answer. */
-  private void answer(Operation op, Answer all) {
-    Answer honest = op.honest(all);
-    op.answered = true;
-    switch (honest.kind()) {
+  /** Gives the client its only answer. */
+  private void answer(ActiveRequest request, Answer combined) {
+    Answer clientAnswer = request.clientAnswer(combined);
+    request.answered = true;
+    switch (clientAnswer.kind()) {
       case SERVED -> served.increment();
-      case REFUSED -> { refused.increment(); sample(refusals, "request.refused", op); }
-      case FAILED -> { failed.increment(); sample(failures, "request.failed", op); }
+      case REFUSED -> { refused.increment(); logSampled(refusalLog, "request.refused", request); }
+      case FAILED -> { failed.increment(); logSampled(failureLog, "request.failed", request); }
     }
-    op.io.client().answered(honest);
+    request.io.listener().answered(clientAnswer);
   }
 
-  private void sample(Sampler sampler, String event, Operation op) {
-    long facts = sampler.admit(now);
-    if (facts > 0) {
+  private void logSampled(LogSampler sampler, String event, ActiveRequest request) {
+    long occurrences = sampler.admit(now);
+    if (occurrences > 0) {
       LOG.atInfo()
-          .addKeyValue("volume", op.volume.name())
-          .addKeyValue("tenant", op.volume.tenant())
-          .addKeyValue("request", op.pieces.isEmpty() ? -1 : op.pieces.get(0).id)
-          .addKeyValue("kind", op.io.kind())
-          .addKeyValue("facts", facts)
+          .addKeyValue("volume", request.volume.name())
+          .addKeyValue("tenant", request.volume.tenant())
+          .addKeyValue("request", request.subRequests.isEmpty() ? -1 : request.subRequests.get(0).id)
+          .addKeyValue("kind", request.io.kind())
+          .addKeyValue("facts", occurrences)
           .log(event);
     }
   }
 
-  /** What is still out for a piece that has its answer must not touch the client's data again. */
-  private void giveUpOthers(Piece piece, Result reason) {
-    for (Attempt a : piece.attempts) {
+  /** Withdraws the pending attempts of an answered sub-request, which must not touch the client's data
+   * again. */
+  private void withdrawAttempts(SubRequest subRequest, Result reason) {
+    for (Attempt a : subRequest.attempts) {
       withdraw(a, reason);
     }
   }
 
-  private void leave(Operation op) {
-    if (op == null || op.answered) {
+  private void abandonRequest(ActiveRequest request) {
+    if (request == null || request.answered) {
       return;
     }
-    op.answered = true;
-    departed.increment();
-    door.leave(op.place);
-    for (Piece piece : op.pieces) {
-      if (piece.answered) {
+    request.answered = true;
+    abandoned.increment();
+    admissionQueue.cancel(request.ticket);
+    for (SubRequest subRequest : request.subRequests) {
+      if (subRequest.answered) {
         continue;
       }
-      piece.answered = true;
-      if (piece.known) {
-        tell(new HostScheduler.Departed(piece.id));
+      subRequest.answered = true;
+      if (subRequest.submitted) {
+        handleEvent(new HostScheduler.Departed(subRequest.id));
       } else {
-        locks.leave(piece).forEach(this::submit);
+        rangeLocks.cancelWait(subRequest).forEach(this::submit);
       }
-      giveUpOthers(piece, Result.CANCELLED);
-      unlock(piece);
-      free(piece);
+      withdrawAttempts(subRequest, Result.CANCELLED);
+      unlockIfResolved(subRequest);
+      releaseIfDone(subRequest);
     }
-    free(op);
+    releaseIfDone(request);
   }
 
-  /** Forgets what nothing will ask for again. */
-  private void free(Piece piece) {
-    boolean over = piece.answered;
-    for (int i = 0; i < piece.attempts.size(); i++) {
-      over &= piece.attempts.get(i).over;
+  /** Drops a sub-request once it is answered and all its attempts have ended. */
+  private void releaseIfDone(SubRequest subRequest) {
+    boolean done = subRequest.answered;
+    for (int i = 0; i < subRequest.attempts.size(); i++) {
+      done &= subRequest.attempts.get(i).ended;
     }
-    if (over) {
-      pieces.remove(piece.id);
+    if (done) {
+      subRequests.remove(subRequest.id);
     }
-    free(piece.operation);
+    releaseIfDone(subRequest.request);
   }
 
-  private void free(Operation op) {
-    if (op.answered && op.out == 0 && !op.released) {
-      op.released = true;
-      op.io.client().released();
-      bounds.give(op.io.held());
-      if (op.served != null) {
-        op.served.held--;
-        gone(op.volume, op.served);
-        hand(op.volume, op.served);
-        leaveRoom(op);
+  private void releaseIfDone(ActiveRequest request) {
+    if (request.answered && request.pendingAttempts == 0 && !request.released) {
+      request.released = true;
+      request.io.listener().released();
+      limits.release(request.io.dataBytes());
+      if (request.volumeState != null) {
+        request.volumeState.activeRequests--;
+        removeIfDrained(request.volume, request.volumeState);
+        completeHandOver(request.volume, request.volumeState);
+        releaseAdmission(request);
       }
     }
   }
--- a/src/main/java/hollyslip/recovery/InflightLog.java
+++ b/src/main/java/hollyslip/recovery/InflightLog.java
@@ -7,23 +7,24 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** What of a split virtqueue is in flight, kept in memory that the client holds, so that a back end which was
- * killed finds it again: each request is then answered once and changes are done again in the order in which
- * they were taken. Layout and steps: vhost-user protocol, "Inflight I/O tracking", split virtqueue. */
+/** Records which requests of a split virtqueue are in flight, in memory that the client keeps, so that a back
+ * end that was killed finds them again: each request is then answered once, and writes are repeated in the
+ * order in which they were taken. Layout and steps follow the vhost-user protocol, "Inflight I/O tracking",
+ * split virtqueue. */
 public final class InflightLog {
-  /** Bytes before the entries, and of one entry. */
-  public static final int HEADER = 16, ENTRY = 16;
+  /** Size of the header before the entries, and of one entry. */
+  public static final int HEADER_BYTES = 16, ENTRY_BYTES = 16;
 
   private static final int VERSION = 1;
 
   private final ByteBuffer region;
   private final int size;
-  private long counter;
+  private long nextCounter;
 
   /** @param region
    *          this queue's part of the shared memory
    * @param size
-   *          entries, as many as the queue has descriptors */
+   *          number of entries, equal to the number of descriptors of the queue */
   public InflightLog(ByteBuffer region, int size) {
     this.region = region.order(ByteOrder.LITTLE_ENDIAN);
     this.size = size;
@@ -33,12 +34,12 @@
     }
   }
 
-  /** Bytes that a queue of so many descriptors needs. */
+  /** Size in bytes of the region for a queue of the given number of descriptors. */
   public static int bytes(int size) {
-    return HEADER + ENTRY * size;
+    return HEADER_BYTES + ENTRY_BYTES * size;
   }
 
-  /** Makes the region ready; what it holds from before stays.
+  /** Initializes the region; requests recorded in it before are kept.
    *
    * @param usedIdx
    *          index in the queue's used ring
@@ -48,52 +49,52 @@
       region.putLong(0, 0).putShort(8, (short) VERSION).putShort(10, (short) size);
       region.putShort(12, (short) 0).putShort(14, (short) usedIdx);
       for (int i = 0; i < size; i++) {
-        region.put(at(i), (byte) 0);
+        region.put(entryOffset(i), (byte) 0);
       }
     }
     if (region.getShort(14) != (short) usedIdx) {
-      // Killed between publishing an answer and noting it here: the last one is answered.
+      // Killed after publishing an answer and before recording that here: the last request is answered.
       int last = Short.toUnsignedInt(region.getShort(12));
       if (last < size) {
-        region.put(at(last), (byte) 0);
+        region.put(entryOffset(last), (byte) 0);
       }
       region.putShort(14, (short) usedIdx);
     }
     List<Integer> heads = new ArrayList<>();
     for (int i = 0; i < size; i++) {
-      if (region.get(at(i)) == 1) {
+      if (region.get(entryOffset(i)) == 1) {
         heads.add(i);
-        counter = Math.max(counter, region.getLong(at(i) + 8) + 1);
+        nextCounter = Math.max(nextCounter, region.getLong(entryOffset(i) + 8) + 1);
       }
     }
-    heads.sort(Comparator.comparingLong(h -> region.getLong(at(h) + 8)));
+    heads.sort(Comparator.comparingLong(h -> region.getLong(entryOffset(h) + 8)));
     return heads;
   }
 
-  /** A request was taken. */
+  /** Records that a request was taken. */
   public void taken(int head) {
-    region.putLong(at(head) + 8, counter++);
+    region.putLong(entryOffset(head) + 8, nextCounter++);
     VarHandle.releaseFence();
-    region.put(at(head), (byte) 1);
+    region.put(entryOffset(head), (byte) 1);
     VarHandle.releaseFence();
   }
 
-  /** A request's answer is about to be published. */
+  /** Records that a request's answer is about to be published. */
   public void answering(int head) {
-    region.putShort(at(head) + 6, region.getShort(12));
+    region.putShort(entryOffset(head) + 6, region.getShort(12));
     region.putShort(12, (short) head);
     VarHandle.releaseFence();
   }
 
-  /** It is published, with this index of the used ring. */
+  /** Records that the answer was published, and the index of the used ring after it. */
   public void answered(int head, int usedIdx) {
     VarHandle.releaseFence();
-    region.put(at(head), (byte) 0);
+    region.put(entryOffset(head), (byte) 0);
     VarHandle.releaseFence();
     region.putShort(14, (short) usedIdx);
   }
 
-  private int at(int head) {
-    return HEADER + ENTRY * head;
+  private int entryOffset(int head) {
+    return HEADER_BYTES + ENTRY_BYTES * head;
   }
 }
