--- a/src/main/java/hollyslip/platform/Ask.java
+++ b/src/main/java/hollyslip/platform/Ask.java
@@ -13,48 +13,50 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** A client's request as its head tells it, checked against the settings; no I/O.
+/** The parsed head of a client request, validated against the settings. Does no I/O.
  *
  * @param uri
- *          path and query, as they came
+ *          path and query, as received
  * @param idempotencyKey
- *          null: none
+ *          null if there is none
  * @param remainingUs
- *          how long the client waits, from the moment it sent the request
- * @param volume
- *          the module's number for this volume on this plan: there, a volume has one plan
+ *          how long the client waits for the response, counted from when it sent the request, us
+ * @param volumePlanId
+ *          id of this volume on this plan for the decision module, where a volume has a single plan
  * @param shard
- *          -1: a new object
+ *          -1 for a new object
  * @param bodyLength
- *          bytes; {@link #CHUNKED}: told by the body itself */
-record Ask(String id, String method, String uri, String className, String plan, long key,
-    String idempotencyKey, long remainingUs, long volume, double units, int shard, int hosts, boolean again,
+ *          bytes, or {@link #CHUNKED} if the chunked body itself tells its length */
+record Ask(String transactionId, String method, String uri, String className, String plan, long objectKey,
+    String idempotencyKey, long remainingUs, long volumePlanId, double units, int shard, int hosts,
+    boolean resent,
     boolean write, int bodyLength) {
 
   static final int CHUNKED = -1;
 
-  /** Characters of an idempotency key at most. */
-  private static final int MOST_KEY = 256;
+  /** Maximum length of an idempotency key, characters. */
+  private static final int MAX_IDEMPOTENCY_KEY_LENGTH = 256;
 
-  private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}"), ID = Pattern.compile(
-      "[0-9A-Za-z_-]{1,64}"), DECIMAL = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,9})?"), WHOLE = Pattern
-          .compile(
-              "-?[0-9]{1,8}"), HEX = Pattern.compile("[0-9a-fA-F]{16}");
+  private static final Pattern CONTENT_LENGTH = Pattern.compile("[0-9]{1,18}"), TRANSACTION_ID = Pattern
+      .compile(
+          "[0-9A-Za-z_-]{1,64}"), DECIMAL = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,9})?"), INTEGER = Pattern
+              .compile(
+                  "-?[0-9]{1,8}"), HEX_64 = Pattern.compile("[0-9a-fA-F]{16}");
 
-  /** What a head is refused with. */
-  static final class Refused extends Exception {
+  /** Thrown when a request head is invalid, with the status to respond with. */
+  static final class RequestRejectedException extends Exception {
     final HttpResponseStatus status;
-    /** Where the next request starts cannot be known. */
+    /** Whether the start of the next request is unknown, so that the connection cannot be used further. */
     final boolean framingLost;
 
-    Refused(HttpResponseStatus status, String why, boolean framingLost) {
-      super(why, null, false, false);
+    RequestRejectedException(HttpResponseStatus status, String reason, boolean framingLost) {
+      super(reason, null, false, false);
       this.status = status;
       this.framingLost = framingLost;
     }
   }
 
-  /** Reads heads under one deployment's settings. */
+  /** Parses request heads under the settings of one deployment. */
   static final class Reader {
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Settings settings;
@@ -66,182 +68,190 @@
       settings.classes().forEach(c -> classes.put(c.name(), c));
     }
 
-    /** @throws Refused
-     *           if this is no request of the protocol under these settings */
-    Ask read(HttpRequest r) throws Refused {
-      HttpHeaders h = r.headers();
-      int length = bodyLength(r);
-      String path = r.uri().indexOf('?') < 0 ? r.uri() : r.uri().substring(0, r.uri().indexOf('?'));
-      int second = path.indexOf('/', 1);
-      int last = path.lastIndexOf('/');
-      if (path.isEmpty() || path.charAt(0) != '/' || second < 0) {
-        throw bad(HttpResponseStatus.NOT_FOUND, "path");
+    /** @throws RequestRejectedException
+     *           if the request is not valid under the protocol and these settings */
+    Ask parse(HttpRequest request) throws RequestRejectedException {
+      HttpHeaders headers = request.headers();
+      int length = parseBodyLength(request);
+      String path = request.uri().indexOf('?') < 0
+          ? request.uri()
+          : request.uri().substring(0, request.uri().indexOf('?'));
+      int secondSlash = path.indexOf('/', 1);
+      int lastSlash = path.lastIndexOf('/');
+      if (path.isEmpty() || path.charAt(0) != '/' || secondSlash < 0) {
+        throw rejected(HttpResponseStatus.NOT_FOUND, "path");
       }
-      RequestClass c = classes.get(path.substring(1, second));
-      if (c == null) {
-        throw bad(HttpResponseStatus.NOT_FOUND, "class");
+      RequestClass requestClass = classes.get(path.substring(1, secondSlash));
+      if (requestClass == null) {
+        throw rejected(HttpResponseStatus.NOT_FOUND, "class");
       }
-      HttpMethod method = c.write() ? HttpMethod.PUT : HttpMethod.GET;
-      if (!r.method().equals(method)) {
-        throw bad(HttpResponseStatus.METHOD_NOT_ALLOWED, "method");
+      HttpMethod method = requestClass.write() ? HttpMethod.PUT : HttpMethod.GET;
+      if (!request.method().equals(method)) {
+        throw rejected(HttpResponseStatus.METHOD_NOT_ALLOWED, "method");
       }
-      if (!c.write() && length > 0) {
-        throw bad("body of a read");
+      if (!requestClass.write() && length > 0) {
+        throw rejected("body of a read");
       }
-      String idempotency = one(h, "Idempotency-Key");
-      if (c.effect() == hollyslip.HostScheduler.Effect.KEYED && (idempotency == null || idempotency
-          .isEmpty()) || idempotency != null && idempotency.length() > MOST_KEY) {
-        throw bad("Idempotency-Key");
+      String idempotencyKey = optionalHeader(headers, "Idempotency-Key");
+      if (requestClass.effect() == hollyslip.HostScheduler.Effect.KEYED && (idempotencyKey == null
+          || idempotencyKey
+              .isEmpty()) || idempotencyKey != null && idempotencyKey.length() > MAX_IDEMPOTENCY_KEY_LENGTH) {
+        throw rejected("Idempotency-Key");
       }
-      Map<String, String> io = pairs(needed(h, "X-IO"));
-      double units = decimal(io.get("units"), "units").doubleValue();
-      int shard = whole(io.get("shard"), "shard");
-      int hosts = whole(io.get("hosts"), "hosts");
+      Map<String, String> io = parsePairs(requiredHeader(headers, "X-IO"));
+      double units = parseDecimal(io.get("units"), "units").doubleValue();
+      int shard = parseInteger(io.get("shard"), "shard");
+      int hosts = parseInteger(io.get("hosts"), "hosts");
       if (!(units > 0) || units > settings.store().mostUnits()) {
-        throw bad("units");
+        throw rejected("units");
       }
       if (shard < -1 || shards > 0 && shard >= shards) {
-        throw bad("shard");
+        throw rejected("shard");
       }
       if (hosts < 1) {
-        throw bad("hosts");
+        throw rejected("hosts");
       }
-      String resent = one(h, "X-Resent");
-      int plan = plan(h);
-      return new Ask(id(h), method.name(), r.uri(), c.name(), settings.plans().get(plan).name(), hex(path
-          .substring(last + 1), "key"),
-          idempotency, remaining(needed(h, "X-Remaining"), c), account(hex(io.get("volume"), "volume"), plan),
+      String resent = optionalHeader(headers, "X-Resent");
+      int planIndex = findPlan(headers);
+      return new Ask(parseTransactionId(headers), method.name(), request.uri(), requestClass.name(), settings
+          .plans()
+          .get(planIndex)
+          .name(), parseHex(path
+              .substring(lastSlash + 1), "key"),
+          idempotencyKey, parseRemaining(requiredHeader(headers, "X-Remaining"), requestClass), volumePlanId(
+              parseHex(io.get("volume"), "volume"), planIndex),
           units, shard,
-          hosts, "1".equals(resent), c.write(), length);
+          hosts, "1".equals(resent), requestClass.write(), length);
     }
 
-    private int plan(HttpHeaders h) throws Refused {
-      String name = needed(h, "X-Plan");
+    private int findPlan(HttpHeaders headers) throws RequestRejectedException {
+      String name = requiredHeader(headers, "X-Plan");
       for (int i = 0; i < settings.plans().size(); i++) {
         if (settings.plans().get(i).name().equals(name)) {
           return i;
         }
       }
-      throw bad("X-Plan");
+      throw rejected("X-Plan");
     }
   }
 
-  /** Requests of one volume that name different plans have limits and shares of their own: another number for
-   * each, the volume's own for the first plan. Volumes are drawn from all of 64 bits, so two never meet. */
-  static long account(long volume, int plan) {
-    return volume ^ plan * 0x9e3779b97f4a7c15L;
+  /** Requests of one volume that name different plans have separate limits and shares, so each plan gets its
+   * own id; for the first plan it is the volume's own id. Volume ids are drawn from all 64 bits, so ids of
+   * different volumes are assumed never to collide. */
+  static long volumePlanId(long volumeId, int planIndex) {
+    return volumeId ^ planIndex * 0x9e3779b97f4a7c15L;
   }
 
-  /** Bytes of the body that follows a head.
+  /** Determines the length of the body that follows a head, in bytes.
    *
-   * @throws Refused
-   *           if that cannot be known, or is too much */
-  private static int bodyLength(HttpRequest r) throws Refused {
-    HttpHeaders h = r.headers();
-    if (!r.protocolVersion().text().equals("HTTP/1.1")) {
-      throw new Refused(HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED, "version", true);
-    }
-    List<String> codings = h.getAll(HttpHeaderNames.TRANSFER_ENCODING);
+   * @throws RequestRejectedException
+   *           if the length cannot be determined or exceeds the limit */
+  private static int parseBodyLength(HttpRequest request) throws RequestRejectedException {
+    HttpHeaders headers = request.headers();
+    if (!request.protocolVersion().text().equals("HTTP/1.1")) {
+      throw new RequestRejectedException(HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED, "version", true);
+    }
+    List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
     if (!codings.isEmpty()) {
       if (codings.size() > 1 || !codings.get(0).equalsIgnoreCase("chunked")) {
-        throw new Refused(HttpResponseStatus.NOT_IMPLEMENTED, "Transfer-Encoding", true);
+        throw new RequestRejectedException(HttpResponseStatus.NOT_IMPLEMENTED, "Transfer-Encoding", true);
       }
       return CHUNKED;
     }
-    List<String> lengths = h.getAll(HttpHeaderNames.CONTENT_LENGTH);
+    List<String> lengths = headers.getAll(HttpHeaderNames.CONTENT_LENGTH);
     if (lengths.isEmpty()) {
       return 0;
     }
-    if (lengths.size() > 1 || !LENGTH.matcher(lengths.get(0)).matches()) {
-      throw new Refused(HttpResponseStatus.BAD_REQUEST, "Content-Length", true);
+    if (lengths.size() > 1 || !CONTENT_LENGTH.matcher(lengths.get(0)).matches()) {
+      throw new RequestRejectedException(HttpResponseStatus.BAD_REQUEST, "Content-Length", true);
     }
     long length = Long.parseLong(lengths.get(0));
     if (length > Bounds.BODY) {
-      throw new Refused(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "Content-Length", true);
+      throw new RequestRejectedException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "Content-Length", true);
     }
     return (int) length;
   }
 
-  private static String id(HttpHeaders h) throws Refused {
-    String id = needed(h, "X-Txn");
-    if (!ID.matcher(id).matches()) {
-      throw bad("X-Txn");
+  private static String parseTransactionId(HttpHeaders headers) throws RequestRejectedException {
+    String id = requiredHeader(headers, "X-Txn");
+    if (!TRANSACTION_ID.matcher(id).matches()) {
+      throw rejected("X-Txn");
     }
     return id;
   }
 
-  /** A number and its unit, m or u; above ten times the class's deadline it is no time that a client of it
-   * waits. */
-  private static long remaining(String text, RequestClass c) throws Refused {
+  /** Parses a number followed by its unit, m (ms) or u (us), and returns us. Values above ten times the
+   * class's deadline are rejected, as no client of the class waits that long. */
+  private static long parseRemaining(String text, RequestClass requestClass) throws RequestRejectedException {
     if (text.length() < 2) {
-      throw bad("X-Remaining");
+      throw rejected("X-Remaining");
     }
     double scale = switch (text.charAt(text.length() - 1)) {
       case 'm' -> 1000;
       case 'u' -> 1;
-      default -> throw bad("X-Remaining");
+      default -> throw rejected("X-Remaining");
     };
-    double us = decimal(text.substring(0, text.length() - 1), "X-Remaining").doubleValue() * scale;
-    if (us > 10.0 * c.deadlineUs()) {
-      throw bad("X-Remaining");
+    double us = parseDecimal(text.substring(0, text.length() - 1), "X-Remaining").doubleValue() * scale;
+    if (us > 10.0 * requestClass.deadlineUs()) {
+      throw rejected("X-Remaining");
     }
     return (long) us;
   }
 
-  private static Map<String, String> pairs(String text) throws Refused {
+  private static Map<String, String> parsePairs(String text) throws RequestRejectedException {
     Map<String, String> pairs = new HashMap<>();
     for (String pair : text.split(",")) {
       int equals = pair.indexOf('=');
       if (equals < 0 || pairs.put(pair.substring(0, equals).trim(), pair.substring(equals + 1)
           .trim()) != null) {
-        throw bad("X-IO");
+        throw rejected("X-IO");
       }
     }
     return pairs;
   }
 
-  private static String one(HttpHeaders h, String name) throws Refused {
-    List<String> all = h.getAll(name);
-    if (all.size() > 1) {
-      throw bad(name);
+  private static String optionalHeader(HttpHeaders headers, String name) throws RequestRejectedException {
+    List<String> values = headers.getAll(name);
+    if (values.size() > 1) {
+      throw rejected(name);
     }
-    return all.isEmpty() ? null : all.get(0);
+    return values.isEmpty() ? null : values.get(0);
   }
 
-  private static String needed(HttpHeaders h, String name) throws Refused {
-    String value = one(h, name);
+  private static String requiredHeader(HttpHeaders headers, String name) throws RequestRejectedException {
+    String value = optionalHeader(headers, name);
     if (value == null) {
-      throw bad(name);
+      throw rejected(name);
     }
     return value;
   }
 
-  private static BigDecimal decimal(String text, String field) throws Refused {
+  private static BigDecimal parseDecimal(String text, String field) throws RequestRejectedException {
     if (text == null || !DECIMAL.matcher(text).matches()) {
-      throw bad(field);
+      throw rejected(field);
     }
     return new BigDecimal(text);
   }
 
-  private static int whole(String text, String field) throws Refused {
-    if (text == null || !WHOLE.matcher(text).matches()) {
-      throw bad(field);
+  private static int parseInteger(String text, String field) throws RequestRejectedException {
+    if (text == null || !INTEGER.matcher(text).matches()) {
+      throw rejected(field);
     }
     return Integer.parseInt(text);
   }
 
-  private static long hex(String text, String field) throws Refused {
-    if (text == null || !HEX.matcher(text).matches()) {
-      throw bad(field);
+  private static long parseHex(String text, String field) throws RequestRejectedException {
+    if (text == null || !HEX_64.matcher(text).matches()) {
+      throw rejected(field);
     }
     return Long.parseUnsignedLong(text, 16);
   }
 
-  private static Refused bad(String what) {
-    return bad(HttpResponseStatus.BAD_REQUEST, what);
+  private static RequestRejectedException rejected(String reason) {
+    return rejected(HttpResponseStatus.BAD_REQUEST, reason);
   }
 
-  private static Refused bad(HttpResponseStatus status, String what) {
-    return new Refused(status, what, false);
+  private static RequestRejectedException rejected(HttpResponseStatus status, String reason) {
+    return new RequestRejectedException(status, reason, false);
   }
 }
--- a/src/main/java/hollyslip/platform/ClientConnection.java
+++ b/src/main/java/hollyslip/platform/ClientConnection.java
@@ -14,114 +14,118 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 
-/** One client's connection: requests in, one after the other, and their answers out, in order. Every request
- * that was read whole gets its answer before the connection ends, so nothing is read once no answer can go
- * out any more: a connection at rest is closed as it is, which resets it if a request crosses the close, and
- * tells its client to send that request again.
+/** A client connection. Serves requests one after the other and writes responses in request order. Every
+ * completely read request is answered before the connection is closed, so nothing is read once no response
+ * can be sent any more: a request that arrives while an idle connection is being closed stays unread, which
+ * causes a reset and tells the client to send that request again.
  *
  * <p>
- * After an error that hides where the next request starts there are no requests any more: this side ends its
- * sending, drops what comes and closes, so that the client sees the error and not a reset. */
+ * After a framing error, when the start of the next request is unknown, no more requests are read: this side
+ * shuts down its output, discards further input and then closes, so that the client sees the error and not a
+ * reset. */
 final class ClientConnection {
-  /** Bytes that are read and dropped before the connection is closed: a client that goes on at full speed
-   * after an error would take the event loop's time. Harm: it may see a reset in place of the error. */
-  private static final int MOST_DROPPED = 1 << 20;
+  /** Bytes that are discarded after an error before the connection is closed: a client that keeps sending at
+   * full speed would take up the event loop's time. The drawback is that such a client may see a reset
+   * instead of the error. */
+  private static final int MAX_DISCARDED_BYTES = 1 << 20;
 
-  /** Requests that may wait behind an open one to be served; more are refused in their turn. */
-  private static final int MOST_WAITING = 32;
+  /** Requests that may be queued behind an open one; further requests are refused in their turn. */
+  private static final int MAX_QUEUED_REQUESTS = 32;
 
-  /** Answers that may be owed before reading stops, and at which it goes on. */
-  private static final int MOST_OWED = 4096, FEW_OWED = 1024;
+  /** Number of pending responses at which reading stops, and at which it resumes. */
+  private static final int MAX_PENDING_RESPONSES = 4096, RESUME_PENDING_RESPONSES = 1024;
 
-  /** What a request that waits takes beside its body, bytes. */
-  private static final int HEAD_BYTES = 1024;
+  /** Memory counted for a queued request in addition to its body, bytes. */
+  private static final int QUEUED_REQUEST_OVERHEAD_BYTES = 1024;
 
-  /** Reads in a row when a client's connection is looked at again: a request and the end that follows it take
-   * two. */
-  private static final int READS_IN_A_ROW = 16;
+  /** Maximum number of consecutive reads when pending input is read: a request and the end of the connection
+   * after it take two. */
+  private static final int MAX_CONSECUTIVE_READS = 16;
 
-  private static final byte[] NOTHING = {};
+  private static final byte[] EMPTY_BODY = {};
 
-  /** {@code OPEN}: requests are read and served. {@code ENDING}: the last answer is announced; requests that
-   * still come are refused. {@code BROKEN}: where the next request starts is unknown; what comes is dropped,
-   * answers still go out. {@code DISCARDING}: this side has ended its sending, what comes is dropped.
-   * {@code CLOSED}: there is no connection any more. */
+  /** {@code OPEN}: requests are read and served. {@code ENDING}: the connection closes after the last pending
+   * response; further requests are refused. {@code BROKEN}: the start of the next request is unknown; input
+   * is discarded, pending responses are still sent. {@code DISCARDING}: the output is shut down, input is
+   * discarded. {@code CLOSED}: the connection is closed. */
   private enum State {
     OPEN, ENDING, BROKEN, DISCARDING, CLOSED;
 
-    boolean reads() {
+    boolean acceptsRequests() {
       return this == OPEN || this == ENDING;
     }
 
-    boolean answers() {
+    boolean sendsResponses() {
       return this == OPEN || this == ENDING || this == BROKEN;
     }
   }
 
-  private final Front front;
+  private final Front manager;
   private final Channel channel;
   private final RequestDecoder decoder = new RequestDecoder();
   private final RequestAssembler assembler;
-  private final ArrayDeque<Incoming> waiting = new ArrayDeque<>();
+  private final ArrayDeque<InboundRequest> queued = new ArrayDeque<>();
   private State state = State.OPEN;
-  private Exchange open;
-  /** When what is being read may have come, and what came with the connection. */
+  private Exchange current;
+  /** Estimated arrival of the bytes being read, and of bytes received before the connection was accepted,
+   * us. */
   private long arrivedAt, queuedSince;
-  private long idleSince, writingSince = -1;
-  /** Since when part of a request has been here, or the first one is waited for; -1: neither. */
-  private long partSince;
-  /** Bytes ever read; bytes that were dropped of them. */
+  private long idleSince, writeStartedAt = -1;
+  /** Since when a partial request has been present or the first request has been awaited; -1: neither. */
+  private long partialRequestSince;
+  /** Total bytes read, and how many of them were discarded. */
   private long bytesRead;
-  private int dropped;
-  private boolean reading;
+  private int discardedBytes;
+  private boolean insideRead;
   private String closeReason = "client closed";
 
-  ClientConnection(Front front, Channel channel) {
-    this.front = front;
+  ClientConnection(Front manager, Channel channel) {
+    this.manager = manager;
     this.channel = channel;
-    assembler = new RequestAssembler(front, channel);
-    partSince = front.now();
-    idleSince = partSince;
-    queuedSince = front.arrivals().queuedSince(partSince);
+    assembler = new RequestAssembler(manager, channel);
+    partialRequestSince = manager.now();
+    idleSince = partialRequestSince;
+    queuedSince = manager.arrivalTimes().queuedSince(partialRequestSince);
   }
 
-  void open() {
-    channel.pipeline().addLast(new Reads(), decoder, new Requests());
+  void start() {
+    channel.pipeline().addLast(new InboundBytesHandler(), decoder, new RequestHandler());
   }
 
-  /** Since when nothing is open or under way here, us; -1: something is. A request of which a part has come
-   * is: a slow one must not lose its connection to others' need of places. */
+  /** Since when the connection has been idle, us; -1 if it is not. A partial request counts as activity, so
+   * that a slowly sent request does not lose its connection to an eviction. */
   long idleSince() {
-    return resting() ? idleSince : -1;
+    return isIdle() ? idleSince : -1;
   }
 
-  /** Whether no request was ever begun on it. */
-  boolean stranger() {
+  /** Whether no byte of a request was ever received. */
+  boolean isUnused() {
     return bytesRead == 0;
   }
 
-  /** Whether nothing is open, waits or is being read or written. */
-  private boolean resting() {
-    return state.reads() && open == null && waiting.isEmpty() && writingSince < 0 && !decoder.within();
+  /** Whether no request is open, queued or partly read and no response is being written. */
+  private boolean isIdle() {
+    return state.acceptsRequests() && current == null && queued.isEmpty() && writeStartedAt < 0 && !decoder
+        .hasPartialRequest();
   }
 
-  /** Closes it if it rests once all that has come was read. A request that comes after that is not read, and
-   * its client told so by a reset. */
-  void closeIfResting(String reason) {
-    if (resting()) {
-      readNow();
-      if (resting()) {
+  /** Closes the connection if it is still idle after all pending input was read. A request that arrives later
+   * is not read, which the client learns from a reset. */
+  void closeIfIdle(String reason) {
+    if (isIdle()) {
+      readPending();
+      if (isIdle()) {
         close(reason);
       }
     }
   }
 
-  /** Closes it if only the client's end is waited for; what has come is dropped before, as a close over
-   * unread bytes is a reset, which might take the error along. */
+  /** Closes the connection if it only waits for the client to close. Pending input is discarded first, as a
+   * close with unread bytes causes a reset, which could keep the error response from the client. */
   void closeIfDiscarding() {
     if (state == State.DISCARDING) {
-      readNow();
-      close("error taken");
+      readPending();
+      close("closed after an error response");
     }
   }
 
@@ -132,279 +136,293 @@
     channel.close();
   }
 
-  /** Reads all that has come, its end included. */
-  private void readNow() {
-    if (reading || state == State.CLOSED) {
+  /** Reads all pending input, including the end of the connection. */
+  private void readPending() {
+    if (insideRead || state == State.CLOSED) {
       return;
     }
-    long before = -1;
-    for (int i = 0; i < READS_IN_A_ROW && bytesRead != before && channel.isActive(); i++) {
-      before = bytesRead;
+    long bytesBefore = -1;
+    for (int i = 0; i < MAX_CONSECUTIVE_READS && bytesRead != bytesBefore && channel.isActive(); i++) {
+      bytesBefore = bytesRead;
       Http.readNow(channel);
     }
     if (!channel.isActive()) {
-      // The handlers would hear of it only in the loop's next task.
-      closed();
+      // Handlers would be notified only in a later task of the event loop.
+      connectionClosed();
     }
   }
 
-  /** Ends what takes too long. */
-  void sweep(long now) {
-    if (writingSince >= 0 && now - writingSince >= Front.TAKEN_WITHIN_US) {
-      close("answer not taken");
-    } else if (state.reads() && partSince >= 0 && now - partSince >= front.wholeWithinUs()) {
-      endPart();
+  /** Enforces the timeouts for writing a response and for receiving a request. */
+  void checkTimeouts(long now) {
+    if (writeStartedAt >= 0 && now - writeStartedAt >= Front.WRITE_TIMEOUT_US) {
+      close("response write timed out");
+    } else if (state.acceptsRequests() && partialRequestSince >= 0 && now - partialRequestSince >= manager
+        .requestReadTimeoutUs()) {
+      endPartialRequest();
     }
   }
 
-  /** Waits no longer for the rest of a request, or for a first one. */
-  void endPart() {
-    if (!state.reads()) {
+  /** Stops waiting for a first request or for the rest of a partial one. */
+  void endPartialRequest() {
+    if (!state.acceptsRequests()) {
       return;
     }
-    if (decoder.within()) {
-      front.log().event("request.not-whole", "client", channel.remoteAddress());
+    if (decoder.hasPartialRequest()) {
+      manager.log().event("request.not-whole", "client", channel.remoteAddress());
       framingError(HttpResponseStatus.REQUEST_TIMEOUT);
     } else {
-      // An answer might meet a first request under way, and be taken for its own.
-      closeIfResting("nothing asked");
+      // An error response could cross a first request and be taken for the response to it.
+      closeIfIdle("no request received in time");
     }
   }
 
-  /** Queues a request or an error for its answer, in its turn. */
-  private void queue(Incoming item) {
-    Incoming queued = item;
-    if (item.isRequest() && !mayWait(item)) {
-      front.log().event("request.too-many-at-once", "id", item.ask().id(), "client", channel.remoteAddress());
-      queued = item.refused(HttpResponseStatus.SERVICE_UNAVAILABLE);
-    }
-    waiting.add(queued);
-    if (open != null) {
-      // Answers go out in order: the open one may not take longer than this one can wait.
-      front.desk().hasten(open, queued.answerBy());
-    }
-    next();
-    if (waiting.size() >= MOST_OWED) {
+  /** Queues a request or an error, to be answered in order. */
+  private void enqueue(InboundRequest item) {
+    InboundRequest accepted = item;
+    if (item.isRequest() && !reserveQueueSlot(item)) {
+      manager.log()
+          .event("request.too-many-at-once", "id", item.head().transactionId(), "client", channel
+              .remoteAddress());
+      accepted = item.rejectedWith(HttpResponseStatus.SERVICE_UNAVAILABLE);
+    }
+    queued.add(accepted);
+    if (current != null) {
+      // Responses are sent in order: the open request must end before the new one is due.
+      manager.dispatcher().shortenDeadline(current, accepted.respondBy());
+    }
+    processQueue();
+    if (queued.size() >= MAX_PENDING_RESPONSES) {
       channel.config().setAutoRead(false);
     }
   }
 
-  /** Whether there is room for a request to wait until it is served; takes it. */
-  private boolean mayWait(Incoming item) {
-    return waiting.size() < MOST_WAITING && front.desk().hold(HEAD_BYTES + item.body().length);
+  /** Reserves a place in the queue for a request; returns whether there was one. */
+  private boolean reserveQueueSlot(InboundRequest item) {
+    return queued.size() < MAX_QUEUED_REQUESTS && manager.dispatcher()
+        .reserveBuffer(QUEUED_REQUEST_OVERHEAD_BYTES + item.body().length);
   }
 
-  private Incoming nextWaiting() {
-    Incoming item = waiting.poll();
+  private InboundRequest dequeue() {
+    InboundRequest item = queued.poll();
     if (item.isRequest()) {
-      front.desk().letGo(HEAD_BYTES + item.body().length);
+      manager.dispatcher().releaseBuffer(QUEUED_REQUEST_OVERHEAD_BYTES + item.body().length);
     }
-    if (waiting.size() == FEW_OWED && state.answers()) {
+    if (queued.size() == RESUME_PENDING_RESPONSES && state.sendsResponses()) {
       channel.config().setAutoRead(true);
     }
     return item;
   }
 
-  private void dropWaiting() {
-    while (!waiting.isEmpty()) {
-      nextWaiting();
+  private void discardQueue() {
+    while (!queued.isEmpty()) {
+      dequeue();
     }
   }
 
-  /** What follows cannot be told apart, or is not wanted: an error in its turn, then the end. */
+  /** Stops reading requests and queues an error response, after which the connection is closed. Used when the
+   * start of the next request is unknown or no further input is wanted. */
   private void framingError(HttpResponseStatus status) {
-    if (state.reads()) {
+    if (state.acceptsRequests()) {
       state = State.BROKEN;
-      partSince = -1;
+      partialRequestSince = -1;
       assembler.reset();
-      long within = status == HttpResponseStatus.REQUEST_TIMEOUT
-          ? Front.TIMEOUT_WITHIN_US
-          : Front.ERROR_WITHIN_US;
-      queue(Incoming.error(status, front.now() + within, true));
+      long dueInUs = status == HttpResponseStatus.REQUEST_TIMEOUT
+          ? Front.TIMEOUT_RESPONSE_DEADLINE_US
+          : Front.ERROR_RESPONSE_DEADLINE_US;
+      enqueue(InboundRequest.rejected(status, manager.now() + dueInUs, true));
     }
   }
 
-  /** Goes on to the next in turn, if nothing is open. */
-  private void next() {
-    while (open == null && writingSince < 0 && state.answers() && !waiting.isEmpty()) {
-      Incoming item = nextWaiting();
+  /** Serves or answers the next queued items, as long as no request is open. */
+  private void processQueue() {
+    while (current == null && writeStartedAt < 0 && state.sendsResponses() && !queued.isEmpty()) {
+      InboundRequest item = dequeue();
       if (!item.isRequest()) {
-        answer(item.error(), NOTHING, 0, item.close());
-      } else if (front.draining() || state == State.ENDING) {
-        answer(HttpResponseStatus.SERVICE_UNAVAILABLE, NOTHING, 0, item.close());
-      } else if (front.desk().isOpen(item.ask().id())) {
-        answer(HttpResponseStatus.CONFLICT, NOTHING, 0, item.close());
+        writeResponse(item.errorStatus(), EMPTY_BODY, 0, item.closeAfterResponse());
+      } else if (manager.draining() || state == State.ENDING) {
+        writeResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, EMPTY_BODY, 0, item.closeAfterResponse());
+      } else if (manager.dispatcher().isOpen(item.head().transactionId())) {
+        writeResponse(HttpResponseStatus.CONFLICT, EMPTY_BODY, 0, item.closeAfterResponse());
       } else {
-        open = front.desk().take(item.ask(), item.body(), item.cameAt(), new Reply(item.close()));
-        waiting.stream()
-            .mapToLong(Incoming::answerBy)
+        current = manager.dispatcher()
+            .accept(item.head(), item.body(), item.receivedAt(), new ConnectionResponder(item
+                .closeAfterResponse()));
+        queued.stream()
+            .mapToLong(InboundRequest::respondBy)
             .min()
-            .ifPresent(earliest -> front.desk().hasten(open, earliest));
+            .ifPresent(earliest -> manager.dispatcher().shortenDeadline(current, earliest));
       }
     }
   }
 
-  private final class Reply implements Exchange.Reply {
-    private final boolean close;
+  private final class ConnectionResponder implements Exchange.Responder {
+    private final boolean closeAfterResponse;
 
-    Reply(boolean close) {
-      this.close = close;
+    ConnectionResponder(boolean closeAfterResponse) {
+      this.closeAfterResponse = closeAfterResponse;
     }
 
-    private void give(HttpResponseStatus status, byte[] text, long retryInUs) {
-      open = null;
-      answer(status, text, retryInUs, close);
+    private void respond(HttpResponseStatus status, byte[] body, long retryInUs) {
+      current = null;
+      writeResponse(status, body, retryInUs, closeAfterResponse);
     }
 
     @Override
-    public void served(byte[] answer) {
-      give(HttpResponseStatus.OK, answer, 0);
+    public void serve(byte[] body) {
+      respond(HttpResponseStatus.OK, body, 0);
     }
 
     @Override
-    public void refused(long retryInUs) {
-      give(HttpResponseStatus.SERVICE_UNAVAILABLE, NOTHING, retryInUs);
+    public void refuse(long retryInUs) {
+      respond(HttpResponseStatus.SERVICE_UNAVAILABLE, EMPTY_BODY, retryInUs);
     }
 
     @Override
-    public void failed() {
-      give(HttpResponseStatus.BAD_GATEWAY, NOTHING, 0);
+    public void fail() {
+      respond(HttpResponseStatus.BAD_GATEWAY, EMPTY_BODY, 0);
     }
 
     @Override
-    public void readNow() {
-      ClientConnection.this.readNow();
+    public void readPending() {
+      ClientConnection.this.readPending();
     }
   }
 
-  /** Writes one answer.
+  /** Writes one response.
    *
-   * @param close
-   *          its client asked for the end of the connection after it */
-  private void answer(HttpResponseStatus status, byte[] text, long retryInUs, boolean close) {
-    if (state == State.OPEN && (close || front.draining())) {
+   * @param closeAfterResponse
+   *          whether the client asked to close the connection after it */
+  private void writeResponse(HttpResponseStatus status, byte[] body, long retryInUs,
+      boolean closeAfterResponse) {
+    if (state == State.OPEN && (closeAfterResponse || manager.draining())) {
       state = State.ENDING;
     }
-    // Whatever was read is answered before the connection ends.
-    boolean last = state != State.OPEN && waiting.isEmpty();
-    ByteBuf head = Http.answerHead(status, text.length, retryInUs, last);
-    writingSince = front.now();
-    channel.writeAndFlush(text.length == 0
+    // All requests read so far are answered before the connection is closed.
+    boolean last = state != State.OPEN && queued.isEmpty();
+    ByteBuf head = Http.responseHead(status, body.length, retryInUs, last);
+    writeStartedAt = manager.now();
+    channel.writeAndFlush(body.length == 0
         ? head
-        : Unpooled.wrappedBuffer(head, Unpooled.wrappedBuffer(text))).addListener(f -> {
-          writingSince = -1;
-          idleSince = front.now();
+        : Unpooled.wrappedBuffer(head, Unpooled.wrappedBuffer(body))).addListener(f -> {
+          writeStartedAt = -1;
+          idleSince = manager.now();
           if (!f.isSuccess()) {
-            close("answer not written");
+            close("response write failed");
           } else {
-            answered(close);
+            responseWritten(closeAfterResponse);
           }
         });
   }
 
-  /** An answer was given to the system. */
-  private void answered(boolean close) {
-    if (!waiting.isEmpty()) {
-      next();
+  /** Called when a response was handed to the operating system. */
+  private void responseWritten(boolean closeAfterResponse) {
+    if (!queued.isEmpty()) {
+      processQueue();
     } else if (state == State.BROKEN) {
-      discard();
-    } else if (state == State.ENDING && close) {
-      closeIfResting("as the client asked");
+      startDiscarding();
+    } else if (state == State.ENDING && closeAfterResponse) {
+      closeIfIdle("requested by client");
     } else if (state == State.ENDING) {
-      // The client is told to close; a request of its that crosses this answer is refused until then.
+      // The response told the client to close; requests that cross it are refused until the grace period
+      // ends.
       channel.eventLoop()
-          .schedule(() -> closeIfResting("told to close"), Front.TOLD_TO_CLOSE_US, TimeUnit.MICROSECONDS);
+          .schedule(() -> closeIfIdle("closed after notice to client"), Front.CLOSE_GRACE_US,
+              TimeUnit.MICROSECONDS);
     }
   }
 
-  /** Ends this side's sending; the rest goes once the client's side has ended too, or soon. */
-  private void discard() {
+  /** Shuts down the output. The connection is closed once the client closes its side, or after a short
+   * time. */
+  private void startDiscarding() {
     state = State.DISCARDING;
     ((SocketChannel) channel).shutdownOutput();
-    long linger = front.draining() ? Front.TOLD_TO_CLOSE_US : Front.LINGER_US;
+    long linger = manager.draining() ? Front.CLOSE_GRACE_US : Front.LINGER_US;
     channel.eventLoop().schedule(this::closeIfDiscarding, linger, TimeUnit.MICROSECONDS);
   }
 
-  /** The connection is gone, and with it whoever waits for what is open. */
-  private void closed() {
+  /** Called when the connection is closed: discards the queue and abandons the open request. */
+  private void connectionClosed() {
     if (state == State.CLOSED) {
       return;
     }
     logClosed();
     state = State.CLOSED;
-    dropWaiting();
+    discardQueue();
     assembler.reset();
-    front.closed(this);
-    if (open != null) {
-      Exchange x = open;
-      open = null;
-      front.desk().departed(x);
+    manager.connectionClosed(this);
+    if (current != null) {
+      Exchange exchange = current;
+      current = null;
+      manager.dispatcher().abandon(exchange);
     }
   }
 
-  /** Logs an end that leaves something unanswered, or follows bytes that were not looked at. */
+  /** Logs a close that leaves requests unanswered or follows discarded input. */
   private void logClosed() {
-    if (open != null || !waiting.isEmpty() || decoder.within() || dropped > 0) {
-      front.log()
+    if (current != null || !queued.isEmpty() || decoder.hasPartialRequest() || discardedBytes > 0) {
+      manager.log()
           .event("client.closed", "client", channel.remoteAddress(), "reason", closeReason, "state", state,
-              "open", open == null ? "none" : open.ask.id(), "waiting", waiting.size(), "partial", decoder
-                  .within(), "dropped", dropped);
+              "open", current == null ? "none" : current.head.transactionId(), "waiting", queued.size(),
+              "partial", decoder
+                  .hasPartialRequest(), "dropped", discardedBytes);
     }
   }
 
-  /** Sees bytes before the codec does. */
-  private final class Reads extends ChannelInboundHandlerAdapter {
+  /** Handles received bytes before the decoder. */
+  private final class InboundBytesHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       int count = ((ByteBuf) message).readableBytes();
-      long readAt = front.now();
-      arrivedAt = bytesRead == 0 ? Math.min(queuedSince, readAt) : front.arrivals().arrival(readAt);
+      long readAt = manager.now();
+      arrivedAt = bytesRead == 0
+          ? Math.min(queuedSince, readAt)
+          : manager.arrivalTimes().earliestArrival(readAt);
       bytesRead += count;
-      if (!state.reads()) {
-        drop(message, count);
+      if (!state.acceptsRequests()) {
+        discard(message, count);
         return;
       }
-      if (partSince < 0) {
-        partSince = readAt;
+      if (partialRequestSince < 0) {
+        partialRequestSince = readAt;
       }
-      reading = true;
+      insideRead = true;
       try {
         ctx.fireChannelRead(message);
       } finally {
-        reading = false;
+        insideRead = false;
       }
-      if (!decoder.within() || !state.reads()) {
-        partSince = -1;
-      } else if (partSince < 0) {
-        // A request ended in these bytes, and the next one began.
-        partSince = readAt;
+      if (!decoder.hasPartialRequest() || !state.acceptsRequests()) {
+        partialRequestSince = -1;
+      } else if (partialRequestSince < 0) {
+        // These bytes completed one request and started the next.
+        partialRequestSince = readAt;
       }
     }
 
-    private void drop(Object message, int count) {
-      dropped += count;
+    private void discard(Object message, int count) {
+      discardedBytes += count;
       ReferenceCountUtil.release(message);
-      if (dropped > MOST_DROPPED) {
-        close("too much after an error");
+      if (discardedBytes > MAX_DISCARDED_BYTES) {
+        close("too much input after an error");
       }
     }
   }
 
-  private final class Requests extends ChannelInboundHandlerAdapter {
+  private final class RequestHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       try {
-        if (state.reads() && message instanceof HttpRequest r) {
-          assembler.head(r, open == null && waiting.isEmpty() && writingSince < 0);
+        if (state.acceptsRequests() && message instanceof HttpRequest request) {
+          assembler.startRequest(request, current == null && queued.isEmpty() && writeStartedAt < 0);
         }
-        if (state.reads() && message instanceof HttpContent c) {
-          Incoming whole = assembler.content(c, arrivedAt);
-          if (whole != null) {
-            partSince = -1;
-            queue(whole);
+        if (state.acceptsRequests() && message instanceof HttpContent content) {
+          InboundRequest complete = assembler.addContent(content, arrivedAt);
+          if (complete != null) {
+            partialRequestSince = -1;
+            enqueue(complete);
           }
         }
-      } catch (RequestAssembler.FramingLost e) {
+      } catch (RequestAssembler.FramingException e) {
         framingError(e.status);
       } finally {
         ReferenceCountUtil.release(message);
@@ -413,13 +431,13 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      closed();
+      connectionClosed();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       if (cause instanceof DecoderException) {
-        front.log()
+        manager.log()
             .event("request.unreadable", "reason", cause.getMessage(), "client", channel.remoteAddress());
         framingError(HttpResponseStatus.BAD_REQUEST);
       } else {
--- a/src/main/java/hollyslip/platform/Desk.java
+++ b/src/main/java/hollyslip/platform/Desk.java
@@ -20,80 +20,81 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Owns the module and the open requests: what happens goes in as events, in order, and what the module wants
- * is carried out. Outside ids become numbers here, and are forgotten with what they stood for. */
+/** Owns the decision module and the open requests. Passes events to the module in order and executes the
+ * actions it returns. Maps external ids to numeric ids for the module and drops each mapping together with
+ * the request or disk server it stands for. */
 final class Desk {
-  /** How soon the module is called again after a fault of its own, us: its timer may be lost. */
-  private static final long AFTER_FAULT_US = 10_000;
+  /** Delay before the module is called again after it threw, us: its timer may have been lost. */
+  private static final long FAULT_RETRY_DELAY_US = 10_000;
 
-  /** What an answer may need from the module to its client at worst, us: the process may be held off its core
-   * for tens of ms. At most a tenth of the time that the client waits. */
-  private static final long ON_ITS_WAY_US = 30_000;
+  /** Time reserved for a response to get from the module to the client, us: the process may be descheduled
+   * for tens of ms. At most a tenth of the client's waiting time is reserved. */
+  private static final long RESPONSE_MARGIN_US = 30_000;
 
-  /** A request that the module has not answered so long after it had to be is failed here, us: a fault of the
-   * module may lose it. */
-  private static final long OVERDUE_US = 100_000;
+  /** A request that is still unanswered this long after its deadline is failed here, us: a fault in the
+   * module may have lost it. */
+  private static final long OVERDUE_GRACE_US = 100_000;
 
   private final HostScheduler module;
   private final Settings settings;
   private final EventLoop loop;
   private final Clock clock;
   private final Log log;
-  private final DiskServers disks;
-  private final Readings readings;
-  private final long mostBytes;
-  private final Map<String, Exchange> byId = new HashMap<>();
-  private final Map<Long, Exchange> byNumber = new HashMap<>();
-  private final Map<Long, Map<Integer, Call>> calls = new HashMap<>();
-  private final Map<String, DiskServer> servers = new HashMap<>();
+  private final DiskServers diskPool;
+  private final Readings reportParser;
+  private final long maxBufferedBytes;
+  private final Map<String, Exchange> byTransactionId = new HashMap<>();
+  private final Map<Long, Exchange> byRequestId = new HashMap<>();
+  private final Map<Long, Map<Integer, Call>> callsByRequest = new HashMap<>();
+  private final Map<String, DiskServer> serversByHost = new HashMap<>();
   private final Map<Long, DiskServer> serversByNumber = new HashMap<>();
-  private final ArrayDeque<Event> events = new ArrayDeque<>();
-  /** Null: off. */
+  private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
+  /** Null if tracing is off. */
   private Trace trace;
-  /** The module is to be called in this turn of the loop. */
-  private boolean scheduled;
-  private long lastNumber, lastServer, bytes;
-  private long answerBy = Long.MAX_VALUE;
+  /** Whether {@link #handleEvents} is already queued on the event loop. */
+  private boolean handlingScheduled;
+  private long lastRequestId, lastNodeId, bufferedBytes;
+  private long shutdownDeadline = Long.MAX_VALUE;
 
-  Desk(HostScheduler module, Settings settings, EventLoop loop, Clock clock, Log log, DiskServers disks,
-      long mostBytes) {
+  Desk(HostScheduler module, Settings settings, EventLoop loop, Clock clock, Log log, DiskServers diskPool,
+      long maxBufferedBytes) {
     this.module = module;
     this.settings = settings;
     this.loop = loop;
     this.clock = clock;
     this.log = log;
-    this.disks = disks;
-    this.mostBytes = mostBytes;
-    readings = new Readings(settings);
+    this.diskPool = diskPool;
+    this.maxBufferedBytes = maxBufferedBytes;
+    reportParser = new Readings(settings);
   }
 
-  /** Whether this id belongs to a request that has not ended. */
-  boolean isOpen(String id) {
-    return byId.containsKey(id);
+  /** Whether this id belongs to a request that is still open. */
+  boolean isOpen(String transactionId) {
+    return byTransactionId.containsKey(transactionId);
   }
 
-  /** Whether there is room for one more body. */
-  boolean hasRoom(int length) {
-    return bytes + length <= mostBytes;
+  /** Whether the buffer has space for this many more bytes. */
+  boolean hasBufferSpace(int length) {
+    return bufferedBytes + length <= maxBufferedBytes;
   }
 
-  /** Takes room for so many bytes of a request that waits, if there is any. */
-  boolean hold(int length) {
-    if (!hasRoom(length)) {
+  /** Reserves buffer space for a queued request, if available; returns whether it did. */
+  boolean reserveBuffer(int length) {
+    if (!hasBufferSpace(length)) {
       return false;
     }
-    bytes += length;
+    bufferedBytes += length;
     return true;
   }
 
-  /** Gives room back that {@link #hold} took. */
-  void letGo(int length) {
-    bytes -= length;
+  /** Releases space reserved by {@link #reserveBuffer}. */
+  void releaseBuffer(int length) {
+    bufferedBytes -= length;
   }
 
-  /** Open requests that await their answer or the end of an attempt. */
+  /** Number of requests that await their response or the end of an attempt. */
   int open() {
-    return byNumber.size();
+    return byRequestId.size();
   }
 
   void trace(Trace to) {
@@ -104,304 +105,322 @@
     return serversByNumber;
   }
 
-  /** Disk servers that are listed or have calls. */
+  /** Number of disk servers that are listed or have active calls. */
   int servers() {
-    return servers.size();
+    return serversByHost.size();
   }
 
-  /** The process ends: all is answered by then, us. */
-  void stopping(long at) {
-    answerBy = at;
-    post(new HostScheduler.Stopping(at));
+  /** Announces the end of the process: every request is answered by {@code deadline}, us. */
+  void stopping(long deadline) {
+    shutdownDeadline = deadline;
+    post(new HostScheduler.Stopping(deadline));
   }
 
-  /** Takes a request whose last byte came at {@code cameAt}, us; its id must not be open. */
-  Exchange take(Ask ask, byte[] body, long cameAt, Exchange.Reply reply) {
-    long deadline = Math.min(deadline(ask, cameAt), answerBy);
-    Exchange x = new Exchange(ask, body, ++lastNumber, clock.now(), deadline, reply);
-    byId.put(ask.id(), x);
-    byNumber.put(x.number, x);
-    bytes += body.length;
-    post(new HostScheduler.Request(x.number, ask.className(), ask.plan(), ask.key(), ask.volume(), ask
-        .units(), ask.shard(), ask.hosts(), x.deadline() - clock.now(), ask.again()));
-    return x;
+  /** Accepts a request whose last byte arrived at {@code receivedAt}, us. Its transaction id must not be
+   * open. */
+  Exchange accept(Ask head, byte[] body, long receivedAt, Exchange.Responder responder) {
+    long deadline = Math.min(responseDeadline(head, receivedAt), shutdownDeadline);
+    Exchange exchange = new Exchange(head, body, ++lastRequestId, clock.now(), deadline, responder);
+    byTransactionId.put(head.transactionId(), exchange);
+    byRequestId.put(exchange.requestId, exchange);
+    bufferedBytes += body.length;
+    post(new HostScheduler.Request(exchange.requestId, head.className(), head.plan(), head.objectKey(), head
+        .volumePlanId(), head
+            .units(), head.shard(), head.hosts(), exchange.deadline() - clock.now(), head.resent()));
+    return exchange;
   }
 
-  /** When the answer to a request that came at {@code cameAt} has to be on its way, us. */
-  long deadline(Ask ask, long cameAt) {
-    return cameAt + ask.remainingUs() - Math.min(ON_ITS_WAY_US, ask.remainingUs() / 10);
+  /** Latest time to send the response to a request that arrived at {@code receivedAt}, us. */
+  long responseDeadline(Ask head, long receivedAt) {
+    return receivedAt + head.remainingUs() - Math.min(RESPONSE_MARGIN_US, head.remainingUs() / 10);
   }
 
-  /** A request has to be answered by then, us, if that is before its client gives up. */
-  void hasten(Exchange x, long by) {
-    if (!x.over() && by < x.deadline()) {
-      x.hasten(by);
-      post(new HostScheduler.Hastened(x.number, by));
+  /** Brings the deadline of a request forward to {@code latest}, us, if that is earlier. */
+  void shortenDeadline(Exchange exchange, long latest) {
+    if (!exchange.completed() && latest < exchange.deadline()) {
+      exchange.shortenDeadline(latest);
+      post(new HostScheduler.Hastened(exchange.requestId, latest));
     }
   }
 
-  /** The client of a request left. */
-  void departed(Exchange x) {
-    if (!x.over()) {
-      logEnd("request.abandoned", x);
-      x.left();
-      post(new HostScheduler.Departed(x.number));
-      forgetIfDone(x);
+  /** Ends a request whose client has disconnected. */
+  void abandon(Exchange exchange) {
+    if (!exchange.completed()) {
+      logCompletion("request.abandoned", exchange);
+      exchange.abandon();
+      post(new HostScheduler.Departed(exchange.requestId));
+      removeIfDone(exchange);
     }
   }
 
-  /** Takes on what discovery says. */
-  void news(EndpointUpdate news) {
+  /** Applies an update of the disk server list from discovery. */
+  void news(EndpointUpdate update) {
     long now = clock.now();
     List<Listed> listed = new ArrayList<>();
-    Set<String> named = new HashSet<>();
-    for (EndpointUpdate.Entry e : news.entries()) {
-      named.add(e.host());
-      DiskServer s = servers.get(e.host());
-      if (s == null && e.state() == NodeState.GONE) {
+    Set<String> listedHosts = new HashSet<>();
+    for (EndpointUpdate.Entry entry : update.entries()) {
+      listedHosts.add(entry.host());
+      DiskServer server = serversByHost.get(entry.host());
+      if (server == null && entry.state() == NodeState.GONE) {
         continue;
       }
-      if (s == null) {
-        s = new DiskServer(e.host(), ++lastServer);
-        servers.put(s.host, s);
-        serversByNumber.put(s.number, s);
+      if (server == null) {
+        server = new DiskServer(entry.host(), ++lastNodeId);
+        serversByHost.put(server.host, server);
+        serversByNumber.put(server.number, server);
       }
-      update(s, e, now);
-      listed.add(new Listed(s.number, e.zone(), e.cell(), e.state(), s.bornUs));
+      updateServer(server, entry, now);
+      listed.add(new Listed(server.number, entry.zone(), entry.cell(), entry.state(), server.bornUs));
     }
-    if (news.whole()) {
-      servers.values()
+    if (update.whole()) {
+      serversByHost.values()
           .stream()
-          .filter(s -> !named.contains(s.host))
-          .forEach(s -> state(s, NodeState.GONE,
+          .filter(server -> !listedHosts.contains(server.host))
+          .forEach(server -> changeState(server, NodeState.GONE,
               now));
     }
-    post(new HostScheduler.NodeList(news.whole(), listed));
-    List.copyOf(servers.values()).forEach(this::forgetIfGone);
+    post(new HostScheduler.NodeList(update.whole(), listed));
+    List.copyOf(serversByHost.values()).forEach(this::removeIfGone);
   }
 
-  private void update(DiskServer s, EndpointUpdate.Entry e, long now) {
-    if (e.bornMs() != s.bornMs) {
-      s.bornMs = e.bornMs();
-      // Once for each start: the module takes another time for another start.
-      s.bornUs = e.bornMs() > 0 ? Math.max(1, clock.ofWall(e.bornMs())) : 0;
-      disks.dropIdle(s);
+  private void updateServer(DiskServer server, EndpointUpdate.Entry entry, long now) {
+    if (entry.bornMs() != server.bornMs) {
+      server.bornMs = entry.bornMs();
+      // Converted only once per start: the module takes a different time for a new start.
+      server.bornUs = entry.bornMs() > 0 ? Math.max(1, clock.ofWall(entry.bornMs())) : 0;
+      diskPool.dropIdle(server);
     }
-    if (e.dial() != null && !e.dial().equals(s.dial)) {
-      s.dial = e.dial();
-      disks.dropIdle(s);
+    if (entry.dial() != null && !entry.dial().equals(server.dial)) {
+      server.dial = entry.dial();
+      diskPool.dropIdle(server);
     }
-    state(s, e.state(), now);
+    changeState(server, entry.state(), now);
   }
 
-  private void state(DiskServer s, NodeState state, long now) {
-    if (s.state != state) {
-      log.event("server.state", "server", s.host, "from", s.state, "to", state);
+  private void changeState(DiskServer server, NodeState state, long now) {
+    if (server.state != state) {
+      log.event("server.state", "server", server.host, "from", server.state, "to", state);
     }
-    s.state = state;
+    server.state = state;
     if (state == NodeState.GONE) {
-      disks.dropIdle(s);
+      diskPool.dropIdle(server);
     }
   }
 
-  private void forgetIfGone(DiskServer s) {
-    if (s.state == NodeState.GONE && s.calls == 0) {
-      disks.dropIdle(s);
-      servers.remove(s.host, s);
-      serversByNumber.remove(s.number);
+  private void removeIfGone(DiskServer server) {
+    if (server.state == NodeState.GONE && server.calls == 0) {
+      diskPool.dropIdle(server);
+      serversByHost.remove(server.host, server);
+      serversByNumber.remove(server.number);
     }
   }
 
-  /** Hands an event to the module, after those before it, once this turn's sockets have been read: what the
-   * module decides never runs in the middle of a read, and a client that left with its request in the same
-   * turn is known to have left. */
+  /** Queues an event for the module. Queued events are handled in order after the sockets of this event loop
+   * iteration have been read: the module's actions never run in the middle of a read, and a client that sent
+   * a request and disconnected in the same iteration is known to be gone. */
   private void post(Event event) {
-    events.add(event);
-    if (!scheduled) {
-      scheduled = true;
+    pendingEvents.add(event);
+    if (!handlingScheduled) {
+      handlingScheduled = true;
       loop.execute(this::handleEvents);
     }
   }
 
   private void handleEvents() {
-    scheduled = false;
-    for (Event e = events.poll(); e != null; e = events.poll()) {
+    handlingScheduled = false;
+    for (Event event = pendingEvents.poll(); event != null; event = pendingEvents.poll()) {
       try {
-        module.handle(clock.now(), e, this::carryOut);
+        module.handle(clock.now(), event, this::execute);
       } catch (RuntimeException fault) {
         log.fault("module.fault", fault);
-        timer(clock.now() + AFTER_FAULT_US, 0);
+        scheduleTimer(clock.now() + FAULT_RETRY_DELAY_US, 0);
       }
     }
   }
 
-  private void carryOut(Action action) {
-    if (action instanceof HostScheduler.Send s) {
-      send(s);
-    } else if (action instanceof HostScheduler.Refuse r) {
-      Exchange x = byNumber.get(r.request());
-      if (x != null) {
-        logEnd("request.refused", x);
-        x.refuse(settings.allowed().retryAfter() ? r.retryInUs() : 0);
-        forgetIfDone(x);
+  private void execute(Action action) {
+    if (action instanceof HostScheduler.Send send) {
+      startAttempt(send);
+    } else if (action instanceof HostScheduler.Refuse refuse) {
+      Exchange exchange = byRequestId.get(refuse.request());
+      if (exchange != null) {
+        logCompletion("request.refused", exchange);
+        exchange.refuse(settings.allowed().retryAfter() ? refuse.retryInUs() : 0);
+        removeIfDone(exchange);
       }
-    } else if (action instanceof HostScheduler.Fail f) {
-      Exchange x = byNumber.get(f.request());
-      if (x != null) {
-        logEnd("request.failed", x);
-        x.fail();
-        forgetIfDone(x);
+    } else if (action instanceof HostScheduler.Fail fail) {
+      Exchange exchange = byRequestId.get(fail.request());
+      if (exchange != null) {
+        logCompletion("request.failed", exchange);
+        exchange.fail();
+        removeIfDone(exchange);
       }
-    } else if (action instanceof HostScheduler.Cancel k) {
-      Call c = calls.getOrDefault(k.request(), Map.of()).get(k.attempt());
-      if (c != null) {
-        disks.cancel(c);
+    } else if (action instanceof HostScheduler.Cancel cancel) {
+      Call call = callsByRequest.getOrDefault(cancel.request(), Map.of()).get(cancel.attempt());
+      if (call != null) {
+        diskPool.cancel(call);
       }
-    } else if (action instanceof HostScheduler.Probe p) {
-      probe(p.node());
-    } else if (action instanceof HostScheduler.SetTimer t) {
-      timer(t.at(), t.id());
+    } else if (action instanceof HostScheduler.Probe probe) {
+      startProbe(probe.node());
+    } else if (action instanceof HostScheduler.SetTimer timer) {
+      scheduleTimer(timer.at(), timer.id());
     }
   }
 
-  private void timer(long at, long id) {
+  private void scheduleTimer(long at, long id) {
     loop.schedule(() -> post(new HostScheduler.TimerDue(id)), Math.max(0, at - clock.now()),
         TimeUnit.MICROSECONDS);
   }
 
-  private void send(HostScheduler.Send s) {
-    Exchange x = byNumber.get(s.request());
-    if (x == null) {
+  private void startAttempt(HostScheduler.Send send) {
+    Exchange exchange = byRequestId.get(send.request());
+    if (exchange == null) {
       return;
     }
-    int attempt = x.attempts++;
+    int attempt = exchange.attempts++;
     long now = clock.now();
-    DiskServer to = serversByNumber.get(s.node());
-    if (to == null || x.over() || attempt >= settings.allowed().maxAttempts()) {
-      post(new HostScheduler.Outcome(x.number, attempt, s.node(), Result.MOOT, x.over(), 0, 0, 0, null));
+    DiskServer server = serversByNumber.get(send.node());
+    if (server == null || exchange.completed() || attempt >= settings.allowed().maxAttempts()) {
+      post(new HostScheduler.Outcome(exchange.requestId, attempt, send.node(), Result.MOOT, exchange
+          .completed(), 0, 0, 0, null));
       return;
     }
-    x.out++;
-    long last = Math.min(x.deadline(), answerBy);
-    long giveUpAt = s.timeoutAt() > 0 ? Math.min(s.timeoutAt(), last) : last;
-    long born = to.bornUs;
-    Call c = new Call(to, now, giveUpAt, waitUs -> bytes(x, to, waitUs), () -> x.wanted() && clock
-        .now() <= s.startBy() && to.bornUs == born && mayStart(to), (result, tookUs, headers, body) -> ended(
-            x,
-            attempt, to, result, tookUs,
-            headers,
-            body));
-    calls.computeIfAbsent(x.number, k -> new HashMap<>()).put(attempt, c);
+    exchange.attemptsOutstanding++;
+    long latest = Math.min(exchange.deadline(), shutdownDeadline);
+    long giveUpAt = send.timeoutAt() > 0 ? Math.min(send.timeoutAt(), latest) : latest;
+    long startedAtUs = server.bornUs;
+    Call call = new Call(server, now, giveUpAt, waitUs -> encodeAttempt(exchange, server, waitUs),
+        () -> exchange.isStillWanted() && clock
+            .now() <= send.startBy() && server.bornUs == startedAtUs && acceptsAttempts(server), (result,
+                tookUs, headers, body) -> attemptEnded(
+                    exchange,
+                    attempt, server, result, tookUs,
+                    headers,
+                    body));
+    callsByRequest.computeIfAbsent(exchange.requestId, k -> new HashMap<>()).put(attempt, call);
     if (trace != null) {
-      trace.started(to.number);
+      trace.started(server.number);
     }
-    disks.start(c);
+    diskPool.start(call);
   }
 
-  /** The drain's grace is not used: it may count from earlier than the news of it came. */
-  private static boolean mayStart(DiskServer to) {
-    return to.state == NodeState.ON;
+  /** Draining disk servers get no attempts. Their grace period is not used, as it may have begun before the
+   * update that announced the drain arrived. */
+  private static boolean acceptsAttempts(DiskServer server) {
+    return server.state == NodeState.ON;
   }
 
-  private void ended(Exchange x, int attempt, DiskServer from, Result result, long tookUs,
+  private void attemptEnded(Exchange exchange, int attempt, DiskServer server, Result result, long tookUs,
       HttpHeaders headers, byte[] body) {
-    x.out--;
-    Map<Integer, Call> own = calls.get(x.number);
-    own.remove(attempt);
-    if (own.isEmpty()) {
-      calls.remove(x.number);
+    exchange.attemptsOutstanding--;
+    Map<Integer, Call> callsOfRequest = callsByRequest.get(exchange.requestId);
+    callsOfRequest.remove(attempt);
+    if (callsOfRequest.isEmpty()) {
+      callsByRequest.remove(exchange.requestId);
     }
     if (trace != null) {
-      trace.ended(from.number, result, tookUs);
+      trace.ended(server.number, result, tookUs);
     }
     if (result == Result.OK) {
-      if (clock.now() > x.deadline() && !x.over()) {
-        logEnd("request.late", x);
+      if (clock.now() > exchange.deadline() && !exchange.completed()) {
+        logCompletion("request.late", exchange);
       }
-      x.serve(body);
+      exchange.serve(body);
     } else {
-      log.event("attempt.ended", "id", x.ask.id(), "attempt", attempt, "server", from.host, "result", result,
+      log.event("attempt.ended", "id", exchange.head.transactionId(), "attempt", attempt, "server",
+          server.host, "result", result,
           "took_ms",
           tookUs / 1000);
     }
-    post(new HostScheduler.Outcome(x.number, attempt, from.number, result, x.over(), tookUs, readings
-        .metered(headers), readings.elsewhere(headers), readings.report(headers)));
-    forgetIfDone(x);
-    forgetIfGone(from);
+    post(new HostScheduler.Outcome(exchange.requestId, attempt, server.number, result, exchange.completed(),
+        tookUs, reportParser
+            .metered(headers), reportParser.elsewhere(headers), reportParser.report(headers)));
+    removeIfDone(exchange);
+    removeIfGone(server);
   }
 
-  /** To be called now and then: fails what the module has forgotten to answer. */
-  void failOverdue() {
+  /** Fails requests that the module has not answered in time. Must be called periodically. */
+  void failOverdueRequests() {
     long now = clock.now();
-    for (Exchange x : List.copyOf(byNumber.values())) {
-      if (!x.over() && now > x.deadline() + OVERDUE_US) {
-        logEnd("request.overdue", x);
-        x.fail();
-        post(new HostScheduler.Departed(x.number));
-        forgetIfDone(x);
+    for (Exchange exchange : List.copyOf(byRequestId.values())) {
+      if (!exchange.completed() && now > exchange.deadline() + OVERDUE_GRACE_US) {
+        logCompletion("request.overdue", exchange);
+        exchange.fail();
+        post(new HostScheduler.Departed(exchange.requestId));
+        removeIfDone(exchange);
       }
     }
   }
 
-  /** Logs how a request ends, before it does. */
-  private void logEnd(String name, Exchange x) {
-    if (!x.over()) {
+  /** Logs the end of a request; called before it is completed. */
+  private void logCompletion(String event, Exchange exchange) {
+    if (!exchange.completed()) {
       long now = clock.now();
-      log.event(name, "id", x.ask.id(), "class", x.ask.className(), "waited_ms", (now - x.takenAt) / 1000,
+      log.event(event, "id", exchange.head.transactionId(), "class", exchange.head.className(), "waited_ms",
+          (now - exchange.acceptedAt) / 1000,
           "left_ms",
-          (x.deadline() - now) / 1000, "attempts", x.attempts, "out", x.out);
+          (exchange.deadline() - now) / 1000, "attempts", exchange.attempts, "out",
+          exchange.attemptsOutstanding);
     }
   }
 
-  /** Nothing more is sent for a request that is over; it is forgotten when its last attempt has ended. */
-  private void forgetIfDone(Exchange x) {
-    if (x.over()) {
-      List.copyOf(calls.getOrDefault(x.number, Map.of()).values()).forEach(disks::withdraw);
+  /** Cancels calls of a completed request that are not fully written, so that nothing more is sent for it,
+   * and removes it once its last attempt has ended. */
+  private void removeIfDone(Exchange exchange) {
+    if (exchange.completed()) {
+      List.copyOf(callsByRequest.getOrDefault(exchange.requestId, Map.of()).values())
+          .forEach(diskPool::withdraw);
     }
-    if (x.over() && x.out == 0 && byNumber.remove(x.number) != null) {
-      byId.remove(x.ask.id(), x);
-      bytes -= x.body.length;
+    if (exchange.completed() && exchange.attemptsOutstanding == 0 && byRequestId.remove(
+        exchange.requestId) != null) {
+      byTransactionId.remove(exchange.head.transactionId(), exchange);
+      bufferedBytes -= exchange.body.length;
     }
   }
 
-  private void probe(long node) {
-    DiskServer to = serversByNumber.get(node);
-    if (to == null) {
+  private void startProbe(long nodeId) {
+    DiskServer server = serversByNumber.get(nodeId);
+    if (server == null) {
       return;
     }
     long now = clock.now();
     boolean reports = settings.reportSource() != HostScheduler.ReportSource.NONE;
     String path = reports ? "/status/load" : "/health";
-    disks.start(new Call(to, now, now + settings.allowed().connectTimeoutUs(), waitUs -> Http.bytes("GET "
-        + path
-        + " HTTP/1.1\r\nHost: " + Http.authority(to.dial) + "\r\n\r\n"), () -> to.state != NodeState.GONE, (
+    diskPool.start(new Call(server, now, now + settings.allowed().connectTimeoutUs(), waitUs -> Http.bytes(
+        "GET "
+            + path
+            + " HTTP/1.1\r\nHost: " + Http.authority(server.dial) + "\r\n\r\n"),
+        () -> server.state != NodeState.GONE, (
             result,
             tookUs, headers, body) -> {
-          post(new HostScheduler.Probed(node, result, tookUs, readings.probed(headers, body)));
-          forgetIfGone(to);
+          post(new HostScheduler.Probed(nodeId, result, tookUs, reportParser.probed(headers, body)));
+          removeIfGone(server);
         }));
   }
 
-  /** An attempt's request, written anew: only what the protocol names is passed on. */
-  private static ByteBuf bytes(Exchange x, DiskServer to, long waitUs) {
-    Ask a = x.ask;
-    StringBuilder head = new StringBuilder(256).append(a.method())
+  /** Encodes the request of an attempt. The head is written anew: only what the protocol defines is
+   * forwarded. */
+  private static ByteBuf encodeAttempt(Exchange exchange, DiskServer server, long waitUs) {
+    Ask requestHead = exchange.head;
+    StringBuilder head = new StringBuilder(256).append(requestHead.method())
         .append(' ')
-        .append(a.uri())
+        .append(requestHead.uri())
         .append(" HTTP/1.1\r\nHost: ")
-        .append(Http.authority(to.dial))
+        .append(Http.authority(server.dial))
         .append("\r\nX-Txn: ")
-        .append(a.id())
+        .append(requestHead.transactionId())
         .append("\r\nX-Remaining: ")
         .append(Math.max(0, waitUs))
         .append("u\r\n");
-    if (a.idempotencyKey() != null) {
-      head.append("Idempotency-Key: ").append(a.idempotencyKey()).append("\r\n");
+    if (requestHead.idempotencyKey() != null) {
+      head.append("Idempotency-Key: ").append(requestHead.idempotencyKey()).append("\r\n");
     }
-    if (x.body.length > 0 || a.method().equals("PUT")) {
-      head.append("Content-Length: ").append(x.body.length).append("\r\n");
+    if (exchange.body.length > 0 || requestHead.method().equals("PUT")) {
+      head.append("Content-Length: ").append(exchange.body.length).append("\r\n");
     }
-    ByteBuf text = Http.bytes(head.append("\r\n").toString());
-    return x.body.length == 0 ? text : Unpooled.wrappedBuffer(text, Unpooled.wrappedBuffer(x.body));
+    ByteBuf headBytes = Http.bytes(head.append("\r\n").toString());
+    return exchange.body.length == 0
+        ? headBytes
+        : Unpooled.wrappedBuffer(headBytes, Unpooled.wrappedBuffer(exchange.body));
   }
 }
--- a/src/main/java/hollyslip/platform/Exchange.java
+++ b/src/main/java/hollyslip/platform/Exchange.java
@@ -1,90 +1,90 @@
 package hollyslip.platform;
 
-/** A client's request from when it was taken until its last attempt has ended. */
+/** A client request from its acceptance until its last attempt has ended. */
 final class Exchange {
-  /** Where the one final answer goes. */
-  interface Reply {
+  /** Sends the single final response to the client. */
+  interface Responder {
     /** @param body
-     *          of a disk server's answer to this request */
-    void served(byte[] body);
+     *          body of the disk server's response */
+    void serve(byte[] body);
 
     /** @param retryInUs
-     *          0: no advice */
-    void refused(long retryInUs);
+     *          delay to advise in Retry-After, us; 0: no advice */
+    void refuse(long retryInUs);
 
-    void failed();
+    void fail();
 
-    /** Reads what has come from the client and may so hear that it left: {@link Desk#departed} is called
-     * then, before this returns. */
-    void readNow();
+    /** Reads all pending input from the client. If this shows that the client has disconnected,
+     * {@link Desk#abandon} is called before this method returns. */
+    void readPending();
   }
 
-  final Ask ask;
+  final Ask head;
   final byte[] body;
-  /** The module's name for it. */
-  final long number;
-  /** When it was taken, us on the module's clock. */
-  final long takenAt;
+  /** Id by which the decision module knows this request. */
+  final long requestId;
+  /** Time of acceptance, us on the module's clock. */
+  final long acceptedAt;
   private long deadline;
-  private final Reply reply;
-  int attempts, out;
-  /** Answered, or its client has left. */
-  private boolean over;
+  private final Responder responder;
+  int attempts, attemptsOutstanding;
+  /** Whether the response was given or the client has disconnected. */
+  private boolean completed;
 
-  Exchange(Ask ask, byte[] body, long number, long takenAt, long deadline, Reply reply) {
-    this.ask = ask;
+  Exchange(Ask head, byte[] body, long requestId, long acceptedAt, long deadline, Responder responder) {
+    this.head = head;
     this.body = body;
-    this.number = number;
-    this.takenAt = takenAt;
+    this.requestId = requestId;
+    this.acceptedAt = acceptedAt;
     this.deadline = deadline;
-    this.reply = reply;
+    this.responder = responder;
   }
 
-  /** When its client gives up, or a request behind it on its connection has to be answered, us on the
-   * module's clock. */
+  /** Latest time for the response, us on the module's clock: when the client gives up, or earlier if a
+   * request queued behind it on the same connection is due before that. */
   long deadline() {
     return deadline;
   }
 
-  /** It has to be answered by then. */
-  void hasten(long by) {
-    deadline = Math.min(deadline, by);
+  /** Brings the deadline forward to {@code latest} if that is earlier. */
+  void shortenDeadline(long latest) {
+    deadline = Math.min(deadline, latest);
   }
 
-  boolean over() {
-    return over;
+  boolean completed() {
+    return completed;
   }
 
-  /** Whether it is still open once all that came from its client has been read. */
-  boolean wanted() {
-    if (!over) {
-      reply.readNow();
+  /** Reads all pending input from the client, then tells whether the request is still open. */
+  boolean isStillWanted() {
+    if (!completed) {
+      responder.readPending();
     }
-    return !over;
+    return !completed;
   }
 
-  void left() {
-    over = true;
+  void abandon() {
+    completed = true;
   }
 
-  void serve(byte[] answer) {
-    if (!over) {
-      over = true;
-      reply.served(answer);
+  void serve(byte[] response) {
+    if (!completed) {
+      completed = true;
+      responder.serve(response);
     }
   }
 
   void refuse(long retryInUs) {
-    if (!over) {
-      over = true;
-      reply.refused(retryInUs);
+    if (!completed) {
+      completed = true;
+      responder.refuse(retryInUs);
     }
   }
 
   void fail() {
-    if (!over) {
-      over = true;
-      reply.failed();
+    if (!completed) {
+      completed = true;
+      responder.fail();
     }
   }
 }
--- a/src/main/java/hollyslip/platform/Front.java
+++ b/src/main/java/hollyslip/platform/Front.java
@@ -16,160 +16,163 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Client connections: how many, how long they may keep a request or themselves waiting, who goes first when
- * there is no room. */
+/** Accepts and manages client connections: limits their number, enforces timeouts for incomplete requests and
+ * unread responses, and evicts idle connections when places run out. */
 final class Front {
-  /** A request must be whole so long after its first byte, or after its connection came if it is the first,
-   * us: the platform closes the books at 3 s. Harm: to honest clients slower than that. */
-  static final long WHOLE_WITHIN_US = 2_500_000;
+  /** A request must be complete this long after its first byte or, for the first request of a connection,
+   * after the connection was accepted, us: the platform settles the outcome at 3 s. The drawback is that
+   * well-behaved clients slower than this are cut off. */
+  static final long REQUEST_READ_TIMEOUT_US = 2_500_000;
 
-  /** A connection without an open request may go after so long, us. */
-  static final long IDLE_US = 2_000_000;
+  /** How long a connection must have been idle before it may be evicted, us. */
+  static final long MIN_IDLE_BEFORE_EVICTION_US = 2_000_000;
 
-  /** An answer that its client does not take for so long ends its connection, us. */
-  static final long TAKEN_WITHIN_US = 5_000_000;
+  /** A connection is closed if its client does not read a response for this long, us. */
+  static final long WRITE_TIMEOUT_US = 5_000_000;
 
-  /** An error is owed so soon, us, though an earlier request is open; one for a request that was not whole in
-   * its time sooner, as that time counts too. */
-  static final long ERROR_WITHIN_US = 2_000_000, TIMEOUT_WITHIN_US = 300_000;
+  /** How soon an error response is due even if an earlier request is still open, us. For a request that was
+   * not complete in time it is due sooner, as the time spent waiting for it counts too. */
+  static final long ERROR_RESPONSE_DEADLINE_US = 2_000_000, TIMEOUT_RESPONSE_DEADLINE_US = 300_000;
 
-  /** A client that was told to close its connection may still send on it for so long, us. */
-  static final long TOLD_TO_CLOSE_US = 60_000;
+  /** How long a client that was told to close its connection may still send on it, us. */
+  static final long CLOSE_GRACE_US = 60_000;
 
-  /** How long what a client still sends after an error is read and dropped, us: so that it sees the error and
-   * not a reset. */
+  /** How long input after an error is read and discarded, us, so that the client sees the error and not a
+   * reset. */
   static final long LINGER_US = 300_000;
 
-  /** After an error of accept nothing is accepted for so long, ms: what it tells of may pass, and the
-   * listener stays readable as long as somebody waits. */
-  private static final long ACCEPT_PAUSE_MS = 10;
+  /** Pause after a failed accept, ms: the cause may be temporary, and the listener stays readable as long as
+   * a connection waits, so the event loop would spin without a pause. */
+  private static final long ACCEPT_RETRY_DELAY_MS = 10;
 
-  /** Connections that are accepted in one turn of the loop. */
-  private static final int MOST_ACCEPTED = 16;
+  /** Maximum number of connections accepted in one event loop iteration. */
+  private static final int MAX_ACCEPTS_PER_READ = 16;
 
-  private static final long SWEEP_MS = 100;
+  private static final long SWEEP_INTERVAL_MS = 100;
 
-  /** One of so many places free, or less, is a crowd. */
-  private static final int CROWDED = 8;
+  /** Connections count as crowded when at most one in this many places is free. */
+  private static final int CROWDED_DIVISOR = 8;
 
   private final EventLoop loop;
   private final Clock clock;
   private final Log log;
-  private final Desk desk;
-  private final Ask.Reader reader;
-  private final int most, mayIdle;
-  private final Set<ClientConnection> all = new LinkedHashSet<>();
-  private final ArrivalClock arrivals;
+  private final Desk dispatcher;
+  private final Ask.Reader headParser;
+  private final int maxConnections, maxIdleConnections;
+  private final Set<ClientConnection> openConnections = new LinkedHashSet<>();
+  private final ArrivalTimeEstimator arrivalTimes;
   private Channel listener;
-  private boolean ready, draining, full, acceptPaused;
-  /** Connections that ever came, now and when it was last asked whether all is done. */
-  private long accepted, acceptedBefore = -1;
+  private boolean ready, draining, atCapacity, acceptPaused;
+  /** Connections accepted so far, and that number at the last call of {@link #endIfDone}. */
+  private long acceptedCount, acceptedAtLastCheck = -1;
 
-  Front(EventLoop loop, Clock clock, Log log, Desk desk, Ask.Reader reader, Bounds bounds) {
+  Front(EventLoop loop, Clock clock, Log log, Desk dispatcher, Ask.Reader headParser, Bounds bounds) {
     this.loop = loop;
     this.clock = clock;
     this.log = log;
-    this.desk = desk;
-    this.reader = reader;
-    most = bounds.clients();
-    mayIdle = bounds.idleClients();
-    arrivals = new ArrivalClock(clock.now());
+    this.dispatcher = dispatcher;
+    this.headParser = headParser;
+    maxConnections = bounds.clients();
+    maxIdleConnections = bounds.idleClients();
+    arrivalTimes = new ArrivalTimeEstimator(clock.now());
   }
 
-  /** Starts to listen; {@code group} holds the event loop alone. */
-  Channel listen(EventLoopGroup group, InetSocketAddress at) throws InterruptedException {
+  /** Starts listening. {@code group} must contain only the event loop. */
+  Channel listen(EventLoopGroup group, InetSocketAddress address) throws InterruptedException {
     listener = new ServerBootstrap().group(group)
         .channel(NioServerSocketChannel.class)
         .option(ChannelOption.SO_BACKLOG, 1024)
         .option(ChannelOption.SO_REUSEADDR, true)
-        .option(ChannelOption.MAX_MESSAGES_PER_READ, MOST_ACCEPTED)
-        .handler(new Accepting())
+        .option(ChannelOption.MAX_MESSAGES_PER_READ, MAX_ACCEPTS_PER_READ)
+        .handler(new AcceptHandler())
         .childOption(ChannelOption.TCP_NODELAY, true)
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
-          protected void initChannel(Channel ch) {
-            ClientConnection c = new ClientConnection(Front.this, ch);
-            all.add(c);
-            accepted++;
-            c.open();
-            if (all.size() >= most) {
-              makeRoom(now());
+          protected void initChannel(Channel channel) {
+            ClientConnection connection = new ClientConnection(Front.this, channel);
+            openConnections.add(connection);
+            acceptedCount++;
+            connection.start();
+            if (openConnections.size() >= maxConnections) {
+              evictIdleConnections(now());
             }
           }
         })
-        .bind(at)
+        .bind(address)
         .sync()
         .channel();
-    loop.scheduleAtFixedRate(log.guarded(this::sweep), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
-    loop.scheduleWithFixedDelay(() -> arrivals.tick(now()), 0, ArrivalClock.TICK_US, TimeUnit.MICROSECONDS);
+    loop.scheduleAtFixedRate(log.guarded(this::sweep), SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS,
+        TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(() -> arrivalTimes.tick(now()), 0, ArrivalTimeEstimator.TICK_US,
+        TimeUnit.MICROSECONDS);
     return listener;
   }
 
-  /** Stands before Netty's own handler of a listener, which stops accepting for a second after any error;
-   * sees when nobody is left in the listener's queue. */
-  private final class Accepting extends ChannelInboundHandlerAdapter {
-    private int inThisRead;
-    /** The last read took less than it might have, so that the queue was empty, unless it ended in an
-     * error. */
-    private boolean tookAll;
+  /** Runs before Netty's own listener handler, which stops accepting for a second after any error, and keeps
+   * errors from it. Also detects when the accept queue is empty. */
+  private final class AcceptHandler extends ChannelInboundHandlerAdapter {
+    private int acceptedInRead;
+    /** Whether the last read accepted fewer connections than it could have, so that the queue was empty.
+     * False if it ended in an error. */
+    private boolean acceptQueueDrained;
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object connection) {
-      if (inThisRead++ == 0 && tookAll) {
-        arrivals.queueEmpty();
+      if (acceptedInRead++ == 0 && acceptQueueDrained) {
+        arrivalTimes.acceptQueueEmpty();
       }
       ctx.fireChannelRead(connection);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-      tookAll = inThisRead < MOST_ACCEPTED;
-      if (!tookAll) {
-        arrivals.acceptStopped(now());
+      acceptQueueDrained = acceptedInRead < MAX_ACCEPTS_PER_READ;
+      if (!acceptQueueDrained) {
+        arrivalTimes.acceptingStopped(now());
       }
-      inThisRead = 0;
+      acceptedInRead = 0;
       ctx.fireChannelReadComplete();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       log.event("front.accept-failed", "reason", cause);
-      tookAll = false;
+      acceptQueueDrained = false;
       if (!acceptPaused) {
         acceptPaused = true;
-        updateAccepting();
-        loop.schedule(this::retry, ACCEPT_PAUSE_MS, TimeUnit.MILLISECONDS);
+        updateAutoRead();
+        loop.schedule(this::resumeAfterError, ACCEPT_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
       }
     }
 
-    private void retry() {
+    private void resumeAfterError() {
       acceptPaused = false;
-      updateAccepting();
+      updateAutoRead();
     }
   }
 
-  private void updateAccepting() {
-    boolean accepting = !full && !acceptPaused;
+  private void updateAutoRead() {
+    boolean accepting = !atCapacity && !acceptPaused;
     if (!accepting) {
-      arrivals.acceptStopped(now());
+      arrivalTimes.acceptingStopped(now());
     }
     listener.config().setAutoRead(accepting);
   }
 
-  Desk desk() {
-    return desk;
+  Desk dispatcher() {
+    return dispatcher;
   }
 
-  Ask.Reader reader() {
-    return reader;
+  Ask.Reader headParser() {
+    return headParser;
   }
 
   long now() {
     return clock.now();
   }
 
-  ArrivalClock arrivals() {
-    return arrivals;
+  ArrivalTimeEstimator arrivalTimes() {
+    return arrivalTimes;
   }
 
   Log log() {
@@ -180,12 +183,13 @@
     return ready && !draining;
   }
 
-  /** How long the rest of a request, or a first one, is waited for, us. */
-  long wholeWithinUs() {
-    return draining ? TOLD_TO_CLOSE_US : WHOLE_WITHIN_US;
+  /** How long to wait for a first request or for the rest of a partial one, us. */
+  long requestReadTimeoutUs() {
+    return draining ? CLOSE_GRACE_US : REQUEST_READ_TIMEOUT_US;
   }
 
-  /** The end is near: nothing more is taken, and connections end with what was read on them answered. */
+  /** Whether the process is about to end: no more requests are served, and connections are closed once
+   * everything read on them is answered. */
   boolean draining() {
     return draining;
   }
@@ -194,22 +198,24 @@
     ready = true;
   }
 
-  /** Ends connections that carry nothing, and the others with the answer to what was read on them; a request
-   * of which a part has come has a moment left. Those that still come are answered too: what the system has
-   * accepted counts as taken. */
+  /** Closes idle connections at once and the others after the response to what was read on them; a partial
+   * request gets {@link #CLOSE_GRACE_US} to complete. New connections are still answered, as requests on
+   * connections that the operating system has accepted count as received. */
   void drain() {
     draining = true;
-    List.copyOf(all).forEach(c -> c.closeIfResting("the process ends"));
-    loop.schedule(() -> List.copyOf(all).forEach(ClientConnection::endPart), TOLD_TO_CLOSE_US,
+    List.copyOf(openConnections).forEach(c -> c.closeIfIdle("process is shutting down"));
+    loop.schedule(() -> List.copyOf(openConnections).forEach(ClientConnection::endPartialRequest),
+        CLOSE_GRACE_US,
         TimeUnit.MICROSECONDS);
-    resume();
+    resumeAccepting();
   }
 
-  /** Stops listening if nothing is open and nobody has come since the last call; gives whether it did. */
+  /** Stops listening if no connection is open and none was accepted since the last call. Returns whether it
+   * did. */
   boolean endIfDone() {
-    boolean came = accepted != acceptedBefore;
-    acceptedBefore = accepted;
-    if (came || !all.isEmpty()) {
+    boolean acceptedSince = acceptedCount != acceptedAtLastCheck;
+    acceptedAtLastCheck = acceptedCount;
+    if (acceptedSince || !openConnections.isEmpty()) {
       return false;
     }
     listener.close();
@@ -217,57 +223,59 @@
   }
 
   int connections() {
-    return all.size();
+    return openConnections.size();
   }
 
-  void closed(ClientConnection c) {
-    all.remove(c);
-    if (full && all.size() < most) {
-      resume();
+  void connectionClosed(ClientConnection connection) {
+    openConnections.remove(connection);
+    if (atCapacity && openConnections.size() < maxConnections) {
+      resumeAccepting();
     }
   }
 
-  private void resume() {
-    full = false;
-    updateAccepting();
+  private void resumeAccepting() {
+    atCapacity = false;
+    updateAutoRead();
   }
 
-  /** Connections that carry nothing go: those on which nothing was ever asked first, at once, then the
-   * longest idle of the others, after the time that is theirs, but for some that may stay. While no place is
-   * free, new ones wait in the system's queue. Guards places against strangers who come by the hundreds and
-   * say nothing, and against clients that ask once and stay: their own side's places are as few. Harm: an
-   * ordinary client whose kept connection went connects anew; one that is slow to ask comes again. */
-  private void makeRoom(long now) {
-    int idle = 0;
-    for (ClientConnection c : all) {
-      idle += c.idleSince() >= 0 ? 1 : 0;
+  /** Closes idle connections beyond {@link #maxIdleConnections}: first those that never sent anything, at
+   * once if crowded, then the longest idle of the others, after {@link #MIN_IDLE_BEFORE_EVICTION_US}. While
+   * no place is free, new connections wait in the operating system's accept queue. This guards the places
+   * against clients that open hundreds of connections and send nothing, and against clients that send one
+   * request and keep the connection; the places on their own side are just as few. The drawback is that an
+   * ordinary client whose kept connection was closed, or that is slow to send, has to reconnect. */
+  private void evictIdleConnections(long now) {
+    int idleCount = 0;
+    for (ClientConnection c : openConnections) {
+      idleCount += c.idleSince() >= 0 ? 1 : 0;
     }
-    int excess = Math.max(idle - mayIdle, 0);
+    int excess = Math.max(idleCount - maxIdleConnections, 0);
     if (excess > 0) {
-      boolean crowded = all.size() >= most - most / CROWDED;
-      all.stream()
-          .filter(c -> c.idleSince() >= 0 && (crowded && c.stranger() || now - c.idleSince() >= IDLE_US))
-          .sorted(Comparator.comparing((ClientConnection c) -> !c.stranger())
+      boolean crowded = openConnections.size() >= maxConnections - maxConnections / CROWDED_DIVISOR;
+      openConnections.stream()
+          .filter(c -> c.idleSince() >= 0 && (crowded && c.isUnused() || now - c
+              .idleSince() >= MIN_IDLE_BEFORE_EVICTION_US))
+          .sorted(Comparator.comparing((ClientConnection c) -> !c.isUnused())
               .thenComparingLong(ClientConnection::idleSince))
           .limit(excess)
           .toList()
-          .forEach(c -> c.closeIfResting("room for others"));
+          .forEach(c -> c.closeIfIdle("evicted to make room"));
     }
-    if (all.size() >= most) {
-      // Their ends were told; what they still send is not looked at.
-      List.copyOf(all).forEach(ClientConnection::closeIfDiscarding);
+    if (openConnections.size() >= maxConnections) {
+      // These clients have received their last response, and their remaining input is discarded anyway.
+      List.copyOf(openConnections).forEach(ClientConnection::closeIfDiscarding);
     }
-    if (all.size() >= most && !full) {
-      full = true;
-      updateAccepting();
-      log.event("front.full", "connections", all.size());
+    if (openConnections.size() >= maxConnections && !atCapacity) {
+      atCapacity = true;
+      updateAutoRead();
+      log.event("front.full", "connections", openConnections.size());
     }
   }
 
   private void sweep() {
     long now = now();
-    List.copyOf(all).forEach(c -> c.sweep(now));
-    desk.failOverdue();
-    makeRoom(now);
+    List.copyOf(openConnections).forEach(c -> c.checkTimeouts(now));
+    dispatcher.failOverdueRequests();
+    evictIdleConnections(now);
   }
 }
--- a/src/main/java/hollyslip/platform/HeadCheck.java
+++ b/src/main/java/hollyslip/platform/HeadCheck.java
@@ -2,44 +2,46 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Looks at the bytes of a head before the codec does, which is lenient where two readers of one message may
- * come to differ: bare CR or LF, folded lines, control characters, blanks before a colon. Guards against
- * requests hidden in others. Harm: clients that send such heads in good faith are refused. */
+/** Validates the bytes of a message head before the codec parses it. The codec is lenient where two parsers
+ * may read one message differently: bare CR or LF, folded lines, control characters, whitespace before a
+ * colon. This guards against request smuggling; the drawback is that well-meaning clients that send such
+ * heads are rejected too. */
 final class HeadCheck {
-  /** Longest head, bytes. */
-  static final int MOST = 8 << 10;
+  /** Maximum size of a head, bytes. */
+  static final int MAX_HEAD_BYTES = 8 << 10;
 
-  private int scanned;
+  private int scannedBytes;
 
-  /** Bytes of the head that starts at the reader index, its empty line included, or -1 while it is not whole.
+  /** Returns the length of the head at the reader index, including its final empty line, in bytes, or -1
+   * while it is incomplete.
    *
    * @throws IllegalArgumentException
-   *           if it is too long or not as the standard has it */
+   *           if the head is too long or malformed */
   int whole(ByteBuf in) {
     int from = in.readerIndex();
-    int end = Math.min(in.readableBytes(), MOST);
-    for (int i = Math.max(scanned, 3); i < end; i++) {
+    int end = Math.min(in.readableBytes(), MAX_HEAD_BYTES);
+    for (int i = Math.max(scannedBytes, 3); i < end; i++) {
       if (in.getByte(from + i) == '\n' && in.getByte(from + i - 1) == '\r' && in.getByte(from + i - 2) == '\n'
           && in.getByte(from + i - 3) == '\r') {
-        scanned = 0;
-        check(in, from, i + 1);
+        scannedBytes = 0;
+        validate(in, from, i + 1);
         return i + 1;
       }
     }
-    if (in.readableBytes() >= MOST) {
-      throw new IllegalArgumentException("head too long");
+    if (in.readableBytes() >= MAX_HEAD_BYTES) {
+      throw new IllegalArgumentException("message head too long");
     }
-    scanned = end;
+    scannedBytes = end;
     return -1;
   }
 
-  private static void check(ByteBuf in, int from, int length) {
-    boolean lineStart = true, first = true, name = false;
+  private static void validate(ByteBuf in, int from, int length) {
+    boolean lineStart = true, first = true, inName = false;
     for (int i = from; i < from + length; i++) {
       int b = in.getByte(i) & 0xff;
       if (b == '\r') {
-        if (in.getByte(i + 1) != '\n' || name) {
-          throw new IllegalArgumentException(name ? "line without a colon" : "bare CR");
+        if (in.getByte(i + 1) != '\n' || inName) {
+          throw new IllegalArgumentException(inName ? "header line without a colon" : "bare CR");
         }
         i++;
         lineStart = true;
@@ -47,27 +49,27 @@
         continue;
       }
       if (b < ' ' && (b != '\t' || first) || b == 0x7f) {
-        throw new IllegalArgumentException("control character in a head");
+        throw new IllegalArgumentException("control character in message head");
       }
       if (lineStart) {
         if (b == ' ' || b == '\t') {
-          throw new IllegalArgumentException("folded line");
+          throw new IllegalArgumentException("folded header line");
         }
         lineStart = false;
-        name = !first;
+        inName = !first;
       }
-      if (name) {
+      if (inName) {
         if (b == ':') {
-          name = false;
-        } else if (!token(b)) {
-          throw new IllegalArgumentException("bad name of a header");
+          inName = false;
+        } else if (!isTokenChar(b)) {
+          throw new IllegalArgumentException("invalid character in header name");
         }
       }
     }
   }
 
-  /** Characters of a name, after RFC 9110. */
-  static boolean token(int b) {
+  /** Whether RFC 9110 allows this character in a token, such as a header name. */
+  static boolean isTokenChar(int b) {
     return b >= '0' && b <= '9' || b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || "!#$%&'*+-.^_`|~".indexOf(
         b) >= 0;
   }
--- a/src/main/java/hollyslip/platform/Http.java
+++ b/src/main/java/hollyslip/platform/Http.java
@@ -10,44 +10,46 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** What all sides of the protocol share. */
+/** HTTP utilities shared by the client, disk server and discovery sides. */
 final class Http {
   private Http() {}
 
-  /** Both decoders': the codec's own bounds stand behind {@link HeadCheck}. */
+  /** Configuration of the request and the response decoder: the codec's own limits back up
+   * {@link HeadCheck}. */
   static HttpDecoderConfig strict() {
-    return new HttpDecoderConfig().setMaxInitialLineLength(HeadCheck.MOST)
-        .setMaxHeaderSize(HeadCheck.MOST)
+    return new HttpDecoderConfig().setMaxInitialLineLength(HeadCheck.MAX_HEAD_BYTES)
+        .setMaxHeaderSize(HeadCheck.MAX_HEAD_BYTES)
         .setStrictLineParsing(true)
         .setAllowDuplicateContentLengths(false);
   }
 
-  /** Refuses a length beside a transfer coding: readers differ in which they follow. */
+  /** Rejects a message with both headers, as parsers differ in which of them they follow. */
   static void refuseBoth() {
     throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
   }
 
-  /** Reads what has come on a connection without waiting for the loop's next turn; its handlers hear of bytes
-   * before this returns, of its end only later: {@link Channel#isActive} tells of that at once. Not to be
-   * called from within a read of the same connection. */
+  /** Reads pending input of a connection without waiting for the next event loop iteration. Handlers are
+   * called with the bytes before this returns, but learn of the connection's end only later;
+   * {@link Channel#isActive} tells of it at once. Must not be called from within a read of the same
+   * connection. */
   static void readNow(Channel channel) {
     if (channel.isActive()) {
       ((AbstractNioChannel) channel).unsafe().read();
     }
   }
 
-  /** A head's bytes; what came as bytes above 127 goes as it came. */
+  /** Encodes a message head as ISO-8859-1, so that bytes above 127 are forwarded as received. */
   static ByteBuf bytes(String text) {
     return Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** The head of an answer to a client.
+  /** Encodes the head of a response to a client.
    *
    * @param retryInUs
-   *          0: no advice
-   * @param last
-   *          the connection ends after it */
-  static ByteBuf answerHead(HttpResponseStatus status, int length, long retryInUs, boolean last) {
+   *          delay to advise in Retry-After, us; 0: no advice
+   * @param close
+   *          whether the connection is closed after the response */
+  static ByteBuf responseHead(HttpResponseStatus status, int length, long retryInUs, boolean close) {
     StringBuilder head = new StringBuilder(96).append("HTTP/1.1 ")
         .append(status.code())
         .append(' ')
@@ -60,14 +62,14 @@
           .append(String.format(Locale.ROOT, "%.3f", Math.max(0.001, retryInUs / 1e6)))
           .append("\r\n");
     }
-    if (last) {
+    if (close) {
       head.append("Connection: close\r\n");
     }
     return bytes(head.append("\r\n").toString());
   }
 
-  /** For the header Host. */
-  static String authority(InetSocketAddress a) {
-    return a.getAddress().getHostAddress() + ":" + a.getPort();
+  /** Value of the Host header for an address. */
+  static String authority(InetSocketAddress address) {
+    return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 }
--- /dev/null
+++ b/src/main/java/hollyslip/platform/InboundRequest.java
@@ -0,0 +1,36 @@
+package hollyslip.platform;
+
+import io.netty.handler.codec.http.HttpResponseStatus;
+
+/** One item that a client is owed a response for, in order of arrival: a complete request, or input that is
+ * answered with an error.
+ *
+ * @param head
+ *          null for an error
+ * @param body
+ *          body of the request
+ * @param receivedAt
+ *          when the last byte of the request arrived, us
+ * @param respondBy
+ *          when the response is due, us
+ * @param errorStatus
+ *          null for a request
+ * @param closeAfterResponse
+ *          whether the client asked to close the connection after the response */
+record InboundRequest(Ask head, byte[] body, long receivedAt, long respondBy, HttpResponseStatus errorStatus,
+    boolean closeAfterResponse) {
+  private static final byte[] EMPTY_BODY = {};
+
+  static InboundRequest rejected(HttpResponseStatus status, long respondBy, boolean closeAfterResponse) {
+    return new InboundRequest(null, EMPTY_BODY, 0, respondBy, status, closeAfterResponse);
+  }
+
+  boolean isRequest() {
+    return errorStatus == null;
+  }
+
+  /** An error response to this request, which is not served. */
+  InboundRequest rejectedWith(HttpResponseStatus status) {
+    return rejected(status, respondBy, closeAfterResponse);
+  }
+}
--- a/src/main/java/hollyslip/platform/RequestAssembler.java
+++ b/src/main/java/hollyslip/platform/RequestAssembler.java
@@ -12,105 +12,110 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.LastHttpContent;
 
-/** Puts the requests of one connection together from what the codec gives: head, body, end. */
+/** Assembles the requests of one connection from the parts that the codec decodes: head, body, end. */
 final class RequestAssembler {
-  private static final byte[] NO_BODY = {};
+  private static final byte[] EMPTY_BODY = {};
 
-  /** Where the next request starts is unknown after this. */
-  static final class FramingLost extends Exception {
+  /** Thrown when the start of the next request is unknown, so that the connection cannot be used further. */
+  static final class FramingException extends Exception {
     final HttpResponseStatus status;
 
-    FramingLost(HttpResponseStatus status) {
+    FramingException(HttpResponseStatus status) {
       super(status.toString(), null, false, false);
       this.status = status;
     }
   }
 
-  private final Front front;
+  private final Front manager;
   private final Channel channel;
-  /** The head that was read, or the error that it earned; and its body so far. */
-  private Ask ask;
-  private HttpResponseStatus error;
+  /** Head of the current request, or the error to respond with, and the body received so far. */
+  private Ask head;
+  private HttpResponseStatus errorStatus;
   private ByteBuf body = Unpooled.EMPTY_BUFFER;
-  private boolean close;
+  private boolean closeAfterResponse;
 
-  RequestAssembler(Front front, Channel channel) {
-    this.front = front;
+  RequestAssembler(Front manager, Channel channel) {
+    this.manager = manager;
     this.channel = channel;
   }
 
-  /** Takes the head of a request; with {@code first} nothing is owed to this client before it. */
-  void head(HttpRequest r, boolean first) throws FramingLost {
+  /** Starts a request from its head. {@code first} tells that no earlier response is pending on the
+   * connection, so that a 100 Continue may be written. */
+  void startRequest(HttpRequest request, boolean first) throws FramingException {
     reset();
-    close = r.headers().containsValue(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
-    if (r.decoderResult().isFailure()) {
-      throw new FramingLost(HttpResponseStatus.BAD_REQUEST);
+    closeAfterResponse = request.headers()
+        .containsValue(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
+    if (request.decoderResult().isFailure()) {
+      throw new FramingException(HttpResponseStatus.BAD_REQUEST);
     }
-    if (r.method().equals(HttpMethod.GET) && r.uri().equals("/ready")) {
-      error = front.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
+    if (request.method().equals(HttpMethod.GET) && request.uri().equals("/ready")) {
+      errorStatus = manager.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
       return;
     }
     try {
-      ask = front.reader().read(r);
-    } catch (Ask.Refused e) {
-      refused(e);
+      head = manager.headParser().parse(request);
+    } catch (Ask.RequestRejectedException e) {
+      reject(e);
       return;
     }
-    if (!front.desk().hasRoom(Math.max(0, ask.bodyLength()))) {
-      ask = null;
-      error = HttpResponseStatus.SERVICE_UNAVAILABLE;
-    } else if (ask.bodyLength() != 0) {
-      // Grows with what comes: a length that is only said must not take memory.
+    if (!manager.dispatcher().hasBufferSpace(Math.max(0, head.bodyLength()))) {
+      head = null;
+      errorStatus = HttpResponseStatus.SERVICE_UNAVAILABLE;
+    } else if (head.bodyLength() != 0) {
+      // Grows with the bytes received: a declared length alone must not allocate memory.
       body = Unpooled.buffer(1024, Bounds.BODY);
-      if (first && r.headers().containsValue(HttpHeaderNames.EXPECT, HttpHeaderValues.CONTINUE, true)) {
+      if (first && request.headers().containsValue(HttpHeaderNames.EXPECT, HttpHeaderValues.CONTINUE, true)) {
         channel.writeAndFlush(Http.bytes("HTTP/1.1 100 Continue\r\n\r\n"));
       }
     }
   }
 
-  private void refused(Ask.Refused e) throws FramingLost {
-    front.log().event("request.bad", "reason", e.getMessage(), "client", channel.remoteAddress());
+  private void reject(Ask.RequestRejectedException e) throws FramingException {
+    manager.log().event("request.bad", "reason", e.getMessage(), "client", channel.remoteAddress());
     if (e.framingLost) {
-      throw new FramingLost(e.status);
+      throw new FramingException(e.status);
     }
-    error = e.status;
+    errorStatus = e.status;
   }
 
-  /** Takes a piece of the body; gives the request with its last one, else null. */
-  Incoming content(HttpContent c, long now) throws FramingLost {
-    if (c.decoderResult().isFailure()) {
-      throw new FramingLost(HttpResponseStatus.BAD_REQUEST);
+  /** Adds a part of the body. Returns the complete request with the last part, else null. */
+  InboundRequest addContent(HttpContent content, long receivedAt) throws FramingException {
+    if (content.decoderResult().isFailure()) {
+      throw new FramingException(HttpResponseStatus.BAD_REQUEST);
     }
-    int more = c.content().readableBytes();
-    if (ask != null && more > 0) {
-      if (body.readableBytes() + more > Bounds.BODY) {
-        throw new FramingLost(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+    int length = content.content().readableBytes();
+    if (head != null && length > 0) {
+      if (body.readableBytes() + length > Bounds.BODY) {
+        throw new FramingException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
       }
-      body.writeBytes(c.content());
+      body.writeBytes(content.content());
     }
-    if (!(c instanceof LastHttpContent)) {
+    if (!(content instanceof LastHttpContent)) {
       return null;
     }
-    Incoming whole = error != null
-        ? Incoming.error(error, now + Front.ERROR_WITHIN_US, close)
-        : whole(now);
+    InboundRequest complete = errorStatus != null
+        ? InboundRequest.rejected(errorStatus, receivedAt + Front.ERROR_RESPONSE_DEADLINE_US,
+            closeAfterResponse)
+        : completeRequest(receivedAt);
     reset();
-    return whole;
+    return complete;
   }
 
-  private Incoming whole(long now) {
-    if (!ask.write() && body.isReadable()) {
-      front.log().event("request.bad", "reason", "body of a read", "client", channel.remoteAddress());
-      return Incoming.error(HttpResponseStatus.BAD_REQUEST, now + Front.ERROR_WITHIN_US, close);
+  private InboundRequest completeRequest(long receivedAt) {
+    if (!head.write() && body.isReadable()) {
+      manager.log().event("request.bad", "reason", "body of a read", "client", channel.remoteAddress());
+      return InboundRequest.rejected(HttpResponseStatus.BAD_REQUEST, receivedAt
+          + Front.ERROR_RESPONSE_DEADLINE_US, closeAfterResponse);
     }
-    byte[] bytes = body.isReadable() ? ByteBufUtil.getBytes(body) : NO_BODY;
-    return new Incoming(ask, bytes, now, front.desk().deadline(ask, now), null, close);
+    byte[] bytes = body.isReadable() ? ByteBufUtil.getBytes(body) : EMPTY_BODY;
+    return new InboundRequest(head, bytes, receivedAt, manager.dispatcher()
+        .responseDeadline(head, receivedAt), null, closeAfterResponse);
   }
 
-  /** Drops what has come of a request. */
+  /** Discards the current partial request. */
   void reset() {
-    ask = null;
-    error = null;
+    head = null;
+    errorStatus = null;
     body.release();
     body = Unpooled.EMPTY_BUFFER;
   }
--- a/src/main/java/hollyslip/platform/RequestDecoder.java
+++ b/src/main/java/hollyslip/platform/RequestDecoder.java
@@ -7,11 +7,12 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.List;
 
-/** The codec's request decoder behind {@link HeadCheck}. A head that is refused there, and a length beside a
- * transfer coding, end in an exception; nothing of the connection is read after it. */
+/** Decodes requests with the codec's decoder after {@link HeadCheck} has validated each head. An invalid
+ * head, or a head with both a length and a transfer coding, causes an exception, after which nothing more is
+ * read from the connection. */
 final class RequestDecoder extends HttpRequestDecoder {
-  private final HeadCheck check = new HeadCheck();
-  private boolean atHead = true;
+  private final HeadCheck headValidator = new HeadCheck();
+  private boolean awaitingHead = true;
 
   RequestDecoder() {
     super(Http.strict());
@@ -19,22 +20,22 @@
 
   @Override
   protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-    if (atHead) {
+    if (awaitingHead) {
       if (!in.isReadable()) {
         return;
       }
-      int length = check.whole(in);
+      int length = headValidator.whole(in);
       if (length < 0) {
         return;
       }
-      if (!HeadCheck.token(in.getByte(in.readerIndex()))) {
-        throw new IllegalArgumentException("no request line");
+      if (!HeadCheck.isTokenChar(in.getByte(in.readerIndex()))) {
+        throw new IllegalArgumentException("request line does not start with a method");
       }
-      atHead = false;
+      awaitingHead = false;
     }
-    int before = out.size();
+    int decodedBefore = out.size();
     super.decode(ctx, in, out);
-    atHead = out.size() > before && out.get(out.size() - 1) instanceof LastHttpContent;
+    awaitingHead = out.size() > decodedBefore && out.get(out.size() - 1) instanceof LastHttpContent;
   }
 
   @Override
@@ -42,8 +43,8 @@
     Http.refuseBoth();
   }
 
-  /** Whether part of a request has come and not all of it. */
-  boolean within() {
-    return !atHead || actualReadableBytes() > 0;
+  /** Whether a request has arrived in part but not completely. */
+  boolean hasPartialRequest() {
+    return !awaitingHead || actualReadableBytes() > 0;
   }
 }
--- a/src/test/java/hollyslip/platform/ArrivalClockTest.java
+++ b/src/test/java/hollyslip/platform/ArrivalClockTest.java
@@ -5,37 +5,37 @@
 import org.junit.jupiter.api.Test;
 
 class ArrivalClockTest {
-  private static final long START = 1_000_000;
+  private static final long START_US = 1_000_000;
 
-  private final ArrivalClock clock = new ArrivalClock(START);
+  private final ArrivalTimeEstimator estimator = new ArrivalTimeEstimator(START_US);
 
   @Test
-  void aLoopThatIsNotHeldUpReadsWhatJustCame() {
-    assertEquals(START + 10_000, clock.arrival(START + 10_000));
-    assertEquals(START + 10_000, clock.queuedSince(START + 10_000));
+  void anUndelayedLoopEstimatesTheReadTime() {
+    assertEquals(START_US + 10_000, estimator.earliestArrival(START_US + 10_000));
+    assertEquals(START_US + 10_000, estimator.queuedSince(START_US + 10_000));
   }
 
   @Test
-  void whatIsReadAfterAHoldUpMayHaveComeAtItsStart() {
-    long tick = ArrivalClock.TICK_US;
-    clock.tick(START + tick);
-    clock.tick(START + 2 * tick);
-    assertEquals(START + 3 * tick, clock.arrival(START + 900_000));
-    // The first tick after it may come before the look at the sockets.
-    clock.tick(START + 900_000);
-    assertEquals(START + 4 * tick, clock.arrival(START + 900_000));
-    clock.tick(START + 900_000 + tick);
-    assertEquals(START + 910_000 + tick, clock.arrival(START + 910_000 + tick));
+  void afterADelayBytesMayHaveArrivedAtItsStart() {
+    long tick = ArrivalTimeEstimator.TICK_US;
+    estimator.tick(START_US + tick);
+    estimator.tick(START_US + 2 * tick);
+    assertEquals(START_US + 3 * tick, estimator.earliestArrival(START_US + 900_000));
+    // The first tick after the delay may run before the sockets are polled.
+    estimator.tick(START_US + 900_000);
+    assertEquals(START_US + 4 * tick, estimator.earliestArrival(START_US + 900_000));
+    estimator.tick(START_US + 900_000 + tick);
+    assertEquals(START_US + 910_000 + tick, estimator.earliestArrival(START_US + 910_000 + tick));
   }
 
   @Test
-  void aConnectionMayHaveWaitedSinceNobodyWasAcceptedUntilTheQueueIsEmpty() {
-    clock.acceptStopped(START + 20_000);
-    clock.tick(START + 1_980_000);
-    clock.tick(START + 2_000_000);
-    clock.acceptStopped(START + 2_000_000);
-    assertEquals(START + 20_000, clock.queuedSince(START + 2_010_000));
-    clock.queueEmpty();
-    assertEquals(START + 2_010_000, clock.queuedSince(START + 2_010_000));
+  void queuedSinceIsWhenAcceptingStoppedUntilTheQueueIsEmpty() {
+    estimator.acceptingStopped(START_US + 20_000);
+    estimator.tick(START_US + 1_980_000);
+    estimator.tick(START_US + 2_000_000);
+    estimator.acceptingStopped(START_US + 2_000_000);
+    assertEquals(START_US + 20_000, estimator.queuedSince(START_US + 2_010_000));
+    estimator.acceptQueueEmpty();
+    assertEquals(START_US + 2_010_000, estimator.queuedSince(START_US + 2_010_000));
   }
 }
--- a/src/test/java/hollyslip/platform/AskTest.java
+++ b/src/test/java/hollyslip/platform/AskTest.java
@@ -7,16 +7,17 @@
 import org.junit.jupiter.api.Test;
 
 class AskTest {
-  /** The module keeps one limit for a volume: a second plan must not draw on the first one's. */
+  /** The module keeps one limit per volume id: requests on a second plan must not consume the limit of the
+   * first. */
   @Test
-  void aVolumeHasANumberForEachPlan() {
-    Set<Long> numbers = new HashSet<>();
+  void aVolumeHasADistinctIdForEachPlan() {
+    Set<Long> ids = new HashSet<>();
     for (long volume : new long[]{0, 1, 0x3b4d60021L, -1, Long.MIN_VALUE}) {
-      assertEquals(volume, Ask.account(volume, 0));
+      assertEquals(volume, Ask.volumePlanId(volume, 0));
       for (int plan = 0; plan < 10; plan++) {
-        numbers.add(Ask.account(volume, plan));
+        ids.add(Ask.volumePlanId(volume, plan));
       }
     }
-    assertEquals(50, numbers.size());
+    assertEquals(50, ids.size());
   }
 }
--- a/src/test/java/hollyslip/platform/CrossingsTest.java
+++ b/src/test/java/hollyslip/platform/CrossingsTest.java
@@ -10,27 +10,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What meets in one moment: a request and its client's leaving, a close and bytes, an end and those who
- * still come. The scheduler's thread is held until all of it is there. */
+/** Race conditions: a request and its client's disconnect, a close and incoming bytes, a shutdown and new
+ * connections. The event loop is blocked until both sides of a race have arrived. */
 @Timeout(60)
 class CrossingsTest {
-  /** Seen on the day of idle clients that fill the descriptors: 2.11 s in the system's queue, both read in
-   * one go, the request sent on. */
+  /** Seen in a test run in which idle clients use up the descriptors: a request and its client's disconnect
+   * waited 2.11 s in the accept queue, both were read at once, and the request was still forwarded. */
   @Test
-  void whoAskedAndLeftInOneMomentIsNotServed() throws Exception {
+  void aRequestReadTogetherWithItsClientsDisconnectIsNotForwarded() throws Exception {
     try (Site site = new Site(); Site.Client stays = site.client()) {
-      List<Site.Client> leaves = new ArrayList<>();
+      List<Site.Client> leavers = new ArrayList<>();
       try (AutoCloseable held = site.held()) {
         for (int i = 0; i < 20; i++) {
-          Site.Client c = site.client();
-          c.send(Site.read("left" + i));
-          c.socket.shutdownOutput();
-          leaves.add(c);
+          Site.Client client = site.client();
+          client.send(Site.read("left" + i));
+          client.socket.shutdownOutput();
+          leavers.add(client);
         }
       }
-      for (Site.Client c : leaves) {
-        assertEquals("closed", c.answer());
-        c.close();
+      for (Site.Client client : leavers) {
+        assertEquals("closed", client.answer());
+        client.close();
       }
       stays.send(Site.read("stays"));
       assertEquals("stays", site.disk.next().header("X-Txn"));
@@ -38,18 +38,18 @@
     }
   }
 
-  /** As above, by a reset, and on a connection that was in use. */
+  /** As above, but with a reset, and on a connection that has already served a request. */
   @Test
-  void whoLeavesByAResetHarmsNobody() throws Exception {
+  void aRequestReadTogetherWithAResetIsNotForwarded() throws Exception {
     try (Site site = new Site(); Site.Client stays = site.client()) {
       for (int i = 0; i < 20; i++) {
-        Site.Client c = site.client();
-        c.send(Site.read("served" + i));
+        Site.Client client = site.client();
+        client.send(Site.read("served" + i));
         site.disk.next().ok("x");
-        assertEquals(200, c.status());
+        assertEquals(200, client.status());
         try (AutoCloseable held = site.held()) {
-          c.send(Site.read("left" + i));
-          c.reset();
+          client.send(Site.read("left" + i));
+          client.reset();
         }
       }
       stays.send(Site.read("stays"));
@@ -58,11 +58,12 @@
     }
   }
 
-  /** While another request is out, so that this one would need a connection of its own. */
+  /** The only connection to the disk server is in use, so this request needs a new one, and its client
+   * disconnects before it is sent. */
   @Test
-  void whoAskedAndLeftBesideAnOpenRequestIsNotServed() throws Exception {
+  void aRequestThatNeedsANewConnectionIsNotForwardedAfterItsClientDisconnects() throws Exception {
     try (Site site = new Site(); Site.Client stays = site.client(); Site.Client leaves = site.client()) {
-      // One is out, so the next needs a connection of its own; its place is taken by then.
+      // The first request occupies its connection by then, so the next one needs a connection of its own.
       stays.send(Site.read("first"));
       Peer.Came first = site.disk.next();
       try (AutoCloseable held = site.held()) {
@@ -78,39 +79,39 @@
     }
   }
 
-  /** A second copy comes with the next request for the same connection. */
+  /** A second copy of a response arrives at the same time as the next request for the same connection. */
   @Test
-  void whatComesAsAConnectionIsUsedAgainAnswersNothing() throws Exception {
+  void unexpectedBytesOnAReusedConnectionAnswerNoRequest() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       for (String extra : List.of("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy", "HTTP/1.1 2", "\r\n")) {
-        Peer.Came c = null;
-        for (boolean again = false; !again;) {
-          Peer.Came before = c;
+        Peer.Came attempt = null;
+        for (boolean reused = false; !reused;) {
+          Peer.Came previous = attempt;
           client.send(Site.read("t"));
-          c = site.disk.next();
-          again = before != null && before.on() == c.on();
-          c.ok("mine");
+          attempt = site.disk.next();
+          reused = previous != null && previous.on() == attempt.on();
+          attempt.ok("mine");
           assertTrue(client.answer().endsWith("mine"));
-          // It has rested once the next one may use it.
+          // After this delay the connection has been idle long enough to be reused.
           site.node.loop()
               .schedule(() -> {}, 2 * DiskServers.REST_US, java.util.concurrent.TimeUnit.MICROSECONDS)
               .sync();
         }
         try (AutoCloseable held = site.held()) {
-          c.answer(extra);
+          attempt.answer(extra);
           client.send(Site.read("next"));
         }
         Peer.Came next = site.disk.next();
-        assertNotSame(c.on(), next.on());
+        assertNotSame(attempt.on(), next.on());
         next.ok("fine");
         assertTrue(client.answer().endsWith("fine"));
       }
     }
   }
 
-  /** What the system has accepted by then counts as taken: it is answered, not reset. */
+  /** Connections that the operating system has accepted by then must be answered, not reset. */
   @Test
-  void whoStandsInTheSystemsQueueAtTheEndIsAnswered() throws Exception {
+  void connectionsInTheAcceptQueueAtShutdownAreAnswered() throws Exception {
     List<Site.Client> late = new ArrayList<>();
     try (Site site = new Site(); Site.Client idle = site.client()) {
       idle.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
@@ -119,14 +120,14 @@
         for (int i = 0; i < 10; i++) {
           late.add(site.client().send(Site.read("late" + i)));
         }
-        // It crosses the close of its resting connection: the client sends it again elsewhere.
+        // Races with the close of its idle connection: the client would send it again elsewhere.
         idle.send(Site.read("crossing"));
       }
-      for (Site.Client c : late) {
-        String answer = c.answer();
+      for (Site.Client client : late) {
+        String answer = client.answer();
         assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Connection: close"), answer);
-        assertEquals("closed", c.answer());
-        c.close();
+        assertEquals("closed", client.answer());
+        client.close();
       }
       String crossing = idle.answer();
       assertTrue(crossing.equals("closed") || crossing.startsWith("HTTP/1.1 503 "), crossing);
@@ -135,22 +136,23 @@
     }
   }
 
-  /** A client that waits for 20 s, a disk server that hangs: the process is killed 3.7 s after its
+  /** A client waits for up to 20 s while the disk server hangs, but the process is killed 3.7 s after
    * SIGTERM. */
   @Test
-  void whatIsOutAtTheEndIsAnsweredBeforeTheKill() throws Exception {
+  void outstandingRequestsAreAnsweredBeforeTheProcessIsKilled() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       client.send(Site.write("pay", "t1", null, "x"));
       site.disk.next();
       site.node.stop();
-      assertTrue(site.node.awaitEnd(15_000), "the client's 20 s are not waited for");
+      assertTrue(site.node.awaitEnd(15_000), "the process must not wait for the client's 20 s");
       assertEquals(502, client.status());
     }
   }
 
-  /** The decision was for a disk server of which the news, in the same turn, is that it drains. */
+  /** The module chose a disk server, and an update in the same event loop iteration announces that it
+   * drains. */
   @Test
-  void aRequestThatMeetsTheNewsOfADrainGoesToWhoTakesOver() throws Exception {
+  void aRequestProcessedWithADrainUpdateGoesToTheReplacement() throws Exception {
     try (Site site = new Site(); Peer other = new Peer(); Site.Client client = site.client()) {
       Peer.Came watch = site.discovery.next();
       watch.answer(Site.WATCH);
@@ -163,18 +165,18 @@
               .entry(
                   next, after, 0, "up"))));
         }
-        Peer.Came c = after.next();
-        assertEquals("t" + i, c.header("X-Txn"));
-        c.ok("x");
+        Peer.Came attempt = after.next();
+        assertEquals("t" + i, attempt.header("X-Txn"));
+        attempt.ok("x");
         assertEquals(200, client.status());
         before.nothingElse();
       }
     }
   }
 
-  /** This side ends its sending first; a request that comes then is not sent on. */
+  /** The scheduler shuts down its output first; a request that arrives afterwards must not be forwarded. */
   @Test
-  void nothingReadAfterTheEndOfAConnectionIsSentOn() throws Exception {
+  void requestsReadAfterTheConnectionEndedAreNotForwarded() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       client.send("GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
       assertTrue(client.status() > 0);
@@ -185,24 +187,26 @@
     }
   }
 
-  /** Two that look alike but for what they ask: each keeps its own key, time and answer. */
+  /** Two concurrent requests with the same volume and key must not be mixed up. */
   @Test
-  void requestsOfOneVolumeAndKeyKeepTheirOwn() throws Exception {
-    try (Site site = new Site(); Site.Client a = site.client(); Site.Client b = site.client()) {
+  void requestsWithTheSameVolumeAndKeyKeepTheirOwnBodyDeadlineAndResponse() throws Exception {
+    try (Site site = new Site();
+        Site.Client firstClient = site.client();
+        Site.Client secondClient = site.client()) {
       for (int i = 0; i < 10; i++) {
-        a.send(Site.write("put", "a" + i, "same", "A" + i).replace("20000000u", "9000000u"));
-        b.send(Site.write("pay", "b" + i, "same", "B" + i));
+        firstClient.send(Site.write("put", "a" + i, "same", "A" + i).replace("20000000u", "9000000u"));
+        secondClient.send(Site.write("pay", "b" + i, "same", "B" + i));
         for (int k = 0; k < 2; k++) {
-          Peer.Came c = site.disk.next();
-          boolean first = c.header("X-Txn").equals("a" + i);
-          assertEquals((first ? "A" : "B") + i, c.body());
-          assertTrue(c.head().startsWith(first ? "PUT /put/" : "PUT /pay/"), c.head());
-          assertEquals("same", c.header("Idempotency-Key"));
-          assertEquals(first, Long.parseLong(c.header("X-Remaining").replace("u", "")) <= 9_000_000);
-          c.ok(c.header("X-Txn"));
+          Peer.Came attempt = site.disk.next();
+          boolean first = attempt.header("X-Txn").equals("a" + i);
+          assertEquals((first ? "A" : "B") + i, attempt.body());
+          assertTrue(attempt.head().startsWith(first ? "PUT /put/" : "PUT /pay/"), attempt.head());
+          assertEquals("same", attempt.header("Idempotency-Key"));
+          assertEquals(first, Long.parseLong(attempt.header("X-Remaining").replace("u", "")) <= 9_000_000);
+          attempt.ok(attempt.header("X-Txn"));
         }
-        assertTrue(a.answer().endsWith("\r\n\r\na" + i));
-        assertTrue(b.answer().endsWith("\r\n\r\nb" + i));
+        assertTrue(firstClient.answer().endsWith("\r\n\r\na" + i));
+        assertTrue(secondClient.answer().endsWith("\r\n\r\nb" + i));
       }
     }
   }
--- a/src/test/java/hollyslip/platform/DeskTest.java
+++ b/src/test/java/hollyslip/platform/DeskTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What the requests of a module with a fault get. */
+/** Requests still get a response when the decision module has a fault. */
 @Timeout(60)
 class DeskTest {
-  private static final long WAITS_US = 300_000;
+  private static final long REQUEST_TIMEOUT_US = 300_000;
 
   private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = (EventLoop) group.next();
@@ -28,54 +28,57 @@
   private final Log log = new Log(System.out);
 
   @AfterEach
-  void end() {
+  void shutDown() {
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     log.close();
   }
 
-  /** The answer to one request of this module, and how long after its client's time it came, us. */
-  private String answer(HostScheduler module) throws Exception {
+  /** Sends one request through the module and returns how it was answered. Fails if the response comes more
+   * than half a second after the request's deadline. */
+  private String respondTo(HostScheduler module) throws Exception {
     Settings settings = WireSettings.parse(5, new ObjectMapper().readTree(Site.SETTINGS));
     DiskServers disks = new DiskServers(loop, clock, log, 10, 1 << 20, 1_000_000, 0);
     Desk desk = new Desk(module, settings, loop, clock, log, disks, 1 << 20);
-    CompletableFuture<String> answer = new CompletableFuture<>();
-    Ask ask = new Ask("t1", "GET", "/get/0", "get", "gold", 0, null, WAITS_US, 1, 1, 0, 1, false, false, 0);
-    loop.submit(() -> desk.take(ask, new byte[0], clock.now(), new Exchange.Reply() {
+    CompletableFuture<String> response = new CompletableFuture<>();
+    Ask head = new Ask("t1", "GET", "/get/0", "get", "gold", 0, null, REQUEST_TIMEOUT_US, 1, 1, 0, 1, false,
+        false, 0);
+    loop.submit(() -> desk.accept(head, new byte[0], clock.now(), new Exchange.Responder() {
       @Override
-      public void served(byte[] body) {
-        answer.complete("served");
+      public void serve(byte[] body) {
+        response.complete("served");
       }
 
       @Override
-      public void refused(long retryInUs) {
-        answer.complete("refused");
+      public void refuse(long retryInUs) {
+        response.complete("refused");
       }
 
       @Override
-      public void failed() {
-        answer.complete("failed");
+      public void fail() {
+        response.complete("failed");
       }
 
       @Override
-      public void readNow() {}
+      public void readPending() {}
     })).sync();
-    loop.scheduleAtFixedRate(desk::failOverdue, 0, 10, TimeUnit.MILLISECONDS);
+    loop.scheduleAtFixedRate(desk::failOverdueRequests, 0, 10, TimeUnit.MILLISECONDS);
     long start = clock.now();
-    String given = answer.get(20, TimeUnit.SECONDS);
-    assertTrue(clock.now() - start < WAITS_US + 500_000, "in time, or half a second after");
+    String outcome = response.get(20, TimeUnit.SECONDS);
+    assertTrue(clock.now() - start < REQUEST_TIMEOUT_US + 500_000,
+        "answered within half a second of the deadline");
     loop.submit(() -> assertEquals(0, desk.open())).sync();
-    return given;
+    return outcome;
   }
 
   @Test
-  void aRequestThatTheModuleForgetsIsFailed() throws Exception {
-    assertEquals("failed", answer((now, event, out) -> {}));
+  void aRequestForgottenByTheModuleFails() throws Exception {
+    assertEquals("failed", respondTo((now, event, out) -> {}));
   }
 
   @Test
-  void aRequestInWhichTheModuleFailsIsFailed() throws Exception {
-    assertEquals("failed", answer((now, event, out) -> {
-      throw new IllegalStateException("a fault for the test");
+  void aRequestFailsWhenTheModuleThrows() throws Exception {
+    assertEquals("failed", respondTo((now, event, out) -> {
+      throw new IllegalStateException("simulated module fault");
     }));
   }
 }
--- a/src/test/java/hollyslip/platform/FrontTest.java
+++ b/src/test/java/hollyslip/platform/FrontTest.java
@@ -14,26 +14,27 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients on loopback: what is taken, what is refused, what a disk server gets to see of it. */
+/** Clients on loopback: which requests are accepted or rejected, and what a disk server receives of them. */
 @Timeout(60)
 class FrontTest {
   @Test
-  void aWriteIsSentOnAnewAndItsAnswerComesBackWhole() throws Exception {
+  void aWriteIsRewrittenForTheDiskServerAndItsResponseIsReturnedIntact() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       client.send(Site.write("put", "9b1f03aa5c7e2d41", "k-1", "some bytes"));
-      Peer.Came c = site.disk.next();
-      assertTrue(c.head().startsWith("PUT /put/00/7f3a9c21e0b4d655?a=%20b HTTP/1.1\r\n"), c.head());
-      assertEquals("9b1f03aa5c7e2d41", c.header("X-Txn"));
-      assertEquals("k-1", c.header("Idempotency-Key"));
-      assertTrue(c.header("X-Remaining").matches("[0-9]+u"), c.head());
-      assertNull(c.header("X-Plan"));
-      assertEquals("some bytes", c.body());
-      c.ok("stored\r\n\r\n\0");
+      Peer.Came attempt = site.disk.next();
+      assertTrue(attempt.head().startsWith("PUT /put/00/7f3a9c21e0b4d655?a=%20b HTTP/1.1\r\n"), attempt
+          .head());
+      assertEquals("9b1f03aa5c7e2d41", attempt.header("X-Txn"));
+      assertEquals("k-1", attempt.header("Idempotency-Key"));
+      assertTrue(attempt.header("X-Remaining").matches("[0-9]+u"), attempt.head());
+      assertNull(attempt.header("X-Plan"));
+      assertEquals("some bytes", attempt.body());
+      attempt.ok("stored\r\n\r\n\0");
       assertTrue(client.answer().endsWith("\r\n\r\nstored\r\n\r\n\0"));
     }
   }
 
-  static List<String> refused() {
+  static List<String> invalidRequests() {
     String read = Site.read("t1"), write = Site.write("put", "t1", "k", "body");
     List<String> bad = new ArrayList<>(List.of(read.replace("/get/", "/nothing/"), read.replace("gold",
         "lead"), read.replace("X-Txn: t1\r\n", ""), read.replace("t1", "a b"), read.replace("X-Txn: t1",
@@ -54,20 +55,20 @@
   }
 
   @ParameterizedTest
-  @MethodSource("refused")
-  void whatTheSettingsDoNotAllowIsAnErrorAndTheConnectionStays(String bytes) throws Exception {
+  @MethodSource("invalidRequests")
+  void anInvalidRequestIsRejectedAndTheConnectionStaysOpen(String bytes) throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       int status = client.send(bytes).status();
       assertTrue(status >= 400 && status < 500, () -> status + " for " + bytes);
       client.send(Site.read("good"));
-      Peer.Came c = site.disk.next();
-      assertEquals("good", c.header("X-Txn"), bytes);
-      c.ok("x");
+      Peer.Came attempt = site.disk.next();
+      assertEquals("good", attempt.header("X-Txn"), bytes);
+      attempt.ok("x");
       assertEquals(200, client.status());
     }
   }
 
-  static List<String> unreadable() {
+  static List<String> invalidFraming() {
     String read = Site.read("t1"), write = Site.write("put", "t1", "k", "body");
     String hidden = write.replace("\r\n\r\nbody", "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n") + Site
         .read("hidden");
@@ -96,8 +97,8 @@
   }
 
   @ParameterizedTest
-  @MethodSource("unreadable")
-  void whereTheNextRequestStartsIsUnknownTheConnectionEndsAndNothingIsSentOn(String bytes) throws Exception {
+  @MethodSource("invalidFraming")
+  void invalidFramingClosesTheConnectionAndForwardsNothing(String bytes) throws Exception {
     try (Site site = new Site(); Site.Client client = site.client(); Site.Client other = site.client()) {
       client.send(bytes);
       int status = client.status();
@@ -110,7 +111,7 @@
   }
 
   @Test
-  void aChunkedBodyIsSentOnWhole() throws Exception {
+  void aChunkedBodyIsForwardedWithAContentLength() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       String head = Site.write("put", "t1", "k", "")
           .replace("Content-Length: 0", "Transfer-Encoding: Chunked");
@@ -118,12 +119,12 @@
           "(?<=\\G.{7})")) {
         client.send(piece);
       }
-      Peer.Came c = site.disk.next();
-      assertEquals("some bytes", c.body());
-      assertEquals("10", c.header("Content-Length"));
-      assertNull(c.header("Transfer-Encoding"));
-      assertNull(c.header("X-Last"));
-      c.ok("stored");
+      Peer.Came attempt = site.disk.next();
+      assertEquals("some bytes", attempt.body());
+      assertEquals("10", attempt.header("Content-Length"));
+      assertNull(attempt.header("Transfer-Encoding"));
+      assertNull(attempt.header("X-Last"));
+      attempt.ok("stored");
       assertTrue(client.answer().endsWith("stored"));
       client.send(Site.read("t2").replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"));
       site.disk.next().ok("empty");
@@ -135,7 +136,7 @@
     }
   }
 
-  static List<String> oddChunks() {
+  static List<String> invalidChunkedBodies() {
     return List.of("-4\r\nbody\r\n0\r\n\r\n", "+4\r\nbody\r\n0\r\n\r\n", "0x4\r\nbody\r\n0\r\n\r\n",
         "\r\nbody\r\n0\r\n\r\n",
         "4\nbody\n0\n\n", "4\r\nbodyX0\r\n\r\n", "ffffffffffffffff4\r\nbody\r\n0\r\n\r\n",
@@ -145,8 +146,8 @@
   }
 
   @ParameterizedTest
-  @MethodSource("oddChunks")
-  void aChunkedBodyThatCannotBeReadOrIsTooLongIsNeverSentOn(String body) throws Exception {
+  @MethodSource("invalidChunkedBodies")
+  void anInvalidOrOversizedChunkedBodyIsNeverForwarded(String body) throws Exception {
     try (Site site = new Site(); Site.Client client = site.client(); Site.Client other = site.client()) {
       client.send(Site.write("put", "t1", "k", "").replace("Content-Length: 0", "Transfer-Encoding: chunked")
           + body);
@@ -160,25 +161,25 @@
   }
 
   @Test
-  void anIdThatIsOpenIsAnErrorForTheSecondAndNothingForTheFirst() throws Exception {
+  void aDuplicateOfAnOpenIdIsRejectedWithoutAffectingTheFirst() throws Exception {
     try (Site site = new Site(); Site.Client first = site.client(); Site.Client second = site.client()) {
       first.send(Site.read("t1"));
-      Peer.Came c = site.disk.next();
+      Peer.Came attempt = site.disk.next();
       assertEquals(409, second.send(Site.read("t1")).status());
-      c.ok("mine");
+      attempt.ok("mine");
       assertTrue(first.answer().endsWith("mine"));
       site.disk.nothingElse();
     }
   }
 
   @Test
-  void requestsSentAtOnceAreAnsweredOneAfterTheOther() throws Exception {
+  void pipelinedRequestsAreServedInOrder() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       client.send(Site.read("t1") + Site.read("t2").replace("gold", "lead") + Site.read("t3"));
-      Peer.Came c = site.disk.next();
-      assertEquals("t1", c.header("X-Txn"));
+      Peer.Came attempt = site.disk.next();
+      assertEquals("t1", attempt.header("X-Txn"));
       site.disk.nothingElse();
-      c.ok("one");
+      attempt.ok("one");
       assertTrue(client.answer().endsWith("one"));
       assertEquals(400, client.status());
       Peer.Came third = site.disk.next();
@@ -187,10 +188,10 @@
     }
   }
 
-  /** All of them are answered, in order, and the connection goes on; those beyond what may wait are
+  /** All requests are answered in order and the connection stays usable; requests beyond the queue limit are
    * refused. */
   @Test
-  void tooManyAtOnceAreRefusedInTheirTurn() throws Exception {
+  void pipelinedRequestsBeyondTheQueueLimitAreRefusedInOrder() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       site.echo();
       int requests = 200;
@@ -204,17 +205,17 @@
         String answer = client.answer();
         boolean ok = answer.startsWith("HTTP/1.1 200 ");
         assertTrue(ok && answer.endsWith("\r\n\r\nt" + i) || answer.startsWith("HTTP/1.1 503 "), answer);
-        assertTrue(ok || i >= 9, "the first nine are served");
+        assertTrue(ok || i >= 9, "the first nine requests must be served");
         served += ok ? 1 : 0;
       }
-      assertTrue(served < requests, "what waits is bounded");
+      assertTrue(served < requests, "the queue must be bounded");
       client.send(Site.read("after"));
       assertTrue(client.answer().endsWith("after"));
     }
   }
 
   @Test
-  void aClientThatLeavesIsForgottenThoughNothingIsAskedToBeRead() throws Exception {
+  void aRequestWhoseClientDisconnectedWhileItWaitedIsNotForwarded() throws Exception {
     try (Site site = new Site(); Site.Client stays = site.client()) {
       Site.Client leaves = site.client();
       Peer.Came watch = site.discovery.next();
@@ -231,7 +232,7 @@
   }
 
   @Test
-  void aBodyInPiecesIsWaitedFor() throws Exception {
+  void aBodySentInPiecesIsAssembled() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       for (String piece : Site.write("put", "t1", "k", "0123456789").split("(?<=\\G.{40})")) {
         client.send(piece);
@@ -240,37 +241,37 @@
     }
   }
 
-  /** The error is owed in its time; until then the request ahead of it may still be served. */
+  /** The error response has a deadline of its own; until then the request ahead of it may still be served. */
   @Test
-  void anErrorBehindAnOpenRequestLeavesItTime() throws Exception {
+  void anErrorQueuedBehindAnOpenRequestLeavesItTimeToFinish() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       client.send(Site.read("t1") + Site.read("t2").replace("gold", "lead"));
-      Peer.Came c = site.disk.next();
+      Peer.Came attempt = site.disk.next();
       Thread.sleep(600);
-      c.ok("served");
+      attempt.ok("served");
       assertTrue(client.answer().endsWith("served"));
       assertEquals(400, client.status());
     }
   }
 
   @Test
-  void aClientThatWaitsForWordBeforeItsBodyGetsIt() throws Exception {
+  void expectContinueIsAnsweredBeforeTheBody() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       String write = Site.write("put", "t1", "k", "body")
           .replace("\r\n\r\n", "\r\nExpect: 100-continue\r\n\r\n");
       client.send(write.replace("\r\n\r\nbody", "\r\n\r\n"));
       assertEquals("HTTP/1.1 100 Continue\r\n\r\n", Peer.head(client.socket.getInputStream()));
       client.send("body");
-      Peer.Came c = site.disk.next();
-      assertEquals("body", c.body());
-      c.ok("x");
+      Peer.Came attempt = site.disk.next();
+      assertEquals("body", attempt.body());
+      attempt.ok("x");
       assertEquals(200, client.status());
     }
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "GET /get/7f3a9c21e0b4d655 HT", "half"})
-  void whatIsNeverWholeIsClosed(String bytes) throws Exception {
+  void anIncompleteRequestTimesOut(String bytes) throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       client.send(bytes.equals("half")
           ? Site.write("put", "t1", "k", "0123456789").replace("789", "")
@@ -282,15 +283,15 @@
   }
 
   @Test
-  void hugeBodiesAreRefusedAtTheirHead() throws Exception {
+  void anOversizedContentLengthIsRejectedBeforeTheBody() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       client.send(Site.write("put", "t1", "k", "x").replace("Content-Length: 1", "Content-Length: 62914560"));
       try {
         for (int i = 0; i < 60; i++) {
           client.send("x".repeat(1 << 20));
         }
-      } catch (IOException closed) {
-        // As it may be.
+      } catch (IOException connectionClosed) {
+        // Expected: the connection may be closed before the whole body is sent.
       }
       int status = client.status();
       assertTrue(status == 0 || status == 413, () -> "" + status);
@@ -299,30 +300,30 @@
   }
 
   @Test
-  void strangersWhoSayNothingDoNotKeepOthersOut() throws Exception {
-    List<Site.Client> strangers = new ArrayList<>();
+  void connectionsWithoutRequestsDoNotBlockOtherClients() throws Exception {
+    List<Site.Client> silentClients = new ArrayList<>();
     try (Site site = new Site()) {
       for (int i = 0; i < 300; i++) {
-        strangers.add(site.client());
+        silentClients.add(site.client());
       }
       try (Site.Client client = site.client()) {
         client.send(Site.read("t1"));
         site.disk.next().ok("x");
         assertEquals(200, client.status());
       }
-      for (Site.Client s : strangers) {
-        int status = s.status();
+      for (Site.Client client : silentClients) {
+        int status = client.status();
         assertTrue(status == 0 || status == 408);
       }
     } finally {
-      for (Site.Client s : strangers) {
-        s.close();
+      for (Site.Client client : silentClients) {
+        client.close();
       }
     }
   }
 
   @Test
-  void aClientThatGoesOnAtFullSpeedAfterAnErrorIsClosedThoughAnEarlierRequestIsOpen() throws Exception {
+  void aClientThatKeepsSendingAfterAFramingErrorIsClosedDespiteAnOpenRequest() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       client.send(Site.read("t1"));
       site.disk.next();
@@ -339,13 +340,13 @@
     }
   }
 
-  /** More than the window holds are out at a disk server that does not answer. */
+  /** A disk server that does not answer holds as many attempts as its window allows. */
   @Test
-  void aRefusalComesSoonAndSaysWhenToComeBack() throws Exception {
-    List<Site.Client> out = new ArrayList<>();
+  void anOverloadRefusalIsPromptAndCarriesRetryAfter() throws Exception {
+    List<Site.Client> waiting = new ArrayList<>();
     try (Site site = new Site(); Site.Client client = site.client()) {
       for (int i = 0; i < 4; i++) {
-        out.add(site.client().send(Site.read("out" + i)));
+        waiting.add(site.client().send(Site.read("out" + i)));
         site.disk.next();
       }
       client.send(Site.read("t1").replace("20000m", "400m"));
@@ -354,21 +355,21 @@
       assertTrue(answer.matches("(?s).*\r\nRetry-After: [0-2]\\.[0-9]{3}\r\n.*"), answer);
       site.disk.nothingElse();
     } finally {
-      for (Site.Client c : out) {
-        c.close();
+      for (Site.Client client : waiting) {
+        client.close();
       }
     }
   }
 
   @Test
-  void afterAStopWhatIsOpenIsAnsweredAndItEnds() throws Exception {
+  void afterAStopOpenRequestsAreAnsweredAndTheProcessEnds() throws Exception {
     try (Site site = new Site(); Site.Client open = site.client(); Site.Client idle = site.client()) {
       open.send(Site.read("t1"));
-      Peer.Came c = site.disk.next();
+      Peer.Came attempt = site.disk.next();
       site.node.stop();
       idle.send(Site.read("t2"));
       Peer.Came second = site.disk.next();
-      c.ok("x");
+      attempt.ok("x");
       second.ok("y");
       assertTrue(open.answer().endsWith("x"));
       assertTrue(idle.answer().endsWith("y"));
@@ -378,10 +379,10 @@
     }
   }
 
-  /** The module hears of the end: what no disk server can take gives its connection back soon, and not after
-   * half of the time that is left, as one does that came before. */
+  /** The module is told of the shutdown: a request that no disk server can take is refused promptly, and not
+   * only after half of its remaining time, as a request accepted before the shutdown is. */
   @Test
-  void afterAStopWhatCannotGoIsRefusedSoon() throws Exception {
+  void afterAStopARequestWithoutADiskServerIsRefusedPromptly() throws Exception {
     try (Site site = new Site(); Site.Client before = site.client(); Site.Client after = site.client()) {
       before.send(Site.read("t1", 2).replace("20000m", "2400m"));
       Awaitility.await().until(() -> site.node.open() == 1);
--- a/src/test/java/hollyslip/platform/LostRequestsTest.java
+++ b/src/test/java/hollyslip/platform/LostRequestsTest.java
@@ -19,21 +19,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests lost under faults: read and never answered, answered too late, or forwarded after they had ended.
- * A real process between scripted peers; what counts is what passes on the sockets. */
+/** Guards against lost requests under faults: requests that are read but never answered, answered too late,
+ * or forwarded after they have ended. Runs a real scheduler process between scripted peers and checks what
+ * passes on the sockets. */
 @Timeout(120)
 class LostRequestsTest {
-  /** An answer may be later than its client's time by this; after that the request is lost, ms. */
-  private static final long LATE_MS = 500;
+  /** A request counts as lost if its response comes this long after the client's deadline, ms. */
+  private static final long MAX_LATENESS_MS = 500;
 
-  /** After its client left, a request's attempt may begin so much later, ms. */
-  private static final long AFTER_LEAVING_MS = 100;
+  /** How long after its client disconnected bytes of a request may still be sent, ms. */
+  private static final long MAX_SEND_AFTER_DISCONNECT_MS = 100;
 
-  /** How soon a reset is seen on loopback, ms. */
-  private static final long UNREAD_MS = 200;
+  /** Time within which a reset is seen on loopback, ms. */
+  private static final long RESET_DETECTION_MS = 200;
 
-  /** How a connection ended, as its client sees it. */
-  private enum End {
+  /** How a connection ended as seen by its client. */
+  private enum ConnectionEnd {
     ANSWERED, RESET, CLOSED, SILENT
   }
 
@@ -49,19 +50,19 @@
     socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  private static End end(Socket socket, int withinMs) throws IOException {
+  private static ConnectionEnd awaitEnd(Socket socket, int withinMs) throws IOException {
     socket.setSoTimeout(withinMs);
     try {
-      return socket.getInputStream().read() < 0 ? End.CLOSED : End.ANSWERED;
+      return socket.getInputStream().read() < 0 ? ConnectionEnd.CLOSED : ConnectionEnd.ANSWERED;
     } catch (SocketTimeoutException e) {
-      return End.SILENT;
+      return ConnectionEnd.SILENT;
     } catch (SocketException e) {
-      return End.RESET;
+      return ConnectionEnd.RESET;
     }
   }
 
   @Test
-  void requestsWrittenAtOnceEachGetTheirAnswer() throws Exception {
+  void pipelinedRequestsAreAllAnswered() throws Exception {
     try (ProcessSite site = new ProcessSite(); Site.Client client = site.client()) {
       site.echo();
       int requests = 200;
@@ -74,34 +75,34 @@
       int served = 0;
       for (int i = 0; i < requests; i++) {
         String answer = client.answer();
-        assertFalse(answer.equals("closed"), "answers: " + i);
+        assertFalse(answer.equals("closed"), "responses before the connection closed: " + i);
         boolean ok = answer.startsWith("HTTP/1.1 200 ");
         assertTrue(ok || answer.startsWith("HTTP/1.1 503 "), answer);
         assertTrue(!ok || answer.endsWith("\r\n\r\nt" + i), answer);
         served += ok ? 1 : 0;
       }
-      assertTrue(nowMs() - start < 2000 + LATE_MS);
+      assertTrue(nowMs() - start < 2000 + MAX_LATENESS_MS);
       assertTrue(served >= 9, "served: " + served);
     }
   }
 
   @Test
-  void aRequestBehindASlowOneIsAnsweredInItsTime() throws Exception {
+  void aRequestQueuedBehindASlowOneIsAnsweredInTime() throws Exception {
     try (ProcessSite site = new ProcessSite(); Site.Client client = site.client()) {
       client.send(read("slow", 15_000).replace("/get/", "/scan/"));
       site.disk.next();
       long start = nowMs();
       client.send(read("fast", 800));
-      assertTrue(client.status() > 0, "of the slow one");
-      assertTrue(client.status() > 0, "of the fast one");
-      assertTrue(nowMs() - start < 800 + LATE_MS, "answered after ms: " + (nowMs() - start));
+      assertTrue(client.status() > 0, "the slow request must be answered");
+      assertTrue(client.status() > 0, "the fast request must be answered");
+      assertTrue(nowMs() - start < 800 + MAX_LATENESS_MS, "answered after ms: " + (nowMs() - start));
     }
   }
 
-  /** Whether a request that was written is known not to have been read: the other side resets a connection
-   * that it closes over unread bytes, and what comes after. */
+  /** Whether a written request is known to be unread: the other side resets a connection that it closes with
+   * unread bytes, or that receives bytes after the close. */
   private static boolean isReset(Socket socket) throws InterruptedException {
-    long until = nowMs() + UNREAD_MS;
+    long until = nowMs() + RESET_DETECTION_MS;
     while (nowMs() < until) {
       try {
         write(socket, "\r\n");
@@ -113,8 +114,9 @@
     return false;
   }
 
-  /** Sends a request on a connection that the scheduler has ended; gives whether it is known to be unread. */
-  private static boolean asksInVain(Socket ended) throws InterruptedException {
+  /** Sends a request on a connection that the scheduler has closed; returns whether the request is known to
+   * be unread. */
+  private static boolean isKnownUnread(Socket ended) throws InterruptedException {
     try {
       write(ended, read("late", 2000));
     } catch (IOException reset) {
@@ -123,34 +125,35 @@
     return isReset(ended);
   }
 
-  /** The scheduler ends a connection on which nothing was asked; a request comes just then. */
+  /** The scheduler closes a connection that never carried a request, and a request arrives at the same
+   * time. */
   @Test
-  void aRequestThatCrossesTheEndOfARestingConnectionIsNotReadInVain() throws Exception {
+  void aRequestThatRacesWithAnIdleCloseIsNotReadAndDropped() throws Exception {
     try (ProcessSite site = new ProcessSite(); Socket client = site.connect()) {
       site.echo();
-      assertEquals(End.CLOSED, end(client, 10_000));
+      assertEquals(ConnectionEnd.CLOSED, awaitEnd(client, 10_000));
       write(client, read("crossing", 2000));
-      assertTrue(isReset(client), "the request was read after the end, and nobody answers it");
+      assertTrue(isReset(client), "the request was read after the close and is never answered");
     }
   }
 
-  /** More connections than there are places, all in the system's queue at once; some have asked, and some ask
-   * as they are ended to make room. */
+  /** More connections than there are places wait in the accept queue at once. Some have already sent a
+   * request, and some send one while they are being evicted. */
   @Test
-  void aRequestOnANewConnectionInACrowdIsAnsweredOrNotRead() throws Exception {
-    List<Socket> crowd = new ArrayList<>();
+  void atTheConnectionLimitNewRequestsAreAnsweredOrKnownUnread() throws Exception {
+    List<Socket> sockets = new ArrayList<>();
     try (ProcessSite site = new ProcessSite(200, Map.of())) {
       site.echo();
       for (int round = 0; round < 5; round++) {
         site.signal("STOP");
-        List<Socket> asked = new ArrayList<>();
-        List<Socket> silent = new ArrayList<>();
+        List<Socket> requestSockets = new ArrayList<>();
+        List<Socket> silentSockets = new ArrayList<>();
         for (int i = 0; i < 150; i++) {
-          silent.add(site.connect());
+          silentSockets.add(site.connect());
           if (i % 5 == 0) {
             Socket asks = site.connect();
             write(asks, read("r" + round + "i" + i, 2000));
-            asked.add(asks);
+            requestSockets.add(asks);
           }
           if (i % 7 == 0) {
             Socket leaves = site.connect();
@@ -158,39 +161,41 @@
             leaves.close();
           }
         }
-        crowd.addAll(asked);
-        crowd.addAll(silent);
+        sockets.addAll(requestSockets);
+        sockets.addAll(silentSockets);
         site.signal("CONT");
-        for (int i = 0; i < silent.size(); i += 3) {
+        for (int i = 0; i < silentSockets.size(); i += 3) {
           try {
-            write(silent.get(i), read("s" + round + "i" + i, 2000));
-            asked.add(silent.get(i));
+            write(silentSockets.get(i), read("s" + round + "i" + i, 2000));
+            requestSockets.add(silentSockets.get(i));
           } catch (IOException ended) {
-            // It had been reset before this request.
+            // The connection was reset before this request.
           }
         }
-        for (Socket s : asked) {
-          End end = end(s, 2000 + (int) LATE_MS);
-          assertTrue(end == End.ANSWERED || end == End.RESET || end == End.CLOSED && isReset(s),
+        for (Socket s : requestSockets) {
+          ConnectionEnd end = awaitEnd(s, 2000 + (int) MAX_LATENESS_MS);
+          assertTrue(end == ConnectionEnd.ANSWERED || end == ConnectionEnd.RESET
+              || end == ConnectionEnd.CLOSED && isReset(s),
               () -> "a request on a new connection: " + end);
           s.close();
         }
         for (int i = 1; i < 30; i += 3) {
-          Socket ended = silent.get(i);
-          End end = end(ended, 3000);
-          assertTrue(end == End.CLOSED && asksInVain(ended) || end == End.RESET, () -> "a silent one: "
-              + end);
+          Socket ended = silentSockets.get(i);
+          ConnectionEnd end = awaitEnd(ended, 3000);
+          assertTrue(end == ConnectionEnd.CLOSED && isKnownUnread(ended) || end == ConnectionEnd.RESET,
+              () -> "a connection without requests: "
+                  + end);
         }
       }
     } finally {
-      for (Socket s : crowd) {
+      for (Socket s : sockets) {
         s.close();
       }
     }
   }
 
   @Test
-  void errorsOfAcceptDelayNobody() throws Exception {
+  void acceptErrorsDoNotDelayClients() throws Exception {
     try (ProcessSite site = new ProcessSite(400, SyscallFaults.environment("FAULT_ACCEPT_EVERY", "3"))) {
       site.echo();
       for (int i = 0; i < 60; i++) {
@@ -198,13 +203,14 @@
         try (Site.Client client = site.client()) {
           assertEquals(200, client.send(read("t" + i, 400)).status());
         }
-        assertTrue(nowMs() - start < 400 + LATE_MS, "connection " + i + " took ms: " + (nowMs() - start));
+        assertTrue(nowMs() - start < 400 + MAX_LATENESS_MS, "connection " + i + " took ms: " + (nowMs()
+            - start));
       }
     }
   }
 
   @Test
-  void partOfANextRequestIsEndedWithinItsTime() throws Exception {
+  void aPartialPipelinedRequestTimesOut() throws Exception {
     try (ProcessSite site = new ProcessSite(); Site.Client client = site.client()) {
       site.echo();
       long start = nowMs();
@@ -218,7 +224,7 @@
   }
 
   @Test
-  void partOfANextRequestDoesNotHoldUpTheEndOfTheProcess() throws Exception {
+  void aPartialPipelinedRequestDoesNotDelayShutdown() throws Exception {
     try (ProcessSite site = new ProcessSite(); Site.Client client = site.client()) {
       site.echo();
       client.send(read("whole", 2000));
@@ -227,14 +233,15 @@
       Thread.sleep(ProcessSite.KILL_AFTER_MS - 500);
       client.send(read("whole2", 2000) + read("part", 2000).substring(0, 30));
       assertTrue(client.status() > 0);
-      assertTrue(site.process.waitFor(500, TimeUnit.MILLISECONDS), "ended before it is killed");
+      assertTrue(site.process.waitFor(500, TimeUnit.MILLISECONDS),
+          "the process must end before it is killed");
       assertEquals(0, site.process.exitValue());
     }
   }
 
-  /** Writes to the disk server take 1,000 bytes each 20 ms, so 60,000 take more than a second. */
+  /** Writes to the disk server pass 1,000 bytes every 20 ms, so 60,000 bytes take more than a second. */
   @Test
-  void theRestOfAHalfWrittenRequestIsNotSentAfterItsClientLeft() throws Exception {
+  void aPartlyWrittenAttemptStopsWhenItsClientDisconnects() throws Exception {
     try (ServerSocket disk = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         ProcessSite site = new ProcessSite(400, SyscallFaults.environment("FAULT_WRITE_PORT", "" + disk
             .getLocalPort(), "FAULT_WRITE_BYTES", "1000", "FAULT_WRITE_PAUSE_MS", "20"), List.of("127.0.0.1:"
@@ -247,16 +254,17 @@
         assertTrue(Peer.head(in).contains("left"));
         client.close();
         long leftAt = nowMs();
-        int came = 0;
+        int receivedBytes = 0;
         long lastAt = leftAt;
         for (int n = 0; n >= 0;) {
           byte[] bytes = new byte[65_536];
           n = readUntilReset(in, bytes);
-          came += Math.max(0, n);
+          receivedBytes += Math.max(0, n);
           lastAt = n > 0 ? nowMs() : lastAt;
         }
-        assertTrue(came < body.length(), "the whole request came");
-        assertTrue(lastAt - leftAt < AFTER_LEAVING_MS, "bytes came after ms: " + (lastAt - leftAt));
+        assertTrue(receivedBytes < body.length(), "the whole request was sent");
+        assertTrue(lastAt - leftAt < MAX_SEND_AFTER_DISCONNECT_MS, "bytes were sent after ms: " + (lastAt
+            - leftAt));
       }
     }
   }
@@ -269,9 +277,10 @@
     }
   }
 
-  /** The disk server's queue is full, so the connection comes up only when its first try is repeated. */
+  /** The disk server's accept queue is full, so the connection is established only when its SYN is
+   * repeated. */
   @Test
-  void aClientThatLeavesWhileAConnectionComesUpIsNotServed() throws Exception {
+  void aClientThatDisconnectsDuringAConnectIsNotServed() throws Exception {
     try (ServerSocket disk = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         ProcessSite site = new ProcessSite(400, Map.of(), List.of("127.0.0.1:" + disk.getLocalPort()))) {
       List<Socket> fill = new ArrayList<>();
@@ -288,15 +297,16 @@
       }
       disk.setSoTimeout(3000);
       try (Socket late = disk.accept()) {
-        assertFalse(end(late, 1000) == End.ANSWERED, "bytes for a client that had left");
+        assertFalse(awaitEnd(late, 1000) == ConnectionEnd.ANSWERED,
+            "bytes were sent for a client that had disconnected");
       } catch (SocketTimeoutException withdrawn) {
-        // As good: the connection was given up.
+        // Acceptable as well: the connection attempt was given up.
       }
     }
   }
 
   @Test
-  void theDeadlinePassedOnCountsWhileTheProcessIsHeldUp() throws Exception {
+  void theForwardedDeadlineIncludesTimeTheProcessWasSuspended() throws Exception {
     try (ProcessSite site = new ProcessSite(); Site.Client client = site.client()) {
       for (int i = 0; i < 3; i++) {
         client.send(read("warm" + i, 2000));
@@ -306,52 +316,54 @@
       for (int heldMs : new int[]{140, 450, 900}) {
         site.signal("STOP");
         long sentAt = nowMs();
-        client.send(unsafe("held" + heldMs, 2000));
+        client.send(unsafeWrite("held" + heldMs, 2000));
         Thread.sleep(heldMs);
         site.signal("CONT");
-        Peer.Came c = site.disk.next();
+        Peer.Came attempt = site.disk.next();
         long leftMs = 2000 - (nowMs() - sentAt);
-        long told = Long.parseLong(c.header("X-Remaining").replace("u", "")) / 1000;
-        assertTrue(told <= leftMs + 150, "held for " + heldMs + " ms: told " + told + ", left " + leftMs);
-        c.ok("x");
+        long forwardedMs = Long.parseLong(attempt.header("X-Remaining").replace("u", "")) / 1000;
+        assertTrue(forwardedMs <= leftMs + 150, "held for " + heldMs + " ms: forwarded " + forwardedMs
+            + ", left " + leftMs);
+        attempt.ok("x");
         assertEquals(200, client.status());
       }
     }
   }
 
-  /** Their disk server says nothing, so that they are answered when their clients' time is over: that counts
-   * from when they were sent, on a kept connection and on one that waits in the listener's queue. */
+  /** The disk server does not respond, so the requests are answered at their clients' deadline. It must count
+   * from when they were sent, both on a kept connection and on one that waits in the accept queue. */
   @Test
-  void whatWaitedToBeReadIsAnsweredInItsClientsTime() throws Exception {
+  void aRequestThatWaitedUnreadIsAnsweredInTime() throws Exception {
     try (ProcessSite site = new ProcessSite(); Site.Client kept = site.client()) {
       kept.send(read("warm", 2000));
       site.disk.next().ok("x");
       assertEquals(200, kept.status());
       site.signal("STOP");
       long start = nowMs();
-      kept.send(unsafe("kept", 1000));
+      kept.send(unsafeWrite("kept", 1000));
       try (Site.Client queued = site.client()) {
-        queued.send(unsafe("queued", 1000));
+        queued.send(unsafeWrite("queued", 1000));
         Thread.sleep(800);
         site.signal("CONT");
         for (Site.Client client : List.of(kept, queued)) {
           int status = client.status();
           assertTrue(status == 502 || status == 503, "" + status);
-          assertTrue(nowMs() - start < 1000 + LATE_MS, "answered after ms: " + (nowMs() - start));
+          assertTrue(nowMs() - start < 1000 + MAX_LATENESS_MS, "answered after ms: " + (nowMs() - start));
         }
       }
     }
   }
 
-  /** A request that may not be repeated. */
-  private static String unsafe(String id, int waitsMs) {
+  /** A write that must not be repeated. */
+  private static String unsafeWrite(String id, int waitsMs) {
     return Site.write("pay", id, null, "x").replace("20000000u", waitsMs + "m");
   }
 
-  /** A disk server answers twice. Its system holds the second, small write back until the first is
-   * acknowledged, which ours does after 40 ms once a connection has been in use for a while. */
+  /** A disk server responds twice. Its operating system holds the second, small write back until the first is
+   * acknowledged (Nagle), which the scheduler's system does after 40 ms (delayed ACK) once a connection has
+   * been in use for a while. The second response must not be taken for the response to the next request. */
   @Test
-  void aSecondAnswerThatItsSystemHeldBackMeetsNoOtherRequest() throws Exception {
+  void aDelayedSecondResponseIsNotMatchedToTheNextRequest() throws Exception {
     try (ProcessSite site = new ProcessSite(); Site.Client client = site.client()) {
       for (int i = 0; i < 10; i++) {
         for (int k = 0; k < 10; k++) {
@@ -361,10 +373,10 @@
           Thread.sleep(28);
         }
         client.send(read("a" + i, 2000));
-        Peer.Came c = site.disk.next();
+        Peer.Came attempt = site.disk.next();
         Thread.sleep(5);
-        c.ok("a" + i);
-        c.ok("second");
+        attempt.ok("a" + i);
+        attempt.ok("second");
         assertTrue(client.answer().endsWith("\r\n\r\na" + i));
         Thread.sleep(27);
         client.send(read("b" + i, 2000));
--- a/src/test/java/hollyslip/platform/RequestDecoderTest.java
+++ b/src/test/java/hollyslip/platform/RequestDecoderTest.java
@@ -5,23 +5,23 @@
 import io.netty.channel.embedded.EmbeddedChannel;
 import org.junit.jupiter.api.Test;
 
-/** The decoder's word on whether a request is under way. */
+/** Tests whether the decoder recognizes partial requests. */
 class RequestDecoderTest {
-  /** Connections within a request are not idle, however slow it comes. */
+  /** A connection with a partial request must not count as idle, however slowly the request arrives. */
   @Test
-  void itIsWithinARequestFromItsFirstByteToItsLast() {
+  void aPartialRequestIsReportedFromItsFirstByteUntilItsLast() {
     RequestDecoder decoder = new RequestDecoder();
     EmbeddedChannel channel = new EmbeddedChannel(decoder);
     String request = Site.write("put", "t1", "k", "0123456789");
     for (int round = 0; round < 2; round++) {
-      assertEquals(false, decoder.within());
+      assertEquals(false, decoder.hasPartialRequest());
       for (int i = 0; i < request.length(); i++) {
         channel.writeInbound(Http.bytes(request.substring(i, i + 1)));
-        assertEquals(i < request.length() - 1, decoder.within(), "after byte " + i);
+        assertEquals(i < request.length() - 1, decoder.hasPartialRequest(), "after byte " + i);
       }
     }
     channel.writeInbound(Http.bytes(Site.read("t2") + "G"));
-    assertEquals(true, decoder.within());
+    assertEquals(true, decoder.hasPartialRequest());
     channel.finishAndReleaseAll();
   }
 }
