--- a/src/main/java/hollyslip/platform/Call.java
+++ b/src/main/java/hollyslip/platform/Call.java
@@ -10,35 +10,35 @@
 final class Call {
   /** What came back; headers and body are null where there was no answer. */
   interface Listener {
-    void ended(Result result, long tookUs, HttpHeaders headers, byte[] body);
+    void onEnd(Result result, long tookUs, HttpHeaders headers, byte[] body);
   }
 
   /** Whether the first byte may still be written: asked at the last moment, as looking may take its time. */
-  interface Wanted {
-    boolean now();
+  interface SendCheck {
+    boolean maySend();
   }
 
-  final DiskServer to;
+  final DiskServer server;
   final long startedAt;
   /** us on the module's clock. */
-  final long giveUpAt;
+  final long timeoutAt;
   /** Makes the bytes, given how long the answer is waited for, us. */
-  final LongFunction<ByteBuf> bytes;
-  final Wanted wanted;
+  final LongFunction<ByteBuf> requestEncoder;
+  final SendCheck sendCheck;
   private final Listener listener;
   DiskConnection connection;
-  Future<?> timeout;
+  Future<?> timeoutTask;
   /** The last byte was given to the system. */
   boolean written;
   private boolean ended;
 
-  Call(DiskServer to, long startedAt, long giveUpAt, LongFunction<ByteBuf> bytes, Wanted wanted,
+  Call(DiskServer to, long startedAt, long giveUpAt, LongFunction<ByteBuf> bytes, SendCheck wanted,
       Listener listener) {
-    this.to = to;
+    this.server = to;
     this.startedAt = startedAt;
-    this.giveUpAt = giveUpAt;
-    this.bytes = bytes;
-    this.wanted = wanted;
+    this.timeoutAt = giveUpAt;
+    this.requestEncoder = bytes;
+    this.sendCheck = wanted;
     this.listener = listener;
   }
 
@@ -52,11 +52,11 @@
     }
     ended = true;
     connection = null;
-    if (timeout != null) {
-      timeout.cancel(false);
+    if (timeoutTask != null) {
+      timeoutTask.cancel(false);
     }
-    to.calls--;
-    listener.ended(result, now - startedAt, headers, body);
+    server.calls--;
+    listener.onEnd(result, now - startedAt, headers, body);
   }
 
   void end(Result result, long now) {
--- a/src/main/java/hollyslip/platform/Configuration.java
+++ b/src/main/java/hollyslip/platform/Configuration.java
@@ -14,20 +14,20 @@
 /** What the platform tells one scheduler: the file named by {@code PROXY_CONFIG}, and the variables beside it
  * for what the file leaves out.
  *
- * @param known
+ * @param knownEndpoints
  *          the list as this scheduler last had it, maybe old
- * @param idleCloseUs
+ * @param diskIdleTimeoutUs
  *          a disk server closes a connection idle for so long; 0: never
- * @param shards
+ * @param shardCount
  *          how many shards there are; 0: not told */
-record Configuration(String name, InetSocketAddress listen, InetSocketAddress discovery, int memoryMb,
-    int sockets, EndpointUpdate known, Settings settings, long idleCloseUs, int shards) {
+record Configuration(String name, InetSocketAddress listenAddress, InetSocketAddress discoveryAddress, int memoryMb,
+    int maxDescriptors, EndpointUpdate knownEndpoints, Settings settings, long diskIdleTimeoutUs, int shardCount) {
 
-  private static final ObjectMapper JSON = new ObjectMapper().enable(
+  private static final ObjectMapper MAPPER = new ObjectMapper().enable(
       DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
   /** Descriptors and memory where no limits are told. */
-  private static final int SOCKETS = 1024, MEMORY_MB = 192;
+  private static final int DEFAULT_MAX_DESCRIPTORS = 1024, DEFAULT_MEMORY_MB = 192;
 
   /** Reads the file that {@code env} names.
    *
@@ -40,7 +40,7 @@
     if (path == null || path.isEmpty()) {
       throw new IllegalArgumentException("PROXY_CONFIG: is missing");
     }
-    return parse(JSON.readTree(Files.readAllBytes(Path.of(path))), env);
+    return parse(MAPPER.readTree(Files.readAllBytes(Path.of(path))), env);
   }
 
   /** See {@link #read}. */
@@ -54,16 +54,16 @@
     }
     JsonNode limits = c.path("limits");
     EndpointUpdate known = c.hasNonNull("known") ? EndpointUpdate.parse(c.get("known")) : null;
-    return new Configuration(text(c, "name", env, "PROXY_NAME"), EndpointUpdate.address(text(c, "listen", env,
-        "PROXY_LISTEN"), "listen"), EndpointUpdate.address(text(c, "discovery", env, "PROXY_DISCOVERY"),
-            "discovery"), limits.path("memory_mb").asInt(MEMORY_MB), limits.path("sockets").asInt(SOCKETS),
-        known, WireSettings.parse(seed(c.path("seed").asText("0")), settings), Math.round(settings.path(
+    return new Configuration(requiredText(c, "name", env, "PROXY_NAME"), EndpointUpdate.parseAddress(requiredText(c, "listen", env,
+        "PROXY_LISTEN"), "listen"), EndpointUpdate.parseAddress(requiredText(c, "discovery", env, "PROXY_DISCOVERY"),
+            "discovery"), limits.path("memory_mb").asInt(DEFAULT_MEMORY_MB), limits.path("sockets").asInt(DEFAULT_MAX_DESCRIPTORS),
+        known, WireSettings.parse(parseSeed(c.path("seed").asText("0")), settings), Math.round(settings.path(
             "policyLimits").path("idleClose").asDouble() * 1e6), settings.path("extra")
                 .path("nShards")
                 .asInt());
   }
 
-  private static String text(JsonNode c, String field, Map<String, String> env, String variable) {
+  private static String requiredText(JsonNode c, String field, Map<String, String> env, String variable) {
     String value = c.hasNonNull(field) ? c.get(field).asText() : env.get(variable);
     if (value == null || value.isEmpty()) {
       throw new IllegalArgumentException(field + ": is missing");
@@ -71,7 +71,7 @@
     return value;
   }
 
-  private static long seed(String hex) {
+  private static long parseSeed(String hex) {
     try {
       return Long.parseUnsignedLong(hex, 16);
     } catch (NumberFormatException e) {
--- a/src/main/java/hollyslip/platform/Discovery.java
+++ b/src/main/java/hollyslip/platform/DiscoveryClient.java
@@ -24,23 +24,23 @@
 /** Follows the list: one watch, from the last version on. A watch that ends, falls silent or cannot be read
  * is replaced by a new one; the old one is read until the new one is answered. One that is not answered soon
  * is tried again beside it: the first answer counts. {@link WatchClock} says when. */
-final class Discovery {
+final class DiscoveryClient {
   private static final long TICK_MS = 50;
 
   /** Longest object, bytes: some thousands of disk servers. */
-  private static final int MOST_OBJECT = 1 << 20;
+  private static final int MAX_OBJECT_BYTES = 1 << 20;
 
   private final EventLoop loop;
   private final Clock clock;
   private final Log log;
-  private final Consumer<EndpointUpdate> updates;
-  private final Runnable speaks;
-  private final WatchClock times;
+  private final Consumer<EndpointUpdate> updateListener;
+  private final Runnable answeredListener;
+  private final WatchClock retryPolicy;
   private InetSocketAddress address;
   /** Version last heard; -1: none, the whole list is asked for. */
-  private long seq;
+  private long version;
   /** The one that was answered, and the one that is being opened; null: none. */
-  private Watch current, attempt;
+  private Watch current, pending;
   /** Those that were not answered soon, oldest first. */
   private final List<Watch> overdue = new ArrayList<>();
   private boolean stopped;
@@ -50,43 +50,43 @@
    * @param speaks
    *          called when a watch is answered: what is told after that version follows at once, and nothing if
    *          nothing has changed */
-  Discovery(EventLoop loop, Clock clock, Log log, WatchClock times, InetSocketAddress address,
+  DiscoveryClient(EventLoop loop, Clock clock, Log log, WatchClock times, InetSocketAddress address,
       long seq, Consumer<EndpointUpdate> updates, Runnable speaks) {
     this.loop = loop;
     this.clock = clock;
     this.log = log;
-    this.times = times;
+    this.retryPolicy = times;
     this.address = address;
-    this.seq = seq;
-    this.updates = updates;
-    this.speaks = speaks;
+    this.version = seq;
+    this.updateListener = updates;
+    this.answeredListener = speaks;
   }
 
   void start() {
     loop.scheduleAtFixedRate(log.guarded(this::tick), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
-    open();
+    openWatch();
   }
 
   /** Another address from now on; the list stays in force until it speaks, and so does an open watch. */
-  void follow(InetSocketAddress other) {
+  void changeAddress(InetSocketAddress other) {
     address = other;
-    times.restart();
-    closeAttempts();
-    open();
+    retryPolicy.resetRetryDelay();
+    closePending();
+    openWatch();
   }
 
   void stop() {
     stopped = true;
-    closeAttempts();
+    closePending();
     if (current != null) {
       current.close();
     }
   }
 
-  private void closeAttempts() {
-    if (attempt != null) {
-      attempt.close();
-      attempt = null;
+  private void closePending() {
+    if (pending != null) {
+      pending.close();
+      pending = null;
     }
     overdue.forEach(Watch::close);
     overdue.clear();
@@ -94,12 +94,12 @@
 
   /** Leaves the newest attempt open and makes way for another. The oldest is the last to be given up: one
    * that is answered slowly needs its time, and no loop of short attempts gives it that. */
-  private void setAside() {
-    overdue.add(attempt);
-    attempt = null;
-    times.failed(clock.now());
-    if (overdue.size() > WatchClock.MOST_OVERDUE) {
-      overdue.get(1).ended("no answer");
+  private void markPendingOverdue() {
+    overdue.add(pending);
+    pending = null;
+    retryPolicy.watchFailed(clock.now());
+    if (overdue.size() > WatchClock.MAX_OVERDUE) {
+      overdue.get(1).fail("no answer");
     }
   }
 
@@ -108,80 +108,80 @@
     if (stopped) {
       return;
     }
-    if (attempt != null && times.attemptOverdue(now)) {
+    if (pending != null && retryPolicy.attemptOverdue(now)) {
       // It may be here: this process may have been held up.
-      attempt.readNow();
-      if (attempt != null) {
-        setAside();
+      pending.readNow();
+      if (pending != null) {
+        markPendingOverdue();
       }
     }
-    if (!overdue.isEmpty() && now - overdue.get(0).openedAt >= WatchClock.PATIENCE_US) {
-      overdue.get(0).ended("no answer");
+    if (!overdue.isEmpty() && now - overdue.get(0).openedAt >= WatchClock.OVERDUE_LIFETIME_US) {
+      overdue.get(0).fail("no answer");
     }
-    if (attempt == null && current != null && times.opensAt(now, true)) {
+    if (pending == null && current != null && retryPolicy.shouldOpen(now, true)) {
       current.readNow();
     }
-    if (attempt == null && times.opensAt(now, current != null && current.to.equals(address))) {
-      if (current != null && !current.reported) {
-        current.reported = true;
-        log.event("discovery.lost", "address", current.to, "reason", "silent");
+    if (pending == null && retryPolicy.shouldOpen(now, current != null && current.target.equals(address))) {
+      if (current != null && !current.lossReported) {
+        current.lossReported = true;
+        log.event("discovery.lost", "address", current.target, "reason", "silent");
       }
-      open();
+      openWatch();
     }
   }
 
-  private void open() {
+  private void openWatch() {
     Watch w = new Watch(address);
-    attempt = w;
-    times.opening(clock.now());
+    pending = w;
+    retryPolicy.attemptStarted(clock.now());
     new Bootstrap().group(loop)
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (WatchClock.PATIENCE_US / 1000))
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (WatchClock.OVERDUE_LIFETIME_US / 1000))
         .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel ch) {
             w.channel = ch;
-            ch.pipeline().addLast(new AnswerDecoder(), w);
+            ch.pipeline().addLast(new StrictResponseDecoder(), w);
           }
         })
         .connect(address)
         .addListener(f -> {
           if (!f.isSuccess()) {
-            w.ended(String.valueOf(f.cause().getMessage()));
+            w.fail(String.valueOf(f.cause().getMessage()));
           }
         });
   }
 
   /** One object of a watch. */
-  private void take(Watch from, EndpointUpdate n) {
-    if (!n.whole() && n.seq() <= seq) {
+  private void onUpdate(Watch from, EndpointUpdate n) {
+    if (!n.whole() && n.version() <= version) {
       // Already known, or of a discovery that began again from an older version: then only the whole list is
       // the truth. A version said again changes nothing.
-      if (n.seq() < seq) {
-        log.event("discovery.backwards", "from", seq, "to", n.seq());
-        seq = -1;
-        from.ended("an older version");
+      if (n.version() < version) {
+        log.event("discovery.backwards", "from", version, "to", n.version());
+        version = -1;
+        from.fail("an older version");
       }
       return;
     }
-    if (n.seq() < seq) {
-      log.event("discovery.backwards", "from", seq, "to", n.seq(), "whole", true);
+    if (n.version() < version) {
+      log.event("discovery.backwards", "from", version, "to", n.version(), "whole", true);
     }
-    seq = n.seq();
-    updates.accept(n);
+    version = n.version();
+    updateListener.accept(n);
   }
 
   /** One connection to discovery, from its request to its end. */
   private final class Watch extends ChannelInboundHandlerAdapter {
-    private final InetSocketAddress to;
+    private final InetSocketAddress target;
     private final long openedAt = clock.now();
-    private final JsonStream objects = new JsonStream(MOST_OBJECT);
+    private final JsonStreamParser parser = new JsonStreamParser(MAX_OBJECT_BYTES);
     private Channel channel;
-    private boolean over, reported;
+    private boolean closed, lossReported;
 
     Watch(InetSocketAddress to) {
-      this.to = to;
+      this.target = to;
     }
 
     void readNow() {
@@ -191,63 +191,63 @@
     }
 
     void close() {
-      over = true;
+      closed = true;
       if (channel != null) {
         channel.close();
       }
     }
 
     /** Once; the next one starts when {@link WatchClock} says so. */
-    void ended(String why) {
-      if (over) {
+    void fail(String why) {
+      if (closed) {
         return;
       }
       close();
       if (overdue.remove(this)) {
-        log.event("discovery.lost", "address", to, "reason", why);
+        log.event("discovery.lost", "address", target, "reason", why);
         return;
       }
-      if (this == attempt) {
-        attempt = null;
+      if (this == pending) {
+        pending = null;
       } else if (this == current) {
         current = null;
       }
-      times.failed(clock.now());
-      log.event("discovery.lost", "address", to, "reason", why);
+      retryPolicy.watchFailed(clock.now());
+      log.event("discovery.lost", "address", target, "reason", why);
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      if (over) {
+      if (closed) {
         ctx.close();
         return;
       }
-      String index = seq < 0 ? "" : "&index=" + seq;
+      String index = version < 0 ? "" : "&index=" + version;
       ctx.writeAndFlush(Http.bytes("GET /v1/endpoints?stream=1" + index + " HTTP/1.1\r\nHost: "
-          + Http.authority(to) + "\r\n\r\n"));
+          + Http.authority(target) + "\r\n\r\n"));
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       try {
-        if (!over && message instanceof HttpResponse r) {
-          head(r);
+        if (!closed && message instanceof HttpResponse r) {
+          onHead(r);
         }
-        if (!over && message instanceof HttpContent c) {
-          content(c);
+        if (!closed && message instanceof HttpContent c) {
+          onContent(c);
         }
       } finally {
         ReferenceCountUtil.release(message);
       }
     }
 
-    private void head(HttpResponse r) {
+    private void onHead(HttpResponse r) {
       int status = r.status().code();
       if (!r.decoderResult().isFailure() && status >= 100 && status < 200) {
         return;
       }
       if (r.decoderResult().isFailure() || status != 200) {
-        ended("status " + status);
+        fail("status " + status);
         return;
       }
       if (current != null) {
@@ -255,54 +255,54 @@
       }
       current = this;
       overdue.remove(this);
-      if (this == attempt) {
-        attempt = null;
+      if (this == pending) {
+        pending = null;
       }
-      closeAttempts();
-      times.answered(clock.now());
-      if (seq >= 0) {
-        speaks.run();
+      closePending();
+      retryPolicy.watchAnswered(clock.now());
+      if (version >= 0) {
+        answeredListener.run();
       }
     }
 
-    private void content(HttpContent c) {
+    private void onContent(HttpContent c) {
       if (this != current) {
         return;
       }
       if (c.decoderResult().isFailure()) {
-        ended("its framing");
+        fail("its framing");
         return;
       }
       try {
         byte[] part = ByteBufUtil.getBytes(c.content());
-        objects.feed(part, this::object);
-        if (part.length > 0 && !objects.within()) {
-          times.heard(clock.now());
+        parser.feed(part, this::onObject);
+        if (part.length > 0 && !parser.insideObject()) {
+          retryPolicy.dataReceived(clock.now());
         }
       } catch (IOException | IllegalArgumentException e) {
         log.event("discovery.unreadable", "reason", e.getMessage());
-        ended("what cannot be read");
+        fail("what cannot be read");
       }
       if (c instanceof LastHttpContent) {
-        ended("its end");
+        fail("its end");
       }
     }
 
-    private void object(JsonNode o) {
-      if (!over) {
-        times.heard(clock.now());
-        take(this, EndpointUpdate.parse(o));
+    private void onObject(JsonNode o) {
+      if (!closed) {
+        retryPolicy.dataReceived(clock.now());
+        onUpdate(this, EndpointUpdate.parse(o));
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      ended("closed");
+      fail("closed");
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      ended(String.valueOf(cause.getMessage()));
+      fail(String.valueOf(cause.getMessage()));
     }
   }
 }
--- a/src/main/java/hollyslip/platform/DiskConnection.java
+++ b/src/main/java/hollyslip/platform/DiskConnection.java
@@ -22,39 +22,39 @@
  * nobody. */
 final class DiskConnection {
   /** Answers of class 1xx before the one that counts. */
-  private static final int MOST_INTERIM = 8;
+  private static final int MAX_INTERIM_RESPONSES = 8;
 
-  final DiskServer to;
+  final DiskServer server;
   /** Where it leads: the disk server may have moved since. */
   final InetSocketAddress address;
   private final Channel channel;
-  private final DiskServers owner;
-  private final AnswerDecoder decoder = new AnswerDecoder();
+  private final DiskServers pool;
+  private final StrictResponseDecoder decoder = new StrictResponseDecoder();
   /** When the last call on it ended, us. */
-  long freeAt;
+  long idleSince;
   /** How long it had carried nothing when the call on it was written, us; -1: it was new. */
-  private long idleUs = -1;
-  private long startedAt;
-  private boolean used;
+  private long idleBeforeCallUs = -1;
+  private long callStartedAt;
+  private boolean usedBefore;
   private Call call;
-  private HttpResponse head;
-  private ByteBuf body = Unpooled.EMPTY_BUFFER;
-  private int interim;
+  private HttpResponse responseHead;
+  private ByteBuf responseBody = Unpooled.EMPTY_BUFFER;
+  private int interimResponses;
   /** The answer itself tells where it ends. */
-  private boolean framed;
+  private boolean selfDelimited;
   private boolean closed;
 
   DiskConnection(DiskServer to, InetSocketAddress address, Channel channel, DiskServers owner) {
-    this.to = to;
+    this.server = to;
     this.address = address;
     this.channel = channel;
-    this.owner = owner;
+    this.pool = owner;
   }
 
   /** To be called once it is up. */
-  void open() {
+  void installHandlers() {
     ChannelPipeline p = channel.pipeline();
-    p.addLast(new Guard(), decoder, new Answers());
+    p.addLast(new UnexpectedBytesHandler(), decoder, new ResponseHandler());
   }
 
   /** Takes in what has come. */
@@ -62,22 +62,22 @@
     Http.readNow(channel);
   }
 
-  boolean usable() {
+  boolean isIdle() {
     return !closed && call == null && channel.isActive();
   }
 
   /** Writes a call's request whole; how it ends is told to the call. */
   void start(Call c) {
-    long now = owner.now();
+    long now = pool.now();
     call = c;
     c.connection = this;
-    idleUs = used ? now - freeAt : -1;
-    startedAt = now;
-    used = true;
-    head = null;
-    interim = 0;
-    dropBody();
-    channel.writeAndFlush(c.bytes.apply(c.giveUpAt - owner.now())).addListener(f -> {
+    idleBeforeCallUs = usedBefore ? now - idleSince : -1;
+    callStartedAt = now;
+    usedBefore = true;
+    responseHead = null;
+    interimResponses = 0;
+    releaseBody();
+    channel.writeAndFlush(c.requestEncoder.apply(c.timeoutAt - pool.now())).addListener(f -> {
       if (f.isSuccess()) {
         c.written = true;
       } else {
@@ -92,109 +92,109 @@
       return;
     }
     closed = true;
-    dropBody();
+    releaseBody();
     channel.close();
     Call c = call;
     call = null;
-    owner.closed(this);
+    pool.onClosed(this);
     if (c != null) {
-      long now = owner.now();
-      if (idleUs >= 0 && head == null && now - startedAt < DiskServers.AT_ONCE_US) {
-        owner.stale(to, idleUs);
+      long now = pool.now();
+      if (idleBeforeCallUs >= 0 && responseHead == null && now - callStartedAt < DiskServers.STALE_WINDOW_US) {
+        pool.onStaleConnection(server, idleBeforeCallUs);
       }
       c.end(c.written ? Result.RESET : Result.CONNECT_FAILED, now);
     }
   }
 
   /** The call on it has ended for its owner, who waits no longer: so does the connection. */
-  void giveUp() {
+  void abandon() {
     call = null;
     close();
   }
 
-  private void dropBody() {
-    owner.letGo(body.readableBytes());
-    body.release();
-    body = Unpooled.EMPTY_BUFFER;
+  private void releaseBody() {
+    pool.releaseBytes(responseBody.readableBytes());
+    responseBody.release();
+    responseBody = Unpooled.EMPTY_BUFFER;
   }
 
   /** An answer that cannot be used; the request may have run. */
-  private void spoilt(String why) {
+  private void failInvalidResponse(String why) {
     Call c = call;
     call = null;
     if (c != null) {
-      owner.spoilt(to, why);
-      c.end(c.written ? Result.ERROR : Result.CONNECT_FAILED, owner.now());
+      pool.onInvalidResponse(server, why);
+      c.end(c.written ? Result.ERROR : Result.CONNECT_FAILED, pool.now());
     }
     close();
   }
 
-  private void head(HttpResponse r) {
+  private void onHead(HttpResponse r) {
     if (r.decoderResult().isFailure()) {
-      spoilt("head: " + r.decoderResult().cause().getMessage());
+      failInvalidResponse("head: " + r.decoderResult().cause().getMessage());
       return;
     }
     int status = r.status().code();
     if (status < 200) {
-      if (++interim > MOST_INTERIM || status == 101) {
-        spoilt("interim answers");
+      if (++interimResponses > MAX_INTERIM_RESPONSES || status == 101) {
+        failInvalidResponse("interim answers");
       }
       return;
     }
     boolean coded = r.headers().contains(HttpHeaderNames.TRANSFER_ENCODING);
     long length = HttpUtil.getContentLength(r, 0L);
-    if (coded && !HttpUtil.isTransferEncodingChunked(r) || length > Bounds.ANSWER) {
-      spoilt("length: " + r.headers().entries());
+    if (coded && !HttpUtil.isTransferEncodingChunked(r) || length > Bounds.MAX_RESPONSE_BODY_BYTES) {
+      failInvalidResponse("length: " + r.headers().entries());
       return;
     }
-    head = r;
+    responseHead = r;
     // Without a length it is whole at the connection's end, but not at a reset: exceptionCaught comes first
     // then.
-    framed = coded || r.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
+    selfDelimited = coded || r.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
     // Grows with what comes beyond this: a length that is only said must not take memory.
-    body = Unpooled.buffer((int) Math.max(64, Math.min(length, 8 * Bounds.BODY)), Bounds.ANSWER);
+    responseBody = Unpooled.buffer((int) Math.max(64, Math.min(length, 8 * Bounds.BODY)), Bounds.MAX_RESPONSE_BODY_BYTES);
   }
 
-  private void content(HttpContent c) {
+  private void onContent(HttpContent c) {
     if (c.decoderResult().isFailure()) {
-      spoilt("body");
-    } else if (head != null) {
+      failInvalidResponse("body");
+    } else if (responseHead != null) {
       int more = c.content().readableBytes();
-      if (body.readableBytes() + more > Bounds.ANSWER || !owner.hold(more)) {
-        spoilt("no room for " + (body.readableBytes() + more) + " bytes");
+      if (responseBody.readableBytes() + more > Bounds.MAX_RESPONSE_BODY_BYTES || !pool.tryReserveBytes(more)) {
+        failInvalidResponse("no room for " + (responseBody.readableBytes() + more) + " bytes");
       } else {
-        body.writeBytes(c.content());
+        responseBody.writeBytes(c.content());
         if (c instanceof LastHttpContent) {
-          whole();
+          onComplete();
         }
       }
     }
   }
 
   /** The answer is whole: the connection stays in use only if nothing else came with it. */
-  private void whole() {
+  private void onComplete() {
     Call c = call;
-    HttpResponse r = head;
-    boolean exact = body.hasArray() && body.arrayOffset() == 0 && body.readableBytes() == body.array().length;
-    byte[] bytes = exact ? body.array() : ByteBufUtil.getBytes(body);
-    dropBody();
+    HttpResponse r = responseHead;
+    boolean exact = responseBody.hasArray() && responseBody.arrayOffset() == 0 && responseBody.readableBytes() == responseBody.array().length;
+    byte[] bytes = exact ? responseBody.array() : ByteBufUtil.getBytes(responseBody);
+    releaseBody();
     call = null;
-    head = null;
-    boolean clean = framed && c.written && decoder.left() == 0 && !r.headers()
+    responseHead = null;
+    boolean clean = selfDelimited && c.written && decoder.unreadBytes() == 0 && !r.headers()
         .containsValue(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
     if (clean) {
-      owner.free(this);
+      pool.onIdle(this);
     }
-    if (idleUs >= 0) {
-      owner.fresh();
+    if (idleBeforeCallUs >= 0) {
+      pool.onReuseSucceeded();
     }
-    c.end(result(r, c.written), owner.now(), r.headers(), bytes);
+    c.end(resultOf(r, c.written), pool.now(), r.headers(), bytes);
     if (!clean) {
       close();
     }
   }
 
-  private static Result result(HttpResponse r, boolean written) {
+  private static Result resultOf(HttpResponse r, boolean written) {
     int status = r.status().code();
     if (status == 200) {
       // An answer to a request that was not written whole answers something else.
@@ -206,13 +206,13 @@
   }
 
   /** Sees bytes before the codec does. */
-  private final class Guard extends ChannelInboundHandlerAdapter {
+  private final class UnexpectedBytesHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       if (call == null) {
         ReferenceCountUtil.release(message);
         if (!closed) {
-          owner.dirty(to);
+          pool.onUnexpectedBytes(server);
           close();
         }
       } else {
@@ -221,15 +221,15 @@
     }
   }
 
-  private final class Answers extends ChannelInboundHandlerAdapter {
+  private final class ResponseHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       try {
         if (call != null && message instanceof HttpResponse r) {
-          head(r);
+          onHead(r);
         }
         if (call != null && message instanceof HttpContent c) {
-          content(c);
+          onContent(c);
         }
       } finally {
         ReferenceCountUtil.release(message);
@@ -244,7 +244,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       if (cause instanceof io.netty.handler.codec.DecoderException) {
-        spoilt(String.valueOf(cause.getMessage()));
+        failInvalidResponse(String.valueOf(cause.getMessage()));
       } else {
         close();
       }
--- a/src/main/java/hollyslip/platform/DiskServer.java
+++ b/src/main/java/hollyslip/platform/DiskServer.java
@@ -15,7 +15,7 @@
   /** Its last start, as the list has it (ms, wall's clock) and on the module's clock (us); 0: long ago. */
   long bornMs, bornUs;
   /** Connections that carry nothing, most recently used last. */
-  final Deque<DiskConnection> idle = new ArrayDeque<>();
+  final Deque<DiskConnection> idleConnections = new ArrayDeque<>();
   /** Calls that have not ended. */
   int calls;
 
--- a/src/main/java/hollyslip/platform/DiskServers.java
+++ b/src/main/java/hollyslip/platform/DiskServers.java
@@ -27,24 +27,24 @@
 
   /** A kept connection that breaks so soon after a request was written to it, us, had been given up by the
    * other side before. */
-  static final long AT_ONCE_US = 5_000;
+  static final long STALE_WINDOW_US = 5_000;
 
   private final EventLoop loop;
   private final Clock clock;
   private final Log log;
-  private final int most;
-  private final long connectUs;
+  private final int maxConnections;
+  private final long connectTimeoutUs;
   private final Bootstrap bootstrap;
-  private final Set<DiskConnection> all = new HashSet<>();
+  private final Set<DiskConnection> connections = new HashSet<>();
   /** Calls for which there was no descriptor. */
-  private final Deque<Call> waiting = new ArrayDeque<>();
+  private final Deque<Call> waitingCalls = new ArrayDeque<>();
   /** Connections that are coming up. */
-  private int dialling;
-  private boolean serving;
-  private final Trust trust;
+  private int connecting;
+  private boolean startingWaitingCalls;
+  private final AdaptiveIdleTimeout idleTimeout;
   /** Bytes of answers that are not whole yet, and how many there may be. */
-  private long held;
-  private final long mostHeld;
+  private long bufferedBytes;
+  private final long maxBufferedBytes;
 
   /** @param most
    *          connections at a time, those that are coming up included
@@ -59,16 +59,16 @@
     this.loop = loop;
     this.clock = clock;
     this.log = log;
-    this.most = most;
-    this.mostHeld = mostHeld;
-    this.connectUs = connectUs > 0 ? connectUs : 1_000_000;
+    this.maxConnections = most;
+    this.maxBufferedBytes = mostHeld;
+    this.connectTimeoutUs = connectUs > 0 ? connectUs : 1_000_000;
     // A request may be under way as the other side's time runs out: a tenth of it is kept clear.
     long idleUs = idleCloseUs > 0 ? idleCloseUs - idleCloseUs / 10 : Long.MAX_VALUE;
-    trust = new Trust(2 * REST_US, idleUs);
+    idleTimeout = new AdaptiveIdleTimeout(2 * REST_US, idleUs);
     bootstrap = new Bootstrap().group(loop)
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, this.connectUs / 1000))
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, this.connectTimeoutUs / 1000))
         .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel ch) {
@@ -81,27 +81,27 @@
     return clock.now();
   }
 
-  int open() {
-    return all.size() + dialling;
+  int connectionCount() {
+    return connections.size() + connecting;
   }
 
   /** Starts a call; its listener hears how it ended, maybe before this returns. */
   void start(Call c) {
-    c.to.calls++;
+    c.server.calls++;
     long now = now();
-    c.timeout = loop.schedule(() -> timedOut(c), Math.max(0, c.giveUpAt - now), TimeUnit.MICROSECONDS);
-    if (!c.wanted.now()) {
+    c.timeoutTask = loop.schedule(() -> onCallTimeout(c), Math.max(0, c.timeoutAt - now), TimeUnit.MICROSECONDS);
+    if (!c.sendCheck.maySend()) {
       c.end(Result.MOOT, now);
       return;
     }
-    DiskConnection kept = kept(c.to, now());
+    DiskConnection kept = takeIdle(c.server, now());
     if (kept != null) {
       kept.start(c);
-    } else if (open() < most || evict()) {
-      dial(c);
+    } else if (connectionCount() < maxConnections || evictLongestIdle()) {
+      connect(c);
     } else {
-      waiting.add(c);
-      loop.schedule(() -> waitedLong(c), connectUs, TimeUnit.MICROSECONDS);
+      waitingCalls.add(c);
+      loop.schedule(() -> onWaitTimeout(c), connectTimeoutUs, TimeUnit.MICROSECONDS);
     }
   }
 
@@ -111,7 +111,7 @@
       DiskConnection on = c.connection;
       c.end(c.written ? Result.CANCELLED : Result.MOOT, now());
       if (on != null) {
-        on.giveUp();
+        on.abandon();
       }
     }
   }
@@ -120,56 +120,56 @@
    * follow. */
   void withdraw(Call c) {
     if (!c.written) {
-      waiting.remove(c);
+      waitingCalls.remove(c);
       cancel(c);
     }
   }
 
-  private void write(DiskConnection on, Call c) {
+  private void sendIfWanted(DiskConnection on, Call c) {
     long now = now();
-    if (now - c.startedAt < connectUs && now < c.giveUpAt && c.wanted.now()) {
+    if (now - c.startedAt < connectTimeoutUs && now < c.timeoutAt && c.sendCheck.maySend()) {
       on.start(c);
     } else {
       c.end(Result.MOOT, now);
-      free(on);
+      onIdle(on);
     }
   }
 
   /** The most recently used connection that has proved itself clean and is not about to be closed. What came
    * on it since is read first: bytes that answer nothing, or its end, must not meet the next request. */
-  private DiskConnection kept(DiskServer to, long now) {
-    closeOld(to, now);
-    for (DiskConnection c = rested(to, now); c != null; c = rested(to, now)) {
-      to.idle.remove(c);
+  private DiskConnection takeIdle(DiskServer to, long now) {
+    closeExpired(to, now);
+    for (DiskConnection c = findReusable(to, now); c != null; c = findReusable(to, now)) {
+      to.idleConnections.remove(c);
       c.readNow();
-      if (c.usable()) {
+      if (c.isIdle()) {
         return c;
       }
     }
     return null;
   }
 
-  private static DiskConnection rested(DiskServer to, long now) {
-    for (var it = to.idle.descendingIterator(); it.hasNext();) {
+  private static DiskConnection findReusable(DiskServer to, long now) {
+    for (var it = to.idleConnections.descendingIterator(); it.hasNext();) {
       DiskConnection c = it.next();
-      if (now - c.freeAt >= REST_US && c.usable()) {
+      if (now - c.idleSince >= REST_US && c.isIdle()) {
         return c;
       }
     }
     return null;
   }
 
-  private void closeOld(DiskServer to, long now) {
-    while (!to.idle.isEmpty() && now - to.idle.peekFirst().freeAt >= trust.us()) {
-      to.idle.peekFirst().close();
+  private void closeExpired(DiskServer to, long now) {
+    while (!to.idleConnections.isEmpty() && now - to.idleConnections.peekFirst().idleSince >= idleTimeout.timeoutUs()) {
+      to.idleConnections.peekFirst().close();
     }
   }
 
   /** Makes room for a connection by closing the one that was idle longest; gives whether there was one. */
-  private boolean evict() {
+  private boolean evictLongestIdle() {
     DiskConnection oldest = null;
-    for (DiskConnection c : all) {
-      if (c.usable() && (oldest == null || c.freeAt < oldest.freeAt)) {
+    for (DiskConnection c : connections) {
+      if (c.isIdle() && (oldest == null || c.idleSince < oldest.idleSince)) {
         oldest = c;
       }
     }
@@ -179,144 +179,144 @@
     return oldest != null;
   }
 
-  private void dial(Call c) {
-    DiskServer to = c.to;
+  private void connect(Call c) {
+    DiskServer to = c.server;
     InetSocketAddress address = to.dial;
-    dialling++;
+    connecting++;
     ChannelFuture f;
     try {
       f = bootstrap.connect(address);
     } catch (RuntimeException e) {
-      dialling--;
-      noDescriptor(c, e);
+      connecting--;
+      failWithoutDescriptor(c, e);
       return;
     }
     f.addListener(done -> {
-      dialling--;
+      connecting--;
       if (done.isSuccess()) {
-        up(f.channel(), to, address, c);
+        onConnected(f.channel(), to, address, c);
       } else {
         if (done.cause() instanceof ChannelException) {
           // Thrown where there is no socket at all; all else is the other side's doing.
-          noDescriptor(c, done.cause());
+          failWithoutDescriptor(c, done.cause());
         } else {
           c.end(Result.CONNECT_FAILED, now());
         }
       }
-      serveWaiting();
+      startWaitingCalls();
     });
   }
 
   /** No fault of the disk server, and nothing was sent. */
-  private void noDescriptor(Call c, Throwable cause) {
-    log.event("disk.no-descriptor", "server", c.to.host, "reason", cause);
+  private void failWithoutDescriptor(Call c, Throwable cause) {
+    log.event("disk.no-descriptor", "server", c.server.host, "reason", cause);
     c.end(Result.MOOT, now());
   }
 
-  private void up(Channel channel, DiskServer to, InetSocketAddress address, Call c) {
+  private void onConnected(Channel channel, DiskServer to, InetSocketAddress address, Call c) {
     DiskConnection connection = new DiskConnection(to, address, channel, this);
-    all.add(connection);
-    connection.open();
+    connections.add(connection);
+    connection.installHandlers();
     if (c.ended()) {
-      free(connection);
+      onIdle(connection);
     } else {
-      write(connection, c);
+      sendIfWanted(connection, c);
     }
   }
 
-  private void timedOut(Call c) {
+  private void onCallTimeout(Call c) {
     if (c.ended()) {
       return;
     }
     DiskConnection on = c.connection;
     Result result = on == null
-        ? waiting.remove(c) ? Result.MOOT : Result.CONNECT_FAILED
+        ? waitingCalls.remove(c) ? Result.MOOT : Result.CONNECT_FAILED
         : c.written ? Result.TIMEOUT : Result.CONNECT_FAILED;
     c.end(result, now());
     if (on != null) {
-      on.giveUp();
+      on.abandon();
     }
   }
 
-  private void waitedLong(Call c) {
-    if (waiting.remove(c)) {
-      log.event("disk.no-connection-free", "server", c.to.host, "open", open());
+  private void onWaitTimeout(Call c) {
+    if (waitingCalls.remove(c)) {
+      log.event("disk.no-connection-free", "server", c.server.host, "open", connectionCount());
       c.end(Result.MOOT, now());
     }
   }
 
   /** A connection carries nothing now: it is kept, unless it leads where the disk server no longer is. */
-  void free(DiskConnection c) {
-    c.freeAt = now();
-    if (c.address.equals(c.to.dial)) {
-      c.to.idle.addLast(c);
+  void onIdle(DiskConnection c) {
+    c.idleSince = now();
+    if (c.address.equals(c.server.dial)) {
+      c.server.idleConnections.addLast(c);
     } else {
       c.close();
     }
   }
 
-  void closed(DiskConnection c) {
-    all.remove(c);
-    c.to.idle.remove(c);
-    serveWaiting();
+  void onClosed(DiskConnection c) {
+    connections.remove(c);
+    c.server.idleConnections.remove(c);
+    startWaitingCalls();
   }
 
-  private void serveWaiting() {
-    if (serving) {
+  private void startWaitingCalls() {
+    if (startingWaitingCalls) {
       return;
     }
-    serving = true;
-    while (!waiting.isEmpty() && open() < most) {
-      dial(waiting.poll());
+    startingWaitingCalls = true;
+    while (!waitingCalls.isEmpty() && connectionCount() < maxConnections) {
+      connect(waitingCalls.poll());
     }
-    serving = false;
+    startingWaitingCalls = false;
   }
 
   /** Takes room for so many bytes more of an answer, if there is any. */
-  boolean hold(int bytes) {
-    if (held + bytes > mostHeld) {
+  boolean tryReserveBytes(int bytes) {
+    if (bufferedBytes + bytes > maxBufferedBytes) {
       return false;
     }
-    held += bytes;
+    bufferedBytes += bytes;
     return true;
   }
 
-  void letGo(int bytes) {
-    held -= bytes;
+  void releaseBytes(int bytes) {
+    bufferedBytes -= bytes;
   }
 
-  void spoilt(DiskServer to, String why) {
+  void onInvalidResponse(DiskServer to, String why) {
     log.event("disk.spoilt", "server", to.host, "reason", why);
   }
 
   /** A kept connection, idle for so long, turned out to be gone as its next request was written. */
-  void stale(DiskServer to, long idle) {
-    log.event("disk.stale", "server", to.host, "idle_ms", idle / 1000, "trusted_ms", trust.us() / 1000);
-    trust.broke(idle);
+  void onStaleConnection(DiskServer to, long idle) {
+    log.event("disk.stale", "server", to.host, "idle_ms", idle / 1000, "trusted_ms", idleTimeout.timeoutUs() / 1000);
+    idleTimeout.recordStale(idle);
   }
 
   /** A kept connection brought an answer. */
-  void fresh() {
-    trust.held();
+  void onReuseSucceeded() {
+    idleTimeout.recordSuccess();
   }
 
-  void dirty(DiskServer to) {
+  void onUnexpectedBytes(DiskServer to) {
     log.event("disk.dirty", "server", to.host, "reason", "bytes that answer nothing");
   }
 
   /** Closes the connections to a disk server that carry nothing: its process or its address has changed, or
    * it is gone. */
   void dropIdle(DiskServer to) {
-    while (!to.idle.isEmpty()) {
-      to.idle.peekFirst().close();
+    while (!to.idleConnections.isEmpty()) {
+      to.idleConnections.peekFirst().close();
     }
   }
 
   /** To be called now and then: closes what the other side is about to close. */
-  void sweep() {
+  void closeAllExpired() {
     long now = now();
-    for (DiskConnection c : Set.copyOf(all)) {
-      if (c.usable() && now - c.freeAt >= trust.us()) {
+    for (DiskConnection c : Set.copyOf(connections)) {
+      if (c.isIdle() && now - c.idleSince >= idleTimeout.timeoutUs()) {
         c.close();
       }
     }
--- a/src/main/java/hollyslip/platform/EndpointUpdate.java
+++ b/src/main/java/hollyslip/platform/EndpointUpdate.java
@@ -11,11 +11,11 @@
 
 /** What discovery says: a version of the list, whole or only what changed.
  *
- * @param seq
+ * @param version
  *          the version
  * @param whole
  *          who is not named is gone */
-record EndpointUpdate(long seq, boolean whole, List<Entry> entries) {
+record EndpointUpdate(long version, boolean whole, List<Entry> entries) {
   EndpointUpdate {
     entries = List.copyOf(entries);
   }
@@ -37,11 +37,11 @@
       throw new IllegalArgumentException("list.hosts: must be an array");
     }
     List<Entry> entries = new ArrayList<>();
-    m.get("hosts").forEach(e -> entries.add(entry(e)));
+    m.get("hosts").forEach(e -> entries.add(parseEntry(e)));
     return new EndpointUpdate(m.get("seq").asLong(), m.path("whole").asBoolean(), entries);
   }
 
-  private static Entry entry(JsonNode e) {
+  private static Entry parseEntry(JsonNode e) {
     String host = e.path("host").asText("");
     if (host.isEmpty()) {
       throw new IllegalArgumentException("list.host: is missing");
@@ -54,7 +54,7 @@
     };
     InetSocketAddress dial = state == NodeState.GONE && !e.hasNonNull("dial")
         ? null
-        : address(e.path("dial").asText(""), "list.dial");
+        : parseAddress(e.path("dial").asText(""), "list.dial");
     return new Entry(host, dial, e.path("site").asText(""), e.path("block").asInt(-1), state, e.path(
         "born_ms").asLong());
   }
@@ -63,7 +63,7 @@
    *
    * @throws IllegalArgumentException
    *           with {@code field}, if it is none */
-  static InetSocketAddress address(String text, String field) {
+  static InetSocketAddress parseAddress(String text, String field) {
     int colon = text.lastIndexOf(':');
     byte[] ip = colon < 1 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
     if (ip == null || !text.substring(colon + 1).matches("[0-9]{1,5}")) {
--- a/src/main/java/hollyslip/platform/JsonStream.java
+++ b/src/main/java/hollyslip/platform/JsonStreamParser.java
@@ -11,29 +11,29 @@
 import java.util.function.Consumer;
 
 /** A sequence of JSON objects out of bytes that come in pieces, whatever blanks lie in and between them. */
-final class JsonStream {
-  private static final ObjectMapper JSON = new ObjectMapper();
+final class JsonStreamParser {
+  private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final JsonFactory FACTORY = new JsonFactory();
 
-  private final int most;
+  private final int maxObjectBytes;
   private final JsonParser parser;
-  private TokenBuffer object;
-  private int depth, bytes;
+  private TokenBuffer currentObject;
+  private int depth, currentBytes;
 
   /** @param most
    *          bytes that one object may take, blanks included */
-  JsonStream(int most) {
-    this.most = most;
+  JsonStreamParser(int most) {
+    this.maxObjectBytes = most;
     try {
       parser = FACTORY.createNonBlockingByteArrayParser();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
-    object = new TokenBuffer(parser);
+    currentObject = new TokenBuffer(parser);
   }
 
   /** Whether an object has begun and has not ended. */
-  boolean within() {
+  boolean insideObject() {
     return depth > 0;
   }
 
@@ -45,25 +45,25 @@
     if (part.length == 0) {
       return;
     }
-    bytes += part.length;
+    currentBytes += part.length;
     ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(part, 0, part.length);
     for (JsonToken t = parser.nextToken(); t != JsonToken.NOT_AVAILABLE; t = parser.nextToken()) {
       if (depth == 0 && t != JsonToken.START_OBJECT) {
         throw new IOException("no object: " + t);
       }
-      object.copyCurrentEvent(parser);
+      currentObject.copyCurrentEvent(parser);
       depth += t.isStructStart() ? 1 : t.isStructEnd() ? -1 : 0;
       if (depth == 0) {
-        JsonNode whole = JSON.readTree(object.asParser());
-        object = new TokenBuffer(parser);
-        bytes = 0;
+        JsonNode whole = MAPPER.readTree(currentObject.asParser());
+        currentObject = new TokenBuffer(parser);
+        currentBytes = 0;
         objects.accept(whole);
       }
     }
     if (depth == 0) {
-      bytes = 0;
-    } else if (bytes > most) {
-      throw new IOException("an object of over " + most + " bytes");
+      currentBytes = 0;
+    } else if (currentBytes > maxObjectBytes) {
+      throw new IOException("an object of over " + maxObjectBytes + " bytes");
     }
   }
 }
--- a/src/main/java/hollyslip/platform/Log.java
+++ b/src/main/java/hollyslip/platform/Log.java
@@ -11,30 +11,30 @@
 /** Structured lines on standard output, one an event: Unix time in ms, the event's name, {@code key=value}
  * fields. A thread of its own writes them, so that a reader that stops reading never holds up the event loop;
  * what does not fit into its queue is dropped and counted. Each name may write {@link #LINES_PER_SECOND},
- * with bursts of {@link #BURST}; the next line of that name says how many were left out. Any thread may
+ * with bursts of {@link #BURST_LINES}; the next line of that name says how many were left out. Any thread may
  * log. */
 final class Log implements AutoCloseable {
   /** Sustained lines a second of one event name, and how many may come at once. */
-  static final int LINES_PER_SECOND = 20, BURST = 60;
+  static final int LINES_PER_SECOND = 20, BURST_LINES = 60;
 
   /** Lines that wait for the writer. */
-  private static final int QUEUED = 512;
+  private static final int QUEUE_CAPACITY = 512;
 
   /** Longest value of a field, characters. */
-  private static final int VALUE_LENGTH = 200;
+  private static final int MAX_VALUE_LENGTH = 200;
 
   private final PrintStream out;
-  private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUED);
-  private final Map<String, Allowance> allowances = new HashMap<>();
-  private final AtomicLong unwritten = new AtomicLong();
-  private final Thread writer = new Thread(this::write, "log");
-  private long dropped;
+  private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+  private final Map<String, RateLimit> rateLimits = new HashMap<>();
+  private final AtomicLong unwrittenLines = new AtomicLong();
+  private final Thread writer = new Thread(this::writeLines, "log");
+  private long droppedLines;
 
   /** A token bucket of lines for one event name. */
-  private static final class Allowance {
-    double lines = BURST;
-    long at;
-    long leftOut;
+  private static final class RateLimit {
+    double tokens = BURST_LINES;
+    long refilledAt;
+    long suppressedLines;
   }
 
   Log(PrintStream out) {
@@ -50,50 +50,50 @@
    * @param fields
    *          keys and values in turn; values may hold anything */
   synchronized void event(String name, Object... fields) {
-    Allowance allowance = allowances.computeIfAbsent(name, k -> new Allowance());
-    if (!take(allowance)) {
-      allowance.leftOut++;
+    RateLimit allowance = rateLimits.computeIfAbsent(name, k -> new RateLimit());
+    if (!tryAcquire(allowance)) {
+      allowance.suppressedLines++;
       return;
     }
     StringBuilder line = new StringBuilder().append(System.currentTimeMillis()).append(' ').append(name);
     for (int i = 0; i + 1 < fields.length; i += 2) {
-      line.append(' ').append(fields[i]).append('=').append(value(String.valueOf(fields[i + 1])));
+      line.append(' ').append(fields[i]).append('=').append(escapeValue(String.valueOf(fields[i + 1])));
     }
-    if (allowance.leftOut > 0) {
-      line.append(" left_out=").append(allowance.leftOut);
+    if (allowance.suppressedLines > 0) {
+      line.append(" left_out=").append(allowance.suppressedLines);
     }
-    if (dropped > 0) {
-      line.append(" dropped=").append(dropped);
+    if (droppedLines > 0) {
+      line.append(" dropped=").append(droppedLines);
     }
-    unwritten.incrementAndGet();
+    unwrittenLines.incrementAndGet();
     if (queue.offer(line.toString())) {
-      allowance.leftOut = 0;
-      dropped = 0;
+      allowance.suppressedLines = 0;
+      droppedLines = 0;
     } else {
-      unwritten.decrementAndGet();
-      dropped++;
+      unwrittenLines.decrementAndGet();
+      droppedLines++;
     }
   }
 
-  private static boolean take(Allowance allowance) {
+  private static boolean tryAcquire(RateLimit allowance) {
     long now = System.nanoTime();
-    if (allowance.at != 0) {
-      double earned = (now - allowance.at) / 1e9 * LINES_PER_SECOND;
-      allowance.lines = Math.min(BURST, allowance.lines + earned);
+    if (allowance.refilledAt != 0) {
+      double earned = (now - allowance.refilledAt) / 1e9 * LINES_PER_SECOND;
+      allowance.tokens = Math.min(BURST_LINES, allowance.tokens + earned);
     }
-    allowance.at = now;
-    if (allowance.lines < 1) {
+    allowance.refilledAt = now;
+    if (allowance.tokens < 1) {
       return false;
     }
-    allowance.lines--;
+    allowance.tokens--;
     return true;
   }
 
-  private void write() {
+  private void writeLines() {
     try {
       while (true) {
         out.println(queue.take());
-        unwritten.decrementAndGet();
+        unwrittenLines.decrementAndGet();
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -103,7 +103,7 @@
   /** Waits until all lines so far are written, but no longer than so many ms. */
   void flush(long ms) throws InterruptedException {
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
-    while (unwritten.get() > 0 && System.nanoTime() < end) {
+    while (unwrittenLines.get() > 0 && System.nanoTime() < end) {
       Thread.sleep(1);
     }
   }
@@ -133,8 +133,8 @@
   }
 
   /** Bytes from outside must not forge lines or fields. */
-  private static String value(String text) {
-    String cut = text.length() > VALUE_LENGTH ? text.substring(0, VALUE_LENGTH) : text;
+  private static String escapeValue(String text) {
+    String cut = text.length() > MAX_VALUE_LENGTH ? text.substring(0, MAX_VALUE_LENGTH) : text;
     String plain = cut.replaceAll("[^ -~]", "?").replace('"', '\'');
     return plain.isEmpty() || plain.indexOf(' ') >= 0 || plain.indexOf('=') >= 0 ? '"' + plain + '"' : plain;
   }
--- a/src/main/java/hollyslip/platform/Node.java
+++ b/src/main/java/hollyslip/platform/Node.java
@@ -25,22 +25,22 @@
 public final class Node implements AutoCloseable {
   /** How long a start waits for discovery to answer before clients may come, ms: an old list serves better
    * than none. */
-  private static final long FIRST_WORD_MS = 400;
+  private static final long DISCOVERY_WAIT_MS = 400;
 
   /** The platform kills no sooner after SIGTERM than the longest deadline, counted as this where it is
    * longer, and 0.7 s more, us. */
-  private static final long LONGEST_COUNTED_US = 3_000_000;
+  private static final long MAX_COUNTED_DEADLINE_US = 3_000_000;
 
   /** What is taken after SIGTERM is answered so long after that deadline, us: 0.25 s before the kill. */
-  private static final long ANSWERED_US = 450_000;
+  private static final long RESPONSE_GRACE_US = 450_000;
 
   /** How long before that connections that carry nothing are closed and answers end theirs, us: until then
    * clients are served on the connections that they keep, as they have no other way here. Harm: what comes in
    * the last moments is refused. */
-  private static final long DRAIN_US = 50_000;
+  private static final long DRAIN_LEAD_US = 50_000;
 
   /** How long an ending process waits for its last log lines to be taken, ms. */
-  private static final long LOG_FLUSH_MS = 50;
+  private static final long LOG_FLUSH_TIMEOUT_MS = 50;
 
   private final Configuration configuration;
   private final Map<String, String> environment;
@@ -48,13 +48,13 @@
   private final EventLoopGroup group;
   private final EventLoop loop;
   private final Clock clock = new Clock();
-  private final CountDownLatch ended = new CountDownLatch(1);
-  private final DiskServers disks;
+  private final CountDownLatch terminated = new CountDownLatch(1);
+  private final DiskServers diskConnections;
   private final Desk desk;
   private final Front front;
-  private final Discovery discovery;
+  private final DiscoveryClient discovery;
   private final InetSocketAddress listening;
-  private InetSocketAddress followed;
+  private InetSocketAddress discoveryAddress;
   private boolean stopping;
 
   /** Starts it; {@code environment} is read again at each reload. */
@@ -68,44 +68,44 @@
     this.environment = environment;
     log = new Log(out);
     configuration = Configuration.read(environment);
-    followed = configuration.discovery();
+    discoveryAddress = configuration.discoveryAddress();
     group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop"), NioIoHandler.newFactory());
     loop = (EventLoop) group.next();
-    Bounds bounds = Bounds.of(configuration.sockets(), Bounds.descriptorsHeld(), configuration.memoryMb());
-    disks = new DiskServers(loop, clock, log, bounds.disks(), bounds.bytes(), configuration.settings()
+    Bounds bounds = Bounds.of(configuration.maxDescriptors(), Bounds.descriptorsHeld(), configuration.memoryMb());
+    diskConnections = new DiskServers(loop, clock, log, bounds.disks(), bounds.bytes(), configuration.settings()
         .allowed()
-        .connectTimeoutUs(), configuration.idleCloseUs());
+        .connectTimeoutUs(), configuration.diskIdleTimeoutUs());
     Choice module = new Choice(configuration.settings());
-    desk = new Desk(module, configuration.settings(), loop, clock, log, disks,
+    desk = new Desk(module, configuration.settings(), loop, clock, log, diskConnections,
         bounds.bytes());
     front = new Front(loop, clock, log, desk, new Ask.Reader(configuration.settings(), configuration
-        .shards()), bounds);
-    long seq = configuration.known() == null ? -1 : configuration.known().seq();
-    discovery = new Discovery(loop, clock, log, times, followed, seq, this::news, this::ready);
+        .shardCount()), bounds);
+    long seq = configuration.knownEndpoints() == null ? -1 : configuration.knownEndpoints().version();
+    discovery = new DiscoveryClient(loop, clock, log, times, discoveryAddress, seq, this::onEndpointUpdate, this::markReady);
     loop.submit(() -> {
-      if (configuration.known() != null) {
-        EndpointUpdate k = configuration.known();
-        desk.news(new EndpointUpdate(k.seq(), true, k.entries()));
+      if (configuration.knownEndpoints() != null) {
+        EndpointUpdate k = configuration.knownEndpoints();
+        desk.news(new EndpointUpdate(k.version(), true, k.entries()));
       }
       discovery.start();
     }).sync();
-    listening = (InetSocketAddress) front.listen(group, configuration.listen()).localAddress();
-    loop.schedule(this::ready, FIRST_WORD_MS, TimeUnit.MILLISECONDS);
-    loop.scheduleAtFixedRate(log.guarded(disks::sweep), 1, 1, TimeUnit.SECONDS);
+    listening = (InetSocketAddress) front.listen(group, configuration.listenAddress()).localAddress();
+    loop.schedule(this::markReady, DISCOVERY_WAIT_MS, TimeUnit.MILLISECONDS);
+    loop.scheduleAtFixedRate(log.guarded(diskConnections::closeAllExpired), 1, 1, TimeUnit.SECONDS);
     if (environment.containsKey("HOLLYSLIP_TRACE")) {
       Trace trace = new Trace(out);
       loop.execute(() -> desk.trace(trace));
-      loop.scheduleAtFixedRate(log.guarded(() -> trace.lines(module, desk.serversByNumber())), 1, 1,
+      loop.scheduleAtFixedRate(log.guarded(() -> trace.writeLines(module, desk.serversByNumber())), 1, 1,
           TimeUnit.SECONDS);
     }
     log.event("node.started", "name", configuration.name(), "listen", listening, "bounds", bounds);
   }
 
   /** Runs one scheduler until SIGTERM; gives the exit status by ending the process. With {@code --rehearse}
-   * it runs a {@link Rehearsal} instead. */
+   * it runs a {@link TrainingRun} instead. */
   public static void main(String[] args) throws IOException, InterruptedException {
     if (args.length > 1 && args[1].equals("--rehearse")) {
-      Rehearsal.run();
+      TrainingRun.run();
       return;
     }
     // Signals may come before there is a scheduler: what they ask for is done then.
@@ -116,7 +116,7 @@
         early.add(s.getName());
         Node node = started.get();
         if (node != null) {
-          node.signal(s.getName());
+          node.onSignal(s.getName());
         }
       });
     }
@@ -129,13 +129,13 @@
       return;
     }
     started.set(node);
-    List.copyOf(early).forEach(node::signal);
-    node.ended.await();
-    node.log.flush(LOG_FLUSH_MS);
+    List.copyOf(early).forEach(node::onSignal);
+    node.terminated.await();
+    node.log.flush(LOG_FLUSH_TIMEOUT_MS);
     System.exit(0);
   }
 
-  private void signal(String name) {
+  private void onSignal(String name) {
     if (name.equals("HUP")) {
       reload();
     } else {
@@ -158,16 +158,16 @@
     return desk.open();
   }
 
-  int servers() {
+  int diskServerCount() {
     return desk.servers();
   }
 
-  private void news(EndpointUpdate n) {
+  private void onEndpointUpdate(EndpointUpdate n) {
     desk.news(n);
-    ready();
+    markReady();
   }
 
-  private void ready() {
+  private void markReady() {
     if (!front.ready() && !stopping) {
       front.setReady();
       log.event("node.ready", "name", configuration.name());
@@ -179,20 +179,20 @@
   synchronized void reload() {
     try {
       Configuration next = Configuration.read(environment);
-      loop.execute(() -> follow(next));
+      loop.execute(() -> applyConfiguration(next));
     } catch (IOException | RuntimeException e) {
       log.event("configuration.refused", "reason", e.getMessage());
     }
   }
 
-  private void follow(Configuration next) {
-    log.event("configuration.read", "discovery", next.discovery());
+  private void applyConfiguration(Configuration next) {
+    log.event("configuration.read", "discovery", next.discoveryAddress());
     if (!next.settings().equals(configuration.settings())) {
       log.event("configuration.ignored", "reason", "settings change by a restart only");
     }
-    if (!next.discovery().equals(followed)) {
-      followed = next.discovery();
-      discovery.follow(followed);
+    if (!next.discoveryAddress().equals(discoveryAddress)) {
+      discoveryAddress = next.discoveryAddress();
+      discovery.changeAddress(discoveryAddress);
     }
   }
 
@@ -210,22 +210,22 @@
           .mapToLong(c -> c.deadlineUs())
           .max()
           .orElseThrow();
-      long answeredAfter = answeredAfterUs(longest);
+      long answeredAfter = responseLimitAfterStopUs(longest);
       log.event("node.stopping", "open", desk.open());
       desk.stopping(clock.now() + answeredAfter);
-      loop.schedule(this::drain, drainsAfterUs(longest), TimeUnit.MICROSECONDS);
+      loop.schedule(this::drain, drainDelayUs(longest), TimeUnit.MICROSECONDS);
     });
   }
 
   /** Until when what comes after SIGTERM is answered, us from then; {@code longest} is the longest
    * deadline. */
-  static long answeredAfterUs(long longest) {
-    return Math.min(longest, LONGEST_COUNTED_US) + ANSWERED_US;
+  static long responseLimitAfterStopUs(long longest) {
+    return Math.min(longest, MAX_COUNTED_DEADLINE_US) + RESPONSE_GRACE_US;
   }
 
   /** Until when clients are served on the connections that they keep, us from SIGTERM. */
-  static long drainsAfterUs(long longest) {
-    return answeredAfterUs(longest) - DRAIN_US;
+  static long drainDelayUs(long longest) {
+    return responseLimitAfterStopUs(longest) - DRAIN_LEAD_US;
   }
 
   /** Goes to the last part of the end at once: nothing more is taken. */
@@ -240,13 +240,13 @@
 
   private void drain() {
     front.drain();
-    loop.scheduleAtFixedRate(log.guarded(this::endIfDone), 0, 10, TimeUnit.MILLISECONDS);
+    loop.scheduleAtFixedRate(log.guarded(this::terminateIfDrained), 0, 10, TimeUnit.MILLISECONDS);
   }
 
-  private void endIfDone() {
+  private void terminateIfDrained() {
     if (front.endIfDone()) {
       log.event("node.ended", "open", desk.open());
-      ended.countDown();
+      terminated.countDown();
     }
   }
 
@@ -255,11 +255,11 @@
   public void close() {
     group.shutdownGracefully(0, 1000, TimeUnit.MILLISECONDS).syncUninterruptibly();
     log.close();
-    ended.countDown();
+    terminated.countDown();
   }
 
   /** Returns once it has ended. */
   boolean awaitEnd(long ms) throws InterruptedException {
-    return ended.await(ms, TimeUnit.MILLISECONDS);
+    return terminated.await(ms, TimeUnit.MILLISECONDS);
   }
 }
--- a/src/main/java/hollyslip/platform/Readings.java
+++ b/src/main/java/hollyslip/platform/Readings.java
@@ -37,7 +37,7 @@
   List<Double> report(HttpHeaders headers) {
     return headers == null || settings.reportSource() != ReportSource.ANSWERS
         ? null
-        : fields(headers.get(
+        : parseFields(headers.get(
             "X-Pressure"));
   }
 
@@ -46,11 +46,11 @@
     if (headers == null || settings.reportSource() == ReportSource.NONE) {
       return null;
     }
-    List<Double> inHeader = fields(headers.get("X-Pressure"));
-    return inHeader != null ? inHeader : fields(new String(body, StandardCharsets.ISO_8859_1));
+    List<Double> inHeader = parseFields(headers.get("X-Pressure"));
+    return inHeader != null ? inHeader : parseFields(new String(body, StandardCharsets.ISO_8859_1));
   }
 
-  private List<Double> fields(String text) {
+  private List<Double> parseFields(String text) {
     if (text == null || text.length() > 1000) {
       return null;
     }
--- a/src/main/java/hollyslip/platform/AnswerDecoder.java
+++ b/src/main/java/hollyslip/platform/StrictResponseDecoder.java
@@ -10,34 +10,34 @@
 
 /** The codec's response decoder behind {@link HeadCheck}: an answer that is not as the standard has it ends
  * in an exception. */
-final class AnswerDecoder extends HttpResponseDecoder {
-  private static final byte[] START = "HTTP/1.1 ".getBytes(StandardCharsets.US_ASCII);
+final class StrictResponseDecoder extends HttpResponseDecoder {
+  private static final byte[] STATUS_LINE_START = "HTTP/1.1 ".getBytes(StandardCharsets.US_ASCII);
 
-  private final HeadCheck check = new HeadCheck();
-  private boolean atHead = true;
+  private final HeadCheck headCheck = new HeadCheck();
+  private boolean expectsHead = true;
 
-  AnswerDecoder() {
+  StrictResponseDecoder() {
     super(Http.strict());
   }
 
   @Override
   protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-    if (atHead) {
-      startsRight(in);
-      if (!in.isReadable() || check.whole(in) < 0) {
+    if (expectsHead) {
+      checkStatusLineStart(in);
+      if (!in.isReadable() || headCheck.whole(in) < 0) {
         return;
       }
-      atHead = false;
+      expectsHead = false;
     }
     int before = out.size();
     super.decode(ctx, in, out);
-    atHead = out.size() > before && out.get(out.size() - 1) instanceof LastHttpContent;
+    expectsHead = out.size() > before && out.get(out.size() - 1) instanceof LastHttpContent;
   }
 
   /** Noise is told at its first bytes, not when a head's end fails to come. */
-  private static void startsRight(ByteBuf in) {
-    for (int i = 0; i < Math.min(START.length, in.readableBytes()); i++) {
-      if (in.getByte(in.readerIndex() + i) != START[i]) {
+  private static void checkStatusLineStart(ByteBuf in) {
+    for (int i = 0; i < Math.min(STATUS_LINE_START.length, in.readableBytes()); i++) {
+      if (in.getByte(in.readerIndex() + i) != STATUS_LINE_START[i]) {
         throw new IllegalArgumentException("no status line");
       }
     }
@@ -49,7 +49,7 @@
   }
 
   /** Bytes that have come and belong to no answer yet. */
-  int left() {
+  int unreadBytes() {
     return actualReadableBytes();
   }
 }
--- a/src/main/java/hollyslip/platform/Trace.java
+++ b/src/main/java/hollyslip/platform/Trace.java
@@ -13,13 +13,13 @@
  * {@code HOLLYSLIP_TRACE} is set; then it costs some us a second. */
 final class Trace {
   private final PrintStream out;
-  private final Map<Long, Seen> seen = new HashMap<>();
+  private final Map<Long, Counters> countersByServer = new HashMap<>();
 
   /** What passed on the connections to one disk server since the last line. */
-  private static final class Seen {
+  private static final class Counters {
     int started, answered;
-    long tookUs;
-    final Map<Result, Integer> ends = new EnumMap<>(Result.class);
+    long totalTimeUs;
+    final Map<Result, Integer> results = new EnumMap<>(Result.class);
   }
 
   Trace(PrintStream out) {
@@ -27,31 +27,31 @@
   }
 
   void started(long server) {
-    seen.computeIfAbsent(server, k -> new Seen()).started++;
+    countersByServer.computeIfAbsent(server, k -> new Counters()).started++;
   }
 
   void ended(long server, Result result, long tookUs) {
-    Seen s = seen.computeIfAbsent(server, k -> new Seen());
-    s.ends.merge(result, 1, Integer::sum);
+    Counters s = countersByServer.computeIfAbsent(server, k -> new Counters());
+    s.results.merge(result, 1, Integer::sum);
     if (result == Result.OK) {
       s.answered++;
-      s.tookUs += tookUs;
+      s.totalTimeUs += tookUs;
     }
   }
 
   /** Writes the lines and begins anew. */
-  void lines(Choice module, Map<Long, DiskServer> servers) {
+  void writeLines(Choice module, Map<Long, DiskServer> servers) {
     for (Belief b : Belief.of(module)) {
       DiskServer server = servers.get(b.node());
-      Seen s = seen.getOrDefault(b.node(), new Seen());
+      Counters s = countersByServer.getOrDefault(b.node(), new Counters());
       out.printf(Locale.ROOT,
           "trace %s %s out %d of %.1f held %d expects %.1f ms%s%s | calls %d idle %d started %d answered %d mean %.1f ms %s%n",
           server == null ? "?" : server.host, b.state(), b.out(), b.window(), b.held(), b.expectedUs() / 1e3,
           b.silent() ? " silent" : "", b.cold() ? " cold" : "", server == null ? 0 : server.calls,
-          server == null ? 0 : server.idle.size(), s.started, s.answered, s.answered == 0
+          server == null ? 0 : server.idleConnections.size(), s.started, s.answered, s.answered == 0
               ? 0
-              : s.tookUs / 1e3 / s.answered, s.ends);
+              : s.totalTimeUs / 1e3 / s.answered, s.results);
     }
-    seen.clear();
+    countersByServer.clear();
   }
 }
--- a/src/main/java/hollyslip/platform/Rehearsal.java
+++ b/src/main/java/hollyslip/platform/TrainingRun.java
@@ -18,7 +18,7 @@
 /** One scheduler against a peer of its own on loopback, for some hundred requests: what the build runs once,
  * so that the classes of a start can be kept in an archive (docs/platform.md). It measures nothing and proves
  * nothing. */
-final class Rehearsal {
+final class TrainingRun {
   private static final int REQUESTS = 400;
   private static final String SETTINGS = """
       {"az":"a","balancers":1,"myNumber":0,"tick":0.002,"classes":[
@@ -30,12 +30,12 @@
        "extra":{"unitMean":2,"mostUnits":6,"nShards":1,"changesData":[false,true]},
        "stats":{"how":"answers","names":["recent_ms"]}}""";
 
-  private Rehearsal() {}
+  private TrainingRun() {}
 
   static void run() throws IOException, InterruptedException {
     Path file = Files.createTempFile("rehearsal", ".json");
     try (ServerSocket peer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-      Thread answers = new Thread(() -> accept(peer), "peer");
+      Thread answers = new Thread(() -> acceptConnections(peer), "peer");
       answers.setDaemon(true);
       answers.start();
       String at = "127.0.0.1:" + peer.getLocalPort();
@@ -45,12 +45,12 @@
           .put("listen", "127.0.0.1:0")
           .put("discovery", at)
           .put("seed", "5");
-      c.set("known", json.readTree(list(1, at)));
+      c.set("known", json.readTree(endpointList(1, at)));
       c.set("settings", json.readTree(SETTINGS));
       Files.writeString(file, c.toString());
       Node node = new Node(Map.of("PROXY_CONFIG", file.toString()), new PrintStream(OutputStream
           .nullOutputStream()));
-      ask(node.listening());
+      sendRequests(node.listening());
       node.reload();
       node.stop();
       node.awaitEnd(5000);
@@ -60,12 +60,12 @@
     }
   }
 
-  private static String list(int seq, String at) {
+  private static String endpointList(int seq, String at) {
     return "{\"seq\":" + seq + ",\"whole\":true,\"hosts\":[{\"host\":\"h\",\"dial\":\"" + at
         + "\",\"site\":\"a\",\"block\":0,\"health\":\"up\",\"share\":1.0,\"born_ms\":0}]}";
   }
 
-  private static void ask(InetSocketAddress at) throws IOException {
+  private static void sendRequests(InetSocketAddress at) throws IOException {
     try (Socket s = new Socket(at.getAddress(), at.getPort())) {
       for (int i = 0; i < REQUESTS; i++) {
         String method = i % 3 == 0 ? "PUT /put/" : "GET /get/";
@@ -82,7 +82,7 @@
     }
   }
 
-  private static void accept(ServerSocket peer) {
+  private static void acceptConnections(ServerSocket peer) {
     try {
       while (true) {
         Socket s = peer.accept();
@@ -102,7 +102,7 @@
       byte[] bytes = new byte[4096];
       for (int n = in.read(bytes); n > 0; n = in.read(bytes)) {
         boolean watch = new String(bytes, 0, n, StandardCharsets.US_ASCII).startsWith("GET /v1/endpoints");
-        String line = list(2, "127.0.0.1:" + port) + "\n";
+        String line = endpointList(2, "127.0.0.1:" + port) + "\n";
         String answer = watch
             ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
                 + "\r\n" + line + "\r\n"
--- a/src/main/java/hollyslip/platform/WatchClock.java
+++ b/src/main/java/hollyslip/platform/WatchClock.java
@@ -3,7 +3,7 @@
 /** When a watch is given up and the next one is opened; no I/O, no clock: times are us, handed in. What
  * discovery has to tell counts as told some seconds after a watch fell silent, whether it arrived or not, so
  * each phase has its bound: an open watch must say something whole within {@link #SILENT_US}, one that is
- * being opened must be answered within {@link #ANSWER_US}, and a failed one is followed by the next after a
+ * being opened must be answered within {@link #RESPONSE_TIMEOUT_US}, and a failed one is followed by the next after a
  * pause. */
 final class WatchClock {
   /** Discovery sends an empty line every 2 s at least; half as long again is silence. Harm: a process that
@@ -12,65 +12,65 @@
 
   /** Connecting and the answer's head: the agent is on this machine and answers without delay. What it gets
    * when discovery comes back counts as told at once, so the next attempt must not be far. */
-  static final long ANSWER_US = 250_000;
+  static final long RESPONSE_TIMEOUT_US = 250_000;
 
   /** An attempt that is not answered soon stays open for so long, us, beside newer ones; and how many do. */
-  static final long PATIENCE_US = 5_000_000;
-  static final int MOST_OVERDUE = 5;
+  static final long OVERDUE_LIFETIME_US = 5_000_000;
+  static final int MAX_OVERDUE = 5;
 
   /** Pauses after failed attempts: doubled from the first to the last. */
-  static final long PAUSE_US = 50_000, MOST_PAUSE_US = 200_000;
+  static final long MIN_RETRY_DELAY_US = 50_000, MAX_RETRY_DELAY_US = 200_000;
 
-  private final long silentUs, answerUs;
-  private long heardAt, openedAt, nextAt = Long.MIN_VALUE, pause = PAUSE_US;
+  private final long silenceTimeoutUs, responseTimeoutUs;
+  private long lastReceivedAt, attemptStartedAt, nextAttemptAt = Long.MIN_VALUE, retryDelayUs = MIN_RETRY_DELAY_US;
 
   WatchClock() {
-    this(SILENT_US, ANSWER_US);
+    this(SILENT_US, RESPONSE_TIMEOUT_US);
   }
 
   WatchClock(long silentUs, long answerUs) {
-    this.silentUs = silentUs;
-    this.answerUs = answerUs;
+    this.silenceTimeoutUs = silentUs;
+    this.responseTimeoutUs = answerUs;
   }
 
   /** Within how long an attempt must be answered, us. */
-  long answerUs() {
-    return answerUs;
+  long responseTimeoutUs() {
+    return responseTimeoutUs;
   }
 
   /** Another discovery is asked from now on. */
-  void restart() {
-    pause = PAUSE_US;
+  void resetRetryDelay() {
+    retryDelayUs = MIN_RETRY_DELAY_US;
   }
 
-  void opening(long now) {
-    openedAt = now;
+  void attemptStarted(long now) {
+    attemptStartedAt = now;
   }
 
   /** Whether the attempt that is under way has taken too long. */
   boolean attemptOverdue(long now) {
-    return now - openedAt >= answerUs;
+    return now - attemptStartedAt >= responseTimeoutUs;
   }
 
   /** An attempt came to nothing, or the watch that was in use has ended. */
-  void failed(long now) {
+  void watchFailed(long now) {
     // An attempt that used up its time has waited long enough.
-    nextAt = Math.max(now, openedAt + pause);
-    pause = Math.min(MOST_PAUSE_US, 2 * pause);
+    nextAttemptAt = Math.max(now, attemptStartedAt + retryDelayUs);
+    retryDelayUs = Math.min(MAX_RETRY_DELAY_US, 2 * retryDelayUs);
   }
 
-  void answered(long now) {
-    heardAt = now;
+  void watchAnswered(long now) {
+    lastReceivedAt = now;
   }
 
   /** Something whole has come: an object, or blanks between two. */
-  void heard(long now) {
-    heardAt = now;
-    pause = PAUSE_US;
+  void dataReceived(long now) {
+    lastReceivedAt = now;
+    retryDelayUs = MIN_RETRY_DELAY_US;
   }
 
   /** Whether a watch is to be opened now, none being opened already. */
-  boolean opensAt(long now, boolean inUse) {
-    return now >= nextAt && (!inUse || now - heardAt >= silentUs);
+  boolean shouldOpen(long now, boolean inUse) {
+    return now >= nextAttemptAt && (!inUse || now - lastReceivedAt >= silenceTimeoutUs);
   }
 }
--- a/src/test/java/hollyslip/platform/CallsTest.java
+++ b/src/test/java/hollyslip/platform/CallTest.java
@@ -23,7 +23,7 @@
 
 /** How calls to disk servers end where connections are late, silent or too few. */
 @Timeout(60)
-class CallsTest {
+class CallTest {
   private static final String REQUEST = "GET /x HTTP/1.1\r\nHost: x\r\n\r\n";
   /** What must happen has long; what must run out has less. */
   private static final long LONG_US = 30_000_000, SHORT_US = 2_000_000;
@@ -48,7 +48,7 @@
   }
 
   private static DiskServer at(Peer peer) {
-    return at(EndpointUpdate.address(peer.address(), "peer"));
+    return at(EndpointUpdate.parseAddress(peer.address(), "peer"));
   }
 
   private void start(DiskServers servers, DiskServer to, long waitUs, boolean wanted) throws Exception {
@@ -100,7 +100,7 @@
       DiskServers servers = servers(4, SHORT_US);
       start(servers, at(address), LONG_US, true);
       assertEquals(Result.CONNECT_FAILED, result());
-      assertEquals(0, onLoop(servers::open));
+      assertEquals(0, onLoop(servers::connectionCount));
     } finally {
       for (Socket s : queue) {
         s.close();
@@ -116,7 +116,7 @@
       Peer.Came c = peer.next();
       assertEquals(Result.TIMEOUT, result());
       c.awaitClosed();
-      assertEquals(0, onLoop(servers::open));
+      assertEquals(0, onLoop(servers::connectionCount));
     }
   }
 
@@ -139,7 +139,7 @@
       first.ok("x");
       assertEquals(Result.OK, result());
       peer.nothingElse();
-      assertEquals(1, onLoop(servers::open));
+      assertEquals(1, onLoop(servers::connectionCount));
     }
   }
 
--- a/src/test/java/hollyslip/platform/DiscoveryTest.java
+++ b/src/test/java/hollyslip/platform/DiscoveryClientTest.java
@@ -16,7 +16,7 @@
 
 /** The list on loopback. */
 @Timeout(60)
-class DiscoveryTest {
+class DiscoveryClientTest {
   private static String watch(String... lines) {
     StringBuilder all = new StringBuilder(Site.WATCH);
     for (String line : lines) {
--- a/src/test/java/hollyslip/platform/DiskServersTest.java
+++ b/src/test/java/hollyslip/platform/DiskServerResponseTest.java
@@ -16,7 +16,7 @@
 
 /** Attempts on loopback: how each ended, and what of it a client gets. */
 @Timeout(60)
-class DiskServersTest {
+class DiskServerResponseTest {
   private static final String TURNED_AWAY = "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
 
   @Test
--- a/src/test/java/hollyslip/platform/TraceTest.java
+++ b/src/test/java/hollyslip/platform/DiskServerTraceTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What the module believes beside what the connections saw. */
-class TraceTest {
+class DiskServerTraceTest {
   @Test
   void aLineHoldsBothAndTheNextBeginsAnew() throws Exception {
     Choice module = new Choice(WireSettings.parse(1, new ObjectMapper().readTree(
@@ -32,8 +32,8 @@
     trace.ended(5, Result.RESET, 99_000);
     DiskServer server = new DiskServer("s-5", 5);
     server.calls = 1;
-    trace.lines(module, Map.of(5L, server));
-    trace.lines(module, Map.of());
+    trace.writeLines(module, Map.of(5L, server));
+    trace.writeLines(module, Map.of());
     String belief = "ON out 0 of 4.0 held 0 expects 40.0 ms | calls ";
     assertEquals("trace s-5 " + belief + "1 idle 0 started 3 answered 2 mean 20.0 ms {OK=2, RESET=1}\n"
         + "trace ? " + belief + "0 idle 0 started 0 answered 0 mean 0.0 ms {}\n", text.toString());
--- a/src/test/java/hollyslip/platform/LogTest.java
+++ b/src/test/java/hollyslip/platform/EventLogTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(30)
-class LogTest {
+class EventLogTest {
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
   private List<String> lines(Log log) throws InterruptedException {
@@ -51,7 +51,7 @@
       log.event("flood", "n", "last");
       List<String> lines = lines(log);
       long floods = lines.stream().filter(l -> l.contains(" flood ")).count();
-      assertTrue(floods >= Log.BURST && floods <= Log.BURST + 10, "" + floods);
+      assertTrue(floods >= Log.BURST_LINES && floods <= Log.BURST_LINES + 10, "" + floods);
       assertTrue(lines.stream().anyMatch(l -> l.contains(" other n=1")));
       assertTrue(lines.get(lines.size() - 1).matches(".* flood n=last left_out=9[0-9]{2}"), lines::toString);
     }
--- a/src/test/java/hollyslip/platform/JsonStreamTest.java
+++ b/src/test/java/hollyslip/platform/JsonStreamParserTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class JsonStreamTest {
+class JsonStreamParserTest {
   private static final String ALL = "\n {\"a\" : \"x}{\\\"é\",\r\n\t\"b\": [1, {\"c\": null}]\n}\n\n\n{}{\"d\":-1.5e3}  \n";
 
   private final List<String> got = new ArrayList<>();
 
-  private void feed(JsonStream s, byte[] bytes) throws IOException {
+  private void feed(JsonStreamParser s, byte[] bytes) throws IOException {
     s.feed(bytes, o -> got.add(o.toString()));
   }
 
@@ -31,34 +31,34 @@
     List<String> want = List.of("{\"a\":\"x}{\\\"é\",\"b\":[1,{\"c\":null}]}", "{}", "{\"d\":-1500.0}");
     for (int length : IntStream.rangeClosed(1, all.length).toArray()) {
       got.clear();
-      JsonStream s = new JsonStream(1000);
+      JsonStreamParser s = new JsonStreamParser(1000);
       for (int at = 0; at < all.length; at += length) {
         feed(s, Arrays.copyOfRange(all, at, Math.min(all.length, at + length)));
       }
       assertEquals(want, got, "pieces of " + length);
-      assertFalse(s.within());
+      assertFalse(s.insideObject());
     }
   }
 
   @Test
   void itKnowsWhetherAnObjectHasBegun() throws Exception {
-    JsonStream s = new JsonStream(1000);
+    JsonStreamParser s = new JsonStreamParser(1000);
     feed(s, "\n".getBytes(StandardCharsets.UTF_8));
-    assertFalse(s.within());
+    assertFalse(s.insideObject());
     feed(s, "{\"a\":".getBytes(StandardCharsets.UTF_8));
-    assertTrue(s.within());
+    assertTrue(s.insideObject());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"[1]", "no ", "7 ", "\"text\"", "{\"a\":}", "{\"a\" \"b\"}", "}", "{\"a\":1]"})
   void whatIsNoObjectIsAFault(String text) {
-    assertThrows(IOException.class, () -> feed(new JsonStream(1000), text.getBytes(StandardCharsets.UTF_8)));
+    assertThrows(IOException.class, () -> feed(new JsonStreamParser(1000), text.getBytes(StandardCharsets.UTF_8)));
   }
 
   /** Memory is bounded, for one long text and for many short ones, and not by what came before. */
   @Test
   void anObjectHasABoundAndTheStreamHasNone() throws Exception {
-    JsonStream s = new JsonStream(1000);
+    JsonStreamParser s = new JsonStreamParser(1000);
     for (int i = 0; i < 10_000; i++) {
       feed(s, "{\"a\":[1,2,3]}\n\n".getBytes(StandardCharsets.UTF_8));
     }
@@ -69,7 +69,7 @@
         feed(s, "xx".getBytes(StandardCharsets.UTF_8));
       }
     });
-    JsonStream other = new JsonStream(1000);
+    JsonStreamParser other = new JsonStreamParser(1000);
     assertThrows(IOException.class, () -> {
       feed(other, "{\"a\":[".getBytes(StandardCharsets.UTF_8));
       for (int i = 0; i < 1000; i++) {
--- a/src/test/java/hollyslip/platform/ReadingsTest.java
+++ b/src/test/java/hollyslip/platform/LoadReportParserTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Figures in answers' heads. */
-class ReadingsTest {
+class LoadReportParserTest {
   private static Readings readings(String how, double meter, boolean tells) throws Exception {
     return new Readings(WireSettings.parse(1, new ObjectMapper().readTree(
         "{\"classes\":[{\"name\":\"c\",\"aim\":1,\"giveUp\":1}],\"policies\":[{\"name\":\"p\"}],"
--- a/src/test/java/hollyslip/platform/NodeTest.java
+++ b/src/test/java/hollyslip/platform/SchedulerProcessTest.java
@@ -19,7 +19,7 @@
 
 /** A scheduler's process: what it keeps, and what it loads. */
 @Timeout(120)
-class NodeTest {
+class SchedulerProcessTest {
   private static final int DISTINCT = 10_000;
 
   @Test
@@ -40,8 +40,8 @@
     CountDownLatch spoken = new CountDownLatch(1);
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try (Peer agent = new Peer()) {
-      InetSocketAddress at = EndpointUpdate.address(agent.address(), "agent");
-      Discovery d = new Discovery((EventLoop) group.next(), new Clock(), new Log(System.out),
+      InetSocketAddress at = EndpointUpdate.parseAddress(agent.address(), "agent");
+      DiscoveryClient d = new DiscoveryClient((EventLoop) group.next(), new Clock(), new Log(System.out),
           new WatchClock(), at, 41,
           n -> {}, spoken::countDown);
       group.submit(d::start).sync();
@@ -59,9 +59,9 @@
   void afterAStopClientsAreServedUntilShortlyBeforeTheKill() {
     for (long longest : new long[]{200_000, 1_670_000, 3_000_000, 20_000_000}) {
       long kill = Math.min(longest, 3_000_000) + 700_000;
-      assertTrue(Node.answeredAfterUs(longest) <= kill - 250_000, "time to answer before the kill");
-      assertTrue(Node.drainsAfterUs(longest) >= kill - 300_000, "nobody is sent away sooner");
-      assertTrue(Node.drainsAfterUs(longest) < Node.answeredAfterUs(longest));
+      assertTrue(Node.responseLimitAfterStopUs(longest) <= kill - 250_000, "time to answer before the kill");
+      assertTrue(Node.drainDelayUs(longest) >= kill - 300_000, "nobody is sent away sooner");
+      assertTrue(Node.drainDelayUs(longest) < Node.responseLimitAfterStopUs(longest));
     }
   }
 
@@ -98,7 +98,7 @@
       // Its loop has forgotten the last one when it answers this.
       assertEquals(200, client.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
       assertEquals(0, site.node.open());
-      assertTrue(site.node.servers() <= 3, () -> "" + site.node.servers());
+      assertTrue(site.node.diskServerCount() <= 3, () -> "" + site.node.diskServerCount());
     }
   }
 
--- a/src/test/java/hollyslip/platform/WatchClockTest.java
+++ b/src/test/java/hollyslip/platform/WatchRetryPolicyTest.java
@@ -7,18 +7,18 @@
 import org.junit.jupiter.api.Test;
 
 /** What discovery tells counts as told 6 s after a watch fell silent: each phase on a scripted clock, looked
- * at every 50 ms as {@link Discovery} does, with the worst that may follow. */
-class WatchClockTest {
+ * at every 50 ms as {@link DiscoveryClient} does, with the worst that may follow. */
+class WatchRetryPolicyTest {
   private static final long TICK = 50_000, TOLD = 6_000_000, MARGIN = 2_000_000;
   private final WatchClock times = new WatchClock();
   private long now;
 
   /** Moves on to the next moment at which a watch is opened. */
   private long untilOpened(boolean inUse) {
-    for (long start = now; !times.opensAt(now, inUse); now += TICK) {
+    for (long start = now; !times.shouldOpen(now, inUse); now += TICK) {
       assertTrue(now - start < 60_000_000);
     }
-    times.opening(now);
+    times.attemptStarted(now);
     return now;
   }
 
@@ -27,12 +27,12 @@
     while (!times.attemptOverdue(now)) {
       now += TICK;
     }
-    times.failed(now);
+    times.watchFailed(now);
   }
 
   private void answered() {
-    times.opening(now);
-    times.answered(now);
+    times.attemptStarted(now);
+    times.watchAnswered(now);
   }
 
   @Test
@@ -40,15 +40,15 @@
     answered();
     for (int i = 0; i < 100; i++) {
       now += 2_000_000;
-      assertFalse(times.opensAt(now, true));
-      times.heard(now);
+      assertFalse(times.shouldOpen(now, true));
+      times.dataReceived(now);
     }
   }
 
   @Test
   void aSilentWatchIsReplacedInTimeThoughTheNextTwoFailToo() {
     answered();
-    times.heard(now);
+    times.dataReceived(now);
     long silentSince = now;
     untilOpened(true);
     unanswered();
@@ -80,24 +80,24 @@
 
   @Test
   void refusedAttemptsArePacedAndNeverStop() {
-    times.opening(now);
+    times.attemptStarted(now);
     int opened = 0;
     for (; now < 10_000_000; now += 1_000) {
-      if (times.opensAt(now, false)) {
-        times.opening(now);
-        times.failed(now);
+      if (times.shouldOpen(now, false)) {
+        times.attemptStarted(now);
+        times.watchFailed(now);
         opened++;
       }
     }
-    assertTrue(opened >= 10_000_000 / WatchClock.MOST_PAUSE_US && opened <= 60, "" + opened);
+    assertTrue(opened >= 10_000_000 / WatchClock.MAX_RETRY_DELAY_US && opened <= 60, "" + opened);
   }
 
   @Test
   void aResetWatchIsReplacedAtOnce() {
     answered();
     now += 500_000;
-    times.heard(now);
-    times.failed(now);
+    times.dataReceived(now);
+    times.watchFailed(now);
     long lost = now;
     assertEquals(lost, untilOpened(false));
   }
