--- a/src/main/java/hollyslip/platform/Bounds.java
+++ b/src/main/java/hollyslip/platform/Bounds.java
@@ -2,37 +2,40 @@
 
 import java.io.File;
 
-/** Resources, not policy: how many descriptors and bytes each side may hold, so that neither side can take
- * what the other needs.
+/** Resource limits, not policy: how many file descriptors and bytes the client side and the disk server side
+ * may use, so that neither exhausts what the other needs. Logged at the start under the names of the
+ * components.
  *
  * @param clients
- *          connections of clients
+ *          limit of client connections
  * @param idleClients
- *          of them that carry nothing, beyond which those go that were idle for long
+ *          number of idle client connections above which those that were idle for long are closed
  * @param disks
- *          connections to disk servers, those that are coming up too
+ *          limit of connections to disk servers, including those being established
  * @param bytes
- *          of request bodies held at a time; as much again for answers that are not whole yet */
+ *          limit of bytes of buffered request bodies; the same applies to incomplete responses */
 record Bounds(int clients, int idleClients, int disks, long bytes) {
-  /** Descriptors kept free beside both: discovery's old and new connection, and files opened now and then. */
+  /** File descriptors reserved for the old and new connection to discovery, and for files opened
+   * occasionally. */
   private static final int SPARE_DESCRIPTORS = 10;
 
-  /** Longest body of a request, bytes: the protocol's. */
+  /** Longest request body, bytes, as the protocol defines it. */
   static final int BODY = 64 << 10;
 
-  /** Longest body of an answer, bytes: disk servers have been seen to send some hundred KiB. Guards memory
-   * against answers without an end. */
+  /** Longest response body, bytes: disk servers were seen to send several hundred KiB. Protects memory from
+   * unbounded responses. */
   static final int MAX_RESPONSE_BODY_BYTES = 4 << 20;
 
-  /** Of what the process may hold and does not hold yet, clients get three quarters: they come by the
-   * hundreds, strangers among them, while the module keeps what is out at a disk server to some tens. */
-  static Bounds of(int sockets, int held, int memoryMb) {
-    int room = Math.max(8, sockets - held - SPARE_DESCRIPTORS);
-    int clients = room * 3 / 4;
-    return new Bounds(clients, clients / 5, room - clients, memoryMb * (1L << 20) / 16);
+  /** Derives the limits from the descriptor limit, the descriptors already open and the memory limit. Clients
+   * get three quarters of the remaining descriptors: there are hundreds of them, some untrusted, while the
+   * scheduler keeps the attempts at a disk server to some tens. */
+  static Bounds of(int maxDescriptors, int openDescriptors, int memoryMb) {
+    int available = Math.max(8, maxDescriptors - openDescriptors - SPARE_DESCRIPTORS);
+    int clients = available * 3 / 4;
+    return new Bounds(clients, clients / 5, available - clients, memoryMb * (1L << 20) / 16);
   }
 
-  /** Descriptors that the process holds now. */
+  /** Number of file descriptors that the process has open now. */
   static int descriptorsHeld() {
     String[] open = new File("/proc/self/fd").list();
     return open == null ? 64 : open.length;
--- a/src/main/java/hollyslip/platform/Call.java
+++ b/src/main/java/hollyslip/platform/Call.java
@@ -6,39 +6,40 @@
 import io.netty.util.concurrent.Future;
 import java.util.function.LongFunction;
 
-/** One request to one disk server: an attempt or a probe. It ends once, however often things happen to it. */
+/** One request to one disk server: an attempt or a probe. It ends exactly once; later results are ignored. */
 final class Call {
-  /** What came back; headers and body are null where there was no answer. */
+  /** Receives the result; headers and body are null if there was no response. */
   interface Listener {
     void onEnd(Result result, long tookUs, HttpHeaders headers, byte[] body);
   }
 
-  /** Whether the first byte may still be written: asked at the last moment, as looking may take its time. */
+  /** Whether the request may still be sent. Evaluated last, just before its first byte is written, as the
+   * check may be slow. */
   interface SendCheck {
     boolean maySend();
   }
 
   final DiskServer server;
   final long startedAt;
-  /** us on the module's clock. */
+  /** us on the scheduler's clock. */
   final long timeoutAt;
-  /** Makes the bytes, given how long the answer is waited for, us. */
+  /** Encodes the request, given how long its response is waited for, us. */
   final LongFunction<ByteBuf> requestEncoder;
   final SendCheck sendCheck;
   private final Listener listener;
   DiskConnection connection;
   Future<?> timeoutTask;
-  /** The last byte was given to the system. */
+  /** The whole request was handed to the operating system. */
   boolean written;
   private boolean ended;
 
-  Call(DiskServer to, long startedAt, long giveUpAt, LongFunction<ByteBuf> bytes, SendCheck wanted,
-      Listener listener) {
-    this.server = to;
+  Call(DiskServer server, long startedAt, long timeoutAt, LongFunction<ByteBuf> requestEncoder,
+      SendCheck sendCheck, Listener listener) {
+    this.server = server;
     this.startedAt = startedAt;
-    this.timeoutAt = giveUpAt;
-    this.requestEncoder = bytes;
-    this.sendCheck = wanted;
+    this.timeoutAt = timeoutAt;
+    this.requestEncoder = requestEncoder;
+    this.sendCheck = sendCheck;
     this.listener = listener;
   }
 
--- a/src/main/java/hollyslip/platform/Clock.java
+++ b/src/main/java/hollyslip/platform/Clock.java
@@ -1,16 +1,18 @@
 package hollyslip.platform;
 
-/** The module's clock: Unix time in us at the start, and never a step back or forth from then on. */
+/** The scheduler's clock: starts at Unix time and is then monotonic, unaffected by changes of the system
+ * clock. */
 final class Clock {
   private final long startUnixUs = System.currentTimeMillis() * 1000;
   private final long startNanos = System.nanoTime();
 
-  /** us. */
+  /** Current time, us. */
   long now() {
     return startUnixUs + (System.nanoTime() - startNanos) / 1000;
   }
 
-  /** A moment of the wall's clock, ms, on this one, us: the two differ once the wall's has been set. */
+  /** Converts Unix time of the system clock, ms, to this clock, us: the two differ once the system clock was
+   * adjusted. */
   long ofWall(long unixMs) {
     return now() + (unixMs - System.currentTimeMillis()) * 1000;
   }
--- a/src/main/java/hollyslip/platform/DiscoveryClient.java
+++ b/src/main/java/hollyslip/platform/DiscoveryClient.java
@@ -21,13 +21,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Follows the list: one watch, from the last version on. A watch that ends, falls silent or cannot be read
- * is replaced by a new one; the old one is read until the new one is answered. One that is not answered soon
- * is tried again beside it: the first answer counts. {@link WatchClock} says when. */
+/** Keeps the list of disk servers up to date by one watch, a streaming response that continues from the last
+ * known version. A watch that ends, falls silent or cannot be parsed is replaced; the old one is read until
+ * the new one is answered. If an attempt is not answered soon, another is started beside it, and the first
+ * response wins. {@link WatchClock} decides when. */
 final class DiscoveryClient {
   private static final long TICK_MS = 50;
 
-  /** Longest object, bytes: some thousands of disk servers. */
+  /** Limit of one JSON object, bytes: enough for some thousands of disk servers. */
   private static final int MAX_OBJECT_BYTES = 1 << 20;
 
   private final EventLoop loop;
@@ -37,29 +38,29 @@
   private final Runnable answeredListener;
   private final WatchClock retryPolicy;
   private InetSocketAddress address;
-  /** Version last heard; -1: none, the whole list is asked for. */
+  /** Last version received; -1: none, the complete list is requested. */
   private long version;
-  /** The one that was answered, and the one that is being opened; null: none. */
+  /** The watch that was answered, and the one being opened; null: none. */
   private Watch current, pending;
-  /** Those that were not answered soon, oldest first. */
+  /** Attempts that were not answered in time, oldest first. */
   private final List<Watch> overdue = new ArrayList<>();
   private boolean stopped;
 
-  /** @param seq
-   *          version of the list that is in force, -1: none
-   * @param speaks
-   *          called when a watch is answered: what is told after that version follows at once, and nothing if
-   *          nothing has changed */
-  DiscoveryClient(EventLoop loop, Clock clock, Log log, WatchClock times, InetSocketAddress address,
-      long seq, Consumer<EndpointUpdate> updates, Runnable speaks) {
+  /** @param version
+   *          version of the list in use, -1: none
+   * @param answeredListener
+   *          called when a watch is answered and a list is known: changes since that version follow
+   *          immediately, and nothing follows if nothing has changed */
+  DiscoveryClient(EventLoop loop, Clock clock, Log log, WatchClock retryPolicy, InetSocketAddress address,
+      long version, Consumer<EndpointUpdate> updateListener, Runnable answeredListener) {
     this.loop = loop;
     this.clock = clock;
     this.log = log;
-    this.retryPolicy = times;
+    this.retryPolicy = retryPolicy;
     this.address = address;
-    this.version = seq;
-    this.updateListener = updates;
-    this.answeredListener = speaks;
+    this.version = version;
+    this.updateListener = updateListener;
+    this.answeredListener = answeredListener;
   }
 
   void start() {
@@ -67,9 +68,9 @@
     openWatch();
   }
 
-  /** Another address from now on; the list stays in force until it speaks, and so does an open watch. */
-  void changeAddress(InetSocketAddress other) {
-    address = other;
+  /** Switches to another address; the list and an open watch stay in use until the new address responds. */
+  void changeAddress(InetSocketAddress newAddress) {
+    address = newAddress;
     retryPolicy.resetRetryDelay();
     closePending();
     openWatch();
@@ -92,14 +93,15 @@
     overdue.clear();
   }
 
-  /** Leaves the newest attempt open and makes way for another. The oldest is the last to be given up: one
-   * that is answered slowly needs its time, and no loop of short attempts gives it that. */
+  /** Leaves the newest attempt open and makes way for another. The oldest attempt is the last to be
+   * abandoned: a slow response needs one long attempt, which a series of short attempts would never give
+   * it. */
   private void markPendingOverdue() {
     overdue.add(pending);
     pending = null;
     retryPolicy.watchFailed(clock.now());
     if (overdue.size() > WatchClock.MAX_OVERDUE) {
-      overdue.get(1).fail("no answer");
+      overdue.get(1).fail("no response in time");
     }
   }
 
@@ -109,14 +111,14 @@
       return;
     }
     if (pending != null && retryPolicy.attemptOverdue(now)) {
-      // It may be here: this process may have been held up.
+      // The response may already be here, if this process was stalled.
       pending.readNow();
       if (pending != null) {
         markPendingOverdue();
       }
     }
     if (!overdue.isEmpty() && now - overdue.get(0).openedAt >= WatchClock.OVERDUE_LIFETIME_US) {
-      overdue.get(0).fail("no answer");
+      overdue.get(0).fail("no response in time");
     }
     if (pending == null && current != null && retryPolicy.shouldOpen(now, true)) {
       current.readNow();
@@ -131,8 +133,8 @@
   }
 
   private void openWatch() {
-    Watch w = new Watch(address);
-    pending = w;
+    Watch watch = new Watch(address);
+    pending = watch;
     retryPolicy.attemptStarted(clock.now());
     new Bootstrap().group(loop)
         .channel(NioSocketChannel.class)
@@ -141,35 +143,35 @@
         .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel ch) {
-            w.channel = ch;
-            ch.pipeline().addLast(new StrictResponseDecoder(), w);
+            watch.channel = ch;
+            ch.pipeline().addLast(new StrictResponseDecoder(), watch);
           }
         })
         .connect(address)
         .addListener(f -> {
           if (!f.isSuccess()) {
-            w.fail(String.valueOf(f.cause().getMessage()));
+            watch.fail(String.valueOf(f.cause().getMessage()));
           }
         });
   }
 
-  /** One object of a watch. */
-  private void onUpdate(Watch from, EndpointUpdate n) {
-    if (!n.whole() && n.version() <= version) {
-      // Already known, or of a discovery that began again from an older version: then only the whole list is
-      // the truth. A version said again changes nothing.
-      if (n.version() < version) {
-        log.event("discovery.backwards", "from", version, "to", n.version());
+  /** Handles one object received on a watch. */
+  private void onUpdate(Watch watch, EndpointUpdate update) {
+    if (!update.whole() && update.version() <= version) {
+      // Already known, or sent by a discovery service that restarted from an older version: then only the
+      // complete list can be trusted. A repeated version changes nothing.
+      if (update.version() < version) {
+        log.event("discovery.backwards", "from", version, "to", update.version());
         version = -1;
-        from.fail("an older version");
+        watch.fail("older version received");
       }
       return;
     }
-    if (n.version() < version) {
-      log.event("discovery.backwards", "from", version, "to", n.version(), "whole", true);
+    if (update.version() < version) {
+      log.event("discovery.backwards", "from", version, "to", update.version(), "whole", true);
     }
-    version = n.version();
-    updateListener.accept(n);
+    version = update.version();
+    updateListener.accept(update);
   }
 
   /** One connection to discovery, from its request to its end. */
@@ -180,8 +182,8 @@
     private Channel channel;
     private boolean closed, lossReported;
 
-    Watch(InetSocketAddress to) {
-      this.target = to;
+    Watch(InetSocketAddress target) {
+      this.target = target;
     }
 
     void readNow() {
@@ -197,7 +199,7 @@
       }
     }
 
-    /** Once; the next one starts when {@link WatchClock} says so. */
+    /** Ends this watch, once; {@link WatchClock} decides when the next one is opened. */
     void fail(String why) {
       if (closed) {
         return;
@@ -230,23 +232,23 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       try {
-        if (!closed && message instanceof HttpResponse r) {
-          onHead(r);
+        if (!closed && message instanceof HttpResponse response) {
+          onHead(response);
         }
-        if (!closed && message instanceof HttpContent c) {
-          onContent(c);
+        if (!closed && message instanceof HttpContent content) {
+          onContent(content);
         }
       } finally {
         ReferenceCountUtil.release(message);
       }
     }
 
-    private void onHead(HttpResponse r) {
-      int status = r.status().code();
-      if (!r.decoderResult().isFailure() && status >= 100 && status < 200) {
+    private void onHead(HttpResponse response) {
+      int status = response.status().code();
+      if (!response.decoderResult().isFailure() && status >= 100 && status < 200) {
         return;
       }
-      if (r.decoderResult().isFailure() || status != 200) {
+      if (response.decoderResult().isFailure() || status != 200) {
         fail("status " + status);
         return;
       }
@@ -265,33 +267,33 @@
       }
     }
 
-    private void onContent(HttpContent c) {
+    private void onContent(HttpContent content) {
       if (this != current) {
         return;
       }
-      if (c.decoderResult().isFailure()) {
-        fail("its framing");
+      if (content.decoderResult().isFailure()) {
+        fail("invalid framing");
         return;
       }
       try {
-        byte[] part = ByteBufUtil.getBytes(c.content());
-        parser.feed(part, this::onObject);
-        if (part.length > 0 && !parser.insideObject()) {
+        byte[] bytes = ByteBufUtil.getBytes(content.content());
+        parser.feed(bytes, this::onObject);
+        if (bytes.length > 0 && !parser.insideObject()) {
           retryPolicy.dataReceived(clock.now());
         }
       } catch (IOException | IllegalArgumentException e) {
         log.event("discovery.unreadable", "reason", e.getMessage());
-        fail("what cannot be read");
+        fail("unreadable update");
       }
-      if (c instanceof LastHttpContent) {
-        fail("its end");
+      if (content instanceof LastHttpContent) {
+        fail("end of response");
       }
     }
 
-    private void onObject(JsonNode o) {
+    private void onObject(JsonNode object) {
       if (!closed) {
         retryPolicy.dataReceived(clock.now());
-        onUpdate(this, EndpointUpdate.parse(o));
+        onUpdate(this, EndpointUpdate.parse(object));
       }
     }
 
--- a/src/main/java/hollyslip/platform/DiskConnection.java
+++ b/src/main/java/hollyslip/platform/DiskConnection.java
@@ -17,22 +17,21 @@
 import io.netty.util.ReferenceCountUtil;
 import java.net.InetSocketAddress;
 
-/** One kept connection to a disk server, with one call on it at a time. Whatever comes while there is none,
- * or is more than one whole answer, makes it unfit for use: it is closed, and what came is passed on to
- * nobody. */
+/** A persistent connection to a disk server, with one call on it at a time. Bytes received while there is no
+ * call, or beyond one complete response, make it unusable: it is closed, and the bytes are discarded. */
 final class DiskConnection {
-  /** Answers of class 1xx before the one that counts. */
+  /** Limit of 1xx responses before the final response. */
   private static final int MAX_INTERIM_RESPONSES = 8;
 
   final DiskServer server;
-  /** Where it leads: the disk server may have moved since. */
+  /** The address it was connected to; the disk server may have moved since. */
   final InetSocketAddress address;
   private final Channel channel;
   private final DiskServers pool;
   private final StrictResponseDecoder decoder = new StrictResponseDecoder();
   /** When the last call on it ended, us. */
   long idleSince;
-  /** How long it had carried nothing when the call on it was written, us; -1: it was new. */
+  /** How long it had been idle when the current call was written, us; -1: it was new. */
   private long idleBeforeCallUs = -1;
   private long callStartedAt;
   private boolean usedBefore;
@@ -40,24 +39,24 @@
   private HttpResponse responseHead;
   private ByteBuf responseBody = Unpooled.EMPTY_BUFFER;
   private int interimResponses;
-  /** The answer itself tells where it ends. */
+  /** The response's head or its chunks mark where it ends, rather than the end of the connection. */
   private boolean selfDelimited;
   private boolean closed;
 
-  DiskConnection(DiskServer to, InetSocketAddress address, Channel channel, DiskServers owner) {
-    this.server = to;
+  DiskConnection(DiskServer server, InetSocketAddress address, Channel channel, DiskServers pool) {
+    this.server = server;
     this.address = address;
     this.channel = channel;
-    this.pool = owner;
+    this.pool = pool;
   }
 
-  /** To be called once it is up. */
+  /** Called once the channel is connected. */
   void installHandlers() {
-    ChannelPipeline p = channel.pipeline();
-    p.addLast(new UnexpectedBytesHandler(), decoder, new ResponseHandler());
+    ChannelPipeline pipeline = channel.pipeline();
+    pipeline.addLast(new UnexpectedBytesHandler(), decoder, new ResponseHandler());
   }
 
-  /** Takes in what has come. */
+  /** Processes input that has already arrived. */
   void readNow() {
     Http.readNow(channel);
   }
@@ -66,27 +65,27 @@
     return !closed && call == null && channel.isActive();
   }
 
-  /** Writes a call's request whole; how it ends is told to the call. */
-  void start(Call c) {
+  /** Writes a call's request; the call is told its result. */
+  void start(Call newCall) {
     long now = pool.now();
-    call = c;
-    c.connection = this;
+    call = newCall;
+    newCall.connection = this;
     idleBeforeCallUs = usedBefore ? now - idleSince : -1;
     callStartedAt = now;
     usedBefore = true;
     responseHead = null;
     interimResponses = 0;
     releaseBody();
-    channel.writeAndFlush(c.requestEncoder.apply(c.timeoutAt - pool.now())).addListener(f -> {
+    channel.writeAndFlush(newCall.requestEncoder.apply(newCall.timeoutAt - pool.now())).addListener(f -> {
       if (f.isSuccess()) {
-        c.written = true;
+        newCall.written = true;
       } else {
         close();
       }
     });
   }
 
-  /** Closes it; a call on it that has not ended ends by what was written of it. */
+  /** Closes it; the result of a pending call depends on whether its request was fully written. */
   void close() {
     if (closed) {
       return;
@@ -94,19 +93,20 @@
     closed = true;
     releaseBody();
     channel.close();
-    Call c = call;
+    Call endedCall = call;
     call = null;
     pool.onClosed(this);
-    if (c != null) {
+    if (endedCall != null) {
       long now = pool.now();
-      if (idleBeforeCallUs >= 0 && responseHead == null && now - callStartedAt < DiskServers.STALE_WINDOW_US) {
+      if (idleBeforeCallUs >= 0 && responseHead == null && now
+          - callStartedAt < DiskServers.STALE_WINDOW_US) {
         pool.onStaleConnection(server, idleBeforeCallUs);
       }
-      c.end(c.written ? Result.RESET : Result.CONNECT_FAILED, now);
+      endedCall.end(endedCall.written ? Result.RESET : Result.CONNECT_FAILED, now);
     }
   }
 
-  /** The call on it has ended for its owner, who waits no longer: so does the connection. */
+  /** Closes it without a result: its call has already been ended. */
   void abandon() {
     call = null;
     close();
@@ -118,94 +118,99 @@
     responseBody = Unpooled.EMPTY_BUFFER;
   }
 
-  /** An answer that cannot be used; the request may have run. */
+  /** Ends the call because its response is unusable; the request may have run. */
   private void failInvalidResponse(String why) {
-    Call c = call;
+    Call endedCall = call;
     call = null;
-    if (c != null) {
+    if (endedCall != null) {
       pool.onInvalidResponse(server, why);
-      c.end(c.written ? Result.ERROR : Result.CONNECT_FAILED, pool.now());
+      endedCall.end(endedCall.written ? Result.ERROR : Result.CONNECT_FAILED, pool.now());
     }
     close();
   }
 
-  private void onHead(HttpResponse r) {
-    if (r.decoderResult().isFailure()) {
-      failInvalidResponse("head: " + r.decoderResult().cause().getMessage());
+  private void onHead(HttpResponse response) {
+    if (response.decoderResult().isFailure()) {
+      failInvalidResponse("head: " + response.decoderResult().cause().getMessage());
       return;
     }
-    int status = r.status().code();
+    int status = response.status().code();
     if (status < 200) {
       if (++interimResponses > MAX_INTERIM_RESPONSES || status == 101) {
-        failInvalidResponse("interim answers");
+        failInvalidResponse("unexpected interim response");
       }
       return;
     }
-    boolean coded = r.headers().contains(HttpHeaderNames.TRANSFER_ENCODING);
-    long length = HttpUtil.getContentLength(r, 0L);
-    if (coded && !HttpUtil.isTransferEncodingChunked(r) || length > Bounds.MAX_RESPONSE_BODY_BYTES) {
-      failInvalidResponse("length: " + r.headers().entries());
+    boolean transferCoded = response.headers().contains(HttpHeaderNames.TRANSFER_ENCODING);
+    long length = HttpUtil.getContentLength(response, 0L);
+    if (transferCoded && !HttpUtil.isTransferEncodingChunked(response)
+        || length > Bounds.MAX_RESPONSE_BODY_BYTES) {
+      failInvalidResponse("length: " + response.headers().entries());
       return;
     }
-    responseHead = r;
-    // Without a length it is whole at the connection's end, but not at a reset: exceptionCaught comes first
-    // then.
-    selfDelimited = coded || r.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
-    // Grows with what comes beyond this: a length that is only said must not take memory.
-    responseBody = Unpooled.buffer((int) Math.max(64, Math.min(length, 8 * Bounds.BODY)), Bounds.MAX_RESPONSE_BODY_BYTES);
+    responseHead = response;
+    // Without a length, the response ends at an orderly close of the connection. A reset does not complete
+    // it:
+    // exceptionCaught is called first then.
+    selfDelimited = transferCoded || response.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
+    // The buffer starts small and grows as data arrives: an announced length alone must not take memory.
+    responseBody = Unpooled.buffer((int) Math.max(64, Math.min(length, 8 * Bounds.BODY)),
+        Bounds.MAX_RESPONSE_BODY_BYTES);
   }
 
-  private void onContent(HttpContent c) {
-    if (c.decoderResult().isFailure()) {
+  private void onContent(HttpContent content) {
+    if (content.decoderResult().isFailure()) {
       failInvalidResponse("body");
     } else if (responseHead != null) {
-      int more = c.content().readableBytes();
-      if (responseBody.readableBytes() + more > Bounds.MAX_RESPONSE_BODY_BYTES || !pool.tryReserveBytes(more)) {
-        failInvalidResponse("no room for " + (responseBody.readableBytes() + more) + " bytes");
+      int received = content.content().readableBytes();
+      if (responseBody.readableBytes() + received > Bounds.MAX_RESPONSE_BODY_BYTES || !pool.tryReserveBytes(
+          received)) {
+        failInvalidResponse("no buffer space for " + (responseBody.readableBytes() + received) + " bytes");
       } else {
-        responseBody.writeBytes(c.content());
-        if (c instanceof LastHttpContent) {
+        responseBody.writeBytes(content.content());
+        if (content instanceof LastHttpContent) {
           onComplete();
         }
       }
     }
   }
 
-  /** The answer is whole: the connection stays in use only if nothing else came with it. */
+  /** The response is complete: the connection is reused only if no other bytes came with it. */
   private void onComplete() {
-    Call c = call;
-    HttpResponse r = responseHead;
-    boolean exact = responseBody.hasArray() && responseBody.arrayOffset() == 0 && responseBody.readableBytes() == responseBody.array().length;
-    byte[] bytes = exact ? responseBody.array() : ByteBufUtil.getBytes(responseBody);
+    Call endedCall = call;
+    HttpResponse response = responseHead;
+    boolean exactArray = responseBody.hasArray() && responseBody.arrayOffset() == 0 && responseBody
+        .readableBytes() == responseBody.array().length;
+    byte[] bytes = exactArray ? responseBody.array() : ByteBufUtil.getBytes(responseBody);
     releaseBody();
     call = null;
     responseHead = null;
-    boolean clean = selfDelimited && c.written && decoder.unreadBytes() == 0 && !r.headers()
+    boolean reusable = selfDelimited && endedCall.written && decoder.unreadBytes() == 0 && !response.headers()
         .containsValue(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
-    if (clean) {
+    if (reusable) {
       pool.onIdle(this);
     }
     if (idleBeforeCallUs >= 0) {
       pool.onReuseSucceeded();
     }
-    c.end(resultOf(r, c.written), pool.now(), r.headers(), bytes);
-    if (!clean) {
+    endedCall.end(resultOf(response, endedCall.written), pool.now(), response.headers(), bytes);
+    if (!reusable) {
       close();
     }
   }
 
-  private static Result resultOf(HttpResponse r, boolean written) {
-    int status = r.status().code();
+  private static Result resultOf(HttpResponse response, boolean written) {
+    int status = response.status().code();
     if (status == 200) {
-      // An answer to a request that was not written whole answers something else.
+      // A response that comes before its request was fully written belongs to something else.
       return written ? Result.OK : Result.CONNECT_FAILED;
     }
-    return (status == 503 || status == 504) && "1".equals(r.headers().get("X-Turned-Away"))
+    return (status == 503 || status == 504) && "1".equals(response.headers().get("X-Turned-Away"))
         ? Result.FULL
         : Result.ERROR;
   }
 
-  /** Sees bytes before the codec does. */
+  /** Sees received bytes before the codec, to detect those that belong to no call. */
   private final class UnexpectedBytesHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -225,11 +230,11 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       try {
-        if (call != null && message instanceof HttpResponse r) {
-          onHead(r);
+        if (call != null && message instanceof HttpResponse response) {
+          onHead(response);
         }
-        if (call != null && message instanceof HttpContent c) {
-          onContent(c);
+        if (call != null && message instanceof HttpContent content) {
+          onContent(content);
         }
       } finally {
         ReferenceCountUtil.release(message);
--- a/src/main/java/hollyslip/platform/DiskServer.java
+++ b/src/main/java/hollyslip/platform/DiskServer.java
@@ -5,16 +5,16 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** A disk server as discovery names it, with this process's connections to it. */
+/** A disk server listed by discovery, with this process's idle connections to it. */
 final class DiskServer {
   final String host;
-  /** The module's name for it. */
+  /** The id that the scheduler knows it by. */
   final long number;
   InetSocketAddress dial;
   NodeState state = NodeState.ON;
-  /** Its last start, as the list has it (ms, wall's clock) and on the module's clock (us); 0: long ago. */
+  /** Time of its last start, as listed (Unix ms) and on the scheduler's clock (us); 0: long ago. */
   long bornMs, bornUs;
-  /** Connections that carry nothing, most recently used last. */
+  /** Connections without a call, most recently used last. */
   final Deque<DiskConnection> idleConnections = new ArrayDeque<>();
   /** Calls that have not ended. */
   int calls;
--- a/src/main/java/hollyslip/platform/DiskServers.java
+++ b/src/main/java/hollyslip/platform/DiskServers.java
@@ -16,17 +16,17 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Connections to disk servers, and the calls on them. Nothing is ever sent twice here. */
+/** The pool of connections to disk servers, which runs calls on them. It never retries: each call's request
+ * is sent at most once. */
 final class DiskServers {
-  /** How long a connection must have stayed silent after an answer before it is used again, us. A second
-   * answer that follows would be taken for the answer to the next request, and each further one for its
-   * predecessor's. A sender without TCP_NODELAY holds a small write back until the one before it is
-   * acknowledged, which Linux does after 40 ms at the latest where round trips are shorter. Harm: a few
-   * connections more. */
+  /** How long a connection must stay silent after a response before it is reused, us. A duplicate response
+   * that arrives late would be taken for the response to the next request, and each later response for its
+   * predecessor's. A sender without TCP_NODELAY delays a small write until the previous one is acknowledged,
+   * which Linux does within 40 ms where round trips are shorter. Cost: a few more connections. */
   static final long REST_US = 60_000;
 
-  /** A kept connection that breaks so soon after a request was written to it, us, had been given up by the
-   * other side before. */
+  /** A reused connection that breaks within this time of its request being written, us, is taken to have been
+   * closed by the peer before that. */
   static final long STALE_WINDOW_US = 5_000;
 
   private final EventLoop loop;
@@ -36,35 +36,36 @@
   private final long connectTimeoutUs;
   private final Bootstrap bootstrap;
   private final Set<DiskConnection> connections = new HashSet<>();
-  /** Calls for which there was no descriptor. */
+  /** Calls waiting for a free connection slot. */
   private final Deque<Call> waitingCalls = new ArrayDeque<>();
-  /** Connections that are coming up. */
+  /** Connections that are being established. */
   private int connecting;
   private boolean startingWaitingCalls;
   private final AdaptiveIdleTimeout idleTimeout;
-  /** Bytes of answers that are not whole yet, and how many there may be. */
+  /** Bytes buffered of incomplete responses, and their limit. */
   private long bufferedBytes;
   private final long maxBufferedBytes;
 
-  /** @param most
-   *          connections at a time, those that are coming up included
-   * @param mostHeld
-   *          bytes of answers that are not whole yet
-   * @param connectUs
-   *          one that is not up by then has failed
-   * @param idleCloseUs
-   *          disk servers close what was idle for so long; 0: never */
-  DiskServers(EventLoop loop, Clock clock, Log log, int most, long mostHeld, long connectUs,
-      long idleCloseUs) {
+  /** @param maxConnections
+   *          limit of open connections, including those being established
+   * @param maxBufferedBytes
+   *          limit of bytes buffered of incomplete responses
+   * @param connectTimeoutUs
+   *          connect timeout; 1 s if not positive
+   * @param diskIdleTimeoutUs
+   *          disk servers close connections that were idle for this long; 0: never */
+  DiskServers(EventLoop loop, Clock clock, Log log, int maxConnections, long maxBufferedBytes,
+      long connectTimeoutUs,
+      long diskIdleTimeoutUs) {
     this.loop = loop;
     this.clock = clock;
     this.log = log;
-    this.maxConnections = most;
-    this.maxBufferedBytes = mostHeld;
-    this.connectTimeoutUs = connectUs > 0 ? connectUs : 1_000_000;
-    // A request may be under way as the other side's time runs out: a tenth of it is kept clear.
-    long idleUs = idleCloseUs > 0 ? idleCloseUs - idleCloseUs / 10 : Long.MAX_VALUE;
-    idleTimeout = new AdaptiveIdleTimeout(2 * REST_US, idleUs);
+    this.maxConnections = maxConnections;
+    this.maxBufferedBytes = maxBufferedBytes;
+    this.connectTimeoutUs = connectTimeoutUs > 0 ? connectTimeoutUs : 1_000_000;
+    // Stays a tenth below the peer's timeout: a request could be in transit when the peer closes.
+    long maxIdleUs = diskIdleTimeoutUs > 0 ? diskIdleTimeoutUs - diskIdleTimeoutUs / 10 : Long.MAX_VALUE;
+    idleTimeout = new AdaptiveIdleTimeout(2 * REST_US, maxIdleUs);
     bootstrap = new Bootstrap().group(loop)
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
@@ -72,7 +73,7 @@
         .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel ch) {
-            // The handlers follow once it is up: nothing is read before a request was written.
+            // Handlers are added once connected: nothing is read before a request was written.
           }
         });
   }
@@ -85,92 +86,96 @@
     return connections.size() + connecting;
   }
 
-  /** Starts a call; its listener hears how it ended, maybe before this returns. */
-  void start(Call c) {
-    c.server.calls++;
+  /** Starts a call; its listener may be told the result before this returns. */
+  void start(Call call) {
+    call.server.calls++;
     long now = now();
-    c.timeoutTask = loop.schedule(() -> onCallTimeout(c), Math.max(0, c.timeoutAt - now), TimeUnit.MICROSECONDS);
-    if (!c.sendCheck.maySend()) {
-      c.end(Result.MOOT, now);
+    call.timeoutTask = loop.schedule(() -> onCallTimeout(call), Math.max(0, call.timeoutAt - now),
+        TimeUnit.MICROSECONDS);
+    if (!call.sendCheck.maySend()) {
+      call.end(Result.MOOT, now);
       return;
     }
-    DiskConnection kept = takeIdle(c.server, now());
-    if (kept != null) {
-      kept.start(c);
+    DiskConnection idle = takeIdle(call.server, now());
+    if (idle != null) {
+      idle.start(call);
     } else if (connectionCount() < maxConnections || evictLongestIdle()) {
-      connect(c);
+      connect(call);
     } else {
-      waitingCalls.add(c);
-      loop.schedule(() -> onWaitTimeout(c), connectTimeoutUs, TimeUnit.MICROSECONDS);
+      waitingCalls.add(call);
+      loop.schedule(() -> onWaitTimeout(call), connectTimeoutUs, TimeUnit.MICROSECONDS);
     }
   }
 
-  /** Gives a call up. */
-  void cancel(Call c) {
-    if (!c.ended()) {
-      DiskConnection on = c.connection;
-      c.end(c.written ? Result.CANCELLED : Result.MOOT, now());
-      if (on != null) {
-        on.abandon();
+  /** Cancels a call and closes its connection. */
+  void cancel(Call call) {
+    if (!call.ended()) {
+      DiskConnection connection = call.connection;
+      call.end(call.written ? Result.CANCELLED : Result.MOOT, now());
+      if (connection != null) {
+        connection.abandon();
       }
     }
   }
 
-  /** Gives a call up that has not been written whole: its request has not run, and its end must not
-   * follow. */
-  void withdraw(Call c) {
-    if (!c.written) {
-      waitingCalls.remove(c);
-      cancel(c);
+  /** Cancels a call unless its request was fully written: the incomplete request has not run, and the rest of
+   * it must not be sent. */
+  void withdraw(Call call) {
+    if (!call.written) {
+      waitingCalls.remove(call);
+      cancel(call);
     }
   }
 
-  private void sendIfWanted(DiskConnection on, Call c) {
+  private void sendIfWanted(DiskConnection connection, Call call) {
     long now = now();
-    if (now - c.startedAt < connectTimeoutUs && now < c.timeoutAt && c.sendCheck.maySend()) {
-      on.start(c);
+    if (now - call.startedAt < connectTimeoutUs && now < call.timeoutAt && call.sendCheck.maySend()) {
+      connection.start(call);
     } else {
-      c.end(Result.MOOT, now);
-      onIdle(on);
+      call.end(Result.MOOT, now);
+      onIdle(connection);
     }
   }
 
-  /** The most recently used connection that has proved itself clean and is not about to be closed. What came
-   * on it since is read first: bytes that answer nothing, or its end, must not meet the next request. */
-  private DiskConnection takeIdle(DiskServer to, long now) {
-    closeExpired(to, now);
-    for (DiskConnection c = findReusable(to, now); c != null; c = findReusable(to, now)) {
-      to.idleConnections.remove(c);
-      c.readNow();
-      if (c.isIdle()) {
-        return c;
+  /** Takes the most recently used connection that was silent long enough and is not about to be closed; null:
+   * none. Pending input is read first: unsolicited bytes or the end of the connection must be seen before the
+   * next request is sent. */
+  private DiskConnection takeIdle(DiskServer server, long now) {
+    closeExpired(server, now);
+    for (DiskConnection connection = findReusable(server, now); connection != null; connection = findReusable(
+        server, now)) {
+      server.idleConnections.remove(connection);
+      connection.readNow();
+      if (connection.isIdle()) {
+        return connection;
       }
     }
     return null;
   }
 
-  private static DiskConnection findReusable(DiskServer to, long now) {
-    for (var it = to.idleConnections.descendingIterator(); it.hasNext();) {
-      DiskConnection c = it.next();
-      if (now - c.idleSince >= REST_US && c.isIdle()) {
-        return c;
+  private static DiskConnection findReusable(DiskServer server, long now) {
+    for (var it = server.idleConnections.descendingIterator(); it.hasNext();) {
+      DiskConnection connection = it.next();
+      if (now - connection.idleSince >= REST_US && connection.isIdle()) {
+        return connection;
       }
     }
     return null;
   }
 
-  private void closeExpired(DiskServer to, long now) {
-    while (!to.idleConnections.isEmpty() && now - to.idleConnections.peekFirst().idleSince >= idleTimeout.timeoutUs()) {
-      to.idleConnections.peekFirst().close();
+  private void closeExpired(DiskServer server, long now) {
+    while (!server.idleConnections.isEmpty() && now - server.idleConnections
+        .peekFirst().idleSince >= idleTimeout.timeoutUs()) {
+      server.idleConnections.peekFirst().close();
     }
   }
 
-  /** Makes room for a connection by closing the one that was idle longest; gives whether there was one. */
+  /** Makes room by closing the connection that was idle longest; returns whether there was one. */
   private boolean evictLongestIdle() {
     DiskConnection oldest = null;
-    for (DiskConnection c : connections) {
-      if (c.isIdle() && (oldest == null || c.idleSince < oldest.idleSince)) {
-        oldest = c;
+    for (DiskConnection connection : connections) {
+      if (connection.isIdle() && (oldest == null || connection.idleSince < oldest.idleSince)) {
+        oldest = connection;
       }
     }
     if (oldest != null) {
@@ -179,85 +184,86 @@
     return oldest != null;
   }
 
-  private void connect(Call c) {
-    DiskServer to = c.server;
-    InetSocketAddress address = to.dial;
+  private void connect(Call call) {
+    DiskServer server = call.server;
+    InetSocketAddress address = server.dial;
     connecting++;
     ChannelFuture f;
     try {
       f = bootstrap.connect(address);
     } catch (RuntimeException e) {
       connecting--;
-      failWithoutDescriptor(c, e);
+      failWithoutDescriptor(call, e);
       return;
     }
     f.addListener(done -> {
       connecting--;
       if (done.isSuccess()) {
-        onConnected(f.channel(), to, address, c);
+        onConnected(f.channel(), server, address, call);
       } else {
         if (done.cause() instanceof ChannelException) {
-          // Thrown where there is no socket at all; all else is the other side's doing.
-          failWithoutDescriptor(c, done.cause());
+          // Thrown where no socket could be opened; all other failures are the peer's.
+          failWithoutDescriptor(call, done.cause());
         } else {
-          c.end(Result.CONNECT_FAILED, now());
+          call.end(Result.CONNECT_FAILED, now());
         }
       }
       startWaitingCalls();
     });
   }
 
-  /** No fault of the disk server, and nothing was sent. */
-  private void failWithoutDescriptor(Call c, Throwable cause) {
-    log.event("disk.no-descriptor", "server", c.server.host, "reason", cause);
-    c.end(Result.MOOT, now());
+  /** Ends a call for lack of a file descriptor: nothing was sent, and the disk server is not at fault. */
+  private void failWithoutDescriptor(Call call, Throwable cause) {
+    log.event("disk.no-descriptor", "server", call.server.host, "reason", cause);
+    call.end(Result.MOOT, now());
   }
 
-  private void onConnected(Channel channel, DiskServer to, InetSocketAddress address, Call c) {
-    DiskConnection connection = new DiskConnection(to, address, channel, this);
+  private void onConnected(Channel channel, DiskServer server, InetSocketAddress address, Call call) {
+    DiskConnection connection = new DiskConnection(server, address, channel, this);
     connections.add(connection);
     connection.installHandlers();
-    if (c.ended()) {
+    if (call.ended()) {
       onIdle(connection);
     } else {
-      sendIfWanted(connection, c);
+      sendIfWanted(connection, call);
     }
   }
 
-  private void onCallTimeout(Call c) {
-    if (c.ended()) {
+  private void onCallTimeout(Call call) {
+    if (call.ended()) {
       return;
     }
-    DiskConnection on = c.connection;
-    Result result = on == null
-        ? waitingCalls.remove(c) ? Result.MOOT : Result.CONNECT_FAILED
-        : c.written ? Result.TIMEOUT : Result.CONNECT_FAILED;
-    c.end(result, now());
-    if (on != null) {
-      on.abandon();
+    DiskConnection connection = call.connection;
+    Result result = connection == null
+        ? waitingCalls.remove(call) ? Result.MOOT : Result.CONNECT_FAILED
+        : call.written ? Result.TIMEOUT : Result.CONNECT_FAILED;
+    call.end(result, now());
+    if (connection != null) {
+      connection.abandon();
     }
   }
 
-  private void onWaitTimeout(Call c) {
-    if (waitingCalls.remove(c)) {
-      log.event("disk.no-connection-free", "server", c.server.host, "open", connectionCount());
-      c.end(Result.MOOT, now());
+  private void onWaitTimeout(Call call) {
+    if (waitingCalls.remove(call)) {
+      log.event("disk.no-connection-free", "server", call.server.host, "open", connectionCount());
+      call.end(Result.MOOT, now());
     }
   }
 
-  /** A connection carries nothing now: it is kept, unless it leads where the disk server no longer is. */
-  void onIdle(DiskConnection c) {
-    c.idleSince = now();
-    if (c.address.equals(c.server.dial)) {
-      c.server.idleConnections.addLast(c);
+  /** A connection's call has ended: keeps the connection, unless the disk server has moved to another
+   * address. */
+  void onIdle(DiskConnection connection) {
+    connection.idleSince = now();
+    if (connection.address.equals(connection.server.dial)) {
+      connection.server.idleConnections.addLast(connection);
     } else {
-      c.close();
+      connection.close();
     }
   }
 
-  void onClosed(DiskConnection c) {
-    connections.remove(c);
-    c.server.idleConnections.remove(c);
+  void onClosed(DiskConnection connection) {
+    connections.remove(connection);
+    connection.server.idleConnections.remove(connection);
     startWaitingCalls();
   }
 
@@ -272,7 +278,7 @@
     startingWaitingCalls = false;
   }
 
-  /** Takes room for so many bytes more of an answer, if there is any. */
+  /** Reserves buffer space for more bytes of a response; returns false if there is too little. */
   boolean tryReserveBytes(int bytes) {
     if (bufferedBytes + bytes > maxBufferedBytes) {
       return false;
@@ -285,39 +291,40 @@
     bufferedBytes -= bytes;
   }
 
-  void onInvalidResponse(DiskServer to, String why) {
-    log.event("disk.spoilt", "server", to.host, "reason", why);
+  void onInvalidResponse(DiskServer server, String why) {
+    log.event("disk.spoilt", "server", server.host, "reason", why);
   }
 
-  /** A kept connection, idle for so long, turned out to be gone as its next request was written. */
-  void onStaleConnection(DiskServer to, long idle) {
-    log.event("disk.stale", "server", to.host, "idle_ms", idle / 1000, "trusted_ms", idleTimeout.timeoutUs() / 1000);
-    idleTimeout.recordStale(idle);
+  /** A reused connection, idle for that long before, turned out to be closed when its next request was
+   * written. */
+  void onStaleConnection(DiskServer server, long idleUs) {
+    log.event("disk.stale", "server", server.host, "idle_ms", idleUs / 1000, "trusted_ms", idleTimeout
+        .timeoutUs() / 1000);
+    idleTimeout.recordStale(idleUs);
   }
 
-  /** A kept connection brought an answer. */
+  /** A reused connection delivered a response. */
   void onReuseSucceeded() {
     idleTimeout.recordSuccess();
   }
 
-  void onUnexpectedBytes(DiskServer to) {
-    log.event("disk.dirty", "server", to.host, "reason", "bytes that answer nothing");
+  void onUnexpectedBytes(DiskServer server) {
+    log.event("disk.dirty", "server", server.host, "reason", "bytes received without a request");
   }
 
-  /** Closes the connections to a disk server that carry nothing: its process or its address has changed, or
-   * it is gone. */
-  void dropIdle(DiskServer to) {
-    while (!to.idleConnections.isEmpty()) {
-      to.idleConnections.peekFirst().close();
+  /** Closes the idle connections to a disk server: it was restarted, has moved or is gone. */
+  void dropIdle(DiskServer server) {
+    while (!server.idleConnections.isEmpty()) {
+      server.idleConnections.peekFirst().close();
     }
   }
 
-  /** To be called now and then: closes what the other side is about to close. */
+  /** Closes idle connections before the peer does; called periodically. */
   void closeAllExpired() {
     long now = now();
-    for (DiskConnection c : Set.copyOf(connections)) {
-      if (c.isIdle() && now - c.idleSince >= idleTimeout.timeoutUs()) {
-        c.close();
+    for (DiskConnection connection : Set.copyOf(connections)) {
+      if (connection.isIdle() && now - connection.idleSince >= idleTimeout.timeoutUs()) {
+        connection.close();
       }
     }
   }
--- a/src/main/java/hollyslip/platform/EndpointUpdate.java
+++ b/src/main/java/hollyslip/platform/EndpointUpdate.java
@@ -9,60 +9,61 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What discovery says: a version of the list, whole or only what changed.
+/** A version of the list of disk servers from discovery: the complete list, or only its changes.
  *
  * @param version
- *          the version
+ *          the version of the list after this update
  * @param whole
- *          who is not named is gone */
+ *          the list is complete: disk servers that are not named are gone */
 record EndpointUpdate(long version, boolean whole, List<Entry> entries) {
   EndpointUpdate {
     entries = List.copyOf(entries);
   }
 
-  /** One disk server; {@code bornMs}: Unix time of its last start, 0: long ago; {@code dial} is null for one
-   * that is gone. */
+  /** One disk server. The time of its last start is Unix time in ms, 0: long ago; its address may be null if
+   * it is gone. */
   record Entry(String host, InetSocketAddress dial, String zone, int cell, NodeState state, long bornMs) {}
 
   /** @throws IllegalArgumentException
-   *           naming what is missing or cannot be read; nothing of it counts then */
-  static EndpointUpdate parse(JsonNode m) {
-    if (m == null || !m.isObject()) {
+   *           naming the field that is missing or invalid; the whole update is rejected */
+  static EndpointUpdate parse(JsonNode json) {
+    if (json == null || !json.isObject()) {
       throw new IllegalArgumentException("list: must be an object");
     }
-    if (!m.path("seq").canConvertToLong() || !m.path("seq").isNumber()) {
+    if (!json.path("seq").canConvertToLong() || !json.path("seq").isNumber()) {
       throw new IllegalArgumentException("list.seq: must be a number");
     }
-    if (!m.path("hosts").isArray()) {
+    if (!json.path("hosts").isArray()) {
       throw new IllegalArgumentException("list.hosts: must be an array");
     }
     List<Entry> entries = new ArrayList<>();
-    m.get("hosts").forEach(e -> entries.add(parseEntry(e)));
-    return new EndpointUpdate(m.get("seq").asLong(), m.path("whole").asBoolean(), entries);
+    json.get("hosts").forEach(e -> entries.add(parseEntry(e)));
+    return new EndpointUpdate(json.get("seq").asLong(), json.path("whole").asBoolean(), entries);
   }
 
-  private static Entry parseEntry(JsonNode e) {
-    String host = e.path("host").asText("");
+  private static Entry parseEntry(JsonNode json) {
+    String host = json.path("host").asText("");
     if (host.isEmpty()) {
       throw new IllegalArgumentException("list.host: is missing");
     }
-    NodeState state = switch (e.path("health").asText()) {
+    NodeState state = switch (json.path("health").asText()) {
       case "up" -> NodeState.ON;
       case "draining" -> NodeState.DRAINING;
       case "removed" -> NodeState.GONE;
       default -> throw new IllegalArgumentException("list.health: must be up, draining or removed");
     };
-    InetSocketAddress dial = state == NodeState.GONE && !e.hasNonNull("dial")
+    InetSocketAddress address = state == NodeState.GONE && !json.hasNonNull("dial")
         ? null
-        : parseAddress(e.path("dial").asText(""), "list.dial");
-    return new Entry(host, dial, e.path("site").asText(""), e.path("block").asInt(-1), state, e.path(
-        "born_ms").asLong());
+        : parseAddress(json.path("dial").asText(""), "list.dial");
+    return new Entry(host, address, json.path("site").asText(""), json.path("block").asInt(-1), state, json
+        .path(
+            "born_ms").asLong());
   }
 
-  /** An address in digits, so that nothing is ever looked up.
+  /** Parses a numeric address and port, so that no name is ever resolved.
    *
    * @throws IllegalArgumentException
-   *           with {@code field}, if it is none */
+   *           naming {@code field}, if the text is not an address */
   static InetSocketAddress parseAddress(String text, String field) {
     int colon = text.lastIndexOf(':');
     byte[] ip = colon < 1 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
--- a/src/main/java/hollyslip/platform/JsonStreamParser.java
+++ b/src/main/java/hollyslip/platform/JsonStreamParser.java
@@ -10,7 +10,7 @@
 import java.io.IOException;
 import java.util.function.Consumer;
 
-/** A sequence of JSON objects out of bytes that come in pieces, whatever blanks lie in and between them. */
+/** Incremental parser of a sequence of JSON objects, with any whitespace in and between them. */
 final class JsonStreamParser {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final JsonFactory FACTORY = new JsonFactory();
@@ -20,10 +20,10 @@
   private TokenBuffer currentObject;
   private int depth, currentBytes;
 
-  /** @param most
-   *          bytes that one object may take, blanks included */
-  JsonStreamParser(int most) {
-    this.maxObjectBytes = most;
+  /** @param maxObjectBytes
+   *          size limit of one object, whitespace included */
+  JsonStreamParser(int maxObjectBytes) {
+    this.maxObjectBytes = maxObjectBytes;
     try {
       parser = FACTORY.createNonBlockingByteArrayParser();
     } catch (IOException e) {
@@ -32,38 +32,39 @@
     currentObject = new TokenBuffer(parser);
   }
 
-  /** Whether an object has begun and has not ended. */
+  /** Whether an object has started and is incomplete. */
   boolean insideObject() {
     return depth > 0;
   }
 
-  /** Takes some bytes more and hands over each object that is whole now. Nothing may follow an exception.
+  /** Parses more bytes and passes on each object that they complete. Must not be called again after an
+   * exception.
    *
    * @throws IOException
-   *           if this is no sequence of objects, or one is too long */
-  void feed(byte[] part, Consumer<JsonNode> objects) throws IOException {
-    if (part.length == 0) {
+   *           if the input is not a sequence of objects, or an object is too long */
+  void feed(byte[] input, Consumer<JsonNode> listener) throws IOException {
+    if (input.length == 0) {
       return;
     }
-    currentBytes += part.length;
-    ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(part, 0, part.length);
-    for (JsonToken t = parser.nextToken(); t != JsonToken.NOT_AVAILABLE; t = parser.nextToken()) {
-      if (depth == 0 && t != JsonToken.START_OBJECT) {
-        throw new IOException("no object: " + t);
+    currentBytes += input.length;
+    ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(input, 0, input.length);
+    for (JsonToken token = parser.nextToken(); token != JsonToken.NOT_AVAILABLE; token = parser.nextToken()) {
+      if (depth == 0 && token != JsonToken.START_OBJECT) {
+        throw new IOException("expected a JSON object, got " + token);
       }
       currentObject.copyCurrentEvent(parser);
-      depth += t.isStructStart() ? 1 : t.isStructEnd() ? -1 : 0;
+      depth += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
       if (depth == 0) {
-        JsonNode whole = MAPPER.readTree(currentObject.asParser());
+        JsonNode object = MAPPER.readTree(currentObject.asParser());
         currentObject = new TokenBuffer(parser);
         currentBytes = 0;
-        objects.accept(whole);
+        listener.accept(object);
       }
     }
     if (depth == 0) {
       currentBytes = 0;
     } else if (currentBytes > maxObjectBytes) {
-      throw new IOException("an object of over " + maxObjectBytes + " bytes");
+      throw new IOException("JSON object exceeds " + maxObjectBytes + " bytes");
     }
   }
 }
--- a/src/main/java/hollyslip/platform/Log.java
+++ b/src/main/java/hollyslip/platform/Log.java
@@ -8,19 +8,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Structured lines on standard output, one an event: Unix time in ms, the event's name, {@code key=value}
- * fields. A thread of its own writes them, so that a reader that stops reading never holds up the event loop;
- * what does not fit into its queue is dropped and counted. Each name may write {@link #LINES_PER_SECOND},
- * with bursts of {@link #BURST_LINES}; the next line of that name says how many were left out. Any thread may
- * log. */
+/** Structured log on standard output, one line per event: Unix time in ms, the event's name and
+ * {@code key=value} fields. A separate thread writes the lines, so that a reader that stops reading never
+ * blocks the event loop; lines that do not fit into its queue are dropped and counted. Each event name is
+ * limited to {@link #LINES_PER_SECOND}, with bursts of {@link #BURST_LINES}; the next line of that name tells
+ * how many were suppressed. Thread-safe. */
 final class Log implements AutoCloseable {
-  /** Sustained lines a second of one event name, and how many may come at once. */
+  /** Sustained rate of one event name in lines per second, and its burst size. */
   static final int LINES_PER_SECOND = 20, BURST_LINES = 60;
 
-  /** Lines that wait for the writer. */
+  /** Capacity of the queue to the writer, lines. */
   private static final int QUEUE_CAPACITY = 512;
 
-  /** Longest value of a field, characters. */
+  /** Longest value of a field, characters; longer ones are truncated. */
   private static final int MAX_VALUE_LENGTH = 200;
 
   private final PrintStream out;
@@ -30,7 +30,7 @@
   private final Thread writer = new Thread(this::writeLines, "log");
   private long droppedLines;
 
-  /** A token bucket of lines for one event name. */
+  /** Token bucket that limits the lines of one event name. */
   private static final class RateLimit {
     double tokens = BURST_LINES;
     long refilledAt;
@@ -46,28 +46,28 @@
   /** Logs one event.
    *
    * @param name
-   *          one of a fixed set
+   *          one of a fixed set of names
    * @param fields
-   *          keys and values in turn; values may hold anything */
+   *          alternating keys and values; values may contain any characters */
   synchronized void event(String name, Object... fields) {
-    RateLimit allowance = rateLimits.computeIfAbsent(name, k -> new RateLimit());
-    if (!tryAcquire(allowance)) {
-      allowance.suppressedLines++;
+    RateLimit rateLimit = rateLimits.computeIfAbsent(name, k -> new RateLimit());
+    if (!tryAcquire(rateLimit)) {
+      rateLimit.suppressedLines++;
       return;
     }
     StringBuilder line = new StringBuilder().append(System.currentTimeMillis()).append(' ').append(name);
     for (int i = 0; i + 1 < fields.length; i += 2) {
       line.append(' ').append(fields[i]).append('=').append(escapeValue(String.valueOf(fields[i + 1])));
     }
-    if (allowance.suppressedLines > 0) {
-      line.append(" left_out=").append(allowance.suppressedLines);
+    if (rateLimit.suppressedLines > 0) {
+      line.append(" left_out=").append(rateLimit.suppressedLines);
     }
     if (droppedLines > 0) {
       line.append(" dropped=").append(droppedLines);
     }
     unwrittenLines.incrementAndGet();
     if (queue.offer(line.toString())) {
-      allowance.suppressedLines = 0;
+      rateLimit.suppressedLines = 0;
       droppedLines = 0;
     } else {
       unwrittenLines.decrementAndGet();
@@ -75,17 +75,17 @@
     }
   }
 
-  private static boolean tryAcquire(RateLimit allowance) {
+  private static boolean tryAcquire(RateLimit rateLimit) {
     long now = System.nanoTime();
-    if (allowance.refilledAt != 0) {
-      double earned = (now - allowance.refilledAt) / 1e9 * LINES_PER_SECOND;
-      allowance.tokens = Math.min(BURST_LINES, allowance.tokens + earned);
+    if (rateLimit.refilledAt != 0) {
+      double refill = (now - rateLimit.refilledAt) / 1e9 * LINES_PER_SECOND;
+      rateLimit.tokens = Math.min(BURST_LINES, rateLimit.tokens + refill);
     }
-    allowance.refilledAt = now;
-    if (allowance.tokens < 1) {
+    rateLimit.refilledAt = now;
+    if (rateLimit.tokens < 1) {
       return false;
     }
-    allowance.tokens--;
+    rateLimit.tokens--;
     return true;
   }
 
@@ -100,7 +100,7 @@
     }
   }
 
-  /** Waits until all lines so far are written, but no longer than so many ms. */
+  /** Waits until all lines logged so far are written, at most {@code ms}. */
   void flush(long ms) throws InterruptedException {
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
     while (unwrittenLines.get() > 0 && System.nanoTime() < end) {
@@ -108,34 +108,36 @@
     }
   }
 
-  /** Ends the writer; lines that still wait are not written. */
+  /** Stops the writer; queued lines are not written. */
   @Override
   public void close() {
     writer.interrupt();
   }
 
-  /** The same work, which is not ended by a fault of its own: what runs again and again on the event loop
-   * would be dropped there at its first one, with no word. */
-  Runnable guarded(Runnable work) {
+  /** Wraps a task so that its exceptions are logged and do not propagate: the event loop silently cancels a
+   * periodic task at its first exception. */
+  Runnable guarded(Runnable task) {
     return () -> {
       try {
-        work.run();
-      } catch (RuntimeException fault) {
-        fault("node.fault", fault);
+        task.run();
+      } catch (RuntimeException e) {
+        fault("node.fault", e);
       }
     };
   }
 
-  /** Logs a fault of this program with the place that it comes from. */
-  void fault(String name, RuntimeException fault) {
-    StackTraceElement[] trace = fault.getStackTrace();
-    event(name, "fault", fault, "at", trace.length > 0 ? trace[0] : "");
+  /** Logs an unexpected exception with the place that threw it. */
+  void fault(String name, RuntimeException e) {
+    StackTraceElement[] trace = e.getStackTrace();
+    event(name, "fault", e, "at", trace.length > 0 ? trace[0] : "");
   }
 
-  /** Bytes from outside must not forge lines or fields. */
+  /** Quotes and sanitizes a value, so that external input cannot forge lines or fields. */
   private static String escapeValue(String text) {
-    String cut = text.length() > MAX_VALUE_LENGTH ? text.substring(0, MAX_VALUE_LENGTH) : text;
-    String plain = cut.replaceAll("[^ -~]", "?").replace('"', '\'');
-    return plain.isEmpty() || plain.indexOf(' ') >= 0 || plain.indexOf('=') >= 0 ? '"' + plain + '"' : plain;
+    String truncated = text.length() > MAX_VALUE_LENGTH ? text.substring(0, MAX_VALUE_LENGTH) : text;
+    String printable = truncated.replaceAll("[^ -~]", "?").replace('"', '\'');
+    return printable.isEmpty() || printable.indexOf(' ') >= 0 || printable.indexOf('=') >= 0
+        ? '"' + printable + '"'
+        : printable;
   }
 }
--- a/src/main/java/hollyslip/platform/Node.java
+++ b/src/main/java/hollyslip/platform/Node.java
@@ -20,26 +20,26 @@
 import java.util.concurrent.atomic.AtomicReference;
 import sun.misc.Signal;
 
-/** One scheduler of the platform, from its start to its end: one event loop owns sockets, timers and the
- * module. */
+/** A scheduler process of the platform: one event loop owns its sockets, timers and the scheduler. */
 public final class Node implements AutoCloseable {
-  /** How long a start waits for discovery to answer before clients may come, ms: an old list serves better
-   * than none. */
+  /** How long a start waits for discovery to respond before it reports that it is ready, ms: an outdated list
+   * serves better than none. */
   private static final long DISCOVERY_WAIT_MS = 400;
 
-  /** The platform kills no sooner after SIGTERM than the longest deadline, counted as this where it is
-   * longer, and 0.7 s more, us. */
+  /** The platform kills the process no sooner after SIGTERM than the longest deadline, capped at this value,
+   * plus 0.7 s; us. */
   private static final long MAX_COUNTED_DEADLINE_US = 3_000_000;
 
-  /** What is taken after SIGTERM is answered so long after that deadline, us: 0.25 s before the kill. */
+  /** Requests received after SIGTERM are answered within this time after that deadline, us: 0.25 s before the
+   * kill. */
   private static final long RESPONSE_GRACE_US = 450_000;
 
-  /** How long before that connections that carry nothing are closed and answers end theirs, us: until then
-   * clients are served on the connections that they keep, as they have no other way here. Harm: what comes in
-   * the last moments is refused. */
+  /** How long before that time idle client connections are closed and responses close theirs, us. Until then
+   * clients are served on their persistent connections, as they have no other way to reach this process.
+   * Cost: requests that arrive in the last moments are refused. */
   private static final long DRAIN_LEAD_US = 50_000;
 
-  /** How long an ending process waits for its last log lines to be taken, ms. */
+  /** How long the process waits at its end for the last log lines to be written, ms. */
   private static final long LOG_FLUSH_TIMEOUT_MS = 50;
 
   private final Configuration configuration;
@@ -57,12 +57,12 @@
   private InetSocketAddress discoveryAddress;
   private boolean stopping;
 
-  /** Starts it; {@code environment} is read again at each reload. */
+  /** Starts the process; {@code environment} is read again at each reload. */
   Node(Map<String, String> environment, PrintStream out) throws IOException, InterruptedException {
     this(environment, out, new WatchClock());
   }
 
-  Node(Map<String, String> environment, PrintStream out, WatchClock times) throws IOException,
+  Node(Map<String, String> environment, PrintStream out, WatchClock watchRetryPolicy) throws IOException,
       InterruptedException {
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     this.environment = environment;
@@ -71,21 +71,24 @@
     discoveryAddress = configuration.discoveryAddress();
     group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop"), NioIoHandler.newFactory());
     loop = (EventLoop) group.next();
-    Bounds bounds = Bounds.of(configuration.maxDescriptors(), Bounds.descriptorsHeld(), configuration.memoryMb());
-    diskConnections = new DiskServers(loop, clock, log, bounds.disks(), bounds.bytes(), configuration.settings()
+    Bounds bounds = Bounds.of(configuration.maxDescriptors(), Bounds.descriptorsHeld(), configuration
+        .memoryMb());
+    diskConnections = new DiskServers(loop, clock, log, bounds.disks(), bounds.bytes(), configuration
+        .settings()
         .allowed()
         .connectTimeoutUs(), configuration.diskIdleTimeoutUs());
-    Choice module = new Choice(configuration.settings());
-    desk = new Desk(module, configuration.settings(), loop, clock, log, diskConnections,
+    Choice scheduler = new Choice(configuration.settings());
+    desk = new Desk(scheduler, configuration.settings(), loop, clock, log, diskConnections,
         bounds.bytes());
     front = new Front(loop, clock, log, desk, new Ask.Reader(configuration.settings(), configuration
         .shardCount()), bounds);
-    long seq = configuration.knownEndpoints() == null ? -1 : configuration.knownEndpoints().version();
-    discovery = new DiscoveryClient(loop, clock, log, times, discoveryAddress, seq, this::onEndpointUpdate, this::markReady);
+    long version = configuration.knownEndpoints() == null ? -1 : configuration.knownEndpoints().version();
+    discovery = new DiscoveryClient(loop, clock, log, watchRetryPolicy, discoveryAddress, version,
+        this::onEndpointUpdate, this::markReady);
     loop.submit(() -> {
       if (configuration.knownEndpoints() != null) {
-        EndpointUpdate k = configuration.knownEndpoints();
-        desk.news(new EndpointUpdate(k.version(), true, k.entries()));
+        EndpointUpdate known = configuration.knownEndpoints();
+        desk.news(new EndpointUpdate(known.version(), true, known.entries()));
       }
       discovery.start();
     }).sync();
@@ -95,25 +98,25 @@
     if (environment.containsKey("HOLLYSLIP_TRACE")) {
       Trace trace = new Trace(out);
       loop.execute(() -> desk.trace(trace));
-      loop.scheduleAtFixedRate(log.guarded(() -> trace.writeLines(module, desk.serversByNumber())), 1, 1,
+      loop.scheduleAtFixedRate(log.guarded(() -> trace.writeLines(scheduler, desk.serversByNumber())), 1, 1,
           TimeUnit.SECONDS);
     }
     log.event("node.started", "name", configuration.name(), "listen", listening, "bounds", bounds);
   }
 
-  /** Runs one scheduler until SIGTERM; gives the exit status by ending the process. With {@code --rehearse}
-   * it runs a {@link TrainingRun} instead. */
+  /** Runs a scheduler until SIGTERM or SIGINT, and ends the JVM with an exit status. With {@code --rehearse},
+   * runs a {@link TrainingRun} instead. */
   public static void main(String[] args) throws IOException, InterruptedException {
     if (args.length > 1 && args[1].equals("--rehearse")) {
       TrainingRun.run();
       return;
     }
-    // Signals may come before there is a scheduler: what they ask for is done then.
+    // Signals that arrive during the start are handled once it is complete.
     AtomicReference<Node> started = new AtomicReference<>();
-    Set<String> early = ConcurrentHashMap.newKeySet();
+    Set<String> received = ConcurrentHashMap.newKeySet();
     for (String name : List.of("TERM", "INT", "HUP")) {
       Signal.handle(new Signal(name), s -> {
-        early.add(s.getName());
+        received.add(s.getName());
         Node node = started.get();
         if (node != null) {
           node.onSignal(s.getName());
@@ -129,7 +132,7 @@
       return;
     }
     started.set(node);
-    List.copyOf(early).forEach(node::onSignal);
+    List.copyOf(received).forEach(node::onSignal);
     node.terminated.await();
     node.log.flush(LOG_FLUSH_TIMEOUT_MS);
     System.exit(0);
@@ -143,27 +146,28 @@
     }
   }
 
-  /** Where clients connect. */
+  /** The address that clients connect to. */
   InetSocketAddress listening() {
     return listening;
   }
 
-  /** The one thread. */
+  /** The event loop that everything runs on. */
   EventLoop loop() {
     return loop;
   }
 
-  /** Requests that have not ended; disk servers that are remembered. */
+  /** Number of requests that have not ended. */
   int open() {
     return desk.open();
   }
 
+  /** Number of disk servers that are listed or have calls. */
   int diskServerCount() {
     return desk.servers();
   }
 
-  private void onEndpointUpdate(EndpointUpdate n) {
-    desk.news(n);
+  private void onEndpointUpdate(EndpointUpdate update) {
+    desk.news(update);
     markReady();
   }
 
@@ -174,8 +178,8 @@
     }
   }
 
-  /** Reads the file again and follows the discovery that it names; other changes need a restart. One at a
-   * time: each signal has a thread of its own, and what an older one had read could be taken on last. */
+  /** Reads the configuration file again and switches to its discovery address; other changes need a restart.
+   * Synchronized because each signal has its own thread, and an older configuration could be applied last. */
   synchronized void reload() {
     try {
       Configuration next = Configuration.read(environment);
@@ -188,7 +192,7 @@
   private void applyConfiguration(Configuration next) {
     log.event("configuration.read", "discovery", next.discoveryAddress());
     if (!next.settings().equals(configuration.settings())) {
-      log.event("configuration.ignored", "reason", "settings change by a restart only");
+      log.event("configuration.ignored", "reason", "changed settings take effect only after a restart");
     }
     if (!next.discoveryAddress().equals(discoveryAddress)) {
       discoveryAddress = next.discoveryAddress();
@@ -196,44 +200,44 @@
     }
   }
 
-  /** Serves what comes for as long as the platform leaves, asks clients to go elsewhere, answers everything,
-   * then ends. */
+  /** Keeps serving for as long as the platform allows, then closes client connections, answers all open
+   * requests and ends the process. */
   void stop() {
     loop.execute(() -> {
       if (stopping) {
         return;
       }
       stopping = true;
-      long longest = configuration.settings()
+      long longestDeadlineUs = configuration.settings()
           .classes()
           .stream()
           .mapToLong(c -> c.deadlineUs())
           .max()
           .orElseThrow();
-      long answeredAfter = responseLimitAfterStopUs(longest);
+      long responseLimitUs = responseLimitAfterStopUs(longestDeadlineUs);
       log.event("node.stopping", "open", desk.open());
-      desk.stopping(clock.now() + answeredAfter);
-      loop.schedule(this::drain, drainDelayUs(longest), TimeUnit.MICROSECONDS);
+      desk.stopping(clock.now() + responseLimitUs);
+      loop.schedule(this::drain, drainDelayUs(longestDeadlineUs), TimeUnit.MICROSECONDS);
     });
   }
 
-  /** Until when what comes after SIGTERM is answered, us from then; {@code longest} is the longest
-   * deadline. */
-  static long responseLimitAfterStopUs(long longest) {
-    return Math.min(longest, MAX_COUNTED_DEADLINE_US) + RESPONSE_GRACE_US;
+  /** Time from SIGTERM until every request must have been answered, us, for the longest deadline of the
+   * request classes, us. */
+  static long responseLimitAfterStopUs(long longestDeadlineUs) {
+    return Math.min(longestDeadlineUs, MAX_COUNTED_DEADLINE_US) + RESPONSE_GRACE_US;
   }
 
-  /** Until when clients are served on the connections that they keep, us from SIGTERM. */
-  static long drainDelayUs(long longest) {
-    return responseLimitAfterStopUs(longest) - DRAIN_LEAD_US;
+  /** Time from SIGTERM for which clients are served on their persistent connections, us. */
+  static long drainDelayUs(long longestDeadlineUs) {
+    return responseLimitAfterStopUs(longestDeadlineUs) - DRAIN_LEAD_US;
   }
 
-  /** Goes to the last part of the end at once: nothing more is taken. */
+  /** Starts the final drain immediately: no more requests are accepted. */
   void drainNow() {
     loop.execute(this::drain);
   }
 
-  /** Connections of clients. */
+  /** Number of open client connections. */
   int connections() {
     return front.connections();
   }
@@ -250,7 +254,7 @@
     }
   }
 
-  /** Ends at once, as a kill would. */
+  /** Ends immediately, as if killed. */
   @Override
   public void close() {
     group.shutdownGracefully(0, 1000, TimeUnit.MILLISECONDS).syncUninterruptibly();
@@ -258,7 +262,7 @@
     terminated.countDown();
   }
 
-  /** Returns once it has ended. */
+  /** Waits until the process has ended; returns false if it has not within {@code ms}. */
   boolean awaitEnd(long ms) throws InterruptedException {
     return terminated.await(ms, TimeUnit.MILLISECONDS);
   }
--- a/src/main/java/hollyslip/platform/Readings.java
+++ b/src/main/java/hollyslip/platform/Readings.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 
-/** Load reports and use figures of disk servers' answers, where the settings say that there are any. What
- * cannot be read is absent, not zero. */
+/** Parses load reports and usage figures in disk servers' responses, if the settings enable them. Values that
+ * cannot be parsed count as absent, not as zero. */
 final class Readings {
   private final Settings settings;
 
@@ -18,13 +18,13 @@
     this.settings = settings;
   }
 
-  /** 1 + percent of the plan's rate, or 0. */
+  /** 1 + the volume's use in percent of its plan's rate; 0 if absent. */
   int metered(HttpHeaders headers) {
     String text = headers == null || settings.store().meterUs() <= 0 ? null : headers.get("X-Volume-Use");
     return text != null && text.matches("[0-9]{1,9}") ? Integer.parseInt(text) : 0;
   }
 
-  /** Units, or 0. */
+  /** Units served elsewhere; 0 if absent. */
   double elsewhere(HttpHeaders headers) {
     String text = headers == null || !settings.store().tellsElsewhere()
         ? null
@@ -33,7 +33,7 @@
     return text != null && text.matches("[0-9]{1,12}") ? Long.parseLong(text) : 0;
   }
 
-  /** Of an attempt's answer; null: none. */
+  /** Load report in the response to an attempt; null if absent. */
   List<Double> report(HttpHeaders headers) {
     return headers == null || settings.reportSource() != ReportSource.ANSWERS
         ? null
@@ -41,7 +41,8 @@
             "X-Pressure"));
   }
 
-  /** Of a probe's answer: in its header or, from the report's own path, as its body; null: none. */
+  /** Load report in the response to a probe: in its header or, from the report's own path, in its body; null
+   * if absent. */
   List<Double> probed(HttpHeaders headers, byte[] body) {
     if (headers == null || settings.reportSource() == ReportSource.NONE) {
       return null;
@@ -56,21 +57,21 @@
     }
     Map<String, Double> values = new HashMap<>();
     for (String pair : text.trim().split(",")) {
-      int equals = pair.indexOf('=');
-      String number = equals < 0 ? "" : pair.substring(equals + 1).trim();
+      int separator = pair.indexOf('=');
+      String number = separator < 0 ? "" : pair.substring(separator + 1).trim();
       if (!number.matches("[0-9]{1,12}(\\.[0-9]{1,12})?")) {
         return null;
       }
-      values.put(pair.substring(0, equals).trim(), Double.parseDouble(number));
+      values.put(pair.substring(0, separator).trim(), Double.parseDouble(number));
     }
-    List<Double> row = new ArrayList<>();
+    List<Double> report = new ArrayList<>();
     for (String field : settings.reportFields()) {
       Double value = values.get(field);
       if (value == null) {
         return null;
       }
-      row.add(value);
+      report.add(value);
     }
-    return row;
+    return report;
   }
 }
--- a/src/main/java/hollyslip/platform/StrictResponseDecoder.java
+++ b/src/main/java/hollyslip/platform/StrictResponseDecoder.java
@@ -8,8 +8,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** The codec's response decoder behind {@link HeadCheck}: an answer that is not as the standard has it ends
- * in an exception. */
+/** Netty's response decoder behind {@link HeadCheck}: a response that violates the HTTP standard ends in an
+ * exception. */
 final class StrictResponseDecoder extends HttpResponseDecoder {
   private static final byte[] STATUS_LINE_START = "HTTP/1.1 ".getBytes(StandardCharsets.US_ASCII);
 
@@ -34,11 +34,11 @@
     expectsHead = out.size() > before && out.get(out.size() - 1) instanceof LastHttpContent;
   }
 
-  /** Noise is told at its first bytes, not when a head's end fails to come. */
+  /** Rejects other protocols at their first bytes, instead of waiting for the end of a head. */
   private static void checkStatusLineStart(ByteBuf in) {
     for (int i = 0; i < Math.min(STATUS_LINE_START.length, in.readableBytes()); i++) {
       if (in.getByte(in.readerIndex() + i) != STATUS_LINE_START[i]) {
-        throw new IllegalArgumentException("no status line");
+        throw new IllegalArgumentException("response does not start with an HTTP/1.1 status line");
       }
     }
   }
@@ -48,7 +48,7 @@
     Http.refuseBoth();
   }
 
-  /** Bytes that have come and belong to no answer yet. */
+  /** Number of bytes received that do not belong to a decoded response. */
   int unreadBytes() {
     return actualReadableBytes();
   }
--- a/src/main/java/hollyslip/platform/Trace.java
+++ b/src/main/java/hollyslip/platform/Trace.java
@@ -9,13 +9,13 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** A line a second and disk server: what the module believes beside what the connections saw. Off unless
- * {@code HOLLYSLIP_TRACE} is set; then it costs some us a second. */
+/** Prints one line per second and disk server that compares the scheduler's state with what was measured on
+ * the connections. Off unless {@code HOLLYSLIP_TRACE} is set; then it costs some us per second. */
 final class Trace {
   private final PrintStream out;
   private final Map<Long, Counters> countersByServer = new HashMap<>();
 
-  /** What passed on the connections to one disk server since the last line. */
+  /** Counts of attempts at one disk server since its last line. */
   private static final class Counters {
     int started, answered;
     long totalTimeUs;
@@ -31,26 +31,28 @@
   }
 
   void ended(long server, Result result, long tookUs) {
-    Counters s = countersByServer.computeIfAbsent(server, k -> new Counters());
-    s.results.merge(result, 1, Integer::sum);
+    Counters counters = countersByServer.computeIfAbsent(server, k -> new Counters());
+    counters.results.merge(result, 1, Integer::sum);
     if (result == Result.OK) {
-      s.answered++;
-      s.totalTimeUs += tookUs;
+      counters.answered++;
+      counters.totalTimeUs += tookUs;
     }
   }
 
-  /** Writes the lines and begins anew. */
-  void writeLines(Choice module, Map<Long, DiskServer> servers) {
-    for (Belief b : Belief.of(module)) {
-      DiskServer server = servers.get(b.node());
-      Counters s = countersByServer.getOrDefault(b.node(), new Counters());
+  /** Writes the lines and resets the counters. */
+  void writeLines(Choice scheduler, Map<Long, DiskServer> servers) {
+    for (Belief belief : Belief.of(scheduler)) {
+      DiskServer server = servers.get(belief.node());
+      Counters counters = countersByServer.getOrDefault(belief.node(), new Counters());
       out.printf(Locale.ROOT,
           "trace %s %s out %d of %.1f held %d expects %.1f ms%s%s | calls %d idle %d started %d answered %d mean %.1f ms %s%n",
-          server == null ? "?" : server.host, b.state(), b.out(), b.window(), b.held(), b.expectedUs() / 1e3,
-          b.silent() ? " silent" : "", b.cold() ? " cold" : "", server == null ? 0 : server.calls,
-          server == null ? 0 : server.idleConnections.size(), s.started, s.answered, s.answered == 0
+          server == null ? "?" : server.host, belief.state(), belief.out(), belief.window(), belief.held(),
+          belief.expectedUs() / 1e3,
+          belief.silent() ? " silent" : "", belief.cold() ? " cold" : "", server == null ? 0 : server.calls,
+          server == null ? 0 : server.idleConnections.size(), counters.started, counters.answered,
+          counters.answered == 0
               ? 0
-              : s.totalTimeUs / 1e3 / s.answered, s.results);
+              : counters.totalTimeUs / 1e3 / counters.answered, counters.results);
     }
     countersByServer.clear();
   }
--- a/src/main/java/hollyslip/platform/TrainingRun.java
+++ b/src/main/java/hollyslip/platform/TrainingRun.java
@@ -15,9 +15,8 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** One scheduler against a peer of its own on loopback, for some hundred requests: what the build runs once,
- * so that the classes of a start can be kept in an archive (docs/platform.md). It measures nothing and proves
- * nothing. */
+/** Runs a scheduler against a local stub for some hundred requests. The build does this once to archive the
+ * classes that a start loads (docs/platform.md). It is neither a benchmark nor a test. */
 final class TrainingRun {
   private static final int REQUESTS = 400;
   private static final String SETTINGS = """
@@ -34,20 +33,20 @@
 
   static void run() throws IOException, InterruptedException {
     Path file = Files.createTempFile("rehearsal", ".json");
-    try (ServerSocket peer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-      Thread answers = new Thread(() -> acceptConnections(peer), "peer");
-      answers.setDaemon(true);
-      answers.start();
-      String at = "127.0.0.1:" + peer.getLocalPort();
+    try (ServerSocket stub = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+      Thread acceptor = new Thread(() -> acceptConnections(stub), "peer");
+      acceptor.setDaemon(true);
+      acceptor.start();
+      String address = "127.0.0.1:" + stub.getLocalPort();
       ObjectMapper json = new ObjectMapper();
-      ObjectNode c = json.createObjectNode()
+      ObjectNode configuration = json.createObjectNode()
           .put("name", "rehearsal")
           .put("listen", "127.0.0.1:0")
-          .put("discovery", at)
+          .put("discovery", address)
           .put("seed", "5");
-      c.set("known", json.readTree(endpointList(1, at)));
-      c.set("settings", json.readTree(SETTINGS));
-      Files.writeString(file, c.toString());
+      configuration.set("known", json.readTree(endpointList(1, address)));
+      configuration.set("settings", json.readTree(SETTINGS));
+      Files.writeString(file, configuration.toString());
       Node node = new Node(Map.of("PROXY_CONFIG", file.toString()), new PrintStream(OutputStream
           .nullOutputStream()));
       sendRequests(node.listening());
@@ -60,13 +59,13 @@
     }
   }
 
-  private static String endpointList(int seq, String at) {
-    return "{\"seq\":" + seq + ",\"whole\":true,\"hosts\":[{\"host\":\"h\",\"dial\":\"" + at
+  private static String endpointList(int version, String address) {
+    return "{\"seq\":" + version + ",\"whole\":true,\"hosts\":[{\"host\":\"h\",\"dial\":\"" + address
         + "\",\"site\":\"a\",\"block\":0,\"health\":\"up\",\"share\":1.0,\"born_ms\":0}]}";
   }
 
-  private static void sendRequests(InetSocketAddress at) throws IOException {
-    try (Socket s = new Socket(at.getAddress(), at.getPort())) {
+  private static void sendRequests(InetSocketAddress address) throws IOException {
+    try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
       for (int i = 0; i < REQUESTS; i++) {
         String method = i % 3 == 0 ? "PUT /put/" : "GET /get/";
         String body = i % 3 == 0 ? "body" : "";
@@ -74,43 +73,44 @@
             + "\r\nX-Plan: p\r\nX-Remaining: 2000m\r\nIdempotency-Key: k" + i
             + "\r\nX-IO: volume=0000000000000001,units=1,shard=0,hosts=1\r\nContent-Length: " + body.length()
             + "\r\n\r\n" + body;
-        s.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
-        s.getInputStream().read(new byte[4096]);
+        socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
+        socket.getInputStream().read(new byte[4096]);
       }
-      s.getOutputStream().write("GET /ready HTTP/1.1\r\n folded\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-      s.getInputStream().read(new byte[4096]);
+      socket.getOutputStream()
+          .write("GET /ready HTTP/1.1\r\n folded\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+      socket.getInputStream().read(new byte[4096]);
     }
   }
 
-  private static void acceptConnections(ServerSocket peer) {
+  private static void acceptConnections(ServerSocket stub) {
     try {
       while (true) {
-        Socket s = peer.accept();
-        Thread t = new Thread(() -> serve(s, peer.getLocalPort()), "peer");
-        t.setDaemon(true);
-        t.start();
+        Socket socket = stub.accept();
+        Thread thread = new Thread(() -> serve(socket, stub.getLocalPort()), "peer");
+        thread.setDaemon(true);
+        thread.start();
       }
-    } catch (IOException over) {
-      // It was closed: the rehearsal has ended.
+    } catch (IOException closed) {
+      // The server socket was closed: the training run has ended.
     }
   }
 
-  /** Discovery and disk server in one: whatever is asked whole is answered. */
-  private static void serve(Socket s, int port) {
-    try (s) {
-      InputStream in = s.getInputStream();
+  /** Acts as discovery service and as disk server. */
+  private static void serve(Socket socket, int port) {
+    try (socket) {
+      InputStream in = socket.getInputStream();
       byte[] bytes = new byte[4096];
       for (int n = in.read(bytes); n > 0; n = in.read(bytes)) {
         boolean watch = new String(bytes, 0, n, StandardCharsets.US_ASCII).startsWith("GET /v1/endpoints");
         String line = endpointList(2, "127.0.0.1:" + port) + "\n";
-        String answer = watch
+        String response = watch
             ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
                 + "\r\n" + line + "\r\n"
             : "HTTP/1.1 200 OK\r\nX-Pressure: latency_ms=3\r\nContent-Length: 4\r\n\r\ndata";
-        s.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+        socket.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
       }
-    } catch (IOException over) {
-      // The scheduler closed it.
+    } catch (IOException closed) {
+      // The scheduler closed the connection.
     }
   }
 }
--- a/src/main/java/hollyslip/platform/WatchClock.java
+++ b/src/main/java/hollyslip/platform/WatchClock.java
@@ -1,44 +1,47 @@
 package hollyslip.platform;
 
-/** When a watch is given up and the next one is opened; no I/O, no clock: times are us, handed in. What
- * discovery has to tell counts as told some seconds after a watch fell silent, whether it arrived or not, so
- * each phase has its bound: an open watch must say something whole within {@link #SILENT_US}, one that is
- * being opened must be answered within {@link #RESPONSE_TIMEOUT_US}, and a failed one is followed by the next after a
- * pause. */
+/** Decides when a watch is abandoned and the next one is opened. No I/O, no clock: times are passed in, us.
+ * Updates count as delivered some seconds after a watch fell silent, whether they arrived or not, so each
+ * phase has a time limit: an open watch must deliver something complete within {@link #SILENT_US}, an attempt
+ * must be answered within {@link #RESPONSE_TIMEOUT_US}, and the next attempt follows a failure after a
+ * delay. */
 final class WatchClock {
-  /** Discovery sends an empty line every 2 s at least; half as long again is silence. Harm: a process that
-   * was held up for a second opens a watch in vain. */
+  /** Discovery sends an empty line at least every 2 s; 1.5 times that counts as silence. Cost: a process that
+   * was stalled for a second opens a watch needlessly. */
   static final long SILENT_US = 3_000_000;
 
-  /** Connecting and the answer's head: the agent is on this machine and answers without delay. What it gets
-   * when discovery comes back counts as told at once, so the next attempt must not be far. */
+  /** Limit for connecting and receiving the response head: the discovery agent is on this machine and
+   * responds without delay. Updates that it receives when discovery comes back count as delivered
+   * immediately, so the next attempt must follow soon. */
   static final long RESPONSE_TIMEOUT_US = 250_000;
 
-  /** An attempt that is not answered soon stays open for so long, us, beside newer ones; and how many do. */
+  /** How long an attempt that was not answered in time stays open beside newer ones, us, and how many such
+   * attempts there may be. */
   static final long OVERDUE_LIFETIME_US = 5_000_000;
   static final int MAX_OVERDUE = 5;
 
-  /** Pauses after failed attempts: doubled from the first to the last. */
+  /** Delay after failed attempts: doubled from the minimum to the maximum. */
   static final long MIN_RETRY_DELAY_US = 50_000, MAX_RETRY_DELAY_US = 200_000;
 
   private final long silenceTimeoutUs, responseTimeoutUs;
-  private long lastReceivedAt, attemptStartedAt, nextAttemptAt = Long.MIN_VALUE, retryDelayUs = MIN_RETRY_DELAY_US;
+  private long lastReceivedAt, attemptStartedAt, nextAttemptAt = Long.MIN_VALUE,
+      retryDelayUs = MIN_RETRY_DELAY_US;
 
   WatchClock() {
     this(SILENT_US, RESPONSE_TIMEOUT_US);
   }
 
-  WatchClock(long silentUs, long answerUs) {
-    this.silenceTimeoutUs = silentUs;
-    this.responseTimeoutUs = answerUs;
+  WatchClock(long silenceTimeoutUs, long responseTimeoutUs) {
+    this.silenceTimeoutUs = silenceTimeoutUs;
+    this.responseTimeoutUs = responseTimeoutUs;
   }
 
-  /** Within how long an attempt must be answered, us. */
+  /** Time within which an attempt must be answered, us. */
   long responseTimeoutUs() {
     return responseTimeoutUs;
   }
 
-  /** Another discovery is asked from now on. */
+  /** Called when the discovery address changes. */
   void resetRetryDelay() {
     retryDelayUs = MIN_RETRY_DELAY_US;
   }
@@ -47,14 +50,14 @@
     attemptStartedAt = now;
   }
 
-  /** Whether the attempt that is under way has taken too long. */
+  /** Whether the pending attempt has taken too long. */
   boolean attemptOverdue(long now) {
     return now - attemptStartedAt >= responseTimeoutUs;
   }
 
-  /** An attempt came to nothing, or the watch that was in use has ended. */
+  /** An attempt failed, or the watch in use has ended. */
   void watchFailed(long now) {
-    // An attempt that used up its time has waited long enough.
+    // Counted from the start of the attempt: one that used up its time has waited long enough.
     nextAttemptAt = Math.max(now, attemptStartedAt + retryDelayUs);
     retryDelayUs = Math.min(MAX_RETRY_DELAY_US, 2 * retryDelayUs);
   }
@@ -63,13 +66,16 @@
     lastReceivedAt = now;
   }
 
-  /** Something whole has come: an object, or blanks between two. */
+  /** Something complete was received: an object, or whitespace between two. */
   void dataReceived(long now) {
     lastReceivedAt = now;
     retryDelayUs = MIN_RETRY_DELAY_US;
   }
 
-  /** Whether a watch is to be opened now, none being opened already. */
+  /** Whether to open a watch now, given that no attempt is pending.
+   *
+   * @param inUse
+   *          whether there is an answered watch of the current address */
   boolean shouldOpen(long now, boolean inUse) {
     return now >= nextAttemptAt && (!inUse || now - lastReceivedAt >= silenceTimeoutUs);
   }
--- a/src/test/java/hollyslip/platform/CallTest.java
+++ b/src/test/java/hollyslip/platform/CallTest.java
@@ -21,11 +21,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** How calls to disk servers end where connections are late, silent or too few. */
+/** Results of calls to disk servers when connections are slow to come up, silent or unavailable. */
 @Timeout(60)
 class CallTest {
   private static final String REQUEST = "GET /x HTTP/1.1\r\nHost: x\r\n\r\n";
-  /** What must happen has long; what must run out has less. */
+  /** Timeouts that must not expire, and those that must. */
   private static final long LONG_US = 30_000_000, SHORT_US = 2_000_000;
 
   private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -37,118 +37,123 @@
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
   }
 
-  private DiskServers servers(int most, long connectUs) {
-    return new DiskServers((EventLoop) group.next(), clock, new Log(System.out), most, 1 << 20, connectUs, 0);
+  private DiskServers pool(int maxConnections, long connectTimeoutUs) {
+    return new DiskServers((EventLoop) group.next(), clock, new Log(System.out), maxConnections, 1 << 20,
+        connectTimeoutUs, 0);
   }
 
-  private static DiskServer at(InetSocketAddress address) {
-    DiskServer s = new DiskServer("s", 1);
-    s.dial = address;
-    return s;
+  private static DiskServer serverAt(InetSocketAddress address) {
+    DiskServer server = new DiskServer("s", 1);
+    server.dial = address;
+    return server;
   }
 
-  private static DiskServer at(Peer peer) {
-    return at(EndpointUpdate.parseAddress(peer.address(), "peer"));
+  private static DiskServer serverAt(Peer peer) {
+    return serverAt(EndpointUpdate.parseAddress(peer.address(), "peer"));
   }
 
-  private void start(DiskServers servers, DiskServer to, long waitUs, boolean wanted) throws Exception {
+  private void start(DiskServers pool, DiskServer server, long timeoutUs, boolean maySend) throws Exception {
     long now = clock.now();
-    Call c = new Call(to, now, now + waitUs, w -> Http.bytes(REQUEST), () -> wanted, (result, took, headers,
+    Call call = new Call(server, now, now + timeoutUs, w -> Http.bytes(REQUEST), () -> maySend, (result, took,
+        headers,
         body) -> results.add(result));
-    group.submit(() -> servers.start(c)).sync();
+    group.submit(() -> pool.start(call)).sync();
   }
 
-  private <T> T onLoop(Callable<T> what) throws Exception {
-    return group.submit(what).sync().get();
+  private <T> T onLoop(Callable<T> task) throws Exception {
+    return group.submit(task).sync().get();
   }
 
   private Result result() throws InterruptedException {
     return results.poll(20, TimeUnit.SECONDS);
   }
 
-  /** A drain's grace, the request or the server's process ended while its connection came up. */
+  /** The drain's grace period, the request or the server's process ended while the connection was
+   * established. */
   @Test
-  void whatIsNoLongerWantedOnceItsConnectionIsUpIsNotWritten() throws Exception {
+  void requestThatMayNoLongerBeSentIsNotWritten() throws Exception {
     try (Peer peer = new Peer()) {
-      DiskServers servers = servers(4, LONG_US);
-      DiskServer to = at(peer);
-      start(servers, to, LONG_US, false);
+      DiskServers pool = pool(4, LONG_US);
+      DiskServer server = serverAt(peer);
+      start(pool, server, LONG_US, false);
       assertEquals(Result.MOOT, result());
-      start(servers, to, LONG_US, true);
+      start(pool, server, LONG_US, true);
       peer.next().ok("x");
       assertEquals(Result.OK, result());
       peer.nothingElse();
     }
   }
 
-  /** A machine that is cut off: the system drops what comes to a queue that is full. */
+  /** Simulates an unreachable machine by a full accept queue, to which the system drops connection
+   * attempts. */
   @Test
-  void aConnectionThatNeverComesUpEndsAsNotConnectedAndHoldsNothing() throws Exception {
+  void connectTimeoutEndsTheCallAndReleasesTheConnection() throws Exception {
     List<Socket> queue = new ArrayList<>();
-    try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      InetSocketAddress address = (InetSocketAddress) deaf.getLocalSocketAddress();
+    try (ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      InetSocketAddress address = (InetSocketAddress) unresponsive.getLocalSocketAddress();
       boolean full = false;
       while (!full) {
-        Socket s = new Socket();
-        queue.add(s);
+        Socket socket = new Socket();
+        queue.add(socket);
         try {
-          s.connect(address, 300);
+          socket.connect(address, 300);
         } catch (java.net.SocketTimeoutException e) {
           full = true;
         }
       }
-      DiskServers servers = servers(4, SHORT_US);
-      start(servers, at(address), LONG_US, true);
+      DiskServers pool = pool(4, SHORT_US);
+      start(pool, serverAt(address), LONG_US, true);
       assertEquals(Result.CONNECT_FAILED, result());
-      assertEquals(0, onLoop(servers::connectionCount));
+      assertEquals(0, onLoop(pool::connectionCount));
     } finally {
-      for (Socket s : queue) {
-        s.close();
+      for (Socket socket : queue) {
+        socket.close();
       }
     }
   }
 
   @Test
-  void aConnectionThatStaysSilentEndsWithItsCall() throws Exception {
+  void silentConnectionIsClosedWhenItsCallTimesOut() throws Exception {
     try (Peer peer = new Peer()) {
-      DiskServers servers = servers(4, LONG_US);
-      start(servers, at(peer), SHORT_US, true);
-      Peer.Came c = peer.next();
+      DiskServers pool = pool(4, LONG_US);
+      start(pool, serverAt(peer), SHORT_US, true);
+      Peer.Came request = peer.next();
       assertEquals(Result.TIMEOUT, result());
-      c.awaitClosed();
-      assertEquals(0, onLoop(servers::connectionCount));
+      request.awaitClosed();
+      assertEquals(0, onLoop(pool::connectionCount));
     }
   }
 
-  /** A peer, one place, and a call on it that the peer has; a second call waits for the place. */
-  private Peer.Came firstOfTwo(DiskServers servers, Peer peer) throws Exception {
-    DiskServer to = at(peer);
-    start(servers, to, LONG_US, true);
+  /** Starts two calls in a pool of one connection: the first one's request is returned, the second one
+   * waits. */
+  private Peer.Came firstOfTwo(DiskServers pool, Peer peer) throws Exception {
+    DiskServer server = serverAt(peer);
+    start(pool, server, LONG_US, true);
     Peer.Came first = peer.next();
-    start(servers, to, LONG_US, true);
+    start(pool, server, LONG_US, true);
     return first;
   }
 
-  /** No connection is to be had: nothing went out, and the disk server is not blamed. */
+  /** A call that gets no connection ends without a failure of the disk server, as nothing was sent. */
   @Test
-  void withoutADescriptorACallWaitsForABoundedTime() throws Exception {
+  void callWaitsForAFreeConnectionForALimitedTime() throws Exception {
     try (Peer peer = new Peer()) {
-      DiskServers servers = servers(1, SHORT_US);
-      Peer.Came first = firstOfTwo(servers, peer);
+      DiskServers pool = pool(1, SHORT_US);
+      Peer.Came first = firstOfTwo(pool, peer);
       assertEquals(Result.MOOT, result());
       first.ok("x");
       assertEquals(Result.OK, result());
       peer.nothingElse();
-      assertEquals(1, onLoop(servers::connectionCount));
+      assertEquals(1, onLoop(pool::connectionCount));
     }
   }
 
-  /** One that waits for a connection gets it when another ends. */
+  /** A call that waits for a connection gets one when another is closed. */
   @Test
-  void whatWaitsForADescriptorGoesWhenOneIsFree() throws Exception {
+  void waitingCallStartsWhenAConnectionBecomesAvailable() throws Exception {
     try (Peer peer = new Peer()) {
-      Peer.Came first = firstOfTwo(servers(1, LONG_US), peer);
-      // Its end takes the connection along, as bytes follow the answer.
+      Peer.Came first = firstOfTwo(pool(1, LONG_US), peer);
+      // The connection is closed with the first call, as bytes follow the response.
       first.answer("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxnoise");
       assertEquals(Result.OK, result());
       peer.next().ok("y");
--- a/src/test/java/hollyslip/platform/DiskServerResponseTest.java
+++ b/src/test/java/hollyslip/platform/DiskServerResponseTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Attempts on loopback: how each ended, and what of it a client gets. */
+/** Responses and connection ends of scripted disk servers on loopback, and what the client gets of them. */
 @Timeout(60)
 class DiskServerResponseTest {
   private static final String TURNED_AWAY = "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
 
   @Test
-  void whatWasTurnedAwayIsTriedAgainEvenIfItMayNotRunTwice() throws Exception {
+  void turnedAwayRequestIsRetriedEvenIfItMustNotRunTwice() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       client.send(Site.write("pay", "t1", null, "x"));
       site.disk.next().answer(TURNED_AWAY);
@@ -29,7 +29,7 @@
     }
   }
 
-  static List<String> mayHaveRun() {
+  static List<String> unusableResponses() {
     return List.of("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "noise noise noise",
         "HTTP/1.1 200 OK\r\nX: " + "a".repeat(10_000),
@@ -46,26 +46,26 @@
   }
 
   @ParameterizedTest
-  @MethodSource("mayHaveRun")
-  void anAnswerThatCannotBeUsedIsAFailureAndNothingOfItIsPassedOn(String bytes) throws Exception {
+  @MethodSource("unusableResponses")
+  void unusableResponseIsAFailureAndNothingOfItIsPassedOn(String bytes) throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       client.send(Site.write("pay", "t1", null, "x"));
-      Peer.Came c = site.disk.next();
-      c.answer(bytes.replace("<close>", "").replace("<reset>", ""));
+      Peer.Came request = site.disk.next();
+      request.answer(bytes.replace("<close>", "").replace("<reset>", ""));
       if (bytes.endsWith("<reset>")) {
-        c.on().setSoLinger(true, 0);
-        c.on().close();
+        request.on().setSoLinger(true, 0);
+        request.on().close();
       } else if (bytes.endsWith("<close>")) {
-        c.on().close();
+        request.on().close();
       }
       String answer = client.answer();
       assertTrue(answer.startsWith("HTTP/1.1 502 "), answer);
       assertFalse(answer.contains("abc"), answer);
       client.send(Site.read("t2"));
       Peer.Came next = site.disk.next();
-      assertEquals("t2", next.header("X-Txn"), "what may have run is not sent again");
+      assertEquals("t2", next.header("X-Txn"), "a request that may have run must not be sent again");
       if (!bytes.startsWith("HTTP/1.1 50")) {
-        assertNotSame(c.on(), next.on());
+        assertNotSame(request.on(), next.on());
       }
       next.ok("fine");
       assertTrue(client.answer().endsWith("fine"));
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void interimAnswersAreSkipped() throws Exception {
+  void interimResponsesAreSkipped() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       client.send(Site.read("t1"));
       site.disk.next()
@@ -83,9 +83,9 @@
     }
   }
 
-  /** Disk servers were seen to send several hundred KiB, more than a request may have. */
+  /** Disk servers were seen to send several hundred KiB, more than the limit of a request body. */
   @Test
-  void largeAnswersArePassedOnWhole() throws Exception {
+  void largeResponsesArePassedOnCompletely() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       for (int i = 0; i < 20; i++) {
         String large = ("" + i).repeat(300_000);
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void chunkedAnswersAreTakenWhole() throws Exception {
+  void chunkedResponsesAreReadCompletely() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       client.send(Site.read("t1"));
       site.disk.next()
@@ -110,24 +110,24 @@
     }
   }
 
-  /** In the answer's segment, or as soon as the answer has been passed on. */
+  /** Extra bytes come in the segment of the response, or as soon as the response has been passed on. */
   @Test
-  void whatFollowsAGoodAnswerIsNeverTheNextOnes() throws Exception {
-    String copy = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy";
-    for (String extra : List.of(copy, "noise", "HTTP/1.1 2", "\r\n")) {
+  void bytesAfterAResponseAreNeverTakenForTheNextResponse() throws Exception {
+    String duplicate = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy";
+    for (String extra : List.of(duplicate, "noise", "HTTP/1.1 2", "\r\n")) {
       for (boolean later : List.of(false, true)) {
         try (Site site = new Site(); Site.Client client = site.client()) {
           client.send(Site.read("t1"));
-          Peer.Came c = site.disk.next();
-          c.answer("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine" + (later ? "" : extra));
+          Peer.Came request = site.disk.next();
+          request.answer("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine" + (later ? "" : extra));
           assertTrue(client.answer().endsWith("mine"));
           if (later) {
-            c.answer(extra);
+            request.answer(extra);
           }
-          c.awaitClosed();
+          request.awaitClosed();
           client.send(Site.read("t2"));
           Peer.Came next = site.disk.next();
-          assertNotSame(c.on(), next.on());
+          assertNotSame(request.on(), next.on());
           next.ok("next");
           assertTrue(client.answer().endsWith("next"));
         }
@@ -135,42 +135,42 @@
     }
   }
 
-  /** An answer without a length is whole at the connection's end; a reset is none. */
+  /** A response without a length is complete at an orderly close of the connection, but not at a reset. */
   @Test
-  void anAnswerWithoutALengthIsWholeAtTheEndOfItsConnection() throws Exception {
+  void responseWithoutALengthIsCompleteAtTheEndOfItsConnection() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      for (String more : List.of("", "Connection: close\r\n")) {
-        client.send(Site.write("pay", "t" + more.length(), null, "x"));
-        Peer.Came c = site.disk.next();
-        c.answer("HTTP/1.1 200 OK\r\n" + more + "\r\nall ");
-        c.answer("of it");
-        c.on().shutdownOutput();
+      for (String header : List.of("", "Connection: close\r\n")) {
+        client.send(Site.write("pay", "t" + header.length(), null, "x"));
+        Peer.Came request = site.disk.next();
+        request.answer("HTTP/1.1 200 OK\r\n" + header + "\r\nall ");
+        request.answer("of it");
+        request.on().shutdownOutput();
         assertTrue(client.answer().endsWith("\r\n\r\nall of it"));
-        c.awaitClosed();
+        request.awaitClosed();
       }
     }
   }
 
   @Test
-  void connectionsAreUsedAgainOneRequestAtATime() throws Exception {
+  void connectionsAreReusedForOneRequestAtATime() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       Set<Socket> seen = new HashSet<>();
       int requests = 0;
-      boolean again = false;
-      while (!again) {
+      boolean reused = false;
+      while (!reused) {
         client.send(Site.read("t" + requests++));
-        Peer.Came c = site.disk.next();
-        again = !seen.add(c.on());
-        c.ok("x");
+        Peer.Came request = site.disk.next();
+        reused = !seen.add(request.on());
+        request.ok("x");
         assertEquals(200, client.status());
       }
       assertTrue(requests > 1);
     }
   }
 
-  /** The list moved a disk server while a request was out at its old address. */
+  /** Discovery moves a disk server while a request is in progress at its old address. */
   @Test
-  void aConnectionToAnAddressLeftBehindIsNotKept() throws Exception {
+  void connectionToAFormerAddressIsNotKept() throws Exception {
     try (Site site = new Site();
         Peer moved = new Peer();
         Site.Client client = site.client();
@@ -190,14 +190,14 @@
   }
 
   @Test
-  void aConnectionThatTheDiskServerClosedIsNotUsed() throws Exception {
+  void connectionClosedByTheDiskServerIsNotUsed() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       for (int i = 0; i < 20; i++) {
         client.send(Site.write("pay", "t" + i, null, "x"));
-        Peer.Came c = site.disk.next();
-        c.ok("x");
-        c.on().shutdownOutput();
-        c.awaitClosed();
+        Peer.Came request = site.disk.next();
+        request.ok("x");
+        request.on().shutdownOutput();
+        request.awaitClosed();
         assertEquals(200, client.status());
       }
     }
--- a/src/test/java/hollyslip/platform/DiskServerTraceTest.java
+++ b/src/test/java/hollyslip/platform/DiskServerTraceTest.java
@@ -15,13 +15,12 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the module believes beside what the connections saw. */
 class DiskServerTraceTest {
   @Test
-  void aLineHoldsBothAndTheNextBeginsAnew() throws Exception {
-    Choice module = new Choice(WireSettings.parse(1, new ObjectMapper().readTree(
+  void lineShowsSchedulerStateAndCountersThatResetAfterwards() throws Exception {
+    Choice scheduler = new Choice(WireSettings.parse(1, new ObjectMapper().readTree(
         "{\"classes\":[{\"name\":\"c\",\"aim\":1,\"giveUp\":1}],\"policies\":[{\"name\":\"p\"}]}")));
-    module.handle(1_000, new NodeList(true, List.of(new Listed(5, "a", 0, NodeState.ON, 0))), a -> {});
+    scheduler.handle(1_000, new NodeList(true, List.of(new Listed(5, "a", 0, NodeState.ON, 0))), a -> {});
     ByteArrayOutputStream text = new ByteArrayOutputStream();
     Trace trace = new Trace(new PrintStream(text, true));
     trace.started(5);
@@ -32,10 +31,11 @@
     trace.ended(5, Result.RESET, 99_000);
     DiskServer server = new DiskServer("s-5", 5);
     server.calls = 1;
-    trace.writeLines(module, Map.of(5L, server));
-    trace.writeLines(module, Map.of());
-    String belief = "ON out 0 of 4.0 held 0 expects 40.0 ms | calls ";
-    assertEquals("trace s-5 " + belief + "1 idle 0 started 3 answered 2 mean 20.0 ms {OK=2, RESET=1}\n"
-        + "trace ? " + belief + "0 idle 0 started 0 answered 0 mean 0.0 ms {}\n", text.toString());
+    trace.writeLines(scheduler, Map.of(5L, server));
+    trace.writeLines(scheduler, Map.of());
+    String schedulerState = "ON out 0 of 4.0 held 0 expects 40.0 ms | calls ";
+    assertEquals("trace s-5 " + schedulerState
+        + "1 idle 0 started 3 answered 2 mean 20.0 ms {OK=2, RESET=1}\n"
+        + "trace ? " + schedulerState + "0 idle 0 started 0 answered 0 mean 0.0 ms {}\n", text.toString());
   }
 }
--- a/src/test/java/hollyslip/platform/EventLogTest.java
+++ b/src/test/java/hollyslip/platform/EventLogTest.java
@@ -21,9 +21,9 @@
   }
 
   @Test
-  void aReaderThatStandsStillHoldsNobodyUp() {
+  void blockedReaderDoesNotBlockLogging() {
     CountDownLatch never = new CountDownLatch(1);
-    OutputStream full = new OutputStream() {
+    OutputStream blocked = new OutputStream() {
       @Override
       public void write(int b) {
         try {
@@ -33,7 +33,7 @@
         }
       }
     };
-    try (Log log = new Log(new PrintStream(full, true))) {
+    try (Log log = new Log(new PrintStream(blocked, true))) {
       for (int i = 0; i < 100_000; i++) {
         log.event("event" + i % 100, "n", i);
       }
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void aFloodOfOneNameIsCountedAndLeavesRoomForOthers() throws InterruptedException {
+  void floodOfOneNameIsSuppressedAndCountedWithoutAffectingOthers() throws InterruptedException {
     try (Log log = new Log(new PrintStream(bytes, true))) {
       for (int i = 0; i < 1000; i++) {
         log.event("flood", "n", i);
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void aValueCannotForgeALineOrAField() throws InterruptedException {
+  void valueCannotForgeLineOrField() throws InterruptedException {
     try (Log log = new Log(new PrintStream(bytes, true))) {
       log.event("event", "reason", "a\nb c=\"d\"", "id", 7);
       List<String> lines = lines(log);
--- a/src/test/java/hollyslip/platform/JsonStreamParserTest.java
+++ b/src/test/java/hollyslip/platform/JsonStreamParserTest.java
@@ -18,55 +18,56 @@
 class JsonStreamParserTest {
   private static final String ALL = "\n {\"a\" : \"x}{\\\"é\",\r\n\t\"b\": [1, {\"c\": null}]\n}\n\n\n{}{\"d\":-1.5e3}  \n";
 
-  private final List<String> got = new ArrayList<>();
+  private final List<String> received = new ArrayList<>();
 
-  private void feed(JsonStreamParser s, byte[] bytes) throws IOException {
-    s.feed(bytes, o -> got.add(o.toString()));
+  private void feed(JsonStreamParser parser, byte[] bytes) throws IOException {
+    parser.feed(bytes, o -> received.add(o.toString()));
   }
 
-  /** However it comes in pieces, single bytes included. */
+  /** Splits the input at every length, down to single bytes. */
   @Test
-  void objectsAreFoundInAnyPieces() throws Exception {
+  void objectsAreParsedFromInputInPiecesOfAnyLength() throws Exception {
     byte[] all = ALL.getBytes(StandardCharsets.UTF_8);
-    List<String> want = List.of("{\"a\":\"x}{\\\"é\",\"b\":[1,{\"c\":null}]}", "{}", "{\"d\":-1500.0}");
+    List<String> expected = List.of("{\"a\":\"x}{\\\"é\",\"b\":[1,{\"c\":null}]}", "{}", "{\"d\":-1500.0}");
     for (int length : IntStream.rangeClosed(1, all.length).toArray()) {
-      got.clear();
-      JsonStreamParser s = new JsonStreamParser(1000);
+      received.clear();
+      JsonStreamParser parser = new JsonStreamParser(1000);
       for (int at = 0; at < all.length; at += length) {
-        feed(s, Arrays.copyOfRange(all, at, Math.min(all.length, at + length)));
+        feed(parser, Arrays.copyOfRange(all, at, Math.min(all.length, at + length)));
       }
-      assertEquals(want, got, "pieces of " + length);
-      assertFalse(s.insideObject());
+      assertEquals(expected, received, "pieces of " + length);
+      assertFalse(parser.insideObject());
     }
   }
 
   @Test
-  void itKnowsWhetherAnObjectHasBegun() throws Exception {
-    JsonStreamParser s = new JsonStreamParser(1000);
-    feed(s, "\n".getBytes(StandardCharsets.UTF_8));
-    assertFalse(s.insideObject());
-    feed(s, "{\"a\":".getBytes(StandardCharsets.UTF_8));
-    assertTrue(s.insideObject());
+  void insideObjectTellsWhetherAnObjectHasStarted() throws Exception {
+    JsonStreamParser parser = new JsonStreamParser(1000);
+    feed(parser, "\n".getBytes(StandardCharsets.UTF_8));
+    assertFalse(parser.insideObject());
+    feed(parser, "{\"a\":".getBytes(StandardCharsets.UTF_8));
+    assertTrue(parser.insideObject());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"[1]", "no ", "7 ", "\"text\"", "{\"a\":}", "{\"a\" \"b\"}", "}", "{\"a\":1]"})
-  void whatIsNoObjectIsAFault(String text) {
-    assertThrows(IOException.class, () -> feed(new JsonStreamParser(1000), text.getBytes(StandardCharsets.UTF_8)));
+  void inputOtherThanObjectsIsRejected(String text) {
+    assertThrows(IOException.class, () -> feed(new JsonStreamParser(1000), text.getBytes(
+        StandardCharsets.UTF_8)));
   }
 
-  /** Memory is bounded, for one long text and for many short ones, and not by what came before. */
+  /** The size limit holds for one long string and for many short values, and starts anew with each object. */
   @Test
-  void anObjectHasABoundAndTheStreamHasNone() throws Exception {
-    JsonStreamParser s = new JsonStreamParser(1000);
+  void sizeOfAnObjectIsLimitedAndThatOfTheStreamIsNot() throws Exception {
+    JsonStreamParser parser = new JsonStreamParser(1000);
     for (int i = 0; i < 10_000; i++) {
-      feed(s, "{\"a\":[1,2,3]}\n\n".getBytes(StandardCharsets.UTF_8));
+      feed(parser, "{\"a\":[1,2,3]}\n\n".getBytes(StandardCharsets.UTF_8));
     }
-    assertEquals(10_000, got.size());
-    feed(s, "{\"a\":\"".getBytes(StandardCharsets.UTF_8));
+    assertEquals(10_000, received.size());
+    feed(parser, "{\"a\":\"".getBytes(StandardCharsets.UTF_8));
     assertThrows(IOException.class, () -> {
       for (int i = 0; i < 1000; i++) {
-        feed(s, "xx".getBytes(StandardCharsets.UTF_8));
+        feed(parser, "xx".getBytes(StandardCharsets.UTF_8));
       }
     });
     JsonStreamParser other = new JsonStreamParser(1000);
--- a/src/test/java/hollyslip/platform/WatchRetryPolicyTest.java
+++ b/src/test/java/hollyslip/platform/WatchRetryPolicyTest.java
@@ -6,86 +6,87 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What discovery tells counts as told 6 s after a watch fell silent: each phase on a scripted clock, looked
- * at every 50 ms as {@link DiscoveryClient} does, with the worst that may follow. */
+/** Updates from discovery count as delivered 6 s after a watch fell silent. Tests each phase on a simulated
+ * clock that is polled every 50 ms, as {@link DiscoveryClient} does, with the worst case that may follow. */
 class WatchRetryPolicyTest {
-  private static final long TICK = 50_000, TOLD = 6_000_000, MARGIN = 2_000_000;
-  private final WatchClock times = new WatchClock();
+  private static final long TICK_US = 50_000, DELIVERED_AFTER_US = 6_000_000, MARGIN_US = 2_000_000;
+  private final WatchClock policy = new WatchClock();
   private long now;
 
-  /** Moves on to the next moment at which a watch is opened. */
-  private long untilOpened(boolean inUse) {
-    for (long start = now; !times.shouldOpen(now, inUse); now += TICK) {
+  /** Advances the clock to the next time at which a watch is opened. */
+  private long advanceUntilOpened(boolean inUse) {
+    for (long start = now; !policy.shouldOpen(now, inUse); now += TICK_US) {
       assertTrue(now - start < 60_000_000);
     }
-    times.attemptStarted(now);
+    policy.attemptStarted(now);
     return now;
   }
 
-  /** An attempt that is accepted and never answered. */
-  private void unanswered() {
-    while (!times.attemptOverdue(now)) {
-      now += TICK;
+  /** Simulates an attempt that is connected and never answered. */
+  private void timeOutAttempt() {
+    while (!policy.attemptOverdue(now)) {
+      now += TICK_US;
     }
-    times.watchFailed(now);
+    policy.watchFailed(now);
   }
 
-  private void answered() {
-    times.attemptStarted(now);
-    times.watchAnswered(now);
+  private void answerAttempt() {
+    policy.attemptStarted(now);
+    policy.watchAnswered(now);
   }
 
   @Test
-  void aWatchThatSpeaksIsKept() {
-    answered();
+  void watchThatReceivesDataIsKept() {
+    answerAttempt();
     for (int i = 0; i < 100; i++) {
       now += 2_000_000;
-      assertFalse(times.shouldOpen(now, true));
-      times.dataReceived(now);
+      assertFalse(policy.shouldOpen(now, true));
+      policy.dataReceived(now);
     }
   }
 
   @Test
-  void aSilentWatchIsReplacedInTimeThoughTheNextTwoFailToo() {
-    answered();
-    times.dataReceived(now);
+  void silentWatchIsReplacedInTimeEvenIfTwoAttemptsFail() {
+    answerAttempt();
+    policy.dataReceived(now);
     long silentSince = now;
-    untilOpened(true);
-    unanswered();
-    untilOpened(true);
-    unanswered();
-    assertTrue(untilOpened(true) - silentSince <= TOLD - MARGIN, () -> "" + now);
+    advanceUntilOpened(true);
+    timeOutAttempt();
+    advanceUntilOpened(true);
+    timeOutAttempt();
+    assertTrue(advanceUntilOpened(true) - silentSince <= DELIVERED_AFTER_US - MARGIN_US, () -> "" + now);
   }
 
-  /** Half an object is no word: only what is whole counts as heard, so this is the case above. */
+  /** An incomplete object counts as silence: only complete ones are reported to the policy. */
   @Test
-  void silenceAfterTheHeadCountsFromTheHead() {
-    answered();
+  void silenceAfterTheResponseHeadCountsFromTheHead() {
+    answerAttempt();
     long silentSince = now;
-    assertTrue(untilOpened(true) - silentSince <= WatchClock.SILENT_US + TICK);
+    assertTrue(advanceUntilOpened(true) - silentSince <= WatchClock.SILENT_US + TICK_US);
   }
 
   @Test
-  void whileDiscoveryIsDownOneIsOftenBeingOpened() {
-    answered();
-    untilOpened(true);
+  void attemptsFollowQuicklyWhileDiscoveryIsDown() {
+    answerAttempt();
+    advanceUntilOpened(true);
     for (int i = 0; i < 50; i++) {
       long before = now;
-      unanswered();
-      untilOpened(true);
-      // What discovery gets at its return counts as told then; a drain's grace is half a second or more.
+      timeOutAttempt();
+      advanceUntilOpened(true);
+      // Updates that reach discovery when it comes back count as delivered then; a drain grants 0.5 s or
+      // more.
       assertTrue(now - before <= 400_000, () -> "" + now);
     }
   }
 
   @Test
-  void refusedAttemptsArePacedAndNeverStop() {
-    times.attemptStarted(now);
+  void refusedAttemptsAreRetriedAtALimitedRate() {
+    policy.attemptStarted(now);
     int opened = 0;
     for (; now < 10_000_000; now += 1_000) {
-      if (times.shouldOpen(now, false)) {
-        times.attemptStarted(now);
-        times.watchFailed(now);
+      if (policy.shouldOpen(now, false)) {
+        policy.attemptStarted(now);
+        policy.watchFailed(now);
         opened++;
       }
     }
@@ -93,12 +94,12 @@
   }
 
   @Test
-  void aResetWatchIsReplacedAtOnce() {
-    answered();
+  void resetWatchIsReplacedImmediately() {
+    answerAttempt();
     now += 500_000;
-    times.dataReceived(now);
-    times.watchFailed(now);
-    long lost = now;
-    assertEquals(lost, untilOpened(false));
+    policy.dataReceived(now);
+    policy.watchFailed(now);
+    long lostAt = now;
+    assertEquals(lostAt, advanceUntilOpened(false));
   }
 }
