--- a/src/main/java/hollyslip/platform/DiscoveryClient.java
+++ b/src/main/java/hollyslip/platform/DiscoveryClient.java
@@ -200,13 +200,13 @@
     }
 
     /** Ends this watch, once; {@link WatchClock} decides when the next one is opened. */
-    void fail(String why) {
+    void fail(String reason) {
       if (closed) {
         return;
       }
       close();
       if (overdue.remove(this)) {
-        log.event("discovery.lost", "address", target, "reason", why);
+        log.event("discovery.lost", "address", target, "reason", reason);
         return;
       }
       if (this == pending) {
@@ -215,7 +215,7 @@
         current = null;
       }
       retryPolicy.watchFailed(clock.now());
-      log.event("discovery.lost", "address", target, "reason", why);
+      log.event("discovery.lost", "address", target, "reason", reason);
     }
 
     @Override
--- a/src/main/java/hollyslip/platform/DiskConnection.java
+++ b/src/main/java/hollyslip/platform/DiskConnection.java
@@ -119,11 +119,11 @@
   }
 
   /** Ends the call because its response is unusable; the request may have run. */
-  private void failInvalidResponse(String why) {
+  private void failInvalidResponse(String reason) {
     Call endedCall = call;
     call = null;
     if (endedCall != null) {
-      pool.onInvalidResponse(server, why);
+      pool.onInvalidResponse(server, reason);
       endedCall.end(endedCall.written ? Result.ERROR : Result.CONNECT_FAILED, pool.now());
     }
     close();
--- a/src/main/java/hollyslip/platform/DiskServers.java
+++ b/src/main/java/hollyslip/platform/DiskServers.java
@@ -118,7 +118,7 @@
     }
   }
 
-  /** Cancels a call unless its request was fully written: the incomplete request has not run, and the rest of
+  /** Cancels a call unless its request was fully written: an incomplete request has not run, and the rest of
    * it must not be sent. */
   void withdraw(Call call) {
     if (!call.written) {
@@ -127,6 +127,8 @@
     }
   }
 
+  /** Sends a call's request on a new connection, unless the connection took too long or the request may no
+   * longer be sent. */
   private void sendIfWanted(DiskConnection connection, Call call) {
     long now = now();
     if (now - call.startedAt < connectTimeoutUs && now < call.timeoutAt && call.sendCheck.maySend()) {
@@ -153,6 +155,7 @@
     return null;
   }
 
+  /** The most recently used connection that was silent long enough; null: none. */
   private static DiskConnection findReusable(DiskServer server, long now) {
     for (var it = server.idleConnections.descendingIterator(); it.hasNext();) {
       DiskConnection connection = it.next();
@@ -188,18 +191,18 @@
     DiskServer server = call.server;
     InetSocketAddress address = server.dial;
     connecting++;
-    ChannelFuture f;
+    ChannelFuture future;
     try {
-      f = bootstrap.connect(address);
+      future = bootstrap.connect(address);
     } catch (RuntimeException e) {
       connecting--;
       failWithoutDescriptor(call, e);
       return;
     }
-    f.addListener(done -> {
+    future.addListener(done -> {
       connecting--;
       if (done.isSuccess()) {
-        onConnected(f.channel(), server, address, call);
+        onConnected(future.channel(), server, address, call);
       } else {
         if (done.cause() instanceof ChannelException) {
           // Thrown where no socket could be opened; all other failures are the peer's.
@@ -291,8 +294,8 @@
     bufferedBytes -= bytes;
   }
 
-  void onInvalidResponse(DiskServer server, String why) {
-    log.event("disk.spoilt", "server", server.host, "reason", why);
+  void onInvalidResponse(DiskServer server, String reason) {
+    log.event("disk.spoilt", "server", server.host, "reason", reason);
   }
 
   /** A reused connection, idle for that long before, turned out to be closed when its next request was
--- a/src/main/java/hollyslip/platform/WatchClock.java
+++ b/src/main/java/hollyslip/platform/WatchClock.java
@@ -75,7 +75,7 @@
   /** Whether to open a watch now, given that no attempt is pending.
    *
    * @param inUse
-   *          whether there is an answered watch of the current address */
+   *          whether an answered watch is in use, which is replaced only once it is silent */
   boolean shouldOpen(long now, boolean inUse) {
     return now >= nextAttemptAt && (!inUse || now - lastReceivedAt >= silenceTimeoutUs);
   }
