--- a/src/main/java/hollyslip/platform/DiskConnection.java
+++ b/src/main/java/hollyslip/platform/DiskConnection.java
@@ -17,202 +17,207 @@
 import io.netty.util.ReferenceCountUtil;
 import java.net.InetSocketAddress;
 
-/** One kept connection to a disk server, with one call on it at a time. Whatever comes while there is none,
- * or is more than one whole answer, makes it unfit for use: it is closed, and what came is passed on to
- * nobody. */
+/** A persistent connection to a disk server, with one call on it at a time. Bytes received while there is no
+ * call, or beyond one complete response, make it unusable: it is closed, and the bytes are discarded. */
 final class DiskConnection {
-  /** Answers of class 1xx before the one that counts. */
-  private static final int MOST_INTERIM = 8;
+  /** Limit of 1xx responses before the final response. */
+  private static final int MAX_INTERIM_RESPONSES = 8;
 
-  final DiskServer to;
-  /** Where it leads: the disk server may have moved since. */
+  final DiskServer server;
+  /** The address it was connected to; the disk server may have moved since. */
   final InetSocketAddress address;
   private final Channel channel;
-  private final DiskServers owner;
-  private final AnswerDecoder decoder = new AnswerDecoder();
+  private final DiskServers pool;
+  private final StrictResponseDecoder decoder = new StrictResponseDecoder();
   /** When the last call on it ended, us. */
-  long freeAt;
-  /** How long it had carried nothing when the call on it was written, us; -1: it was new. */
-  private long idleUs = -1;
-  private long startedAt;
-  private boolean used;
+  long idleSince;
+  /** How long it had been idle when the current call was written, us; -1: it was new. */
+  private long idleBeforeCallUs = -1;
+  private long callStartedAt;
+  private boolean usedBefore;
   private Call call;
-  private HttpResponse head;
-  private ByteBuf body = Unpooled.EMPTY_BUFFER;
-  private int interim;
-  /** The answer itself tells where it ends. */
-  private boolean framed;
+  private HttpResponse responseHead;
+  private ByteBuf responseBody = Unpooled.EMPTY_BUFFER;
+  private int interimResponses;
+  /** The response's head or its chunks mark where it ends, rather than the end of the connection. */
+  private boolean selfDelimited;
   private boolean closed;
 
-  DiskConnection(DiskServer to, InetSocketAddress address, Channel channel, DiskServers owner) {
-    this.to = to;
+  DiskConnection(DiskServer server, InetSocketAddress address, Channel channel, DiskServers pool) {
+    this.server = server;
     this.address = address;
     this.channel = channel;
-    this.owner = owner;
+    this.pool = pool;
   }
 
-  /** To be called once it is up. */
-  void open() {
-    ChannelPipeline p = channel.pipeline();
-    p.addLast(new Guard(), decoder, new Answers());
+  /** Called once the channel is connected. */
+  void installHandlers() {
+    ChannelPipeline pipeline = channel.pipeline();
+    pipeline.addLast(new UnexpectedBytesHandler(), decoder, new ResponseHandler());
   }
 
-  /** Takes in what has come. */
+  /** Processes input that has already arrived. */
   void readNow() {
     Http.readNow(channel);
   }
 
-  boolean usable() {
+  boolean isIdle() {
     return !closed && call == null && channel.isActive();
   }
 
-  /** Writes a call's request whole; how it ends is told to the call. */
-  void start(Call c) {
-    long now = owner.now();
-    call = c;
-    c.connection = this;
-    idleUs = used ? now - freeAt : -1;
-    startedAt = now;
-    used = true;
-    head = null;
-    interim = 0;
-    dropBody();
-    channel.writeAndFlush(c.bytes.apply(c.giveUpAt - owner.now())).addListener(f -> {
+  /** Writes a call's request; the call is told its result. */
+  void start(Call newCall) {
+    long now = pool.now();
+    call = newCall;
+    newCall.connection = this;
+    idleBeforeCallUs = usedBefore ? now - idleSince : -1;
+    callStartedAt = now;
+    usedBefore = true;
+    responseHead = null;
+    interimResponses = 0;
+    releaseBody();
+    channel.writeAndFlush(newCall.requestEncoder.apply(newCall.timeoutAt - pool.now())).addListener(f -> {
       if (f.isSuccess()) {
-        c.written = true;
+        newCall.written = true;
       } else {
         close();
       }
     });
   }
 
-  /** Closes it; a call on it that has not ended ends by what was written of it. */
+  /** Closes it; the result of a pending call depends on whether its request was fully written. */
   void close() {
     if (closed) {
       return;
     }
     closed = true;
-    dropBody();
+    releaseBody();
     channel.close();
-    Call c = call;
+    Call endedCall = call;
     call = null;
-    owner.closed(this);
-    if (c != null) {
-      long now = owner.now();
-      if (idleUs >= 0 && head == null && now - startedAt < DiskServers.AT_ONCE_US) {
-        owner.stale(to, idleUs);
+    pool.onClosed(this);
+    if (endedCall != null) {
+      long now = pool.now();
+      if (idleBeforeCallUs >= 0 && responseHead == null && now
+          - callStartedAt < DiskServers.STALE_WINDOW_US) {
+        pool.onStaleConnection(server, idleBeforeCallUs);
       }
-      c.end(c.written ? Result.RESET : Result.CONNECT_FAILED, now);
+      endedCall.end(endedCall.written ? Result.RESET : Result.CONNECT_FAILED, now);
     }
   }
 
-  /** The call on it has ended for its owner, who waits no longer: so does the connection. */
-  void giveUp() {
+  /** Closes it without a result: its call has already been ended. */
+  void abandon() {
     call = null;
     close();
   }
 
-  private void dropBody() {
-    owner.letGo(body.readableBytes());
-    body.release();
-    body = Unpooled.EMPTY_BUFFER;
+  private void releaseBody() {
+    pool.releaseBytes(responseBody.readableBytes());
+    responseBody.release();
+    responseBody = Unpooled.EMPTY_BUFFER;
   }
 
-  /** An answer that cannot be used; the request may have run. */
-  private void spoilt(String why) {
-    Call c = call;
+  /** Ends the call because its response is unusable; the request may have run. */
+  private void failInvalidResponse(String reason) {
+    Call endedCall = call;
     call = null;
-    if (c != null) {
-      owner.spoilt(to, why);
-      c.end(c.written ? Result.ERROR : Result.CONNECT_FAILED, owner.now());
+    if (endedCall != null) {
+      pool.onInvalidResponse(server, reason);
+      endedCall.end(endedCall.written ? Result.ERROR : Result.CONNECT_FAILED, pool.now());
     }
     close();
   }
 
-  private void head(HttpResponse r) {
-    if (r.decoderResult().isFailure()) {
-      spoilt("head: " + r.decoderResult().cause().getMessage());
+  private void onHead(HttpResponse response) {
+    if (response.decoderResult().isFailure()) {
+      failInvalidResponse("head: " + response.decoderResult().cause().getMessage());
       return;
     }
-    int status = r.status().code();
+    int status = response.status().code();
     if (status < 200) {
-      if (++interim > MOST_INTERIM || status == 101) {
-        spoilt("interim answers");
+      if (++interimResponses > MAX_INTERIM_RESPONSES || status == 101) {
+        failInvalidResponse("unexpected interim response");
       }
       return;
     }
-    boolean coded = r.headers().contains(HttpHeaderNames.TRANSFER_ENCODING);
-    long length = HttpUtil.getContentLength(r, 0L);
-    if (coded && !HttpUtil.isTransferEncodingChunked(r) || length > Bounds.ANSWER) {
-      spoilt("length: " + r.headers().entries());
+    boolean transferCoded = response.headers().contains(HttpHeaderNames.TRANSFER_ENCODING);
+    long length = HttpUtil.getContentLength(response, 0L);
+    if (transferCoded && !HttpUtil.isTransferEncodingChunked(response)
+        || length > Bounds.MAX_RESPONSE_BODY_BYTES) {
+      failInvalidResponse("length: " + response.headers().entries());
       return;
     }
-    head = r;
-    // Without a length it is whole at the connection's end, but not at a reset: exceptionCaught comes first
-    // then.
-    framed = coded || r.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
-    // Grows with what comes beyond this: a length that is only said must not take memory.
-    body = Unpooled.buffer((int) Math.max(64, Math.min(length, 8 * Bounds.BODY)), Bounds.ANSWER);
+    responseHead = response;
+    // Without a length, the response ends at an orderly close of the connection. A reset does not complete
+    // it:
+    // exceptionCaught is called first then.
+    selfDelimited = transferCoded || response.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
+    // The buffer starts small and grows as data arrives: an announced length alone must not take memory.
+    responseBody = Unpooled.buffer((int) Math.max(64, Math.min(length, 8 * Bounds.BODY)),
+        Bounds.MAX_RESPONSE_BODY_BYTES);
   }
 
-  private void content(HttpContent c) {
-    if (c.decoderResult().isFailure()) {
-      spoilt("body");
-    } else if (head != null) {
-      int more = c.content().readableBytes();
-      if (body.readableBytes() + more > Bounds.ANSWER || !owner.hold(more)) {
-        spoilt("no room for " + (body.readableBytes() + more) + " bytes");
+  private void onContent(HttpContent content) {
+    if (content.decoderResult().isFailure()) {
+      failInvalidResponse("body");
+    } else if (responseHead != null) {
+      int received = content.content().readableBytes();
+      if (responseBody.readableBytes() + received > Bounds.MAX_RESPONSE_BODY_BYTES || !pool.tryReserveBytes(
+          received)) {
+        failInvalidResponse("no buffer space for " + (responseBody.readableBytes() + received) + " bytes");
       } else {
-        body.writeBytes(c.content());
-        if (c instanceof LastHttpContent) {
-          whole();
+        responseBody.writeBytes(content.content());
+        if (content instanceof LastHttpContent) {
+          onComplete();
         }
       }
     }
   }
 
-  /** The answer is whole: the connection stays in use only if nothing else came with it. */
-  private void whole() {
-    Call c = call;
-    HttpResponse r = head;
-    boolean exact = body.hasArray() && body.arrayOffset() == 0 && body.readableBytes() == body.array().length;
-    byte[] bytes = exact ? body.array() : ByteBufUtil.getBytes(body);
-    dropBody();
+  /** The response is complete: the connection is reused only if no other bytes came with it. */
+  private void onComplete() {
+    Call endedCall = call;
+    HttpResponse response = responseHead;
+    boolean exactArray = responseBody.hasArray() && responseBody.arrayOffset() == 0 && responseBody
+        .readableBytes() == responseBody.array().length;
+    byte[] bytes = exactArray ? responseBody.array() : ByteBufUtil.getBytes(responseBody);
+    releaseBody();
     call = null;
-    head = null;
-    boolean clean = framed && c.written && decoder.left() == 0 && !r.headers()
+    responseHead = null;
+    boolean reusable = selfDelimited && endedCall.written && decoder.unreadBytes() == 0 && !response.headers()
         .containsValue(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
-    if (clean) {
-      owner.free(this);
+    if (reusable) {
+      pool.onIdle(this);
     }
-    if (idleUs >= 0) {
-      owner.fresh();
+    if (idleBeforeCallUs >= 0) {
+      pool.onReuseSucceeded();
     }
-    c.end(result(r, c.written), owner.now(), r.headers(), bytes);
-    if (!clean) {
+    endedCall.end(resultOf(response, endedCall.written), pool.now(), response.headers(), bytes);
+    if (!reusable) {
       close();
     }
   }
 
-  private static Result result(HttpResponse r, boolean written) {
-    int status = r.status().code();
+  private static Result resultOf(HttpResponse response, boolean written) {
+    int status = response.status().code();
     if (status == 200) {
-      // An answer to a request that was not written whole answers something else.
+      // A response that comes before its request was fully written belongs to something else.
       return written ? Result.OK : Result.CONNECT_FAILED;
     }
-    return (status == 503 || status == 504) && "1".equals(r.headers().get("X-Turned-Away"))
+    return (status == 503 || status == 504) && "1".equals(response.headers().get("X-Turned-Away"))
         ? Result.FULL
         : Result.ERROR;
   }
 
-  /** Sees bytes before the codec does. */
-  private final class Guard extends ChannelInboundHandlerAdapter {
+  /** Sees received bytes before the codec, to detect those that belong to no call. */
+  private final class UnexpectedBytesHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       if (call == null) {
         ReferenceCountUtil.release(message);
         if (!closed) {
-          owner.dirty(to);
+          pool.onUnexpectedBytes(server);
           close();
         }
       } else {
@@ -221,15 +226,15 @@
     }
   }
 
-  private final class Answers extends ChannelInboundHandlerAdapter {
+  private final class ResponseHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       try {
-        if (call != null && message instanceof HttpResponse r) {
-          head(r);
+        if (call != null && message instanceof HttpResponse response) {
+          onHead(response);
         }
-        if (call != null && message instanceof HttpContent c) {
-          content(c);
+        if (call != null && message instanceof HttpContent content) {
+          onContent(content);
         }
       } finally {
         ReferenceCountUtil.release(message);
@@ -244,7 +249,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       if (cause instanceof io.netty.handler.codec.DecoderException) {
-        spoilt(String.valueOf(cause.getMessage()));
+        failInvalidResponse(String.valueOf(cause.getMessage()));
       } else {
         close();
       }
--- a/src/main/java/hollyslip/platform/Log.java
+++ b/src/main/java/hollyslip/platform/Log.java
@@ -8,33 +8,33 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Structured lines on standard output, one an event: Unix time in ms, the event's name, {@code key=value}
- * fields. A thread of its own writes them, so that a reader that stops reading never holds up the event loop;
- * what does not fit into its queue is dropped and counted. Each name may write {@link #LINES_PER_SECOND},
- * with bursts of {@link #BURST}; the next line of that name says how many were left out. Any thread may
- * log. */
+/** Structured log on standard output, one line per event: Unix time in ms, the event's name and
+ * {@code key=value} fields. A separate thread writes the lines, so that a reader that stops reading never
+ * blocks the event loop; lines that do not fit into its queue are dropped and counted. Each event name is
+ * limited to {@link #LINES_PER_SECOND}, with bursts of {@link #BURST_LINES}; the next line of that name tells
+ * how many were suppressed. Thread-safe. */
 final class Log implements AutoCloseable {
-  /** Sustained lines a second of one event name, and how many may come at once. */
-  static final int LINES_PER_SECOND = 20, BURST = 60;
+  /** Sustained rate of one event name in lines per second, and its burst size. */
+  static final int LINES_PER_SECOND = 20, BURST_LINES = 60;
 
-  /** Lines that wait for the writer. */
-  private static final int QUEUED = 512;
+  /** Capacity of the queue to the writer, lines. */
+  private static final int QUEUE_CAPACITY = 512;
 
-  /** Longest value of a field, characters. */
-  private static final int VALUE_LENGTH = 200;
+  /** Longest value of a field, characters; longer ones are truncated. */
+  private static final int MAX_VALUE_LENGTH = 200;
 
   private final PrintStream out;
-  private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUED);
-  private final Map<String, Allowance> allowances = new HashMap<>();
-  private final AtomicLong unwritten = new AtomicLong();
-  private final Thread writer = new Thread(this::write, "log");
-  private long dropped;
+  private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+  private final Map<String, RateLimit> rateLimits = new HashMap<>();
+  private final AtomicLong unwrittenLines = new AtomicLong();
+  private final Thread writer = new Thread(this::writeLines, "log");
+  private long droppedLines;
 
-  /** A token bucket of lines for one event name. */
-  private static final class Allowance {
-    double lines = BURST;
-    long at;
-    long leftOut;
+  /** Token bucket that limits the lines of one event name. */
+  private static final class RateLimit {
+    double tokens = BURST_LINES;
+    long refilledAt;
+    long suppressedLines;
   }
 
   Log(PrintStream out) {
@@ -46,96 +46,98 @@
   /** Logs one event.
    *
    * @param name
-   *          one of a fixed set
+   *          one of a fixed set of names
    * @param fields
-   *          keys and values in turn; values may hold anything */
+   *          alternating keys and values; values may contain any characters */
   synchronized void event(String name, Object... fields) {
-    Allowance allowance = allowances.computeIfAbsent(name, k -> new Allowance());
-    if (!take(allowance)) {
-      allowance.leftOut++;
+    RateLimit rateLimit = rateLimits.computeIfAbsent(name, k -> new RateLimit());
+    if (!tryAcquire(rateLimit)) {
+      rateLimit.suppressedLines++;
       return;
     }
     StringBuilder line = new StringBuilder().append(System.currentTimeMillis()).append(' ').append(name);
     for (int i = 0; i + 1 < fields.length; i += 2) {
-      line.append(' ').append(fields[i]).append('=').append(value(String.valueOf(fields[i + 1])));
+      line.append(' ').append(fields[i]).append('=').append(escapeValue(String.valueOf(fields[i + 1])));
     }
-    if (allowance.leftOut > 0) {
-      line.append(" left_out=").append(allowance.leftOut);
+    if (rateLimit.suppressedLines > 0) {
+      line.append(" left_out=").append(rateLimit.suppressedLines);
     }
-    if (dropped > 0) {
-      line.append(" dropped=").append(dropped);
+    if (droppedLines > 0) {
+      line.append(" dropped=").append(droppedLines);
     }
-    unwritten.incrementAndGet();
+    unwrittenLines.incrementAndGet();
     if (queue.offer(line.toString())) {
-      allowance.leftOut = 0;
-      dropped = 0;
+      rateLimit.suppressedLines = 0;
+      droppedLines = 0;
     } else {
-      unwritten.decrementAndGet();
-      dropped++;
+      unwrittenLines.decrementAndGet();
+      droppedLines++;
     }
   }
 
-  private static boolean take(Allowance allowance) {
+  private static boolean tryAcquire(RateLimit rateLimit) {
     long now = System.nanoTime();
-    if (allowance.at != 0) {
-      double earned = (now - allowance.at) / 1e9 * LINES_PER_SECOND;
-      allowance.lines = Math.min(BURST, allowance.lines + earned);
+    if (rateLimit.refilledAt != 0) {
+      double refill = (now - rateLimit.refilledAt) / 1e9 * LINES_PER_SECOND;
+      rateLimit.tokens = Math.min(BURST_LINES, rateLimit.tokens + refill);
     }
-    allowance.at = now;
-    if (allowance.lines < 1) {
+    rateLimit.refilledAt = now;
+    if (rateLimit.tokens < 1) {
       return false;
     }
-    allowance.lines--;
+    rateLimit.tokens--;
     return true;
   }
 
-  private void write() {
+  private void writeLines() {
     try {
       while (true) {
         out.println(queue.take());
-        unwritten.decrementAndGet();
+        unwrittenLines.decrementAndGet();
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Waits until all lines so far are written, but no longer than so many ms. */
+  /** Waits until all lines logged so far are written, at most {@code ms}. */
   void flush(long ms) throws InterruptedException {
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
-    while (unwritten.get() > 0 && System.nanoTime() < end) {
+    while (unwrittenLines.get() > 0 && System.nanoTime() < end) {
       Thread.sleep(1);
     }
   }
 
-  /** Ends the writer; lines that still wait are not written. */
+  /** Stops the writer; queued lines are not written. */
   @Override
   public void close() {
     writer.interrupt();
   }
 
-  /** The same work, which is not ended by a fault of its own: what runs again and again on the event loop
-   * would be dropped there at its first one, with no word. */
-  Runnable guarded(Runnable work) {
+  /** Wraps a task so that its exceptions are logged and do not propagate: the event loop silently cancels a
+   * periodic task at its first exception. */
+  Runnable guarded(Runnable task) {
     return () -> {
       try {
-        work.run();
-      } catch (RuntimeException fault) {
-        fault("node.fault", fault);
+        task.run();
+      } catch (RuntimeException e) {
+        fault("node.fault", e);
       }
     };
   }
 
-  /** Logs a fault of this program with the place that it comes from. */
-  void fault(String name, RuntimeException fault) {
-    StackTraceElement[] trace = fault.getStackTrace();
-    event(name, "fault", fault, "at", trace.length > 0 ? trace[0] : "");
+  /** Logs an unexpected exception with the place that threw it. */
+  void fault(String name, RuntimeException e) {
+    StackTraceElement[] trace = e.getStackTrace();
+    event(name, "fault", e, "at", trace.length > 0 ? trace[0] : "");
   }
 
-  /** Bytes from outside must not forge lines or fields. */
-  private static String value(String text) {
-    String cut = text.length() > VALUE_LENGTH ? text.substring(0, VALUE_LENGTH) : text;
-    String plain = cut.replaceAll("[^ -~]", "?").replace('"', '\'');
-    return plain.isEmpty() || plain.indexOf(' ') >= 0 || plain.indexOf('=') >= 0 ? '"' + plain + '"' : plain;
+  /** Quotes and sanitizes a value, so that external input cannot forge lines or fields. */
+  private static String escapeValue(String text) {
+    String truncated = text.length() > MAX_VALUE_LENGTH ? text.substring(0, MAX_VALUE_LENGTH) : text;
+    String printable = truncated.replaceAll("[^ -~]", "?").replace('"', '\'');
+    return printable.isEmpty() || printable.indexOf(' ') >= 0 || printable.indexOf('=') >= 0
+        ? '"' + printable + '"'
+        : printable;
   }
 }
--- a/src/main/java/hollyslip/platform/Node.java
+++ b/src/main/java/hollyslip/platform/Node.java
@@ -20,27 +20,27 @@
 import java.util.concurrent.atomic.AtomicReference;
 import sun.misc.Signal;
 
-/** One scheduler of the platform, from its start to its end: one event loop owns sockets, timers and the
- * module. */
+/** A scheduler process of the platform: one event loop owns its sockets, timers and the scheduler. */
 public final class Node implements AutoCloseable {
-  /** How long a start waits for discovery to answer before clients may come, ms: an old list serves better
-   * than none. */
-  private static final long FIRST_WORD_MS = 400;
+  /** How long a start waits for discovery to respond before it reports that it is ready, ms: an outdated list
+   * serves better than none. */
+  private static final long DISCOVERY_WAIT_MS = 400;
 
-  /** The platform kills no sooner after SIGTERM than the longest deadline, counted as this where it is
-   * longer, and 0.7 s more, us. */
-  private static final long LONGEST_COUNTED_US = 3_000_000;
+  /** The platform kills the process no sooner after SIGTERM than the longest deadline, capped at this value,
+   * plus 0.7 s; us. */
+  private static final long MAX_COUNTED_DEADLINE_US = 3_000_000;
 
-  /** What is taken after SIGTERM is answered so long after that deadline, us: 0.25 s before the kill. */
-  private static final long ANSWERED_US = 450_000;
+  /** Requests received after SIGTERM are answered within this time after that deadline, us: 0.25 s before the
+   * kill. */
+  private static final long RESPONSE_GRACE_US = 450_000;
 
-  /** How long before that connections that carry nothing are closed and answers end theirs, us: until then
-   * clients are served on the connections that they keep, as they have no other way here. Harm: what comes in
-   * the last moments is refused. */
-  private static final long DRAIN_US = 50_000;
+  /** How long before that time idle client connections are closed and responses close theirs, us. Until then
+   * clients are served on their persistent connections, as they have no other way to reach this process.
+   * Cost: requests that arrive in the last moments are refused. */
+  private static final long DRAIN_LEAD_US = 50_000;
 
-  /** How long an ending process waits for its last log lines to be taken, ms. */
-  private static final long LOG_FLUSH_MS = 50;
+  /** How long the process waits at its end for the last log lines to be written, ms. */
+  private static final long LOG_FLUSH_TIMEOUT_MS = 50;
 
   private final Configuration configuration;
   private final Map<String, String> environment;
@@ -48,75 +48,78 @@
   private final EventLoopGroup group;
   private final EventLoop loop;
   private final Clock clock = new Clock();
-  private final CountDownLatch ended = new CountDownLatch(1);
-  private final DiskServers disks;
+  private final CountDownLatch terminated = new CountDownLatch(1);
+  private final DiskServers diskConnections;
   private final Desk desk;
   private final Front front;
-  private final Discovery discovery;
+  private final DiscoveryClient discovery;
   private final InetSocketAddress listening;
-  private InetSocketAddress followed;
+  private InetSocketAddress discoveryAddress;
   private boolean stopping;
 
-  /** Starts it; {@code environment} is read again at each reload. */
+  /** Starts the process; {@code environment} is read again at each reload. */
   Node(Map<String, String> environment, PrintStream out) throws IOException, InterruptedException {
     this(environment, out, new WatchClock());
   }
 
-  Node(Map<String, String> environment, PrintStream out, WatchClock times) throws IOException,
+  Node(Map<String, String> environment, PrintStream out, WatchClock watchRetryPolicy) throws IOException,
       InterruptedException {
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     this.environment = environment;
     log = new Log(out);
     configuration = Configuration.read(environment);
-    followed = configuration.discovery();
+    discoveryAddress = configuration.discoveryAddress();
     group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop"), NioIoHandler.newFactory());
     loop = (EventLoop) group.next();
-    Bounds bounds = Bounds.of(configuration.sockets(), Bounds.descriptorsHeld(), configuration.memoryMb());
-    disks = new DiskServers(loop, clock, log, bounds.disks(), bounds.bytes(), configuration.settings()
+    Bounds bounds = Bounds.of(configuration.maxDescriptors(), Bounds.descriptorsHeld(), configuration
+        .memoryMb());
+    diskConnections = new DiskServers(loop, clock, log, bounds.disks(), bounds.bytes(), configuration
+        .settings()
         .allowed()
-        .connectTimeoutUs(), configuration.idleCloseUs());
-    Choice module = new Choice(configuration.settings());
-    desk = new Desk(module, configuration.settings(), loop, clock, log, disks,
+        .connectTimeoutUs(), configuration.diskIdleTimeoutUs());
+    Choice scheduler = new Choice(configuration.settings());
+    desk = new Desk(scheduler, configuration.settings(), loop, clock, log, diskConnections,
         bounds.bytes());
     front = new Front(loop, clock, log, desk, new Ask.Reader(configuration.settings(), configuration
-        .shards()), bounds);
-    long seq = configuration.known() == null ? -1 : configuration.known().seq();
-    discovery = new Discovery(loop, clock, log, times, followed, seq, this::news, this::ready);
+        .shardCount()), bounds);
+    long version = configuration.knownEndpoints() == null ? -1 : configuration.knownEndpoints().version();
+    discovery = new DiscoveryClient(loop, clock, log, watchRetryPolicy, discoveryAddress, version,
+        this::onEndpointUpdate, this::markReady);
     loop.submit(() -> {
-      if (configuration.known() != null) {
-        EndpointUpdate k = configuration.known();
-        desk.news(new EndpointUpdate(k.seq(), true, k.entries()));
+      if (configuration.knownEndpoints() != null) {
+        EndpointUpdate known = configuration.knownEndpoints();
+        desk.news(new EndpointUpdate(known.version(), true, known.entries()));
       }
       discovery.start();
     }).sync();
-    listening = (InetSocketAddress) front.listen(group, configuration.listen()).localAddress();
-    loop.schedule(this::ready, FIRST_WORD_MS, TimeUnit.MILLISECONDS);
-    loop.scheduleAtFixedRate(log.guarded(disks::sweep), 1, 1, TimeUnit.SECONDS);
+    listening = (InetSocketAddress) front.listen(group, configuration.listenAddress()).localAddress();
+    loop.schedule(this::markReady, DISCOVERY_WAIT_MS, TimeUnit.MILLISECONDS);
+    loop.scheduleAtFixedRate(log.guarded(diskConnections::closeAllExpired), 1, 1, TimeUnit.SECONDS);
     if (environment.containsKey("HOLLYSLIP_TRACE")) {
       Trace trace = new Trace(out);
       loop.execute(() -> desk.trace(trace));
-      loop.scheduleAtFixedRate(log.guarded(() -> trace.lines(module, desk.serversByNumber())), 1, 1,
+      loop.scheduleAtFixedRate(log.guarded(() -> trace.writeLines(scheduler, desk.serversByNumber())), 1, 1,
           TimeUnit.SECONDS);
     }
     log.event("node.started", "name", configuration.name(), "listen", listening, "bounds", bounds);
   }
 
-  /** Runs one scheduler until SIGTERM; gives the exit status by ending the process. With {@code --rehearse}
-   * it runs a {@link Rehearsal} instead. */
+  /** Runs a scheduler until SIGTERM or SIGINT, and ends the JVM with an exit status. With {@code --rehearse},
+   * runs a {@link TrainingRun} instead. */
   public static void main(String[] args) throws IOException, InterruptedException {
     if (args.length > 1 && args[1].equals("--rehearse")) {
-      Rehearsal.run();
+      TrainingRun.run();
       return;
     }
-    // Signals may come before there is a scheduler: what they ask for is done then.
+    // Signals that arrive during the start are handled once it is complete.
     AtomicReference<Node> started = new AtomicReference<>();
-    Set<String> early = ConcurrentHashMap.newKeySet();
+    Set<String> received = ConcurrentHashMap.newKeySet();
     for (String name : List.of("TERM", "INT", "HUP")) {
       Signal.handle(new Signal(name), s -> {
-        early.add(s.getName());
+        received.add(s.getName());
         Node node = started.get();
         if (node != null) {
-          node.signal(s.getName());
+          node.onSignal(s.getName());
         }
       });
     }
@@ -129,13 +132,13 @@
       return;
     }
     started.set(node);
-    List.copyOf(early).forEach(node::signal);
-    node.ended.await();
-    node.log.flush(LOG_FLUSH_MS);
+    List.copyOf(received).forEach(node::onSignal);
+    node.terminated.await();
+    node.log.flush(LOG_FLUSH_TIMEOUT_MS);
     System.exit(0);
   }
 
-  private void signal(String name) {
+  private void onSignal(String name) {
     if (name.equals("HUP")) {
       reload();
     } else {
@@ -143,123 +146,124 @@
     }
   }
 
-  /** Where clients connect. */
+  /** The address that clients connect to. */
   InetSocketAddress listening() {
     return listening;
   }
 
-  /** The one thread. */
+  /** The event loop that everything runs on. */
   EventLoop loop() {
     return loop;
   }
 
-  /** Requests that have not ended; disk servers that are remembered. */
+  /** Number of requests that have not ended. */
   int open() {
     return desk.open();
   }
 
-  int servers() {
+  /** Number of disk servers that are listed or have calls. */
+  int diskServerCount() {
     return desk.servers();
   }
 
-  private void news(EndpointUpdate n) {
-    desk.news(n);
-    ready();
+  private void onEndpointUpdate(EndpointUpdate update) {
+    desk.news(update);
+    markReady();
   }
 
-  private void ready() {
+  private void markReady() {
     if (!front.ready() && !stopping) {
       front.setReady();
       log.event("node.ready", "name", configuration.name());
     }
   }
 
-  /** Reads the file again and follows the discovery that it names; other changes need a restart. One at a
-   * time: each signal has a thread of its own, and what an older one had read could be taken on last. */
+  /** Reads the configuration file again and switches to its discovery address; other changes need a restart.
+   * Synchronized because each signal has its own thread, and an older configuration could be applied last. */
   synchronized void reload() {
     try {
       Configuration next = Configuration.read(environment);
-      loop.execute(() -> follow(next));
+      loop.execute(() -> applyConfiguration(next));
     } catch (IOException | RuntimeException e) {
       log.event("configuration.refused", "reason", e.getMessage());
     }
   }
 
-  private void follow(Configuration next) {
-    log.event("configuration.read", "discovery", next.discovery());
+  private void applyConfiguration(Configuration next) {
+    log.event("configuration.read", "discovery", next.discoveryAddress());
     if (!next.settings().equals(configuration.settings())) {
-      log.event("configuration.ignored", "reason", "settings change by a restart only");
+      log.event("configuration.ignored", "reason", "changed settings take effect only after a restart");
     }
-    if (!next.discovery().equals(followed)) {
-      followed = next.discovery();
-      discovery.follow(followed);
+    if (!next.discoveryAddress().equals(discoveryAddress)) {
+      discoveryAddress = next.discoveryAddress();
+      discovery.changeAddress(discoveryAddress);
     }
   }
 
-  /** Serves what comes for as long as the platform leaves, asks clients to go elsewhere, answers everything,
-   * then ends. */
+  /** Keeps serving for as long as the platform allows, then closes client connections, answers all open
+   * requests and ends the process. */
   void stop() {
     loop.execute(() -> {
       if (stopping) {
         return;
       }
       stopping = true;
-      long longest = configuration.settings()
+      long longestDeadlineUs = configuration.settings()
           .classes()
           .stream()
           .mapToLong(c -> c.deadlineUs())
           .max()
           .orElseThrow();
-      long answeredAfter = answeredAfterUs(longest);
+      long responseLimitUs = responseLimitAfterStopUs(longestDeadlineUs);
       log.event("node.stopping", "open", desk.open());
-      desk.stopping(clock.now() + answeredAfter);
-      loop.schedule(this::drain, drainsAfterUs(longest), TimeUnit.MICROSECONDS);
+      desk.stopping(clock.now() + responseLimitUs);
+      loop.schedule(this::drain, drainDelayUs(longestDeadlineUs), TimeUnit.MICROSECONDS);
     });
   }
 
-  /** Until when what comes after SIGTERM is answered, us from then; {@code longest} is the longest
-   * deadline. */
-  static long answeredAfterUs(long longest) {
-    return Math.min(longest, LONGEST_COUNTED_US) + ANSWERED_US;
+  /** Time from SIGTERM until every request must have been answered, us, for the longest deadline of the
+   * request classes, us. */
+  static long responseLimitAfterStopUs(long longestDeadlineUs) {
+    return Math.min(longestDeadlineUs, MAX_COUNTED_DEADLINE_US) + RESPONSE_GRACE_US;
   }
 
-  /** Until when clients are served on the connections that they keep, us from SIGTERM. */
-  static long drainsAfterUs(long longest) {
-    return answeredAfterUs(longest) - DRAIN_US;
+  /** Time from SIGTERM for which clients are served on their persistent connections, us. */
+  static long drainDelayUs(long longestDeadlineUs) {
+    return responseLimitAfterStopUs(longestDeadlineUs) - DRAIN_LEAD_US;
   }
 
-  /** Goes to the last part of the end at once: nothing more is taken. */
+  /** Starts the final drain immediately: no more requests are accepted. */
   void drainNow() {
     loop.execute(this::drain);
   }
 
-  /** Connections of clients. */
+  /** Number of open client connections. */
   int connections() {
     return front.connections();
   }
 
   private void drain() {
     front.drain();
-    loop.scheduleAtFixedRate(log.guarded(this::endIfDone), 0, 10, TimeUnit.MILLISECONDS);
+    loop.scheduleAtFixedRate(log.guarded(this::terminateIfDrained), 0, 10, TimeUnit.MILLISECONDS);
   }
 
-  private void endIfDone() {
+  private void terminateIfDrained() {
     if (front.endIfDone()) {
       log.event("node.ended", "open", desk.open());
-      ended.countDown();
+      terminated.countDown();
     }
   }
 
-  /** Ends at once, as a kill would. */
+  /** Ends immediately, as if killed. */
   @Override
   public void close() {
     group.shutdownGracefully(0, 1000, TimeUnit.MILLISECONDS).syncUninterruptibly();
     log.close();
-    ended.countDown();
+    terminated.countDown();
   }
 
-  /** Returns once it has ended. */
+  /** Waits until the process has ended; returns false if it has not within {@code ms}. */
   boolean awaitEnd(long ms) throws InterruptedException {
-    return ended.await(ms, TimeUnit.MILLISECONDS);
+    return terminated.await(ms, TimeUnit.MILLISECONDS);
   }
 }
--- /dev/null
+++ b/src/main/java/hollyslip/platform/StrictResponseDecoder.java
@@ -0,0 +1,55 @@
+package hollyslip.platform;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.handler.codec.http.HttpMessage;
+import io.netty.handler.codec.http.HttpResponseDecoder;
+import io.netty.handler.codec.http.LastHttpContent;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+
+/** Netty's response decoder behind {@link HeadCheck}: a response that violates the HTTP standard ends in an
+ * exception. */
+final class StrictResponseDecoder extends HttpResponseDecoder {
+  private static final byte[] STATUS_LINE_START = "HTTP/1.1 ".getBytes(StandardCharsets.US_ASCII);
+
+  private final HeadCheck headCheck = new HeadCheck();
+  private boolean expectsHead = true;
+
+  StrictResponseDecoder() {
+    super(Http.strict());
+  }
+
+  @Override
+  protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
+    if (expectsHead) {
+      checkStatusLineStart(in);
+      if (!in.isReadable() || headCheck.whole(in) < 0) {
+        return;
+      }
+      expectsHead = false;
+    }
+    int before = out.size();
+    super.decode(ctx, in, out);
+    expectsHead = out.size() > before && out.get(out.size() - 1) instanceof LastHttpContent;
+  }
+
+  /** Rejects other protocols at their first bytes, instead of waiting for the end of a head. */
+  private static void checkStatusLineStart(ByteBuf in) {
+    for (int i = 0; i < Math.min(STATUS_LINE_START.length, in.readableBytes()); i++) {
+      if (in.getByte(in.readerIndex() + i) != STATUS_LINE_START[i]) {
+        throw new IllegalArgumentException("response does not start with an HTTP/1.1 status line");
+      }
+    }
+  }
+
+  @Override
+  protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
+    Http.refuseBoth();
+  }
+
+  /** Number of bytes received that do not belong to a decoded response. */
+  int unreadBytes() {
+    return actualReadableBytes();
+  }
+}
--- a/src/main/java/hollyslip/platform/Trace.java
+++ b/src/main/java/hollyslip/platform/Trace.java
@@ -9,17 +9,17 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** A line a second and disk server: what the module believes beside what the connections saw. Off unless
- * {@code HOLLYSLIP_TRACE} is set; then it costs some us a second. */
+/** Prints one line per second and disk server that compares the scheduler's state with what was measured on
+ * the connections. Off unless {@code HOLLYSLIP_TRACE} is set; then it costs some us per second. */
 final class Trace {
   private final PrintStream out;
-  private final Map<Long, Seen> seen = new HashMap<>();
+  private final Map<Long, Counters> countersByServer = new HashMap<>();
 
-  /** What passed on the connections to one disk server since the last line. */
-  private static final class Seen {
+  /** Counts of attempts at one disk server since its last line. */
+  private static final class Counters {
     int started, answered;
-    long tookUs;
-    final Map<Result, Integer> ends = new EnumMap<>(Result.class);
+    long totalTimeUs;
+    final Map<Result, Integer> results = new EnumMap<>(Result.class);
   }
 
   Trace(PrintStream out) {
@@ -27,31 +27,33 @@
   }
 
   void started(long server) {
-    seen.computeIfAbsent(server, k -> new Seen()).started++;
+    countersByServer.computeIfAbsent(server, k -> new Counters()).started++;
   }
 
   void ended(long server, Result result, long tookUs) {
-    Seen s = seen.computeIfAbsent(server, k -> new Seen());
-    s.ends.merge(result, 1, Integer::sum);
+    Counters counters = countersByServer.computeIfAbsent(server, k -> new Counters());
+    counters.results.merge(result, 1, Integer::sum);
     if (result == Result.OK) {
-      s.answered++;
-      s.tookUs += tookUs;
+      counters.answered++;
+      counters.totalTimeUs += tookUs;
     }
   }
 
-  /** Writes the lines and begins anew. */
-  void lines(Choice module, Map<Long, DiskServer> servers) {
-    for (Belief b : Belief.of(module)) {
-      DiskServer server = servers.get(b.node());
-      Seen s = seen.getOrDefault(b.node(), new Seen());
+  /** Writes the lines and resets the counters. */
+  void writeLines(Choice scheduler, Map<Long, DiskServer> servers) {
+    for (Belief belief : Belief.of(scheduler)) {
+      DiskServer server = servers.get(belief.node());
+      Counters counters = countersByServer.getOrDefault(belief.node(), new Counters());
       out.printf(Locale.ROOT,
           "trace %s %s out %d of %.1f held %d expects %.1f ms%s%s | calls %d idle %d started %d answered %d mean %.1f ms %s%n",
-          server == null ? "?" : server.host, b.state(), b.out(), b.window(), b.held(), b.expectedUs() / 1e3,
-          b.silent() ? " silent" : "", b.cold() ? " cold" : "", server == null ? 0 : server.calls,
-          server == null ? 0 : server.idle.size(), s.started, s.answered, s.answered == 0
+          server == null ? "?" : server.host, belief.state(), belief.out(), belief.window(), belief.held(),
+          belief.expectedUs() / 1e3,
+          belief.silent() ? " silent" : "", belief.cold() ? " cold" : "", server == null ? 0 : server.calls,
+          server == null ? 0 : server.idleConnections.size(), counters.started, counters.answered,
+          counters.answered == 0
               ? 0
-              : s.tookUs / 1e3 / s.answered, s.ends);
+              : counters.totalTimeUs / 1e3 / counters.answered, counters.results);
     }
-    seen.clear();
+    countersByServer.clear();
   }
 }
--- a/src/test/java/hollyslip/platform/LogTest.java
+++ b/src/test/java/hollyslip/platform/EventLogTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(30)
-class LogTest {
+class EventLogTest {
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
   private List<String> lines(Log log) throws InterruptedException {
@@ -21,9 +21,9 @@
   }
 
   @Test
-  void aReaderThatStandsStillHoldsNobodyUp() {
+  void blockedReaderDoesNotBlockLogging() {
     CountDownLatch never = new CountDownLatch(1);
-    OutputStream full = new OutputStream() {
+    OutputStream blocked = new OutputStream() {
       @Override
       public void write(int b) {
         try {
@@ -33,7 +33,7 @@
         }
       }
     };
-    try (Log log = new Log(new PrintStream(full, true))) {
+    try (Log log = new Log(new PrintStream(blocked, true))) {
       for (int i = 0; i < 100_000; i++) {
         log.event("event" + i % 100, "n", i);
       }
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void aFloodOfOneNameIsCountedAndLeavesRoomForOthers() throws InterruptedException {
+  void floodOfOneNameIsSuppressedAndCountedWithoutAffectingOthers() throws InterruptedException {
     try (Log log = new Log(new PrintStream(bytes, true))) {
       for (int i = 0; i < 1000; i++) {
         log.event("flood", "n", i);
@@ -51,14 +51,14 @@
       log.event("flood", "n", "last");
       List<String> lines = lines(log);
       long floods = lines.stream().filter(l -> l.contains(" flood ")).count();
-      assertTrue(floods >= Log.BURST && floods <= Log.BURST + 10, "" + floods);
+      assertTrue(floods >= Log.BURST_LINES && floods <= Log.BURST_LINES + 10, "" + floods);
       assertTrue(lines.stream().anyMatch(l -> l.contains(" other n=1")));
       assertTrue(lines.get(lines.size() - 1).matches(".* flood n=last left_out=9[0-9]{2}"), lines::toString);
     }
   }
 
   @Test
-  void aValueCannotForgeALineOrAField() throws InterruptedException {
+  void valueCannotForgeLineOrField() throws InterruptedException {
     try (Log log = new Log(new PrintStream(bytes, true))) {
       log.event("event", "reason", "a\nb c=\"d\"", "id", 7);
       List<String> lines = lines(log);
