--- a/src/main/java/hollyslip/AttemptBudget.java
+++ b/src/main/java/hollyslip/AttemptBudget.java
@@ -16,17 +16,17 @@
   }
 
   /** Adds the share of further attempts that these requests allow. */
-  void took(int requests) {
+  void requestsTaken(int requests) {
     available = Math.min(rules.budgetFree(), available + requests * rules.budgetShare());
   }
 
   /** Subtracts further attempts that were made. */
-  void spend(int attempts) {
+  void retriesMade(int attempts) {
     available -= rules.budgetWindowUs() > 0 ? attempts : 0;
   }
 
   /** Whether one more attempt beyond a request's first may be made. */
-  boolean allows() {
+  boolean allowsRetry() {
     return rules.budgetWindowUs() <= 0 || available >= 1;
   }
 }
--- a/src/main/java/hollyslip/Belief.java
+++ b/src/main/java/hollyslip/Belief.java
@@ -4,18 +4,18 @@
 
 /** A read-only view of what the scheduler knows of one node, to be traced beside what its connections see.
  *
- * @param out
+ * @param inFlight
  *          attempts in flight that count against the window
- * @param held
+ * @param queued
  *          requests queued for the node
  * @param window
  *          attempts that may be in flight
- * @param expectedUs
+ * @param expectedLatencyUs
  *          expected latency of a request sent now
- * @param silent
+ * @param unresponsive
  *          the last attempts had no answer */
-public record Belief(long node, HostScheduler.NodeState state, int out, int held, double window,
-    double expectedUs, boolean silent, boolean cold) {
+public record Belief(long node, HostScheduler.NodeState state, int inFlight, int queued, double window,
+    double expectedLatencyUs, boolean unresponsive, boolean cold) {
 
   /** One for each node that the scheduler knows, by node number. */
   public static List<Belief> of(Choice choice) {
--- a/src/main/java/hollyslip/Choice.java
+++ b/src/main/java/hollyslip/Choice.java
@@ -7,17 +7,17 @@
  * Its events and actions are declared in {@link HostScheduler}; read that first.
  *
  * <p>
- * Each request waits in the queue of its {@link Volume} at its {@link Node}. Each period, a node's
- * token rate is divided among the active volumes (initial allocation), unused tokens are lent
- * (redistribution) and reclaimed (re-compensation). Queued requests are sent as the node's window has room:
- * the most valuable first, and among equals the one whose volume has had tokens for the longest time. */
+ * Each request waits in the queue of its {@link Volume} at its {@link Node}. Each period, a node's token rate
+ * is divided among the active volumes (initial allocation), unused tokens are lent (redistribution) and
+ * reclaimed (re-compensation). Queued requests are sent as the node's window has room: the most valuable
+ * first, and among equals the one whose volume has had tokens for the longest time. */
 public final class Choice implements HostScheduler {
   /** Allocation period, in microseconds: the 100 ms of the specification. */
   static final long ALLOCATION_PERIOD_US = 100_000;
 
   /** Initial and maximum window of a node, in requests: a few to begin with, and the maximum that the design
    * specifies. */
-  static final double WINDOW_START = 4, MAX_WINDOW = 32;
+  static final double INITIAL_WINDOW = 4, MAX_WINDOW = 32;
 
   /** The window widens while latency is below the first multiple of the baseline and narrows above the
    * second. In between it stays as it is, so that noise does not move it. */
@@ -33,9 +33,9 @@
   static final double NARROW_FACTOR = 0.85;
 
   /** The latency estimate of a node decays toward the baseline over this many mean gaps between this host's
-   * requests to it, within these bounds in microseconds. A host that contributes much of the node's
-   * queue tries again soon, one host of a hundred only now and then, so that together they do not fill the
-   * queue by trying. */
+   * requests to it, within these bounds in microseconds. A host that contributes much of the node's queue
+   * tries again soon, one host of a hundred only now and then, so that together they do not fill the queue by
+   * trying. */
   static final double DECAY_GAPS = 6, MIN_DECAY_US = 250_000, MAX_DECAY_US = 2_000_000;
 
   /** Factors by which an answer of any node that is faster or slower than the baseline latency moves it; in
@@ -51,20 +51,20 @@
   /** When an attempt that may be repeated times out. The latest time is {@link #LATE_TIMEOUT_AIMS} of the
    * aim's length after the aim: a node that drops it then loses only work of little value. A first attempt
    * times out {@link #RETRY_RESERVE_LATENCIES} expected latencies before the aim, but not before
-   * {@link #SURELY_LOST} expected latencies have passed: it is then presumed lost, and a second
+   * {@link #MIN_TIMEOUT_LATENCIES} expected latencies have passed: it is then presumed lost, and a second
    * attempt may still be in time. Drawback: a late answer is missed and work is done twice. */
-  static final double LATE_TIMEOUT_AIMS = 0.5, RETRY_RESERVE_LATENCIES = 2, SURELY_LOST = 6;
+  static final double LATE_TIMEOUT_AIMS = 0.5, RETRY_RESERVE_LATENCIES = 2, MIN_TIMEOUT_LATENCIES = 6;
 
   /** Weight of one more missing answer in {@link #lostAnswerRatio}, and minimum weight of a new sample in the
    * latency estimate, which then covers about the last ten answers of a node in frequent use. */
   static final double LOST_ANSWER_GAIN = 0.2, MIN_LATENCY_GAIN = 0.1;
 
   /** Baseline latency before the first answer, in microseconds: that of a disk request. */
-  static final double LATENCY_GUESS = 40_000;
+  static final double INITIAL_LATENCY_US = 40_000;
 
   /** Depth of a bucket in requests of mean size, as in the paper, and the fraction of an idle volume's record
    * that is kept each period. */
-  static final double BUCKET_DEPTH_REQUESTS = 3, RECORD_KEEP = 0.98;
+  static final double BUCKET_DEPTH_REQUESTS = 3, RECORD_DECAY = 0.98;
 
   /** Time without requests after which a volume is forgotten at a node, in microseconds; longer than load
    * surges last. */
@@ -85,7 +85,7 @@
 
   /** Safety margin on the deduplication window of a keyed class, in microseconds; longer than a message is in
    * transit. */
-  static final long KEYED_MARGIN = 20_000;
+  static final long DEDUP_WINDOW_MARGIN_US = 20_000;
 
   private final Settings settings;
   private final Map<String, RequestClass> classes = new HashMap<>();
@@ -109,7 +109,7 @@
   private final double shortestAimUs, maxWorth;
   private Consumer<Action> actionSink;
   private double maxValue;
-  private double baselineLatency = LATENCY_GUESS;
+  private double baselineLatency = INITIAL_LATENCY_US;
   /** Share of missing answers, of any node, that were merely lost, as the node's next answer came soon; a
    * moving average. */
   private double lostAnswerRatio;
@@ -191,10 +191,10 @@
         return true;
       }
       if (requestClass.effect() == Effect.UNSAFE
-          || now > possibleRunAt + requestClass.windowUs() - KEYED_MARGIN) {
+          || now > possibleRunAt + requestClass.dedupWindowUs() - DEDUP_WINDOW_MARGIN_US) {
         return false;
       }
-      return switch (requestClass.group()) {
+      return switch (requestClass.dedupScope()) {
         case ALL -> true;
         case ZONE -> target.zone.equals(possibleRunNode.zone);
         case CELL -> target.cell == possibleRunNode.cell;
@@ -204,7 +204,7 @@
     /** Whether the client may be told that a retry does no harm (rule 2). */
     boolean mayRefuse() {
       return possibleRunNode == null || requestClass.effect() == Effect.SAFE
-          || requestClass.effect() == Effect.KEYED && requestClass.group() == Group.ALL;
+          || requestClass.effect() == Effect.KEYED && requestClass.dedupScope() == Group.ALL;
     }
   }
 
@@ -218,23 +218,23 @@
     final Map<QueueKey, TreeMap<AimKey, PendingRequest>> queues = new LinkedHashMap<>();
     long filledAt, lastRequestAt, decayedPeriods;
     /** Whether the volume has had an allocation at this node. */
-    boolean known;
+    boolean allocatedBefore;
     /** Tokens in the bucket, their rate per microsecond, units requested in the current period, and the
      * record (equation 8): tokens that this volume has lent, or owes if negative. */
-    double tokens, rate, asked, record;
+    double tokens, rate, requestedUnits, record;
     /** The paper's quantities: p (share of the tokens) and alpha (allocation), equations 1 and 2; u
      * (utilisation), d (demand), tokens lent on balance and DF (distribution factor), equations 3 to 8; and
      * alpha of the previous allocation. */
-    double p, u, demand, alpha, lent, distributionFactor, lastAlpha;
+    double tokenShare, utilisation, demand, allocation, lent, distributionFactor, lastAllocation;
 
     Volume(double weight, double bucketDepth, long now) {
       this.bucketDepth = bucketDepth;
-      share(weight, 0, weight);
+      setWeights(weight, 0, weight);
       tokens = bucketDepth;
       filledAt = now;
     }
 
-    final void share(double newWeight, long newGroup, double newGroupWeight) {
+    final void setWeights(double newWeight, long newGroup, double newGroupWeight) {
       weight = newWeight;
       group = newGroup;
       groupWeight = newGroup == 0 ? newWeight : newGroupWeight;
@@ -251,8 +251,8 @@
     }
 
     /** Ages the record of an idle volume by the periods that it missed. */
-    void fade(long periods) {
-      record *= periods > decayedPeriods ? Math.pow(RECORD_KEEP, periods - decayedPeriods) : 1;
+    void decayRecord(long periods) {
+      record *= periods > decayedPeriods ? Math.pow(RECORD_DECAY, periods - decayedPeriods) : 1;
       decayedPeriods = Math.max(decayedPeriods, periods);
     }
 
@@ -277,7 +277,7 @@
     NodeState state = NodeState.GONE;
     /** Start time as this host assumes it, and as last listed; the first may be later. */
     long startedAt, listedStartedAt;
-    double window = WINDOW_START;
+    double window = INITIAL_WINDOW;
     /** What this host may send while the node is cold: half of the safe units at once, half over the window
      * of the rule. */
     TokenBucket coldBudget;
@@ -301,7 +301,7 @@
       startedAt = startedAtUs;
       double half = settings.store().coldUnits() / 2;
       coldBudget = new TokenBucket(half * 1e6 / Math.max(1, settings.rules().fallUs()), half, 0, now);
-      window = WINDOW_START;
+      window = INITIAL_WINDOW;
       latencyEstimate = baselineLatency;
       connectFailures = 0;
     }
@@ -439,7 +439,7 @@
         volumes.put(pending.request.volume(), volume);
         VolumeChanged terms = volumeTerms.get(pending.request.volume());
         if (terms != null) {
-          volume.share(terms.plan().weight(), terms.group(), terms.groupWeight());
+          volume.setWeights(terms.plan().weight(), terms.group(), terms.groupWeight());
         }
       }
       return volume;
@@ -447,14 +447,14 @@
 
     /** Scales a volume's record (equation 8). Records are mutual claims, so the volumes with a record of the
      * other sign take the difference in proportion. Drawback: a volume that had lent loses its claim. */
-    void settle(Volume volume, double factor) {
-      volume.fade(periodCount);
+    void rescaleRecord(Volume volume, double factor) {
+      volume.decayRecord(periodCount);
       double record = volume.record * factor;
       double difference = record - volume.record;
       boolean borrower = volume.record < 0;
       double counterpartSum = 0;
       for (Volume other : volumes.values()) {
-        other.fade(periodCount);
+        other.decayRecord(periodCount);
         counterpartSum += other != volume && other.record < 0 != borrower ? Math.abs(other.record) : 0;
       }
       double correction = counterpartSum > 0 ? Math.max(-1, -Math.abs(difference) / counterpartSum) : 0;
@@ -501,7 +501,7 @@
       activeVolumes.clear();
       for (Volume volume : active) {
         volume.refill(now);
-        volume.fade(periodCount);
+        volume.decayRecord(periodCount);
         volume.decayedPeriods++;
       }
       periodCount++;
@@ -512,10 +512,10 @@
       redistribution(active);
       recompensation(active);
       for (Volume volume : active) {
-        volume.lastAlpha = volume.alpha;
-        volume.known = true;
-        volume.rate = volume.alpha / ALLOCATION_PERIOD_US;
-        volume.asked = 0;
+        volume.lastAllocation = volume.allocation;
+        volume.allocatedBefore = true;
+        volume.rate = volume.allocation / ALLOCATION_PERIOD_US;
+        volume.requestedUnits = 0;
       }
     }
   }
@@ -532,9 +532,9 @@
     }
     for (Volume volume : active) {
       double groupShare = volume.group == 0 ? 1 : volume.weight / weightByGroup.get(volume.group);
-      volume.p = weightSum > 0 ? volume.groupWeight * groupShare / weightSum : 1.0 / active.size();
-      volume.alpha = tokens * volume.p;
-      volume.demand = volume.asked;
+      volume.tokenShare = weightSum > 0 ? volume.groupWeight * groupShare / weightSum : 1.0 / active.size();
+      volume.allocation = tokens * volume.tokenShare;
+      volume.demand = volume.requestedUnits;
     }
   }
 
@@ -542,16 +542,21 @@
   static void redistribution(List<Volume> active) {
     double pool = 0, factorSum = 0;
     for (Volume volume : active) {
-      volume.u = !volume.known ? 1 : volume.lastAlpha > 0 ? volume.demand / volume.lastAlpha
-          : Math.max(1, volume.demand);
-      volume.lent = Math.max(0, volume.alpha - volume.demand);
-      volume.distributionFactor = volume.u > 1 ? volume.u + volume.u * volume.p : volume.u * volume.p;
+      volume.utilisation = !volume.allocatedBefore
+          ? 1
+          : volume.lastAllocation > 0
+              ? volume.demand / volume.lastAllocation
+              : Math.max(1, volume.demand);
+      volume.lent = Math.max(0, volume.allocation - volume.demand);
+      volume.distributionFactor = volume.utilisation > 1
+          ? volume.utilisation + volume.utilisation * volume.tokenShare
+          : volume.utilisation * volume.tokenShare;
       pool += volume.lent;
       factorSum += volume.distributionFactor;
     }
     for (Volume volume : active) {
       double received = factorSum > 0 ? volume.distributionFactor / factorSum * pool : volume.lent;
-      volume.alpha += received - volume.lent;
+      volume.allocation += received - volume.lent;
       volume.lent -= received;
       volume.record += volume.lent;
     }
@@ -563,8 +568,9 @@
     double reclaimFactor = 0, factorSum = 0;
     for (Volume volume : active) {
       if (isLender(volume)) {
-        double futureUtilisation = volume.alpha > 0 ? volume.demand / volume.alpha : 1;
-        reclaimFactor += volume.p * (Math.max(1, volume.u) + Math.max(0, 1 - futureUtilisation)) / 2;
+        double futureUtilisation = volume.allocation > 0 ? volume.demand / volume.allocation : 1;
+        reclaimFactor += volume.tokenShare * (Math.max(1, volume.utilisation) + Math.max(0, 1
+            - futureUtilisation)) / 2;
         factorSum += volume.distributionFactor;
       }
     }
@@ -575,9 +581,9 @@
     for (Volume volume : active) {
       double recordBefore = volume.record - volume.lent;
       if (recordBefore < 0 && volume.record < 0) {
-        double reclaimed = Math.min(volume.alpha,
-            Math.min(-recordBefore, Math.floor(reclaimFactor * volume.alpha)));
-        volume.alpha -= reclaimed;
+        double reclaimed = Math.min(volume.allocation,
+            Math.min(-recordBefore, Math.floor(reclaimFactor * volume.allocation)));
+        volume.allocation -= reclaimed;
         volume.record += reclaimed;
         pool += reclaimed;
       }
@@ -585,7 +591,7 @@
     for (Volume volume : active) {
       if (isLender(volume)) {
         double received = volume.distributionFactor / factorSum * pool;
-        volume.alpha += received;
+        volume.allocation += received;
         volume.lent -= received;
         volume.record -= received;
       }
@@ -670,8 +676,8 @@
       Volume volume = node.volumes.get(change.volume());
       if (volume != null) {
         double before = volume.nominalWeight();
-        volume.share(plan.weight(), change.group(), change.groupWeight());
-        node.settle(volume, before > 0 ? volume.nominalWeight() / before : 1);
+        volume.setWeights(plan.weight(), change.group(), change.groupWeight());
+        node.rescaleRecord(volume, before > 0 ? volume.nominalWeight() / before : 1);
       }
     }
   }
@@ -688,14 +694,14 @@
     for (Node node : nodes.values()) {
       Volume queue = node.volumes.get(volume);
       if (queue != null) {
-        node.settle(queue, 0);
+        node.rescaleRecord(queue, 0);
         node.activeVolumes.remove(node.volumes.remove(volume));
       }
     }
   }
 
   private double reserveDepth(Plan plan, int hosts) {
-    return plan.reserve() / hosts + settings.store().mostUnits();
+    return plan.reserve() / hosts + settings.store().maxUnits();
   }
 
   /** Ends every event: gives the answers that are due, ends the period, dispatches, and sets the timer for
@@ -752,20 +758,21 @@
     for (Listed entry : list.nodes()) {
       listed.put(entry.node(), entry);
       Node node = nodes.computeIfAbsent(entry.node(), k -> new Node(entry));
-      if (entry.bornUs() > 0 && entry.bornUs() != node.listedStartedAt) {
-        node.resetForRestart(entry.bornUs());
+      if (entry.startedAtUs() > 0 && entry.startedAtUs() != node.listedStartedAt) {
+        node.resetForRestart(entry.startedAtUs());
       }
-      node.listedStartedAt = entry.bornUs();
+      node.listedStartedAt = entry.startedAtUs();
       node.state = entry.state();
     }
     for (Node node : nodes.values()) {
-      if (list.whole() && !listed.containsKey(node.id)) {
+      if (list.complete() && !listed.containsKey(node.id)) {
         node.state = NodeState.GONE;
       }
       if (node.state != NodeState.ON && node.queued > 0) {
         List<PendingRequest> moved = new ArrayList<>();
-        node.volumes.values().forEach(volume -> volume.queues.values()
-            .forEach(queue -> moved.addAll(queue.values())));
+        node.volumes.values()
+            .forEach(volume -> volume.queues.values()
+                .forEach(queue -> moved.addAll(queue.values())));
         moved.forEach(node::dequeue);
         moved.forEach(pending -> unplaced.put(pending.sequence, pending));
       }
@@ -777,7 +784,7 @@
   }
 
   private void acceptRequest(Request request) {
-    retryBudget.took(request.clientRetry() ? 0 : 1);
+    retryBudget.requestsTaken(request.clientRetry() ? 0 : 1);
     RequestClass requestClass = classes.get(request.className());
     VolumeChanged ownTerms = volumeTerms.get(request.volume());
     Plan plan = ownTerms != null ? ownTerms.plan() : plans.get(request.plan());
@@ -811,7 +818,7 @@
     assignNode(pending);
     if (pending.node != null) {
       Volume volume = pending.volumeQueue;
-      volume.asked += request.units();
+      volume.requestedUnits += request.units();
       pending.node.activeVolumes.add(volume);
       pending.node.meanRequestGap += MIN_LATENCY_GAIN
           * (Math.min(MAX_DECAY_US, now - pending.node.lastRequestAt) - pending.node.meanRequestGap);
@@ -889,7 +896,7 @@
    * they are worth more. */
   private PendingRequest firstSendable(Node node, QueueKey key, TreeMap<AimKey, PendingRequest> queue) {
     PendingRequest first = queue.firstEntry().getValue();
-    if (key.retry && !retryBudget.allows() || first.limit != null && !key.charged
+    if (key.retry && !retryBudget.allowsRetry() || first.limit != null && !key.charged
         && !first.limit.hasTokens(key.units, now)) {
       return null;
     }
@@ -917,7 +924,8 @@
    * since which it has them; the others by weight; within a volume by aim; then by arrival. */
   private boolean precedes(Volume volumeA, PendingRequest pendingA, Volume volumeB, PendingRequest pendingB) {
     if (volumeA == volumeB) {
-      return pendingA.aimAt != pendingB.aimAt ? pendingA.aimAt < pendingB.aimAt
+      return pendingA.aimAt != pendingB.aimAt
+          ? pendingA.aimAt < pendingB.aimAt
           : pendingA.sequence < pendingB.sequence;
     }
     double availableA = volumeA.tokensAvailableAt(pendingA.request.units()),
@@ -944,7 +952,8 @@
 
   /** Value of one unit of a request if it is sent now, relative to the highest possible value. */
   private double valuePerUnit(Node node, PendingRequest pending) {
-    double reserved = pending.charged || pending.reserve.hasTokens(pending.request.units(), now) ? 1
+    double reserved = pending.charged || pending.reserve.hasTokens(pending.request.units(), now)
+        ? 1
         : settings.store().shareWorth();
     return pending.requestClass.worth() * pending.plan.price() / maxValue * reserved
         * (isLate(node, pending) ? pending.requestClass.lateWorth() : 1);
@@ -974,7 +983,7 @@
     Volume volume = pending.volumeQueue;
     volume.refill(now);
     volume.tokens -= pending.request.units();
-    retryBudget.spend(pending.attempts > 0 ? 1 : 0);
+    retryBudget.retriesMade(pending.attempts > 0 ? 1 : 0);
     if (pending.limit != null && !pending.charged) {
       pending.limit.add(-pending.request.units());
     }
@@ -998,12 +1007,13 @@
     double latency = node.selectionLatency + Math.max(0, sizeLatency(pending)),
         lateTimeout = pending.aimAt + LATE_TIMEOUT_AIMS * pending.requestClass.aimUs();
     double retryTimeout = Math.max(pending.aimAt - RETRY_RESERVE_LATENCIES * latency,
-        now + SURELY_LOST * latency);
-    long timeoutAt = (long) (pending.attempts > 1 || !retryBudget.allows() ? lateTimeout
+        now + MIN_TIMEOUT_LATENCIES * latency);
+    long timeoutAt = (long) (pending.attempts > 1 || !retryBudget.allowsRetry()
+        ? lateTimeout
         : Math.min(lateTimeout, retryTimeout));
     // Opening a connection takes time: a keyed retry starts within the deduplication window or not at all.
     long startBy = pending.attempts > 1 && pending.requestClass.effect() == Effect.KEYED
-        ? pending.possibleRunAt + pending.requestClass.windowUs() - KEYED_MARGIN
+        ? pending.possibleRunAt + pending.requestClass.dedupWindowUs() - DEDUP_WINDOW_MARGIN_US
         : Long.MAX_VALUE;
     actionSink.accept(new Send(pending.request.id(), node.id, now < pending.aimAt
         && pending.mayAttemptOn(node, timeoutAt) ? timeoutAt : 0, startBy));
@@ -1020,7 +1030,8 @@
       node.inFlight.remove(pending);
       node.countedInFlight -= pending.overdue ? 0 : 1;
       node.lastAnsweredSentAt = Math.max(node.lastAnsweredSentAt, ended.result() == Result.OK
-          ? pending.sentAt : Long.MIN_VALUE);
+          ? pending.sentAt
+          : Long.MIN_VALUE);
       updateNodeHealth(node, pending, ended);
     }
     if (!ended.result().provesNotRun()) {
@@ -1078,7 +1089,8 @@
     long retryAfterUs = advised
         ? Math.min(settings.allowed().maxRetryAfterUs(), (long) pending.node.expectedLatency())
         : 0;
-    actionSink.accept(pending.mayRefuse() ? new Refuse(pending.request.id(), retryAfterUs)
+    actionSink.accept(pending.mayRefuse()
+        ? new Refuse(pending.request.id(), retryAfterUs)
         : new Fail(pending.request.id()));
     finish(pending);
   }
--- a/src/main/java/hollyslip/HostScheduler.java
+++ b/src/main/java/hollyslip/HostScheduler.java
@@ -47,19 +47,20 @@
 
   /** A class of requests.
    *
-   * @param windowUs
+   * @param dedupWindowUs
    *          how long repeats of a keyed request are dropped
    * @param lateWorth
    *          part of the worth that remains after the aim
    * @param inOrder
    *          requests with the same key run one at a time, in order of arrival */
-  record RequestClass(String name, Effect effect, Group group, long windowUs, long aimUs, long deadlineUs,
+  record RequestClass(String name, Effect effect, Group dedupScope, long dedupWindowUs, long aimUs,
+      long deadlineUs,
       double worth, double lateWorth, boolean inOrder, boolean write) {
     public RequestClass {
       requirePresent(name, "class.name");
       requirePresent(effect, "class.effect");
-      requirePresent(group, "class.group");
-      requireAtLeast(windowUs, 0, "class.windowUs");
+      requirePresent(dedupScope, "class.group");
+      requireAtLeast(dedupWindowUs, 0, "class.windowUs");
       requireAtLeast(aimUs, 1, "class.aimUs");
       requireAtLeast(deadlineUs, 1, "class.deadlineUs");
       requireAtLeast(worth, 0, "class.worth");
@@ -122,13 +123,13 @@
   /** Properties of the store as a whole. {@code coldUnits}: units within {@code fallUs} that a cold node can
    * always serve; 0: unknown. {@code shareWorth}: relative worth of a unit beyond the volume's reserve.
    * {@code meterUs} 0: volume use is not metered. */
-  record Store(double meanUnits, int mostUnits, double coldUnits, double shareWorth, double spareWorth,
-      long meterUs, boolean tellsElsewhere) {
+  record Store(double meanUnits, int maxUnits, double coldUnits, double shareWorth, double spareWorth,
+      long meterUs, boolean reportsServedElsewhere) {
     public Store {
       if (!(meanUnits > 0) || Double.isInfinite(meanUnits)) {
         throw new IllegalArgumentException("store.meanUnits: must be above 0, not " + meanUnits);
       }
-      requireAtLeast(mostUnits, 1, "store.mostUnits");
+      requireAtLeast(maxUnits, 1, "store.mostUnits");
       requireAtLeast(coldUnits, 0, "store.coldUnits");
       requireAtLeast(shareWorth, 0, "store.shareWorth");
       requireAtLeast(spareWorth, 0, "store.spareWorth");
@@ -171,7 +172,7 @@
   }
 
   /** One entry of the node list, with the node's start time; 0: long ago. */
-  record Listed(long node, String zone, int cell, NodeState state, long bornUs) {
+  record Listed(long node, String zone, int cell, NodeState state, long startedAtUs) {
     public Listed {
       requirePresent(zone, "listed.zone");
       requirePresent(state, "listed.state");
@@ -183,7 +184,7 @@
       ResponseStarted, VolumeChanged, VolumeRemoved, Stopping {}
 
   /** The node list, whole or only the entries that changed. With the whole list, nodes not in it are gone. */
-  record NodeList(boolean whole, List<Listed> nodes) implements Event {
+  record NodeList(boolean complete, List<Listed> nodes) implements Event {
     public NodeList {
       nodes = List.copyOf(nodes);
     }
@@ -266,9 +267,9 @@
 
   /** Final answer: the request was not served, and a retry by the client does no harm.
    *
-   * @param retryInUs
+   * @param retryAfterUs
    *          advised delay of the retry; 0: no advice */
-  record Refuse(long request, long retryInUs) implements Action {}
+  record Refuse(long request, long retryAfterUs) implements Action {}
 
   /** Final answer: the request failed, and may have taken effect. */
   record Fail(long request) implements Action {}
--- a/src/main/java/hollyslip/WireHost.java
+++ b/src/main/java/hollyslip/WireHost.java
@@ -233,8 +233,8 @@
     } else if (action instanceof HostScheduler.Refuse refuse) {
       startLine("SAY_NO", name);
       out.writeNumberField("opId", refuse.request());
-      if (refuse.retryInUs() > 0) {
-        out.writeNumberField("retryIn", refuse.retryInUs() / 1e6);
+      if (refuse.retryAfterUs() > 0) {
+        out.writeNumberField("retryIn", refuse.retryAfterUs() / 1e6);
       }
     } else if (action instanceof HostScheduler.Fail fail) {
       startLine("END_FAILED", name);
--- a/src/main/java/hollyslip/WireSettings.java
+++ b/src/main/java/hollyslip/WireSettings.java
@@ -50,12 +50,12 @@
         new Store(extra.path("unitMean").asDouble(1), extra.path("mostUnits").asInt(1), extra.path(
             "coldBears").asDouble(), extra.path("fairWorth").asDouble(), extra.path("idleWorth").asDouble(),
             micros(extra.path("meter")), extra.path("tellsElsewhere").asBoolean()), switch (json.path("stats")
-                    .path("how")
-                    .asText()) {
-                  case "answers" -> ReportSource.ANSWERS;
-                  case "probe" -> ReportSource.PROBE;
-                  default -> ReportSource.NONE;
-                }, fields);
+                .path("how")
+                .asText()) {
+              case "answers" -> ReportSource.ANSWERS;
+              case "probe" -> ReportSource.PROBE;
+              default -> ReportSource.NONE;
+            }, fields);
   }
 
   private static RequestClass requestClass(JsonNode json, JsonNode write) {
--- a/src/main/java/hollyslip/emulator/Caller.java
+++ b/src/main/java/hollyslip/emulator/Caller.java
@@ -52,12 +52,12 @@
       this.offset = offset;
       this.length = length;
       dueUs = world.time.now();
-      mark = kind.changes() ? world.nextMark() : 0;
+      mark = kind.modifiesData() ? world.nextMark() : 0;
       rules = world.rules(kind, length);
     }
 
     void handIn() {
-      List<ByteBuffer> data = kind.changes()
+      List<ByteBuffer> data = kind.modifiesData()
           ? List.of(ByteBuffer.allocate(Long.BYTES).putLong(0, mark))
           : List.of();
       Io mine = new Io(load.volume(), kind, offset, length, data, 0, this, begun);
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public void answered(Answer answer) {
+    public void onAnswer(Answer answer) {
       if (left) {
         return;
       }
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public void released() {
+    public void onRelease() {
       // There is no memory to free.
     }
 
@@ -166,7 +166,7 @@
   /** A gateway serves its volume from now on. */
   void arrived(Engine engine) {
     blocked = false;
-    engine.onRoom(() -> {
+    engine.addCapacityListener(() -> {
       blocked = false;
       pump();
     });
--- a/src/main/java/hollyslip/emulator/Flight.java
+++ b/src/main/java/hollyslip/emulator/Flight.java
@@ -27,7 +27,7 @@
   Flight(Attempt attempt, Link link) {
     this.attempt = attempt;
     this.link = link;
-    cookie = attempt.request() << 12 | attempt.number();
+    cookie = attempt.requestId() << 12 | attempt.number();
     kind = switch (attempt.kind()) {
       case READ -> Nbd.CMD_READ;
       case WRITE -> Nbd.CMD_WRITE;
--- a/src/main/java/hollyslip/emulator/Link.java
+++ b/src/main/java/hollyslip/emulator/Link.java
@@ -140,7 +140,7 @@
       if (!f.withdrawn) {
         net.outcome(f, Result.RESET);
       }
-      if (f.attempt.kind().changes()) {
+      if (f.attempt.kind().modifiesData()) {
         doubt.add(f);
       }
     }
--- a/src/main/java/hollyslip/emulator/Net.java
+++ b/src/main/java/hollyslip/emulator/Net.java
@@ -52,11 +52,11 @@
 
   void outcome(Flight f, Result result) {
     f.told = true;
-    site.engine().outcome(f.attempt, result, null);
+    site.engine().attemptEnded(f.attempt, result, null);
   }
 
   void resolved(Flight f) {
-    site.engine().resolved(f.attempt);
+    site.engine().attemptResolved(f.attempt);
   }
 
   private Disk disk(long node) {
@@ -144,7 +144,7 @@
     long from = site.world.time.now();
     boolean up = disk.isUp() && !disk.faults.silent;
     site.world.time.at(arrival(disk) * 2 - from, () -> told(() -> site.engine()
-        .probed(node, up ? Result.OK : Result.CONNECT_FAILED, site.world.time.now() - from, null)));
+        .probeEnded(node, up ? Result.OK : Result.CONNECT_FAILED, site.world.time.now() - from, null)));
   }
 
   @Override
@@ -153,7 +153,7 @@
   }
 
   @Override
-  public void watch() {
+  public void watchNodeList() {
     site.wanted();
   }
 
--- a/src/main/java/hollyslip/emulator/Site.java
+++ b/src/main/java/hollyslip/emulator/Site.java
@@ -87,10 +87,10 @@
     engine = new Engine(new Engine.Config(settings, classifier, new Splitter(MOST_COMMAND), g.mostRequests(),
         g
             .mostBytes(), 0), volumes, new Choice(settings), world.time::now);
-    engine.startDriven(net);
+    engine.startWithoutThread(net);
     Engine mine = engine;
-    membership = new Membership(settings.rules().coldUs(), mine::nodes);
-    membership.replace(world.listed());
+    membership = new Membership(settings.rules().coldUs(), mine::updateNodes);
+    membership.replaceAll(world.listed());
     world.told(this, world.listed());
     callers.forEach(c -> c.arrived(mine));
     poke();
@@ -135,7 +135,7 @@
       return;
     }
     stepping = true;
-    long next = engine.step();
+    long next = engine.runUntilIdle();
     stepping = false;
     if (next < Long.MAX_VALUE && (next < wakeAt || wakeAt <= world.time.now())) {
       wakeAt = next;
@@ -152,13 +152,13 @@
   }
 
   boolean started(Disk disk, long boot, long ageUs) {
-    return membership.started(disk.index + 1, boot, ageUs, world.time.now());
+    return membership.recordStart(disk.index + 1, boot, ageUs, world.time.now());
   }
 
   /** The operator's word on one node reaches it. */
   void state(Listed l) {
     input(() -> {
-      membership.state(l.node(), l.state());
+      membership.setState(l.node(), l.state());
       world.told(this, List.of(l));
     });
   }
@@ -170,9 +170,9 @@
       if (alive && engine == mine) {
         input(() -> {
           if (world.listDown()) {
-            engine.listFailed();
+            engine.nodeListFailed();
           } else {
-            membership.replace(world.listed());
+            membership.replaceAll(world.listed());
             world.told(this, world.listed());
           }
         });
@@ -187,7 +187,7 @@
 
   void depart(Io io) {
     if (alive) {
-      input(() -> engine.depart(io));
+      input(() -> engine.abandon(io));
     }
   }
 }
--- a/src/main/java/hollyslip/emulator/World.java
+++ b/src/main/java/hollyslip/emulator/World.java
@@ -66,7 +66,7 @@
     this.deployment = deployment;
     volumes = deployment.byName();
     classifier = new Classifier(deployment.rows(), deployment.gateway().unitBytes(), deployment.store()
-        .mostUnits());
+        .maxUnits());
     random = new SplittableRandom(day.seed());
     states = new NodeState[day.nodes().count()];
     Arrays.fill(states, NodeState.ON);
--- a/src/main/java/hollyslip/engine/Attempt.java
+++ b/src/main/java/hollyslip/engine/Attempt.java
@@ -31,7 +31,7 @@
   }
 
   /** Creates an attempt that belongs to no engine, for measuring a node client by itself. */
-  public static Attempt bare(long request, IoKind kind, int shard, long offset, List<ByteBuffer> data) {
+  public static Attempt detached(long request, IoKind kind, int shard, long offset, List<ByteBuffer> data) {
     long length = data.stream().mapToLong(ByteBuffer::remaining).sum();
     Io io = new Io("", kind, offset, length, data, 0, null);
     ActiveRequest activeRequest = new ActiveRequest(null, io, null, null, 0);
@@ -62,7 +62,7 @@
   }
 
   /** ID of the sub-request, under which the scheduler knows it. */
-  public long request() {
+  public long requestId() {
     return subRequest.id;
   }
 
--- a/src/main/java/hollyslip/engine/ClientMemory.java
+++ b/src/main/java/hollyslip/engine/ClientMemory.java
@@ -15,7 +15,7 @@
   public static boolean copy(ByteBuffer to, int toIndex, ByteBuffer from, int fromIndex, int n) {
     try {
       to.put(toIndex, from, fromIndex, n);
-      return !to.isDirect() && !from.isDirect() || settled();
+      return !to.isDirect() && !from.isDirect() || hasNoPendingFault();
     } catch (InternalError e) {
       return false;
     }
@@ -25,7 +25,7 @@
    * one. This keeps the error from interrupting a section that must run to its end. Of the calls into the JVM
    * that check for a pending error, allocating a two-dimensional array is a cheap one that is never compiled
    * away; it costs some tens of ns. */
-  public static boolean settled() {
+  public static boolean hasNoPendingFault() {
     try {
       allocationSink = new byte[arrayLength][arrayLength];
       return true;
--- a/src/main/java/hollyslip/engine/Engine.java
+++ b/src/main/java/hollyslip/engine/Engine.java
@@ -150,11 +150,12 @@
   }
 
   public Engine(Config config, Map<String, Volume> volumes, HostScheduler scheduler) {
-    this(config, volumes, scheduler, Engine::clock);
+    this(config, volumes, scheduler, Engine::monotonicMicros);
   }
 
   /** @param timeSource
-   *          monotonic clock of the engine, us; differs from {@link #clock} where time is simulated */
+   *          monotonic clock of the engine, us; differs from {@link #monotonicMicros} where time is
+   *          simulated */
   public Engine(Config config, Map<String, Volume> volumes, HostScheduler scheduler,
       LongSupplier timeSource) {
     this.config = config;
@@ -184,15 +185,15 @@
     thread.start();
   }
 
-  /** Starts without a thread: the caller drives the engine through {@link #step}, and makes all other calls
-   * on that same thread. */
-  public void startDriven(NodePort nodes) {
+  /** Starts without a thread: the caller drives the engine through {@link #runUntilIdle}, and makes all other
+   * calls on that same thread. */
+  public void startWithoutThread(NodePort nodes) {
     transport = nodes;
   }
 
   /** Processes everything that is due. Returns the time, us, at which there is work again if no message
    * arrives before; {@code Long.MAX_VALUE} for never. */
-  public long step() {
+  public long runUntilIdle() {
     while (!processTurn() || !mailbox.isEmpty()) {
       // Each turn processes one batch of messages and may post further ones.
     }
@@ -200,7 +201,7 @@
   }
 
   /** Clock of the engine, us: monotonic and common to all processes of a machine. */
-  public static long clock() {
+  public static long monotonicMicros() {
     return System.nanoTime() / 1_000;
   }
 
@@ -210,7 +211,7 @@
     if (volume == null) {
       throw new IllegalArgumentException("volume: " + io.volume() + " is not known");
     }
-    if (io.kind() != IoKind.FLUSH && !volume.holds(io.offset(), io.length())) {
+    if (io.kind() != IoKind.FLUSH && !volume.containsRange(io.offset(), io.length())) {
       throw new IllegalArgumentException("range: " + io.offset() + "+" + io.length()
           + " is not a block-aligned range of volume " + io.volume());
     }
@@ -232,25 +233,25 @@
   }
 
   @Override
-  public void onRoom(Runnable listener) {
+  public void addCapacityListener(Runnable listener) {
     capacityListeners.add(listener);
   }
 
   @Override
-  public void forgetRoom(Runnable listener) {
+  public void removeCapacityListener(Runnable listener) {
     capacityListeners.remove(listener);
   }
 
   @Override
-  public void depart(Io io) {
+  public void abandon(Io io) {
     mailbox.post(() -> abandonRequest(io.activeRequest));
   }
 
   /** Applies an update of the node list. Thread-safe. */
-  public void nodes(NodeList list) {
+  public void updateNodes(NodeList list) {
     mailbox.post(() -> {
       handleEvent(list);
-      if (list.whole()) {
+      if (list.complete()) {
         nodeStates.clear();
       }
       list.nodes().forEach(n -> nodeStates.put(n.node(), n.state()));
@@ -263,24 +264,24 @@
   }
 
   /** Reports that fetching the node list failed. Thread-safe. */
-  public void listFailed() {
+  public void nodeListFailed() {
     mailbox.post(() -> handleEvent(new HostScheduler.ListFailed()));
   }
 
   /** Reports the outcome of an attempt, once for each attempt that was not withdrawn; {@code report} may be
    * null. {@code TIMEOUT} and {@code CANCELLED} are only ever reported by the engine itself. Thread-safe. */
-  public void outcome(Attempt attempt, Result result, List<Double> report) {
+  public void attemptEnded(Attempt attempt, Result result, List<Double> report) {
     attempt.setOutcome(result, report);
     mailbox.post(attempt);
   }
 
   /** Reports that an attempt which ended with an unknown effect can no longer have any. Thread-safe. */
-  public void resolved(Attempt attempt) {
+  public void attemptResolved(Attempt attempt) {
     mailbox.post(() -> resolve(attempt));
   }
 
   /** Reports the outcome of a probe; {@code report} may be null. Thread-safe. */
-  public void probed(long node, Result result, long tookUs, List<Double> report) {
+  public void probeEnded(long node, Result result, long tookUs, List<Double> report) {
     mailbox.post(() -> handleEvent(new HostScheduler.Probed(node, result, tookUs, report)));
   }
 
@@ -290,7 +291,7 @@
   }
 
   /** Runs a task on the engine's thread after a delay in us; call on the engine's thread. */
-  public void after(long us, Runnable task) {
+  public void schedule(long us, Runnable task) {
     timers.schedule(timeSource.getAsLong() + us, task::run);
   }
 
@@ -521,11 +522,11 @@
   private void startSubRequests(ActiveRequest request) {
     request.subRequests = split(request);
     for (SubRequest subRequest : request.subRequests) {
-      if (subRequest.kind.changes()) {
+      if (subRequest.kind.modifiesData()) {
         subRequest.countedAsLocking = true;
         request.volumeState.lockingSubRequests++;
       }
-      if (!subRequest.kind.changes() || rangeLocks.lockOrEnqueue(subRequest)) {
+      if (!subRequest.kind.modifiesData() || rangeLocks.lockOrEnqueue(subRequest)) {
         submit(subRequest);
       } else {
         awaitRange(subRequest);
@@ -623,7 +624,7 @@
     if (action instanceof HostScheduler.Send s) {
       send(subRequests.get(s.request()), s);
     } else if (action instanceof HostScheduler.Refuse r) {
-      answerSubRequest(subRequests.get(r.request()), Answer.refused(r.retryInUs()));
+      answerSubRequest(subRequests.get(r.request()), Answer.refused(r.retryAfterUs()));
     } else if (action instanceof HostScheduler.Fail f) {
       answerSubRequest(subRequests.get(f.request()), Answer.FAILED);
     } else if (action instanceof HostScheduler.Cancel c) {
@@ -633,7 +634,7 @@
     } else if (action instanceof HostScheduler.SetTimer t) {
       timers.schedule(t.at(), () -> handleEvent(new HostScheduler.TimerDue(t.id())));
     } else if (action instanceof HostScheduler.Watch) {
-      transport.watch();
+      transport.watchNodeList();
     }
   }
 
@@ -643,7 +644,7 @@
     subRequest.attempts.add(attempt);
     attempts.increment();
     request.pendingAttempts++;
-    if (subRequest.kind.changes()) {
+    if (subRequest.kind.modifiesData()) {
       subRequest.unresolvedAttempts++;
     }
     long giveUpAt = order.timeoutAt() > 0 ? Math.min(order.timeoutAt(), request.deadline) : request.deadline;
@@ -686,7 +687,7 @@
             0, now - attempt.sentAt), 0, 0, report));
     if (!attempt.mayStillRun) {
       resolve(attempt);
-    } else if (subRequest.kind.changes() && rangeLocks.hasWaiters(subRequest)) {
+    } else if (subRequest.kind.modifiesData() && rangeLocks.hasWaiters(subRequest)) {
       fenceIfAbandoned(attempt);
     }
     releaseIfDone(subRequest);
@@ -697,7 +698,7 @@
     SubRequest subRequest = attempt.subRequest;
     if (!attempt.resolved) {
       attempt.resolved = true;
-      if (subRequest.kind.changes()) {
+      if (subRequest.kind.modifiesData()) {
         subRequest.unresolvedAttempts--;
         unlockIfResolved(subRequest);
       }
@@ -727,7 +728,7 @@
         ? Result.TIMEOUT
         : Result.CANCELLED;
     withdrawAttempts(subRequest, reason);
-    if (subRequest.kind.changes()) {
+    if (subRequest.kind.modifiesData()) {
       unlockIfResolved(subRequest);
     }
     if (!request.answered && request.answers.count() == request.subRequests.size()) {
@@ -745,7 +746,7 @@
       case REFUSED -> { refused.increment(); logSampled(refusalLog, "request.refused", request); }
       case FAILED -> { failed.increment(); logSampled(failureLog, "request.failed", request); }
     }
-    request.io.listener().answered(clientAnswer);
+    request.io.listener().onAnswer(clientAnswer);
   }
 
   private void logSampled(LogSampler sampler, String event, ActiveRequest request) {
@@ -808,7 +809,7 @@
   private void releaseIfDone(ActiveRequest request) {
     if (request.answered && request.pendingAttempts == 0 && !request.released) {
       request.released = true;
-      request.io.listener().released();
+      request.io.listener().onRelease();
       limits.release(request.io.dataBytes());
       if (request.volumeState != null) {
         request.volumeState.activeRequests--;
--- a/src/main/java/hollyslip/engine/Io.java
+++ b/src/main/java/hollyslip/engine/Io.java
@@ -9,16 +9,16 @@
  * <p>
  * {@code data} is the client's own memory: for a write it is read while an attempt is being sent, for a read
  * it is filled when a response arrives. It belongs to the engine from {@link Engine#offer} until
- * {@link Client#released}; the bytes remaining in the buffers add up to {@code length}. */
+ * {@link Client#onRelease}; the bytes remaining in the buffers add up to {@code length}. */
 public final class Io {
   /** Callbacks to the front. Both run on the engine's thread and must not block. */
   public interface Client {
     /** Delivers the final answer; called exactly once unless the client disconnected before. */
-    void answered(Answer answer);
+    void onAnswer(Answer answer);
 
     /** The request's data is no longer touched; called exactly once, after the answer or the
      * disconnection. */
-    void released();
+    void onRelease();
   }
 
   private final String volume;
--- a/src/main/java/hollyslip/engine/Lanes.java
+++ b/src/main/java/hollyslip/engine/Lanes.java
@@ -119,22 +119,22 @@
   }
 
   @Override
-  public void depart(Io io) {
+  public void abandon(Io io) {
     if (io.activeRequest != null) {
-      io.activeRequest.engine().depart(io);
+      io.activeRequest.engine().abandon(io);
     }
   }
 
   @Override
-  public void onRoom(Runnable listener) {
+  public void addCapacityListener(Runnable listener) {
     capacityListeners.add(listener);
-    engines.forEach(e -> e.onRoom(listener));
+    engines.forEach(e -> e.addCapacityListener(listener));
   }
 
   @Override
-  public void forgetRoom(Runnable listener) {
+  public void removeCapacityListener(Runnable listener) {
     capacityListeners.remove(listener);
-    engines.forEach(e -> e.forgetRoom(listener));
+    engines.forEach(e -> e.removeCapacityListener(listener));
   }
 
   @Override
@@ -238,8 +238,8 @@
   }
 
   /** Applies an update of the node list to all lanes. */
-  public void nodes(NodeList list) {
-    engines.forEach(e -> e.nodes(list));
+  public void updateNodes(NodeList list) {
+    engines.forEach(e -> e.updateNodes(list));
   }
 
   /** Like {@link Engine#refuseAll}, on all lanes. */
@@ -259,7 +259,7 @@
   }
 
   /** Completes when all lanes have ended; exceptionally as soon as one of them ends with a fault. */
-  public CompletableFuture<Void> ended() {
+  public CompletableFuture<Void> termination() {
     CompletableFuture<Void> all = allOf(Engine::termination);
     engines.forEach(e -> e.termination().exceptionally(error -> {
       all.completeExceptionally(error);
--- a/src/main/java/hollyslip/engine/Mailbox.java
+++ b/src/main/java/hollyslip/engine/Mailbox.java
@@ -38,7 +38,7 @@
 
   /** Waits for a message, at most for the given us. Owner thread only. */
   void await(long us) {
-    if (spin.until(us * 1_000, () -> !queue.isEmpty())) {
+    if (spin.spinUntil(us * 1_000, () -> !queue.isEmpty())) {
       return;
     }
     long remainingNs = us * 1_000 - spin.lastSpinNs();
--- a/src/main/java/hollyslip/engine/NodePort.java
+++ b/src/main/java/hollyslip/engine/NodePort.java
@@ -1,8 +1,8 @@
 package hollyslip.engine;
 
 /** Connects the engine to the storage nodes. All calls come on the engine's thread and must not block;
- * results are reported through {@link Engine#outcome}, {@link Engine#probed} and {@link Engine#resolved},
- * from any thread. */
+ * results are reported through {@link Engine#attemptEnded}, {@link Engine#probeEnded} and
+ * {@link Engine#attemptResolved}, from any thread. */
 public interface NodePort {
   /** Starts an attempt. A failure that is known at once may be reported during the call. */
   void send(Attempt attempt);
@@ -11,7 +11,7 @@
   enum Withdrawn {
     /** No byte had been sent: the attempt never runs. */
     NEVER_SENT,
-    /** It may still run; {@link Engine#resolved} is called once it no longer can. */
+    /** It may still run; {@link Engine#attemptResolved} is called once it no longer can. */
     MAY_RUN,
     /** It had already ended; its outcome is on its way. */
     ENDED
@@ -30,8 +30,8 @@
   /** Sends what the calls of this turn have buffered; called at the end of each turn. */
   void flush();
 
-  /** Subscribes to the node list; updates arrive through {@link Engine#nodes}. */
-  void watch();
+  /** Subscribes to the node list; updates arrive through {@link Engine#updateNodes}. */
+  void watchNodeList();
 
   /** Closes all connections; nothing is reported any more. */
   void close();
--- a/src/main/java/hollyslip/engine/Spin.java
+++ b/src/main/java/hollyslip/engine/Spin.java
@@ -12,7 +12,7 @@
   private long lastSpinNs;
 
   /** Spins until there is work or the time is up; returns whether there is work. */
-  public boolean until(long maxNs, BooleanSupplier work) {
+  public boolean spinUntil(long maxNs, BooleanSupplier work) {
     long startNs = System.nanoTime();
     long limitNs = Math.min(spinNs, maxNs);
     do {
--- a/src/main/java/hollyslip/fleet/Membership.java
+++ b/src/main/java/hollyslip/fleet/Membership.java
@@ -33,12 +33,12 @@
 
   /** Replaces the operator's list; nodes that are not in it are removed. An observed start is kept even if
    * the list is older. */
-  public synchronized void replace(List<Listed> list) {
+  public synchronized void replaceAll(List<Listed> list) {
     Map<Long, KnownNode> previous = new TreeMap<>(nodes);
     nodes.clear();
     for (Listed listed : list) {
       KnownNode known = previous.getOrDefault(listed.node(), new KnownNode());
-      long bornUs = Math.max(listed.bornUs(), known.entry == null ? 0 : known.entry.bornUs());
+      long bornUs = Math.max(listed.startedAtUs(), known.entry == null ? 0 : known.entry.startedAtUs());
       known.entry = new Listed(listed.node(), listed.zone(), listed.cell(), listed.state(), bornUs);
       nodes.put(listed.node(), known);
     }
@@ -46,12 +46,12 @@
   }
 
   /** Sets a node's state as the operator gives it. Returns false if the node is not listed. */
-  public synchronized boolean state(long node, NodeState state) {
+  public synchronized boolean setState(long node, NodeState state) {
     KnownNode known = nodes.get(node);
     if (known == null) {
       return false;
     }
-    known.entry = new Listed(node, known.entry.zone(), known.entry.cell(), state, known.entry.bornUs());
+    known.entry = new Listed(node, known.entry.zone(), known.entry.cell(), state, known.entry.startedAtUs());
     listener.accept(new NodeList(false, List.of(known.entry)));
     return true;
   }
@@ -59,7 +59,7 @@
   /** Records the start that a node reports; {@code boot} distinguishes its starts. Returns whether this start
    * is new and the node may still be cold, which excludes the first contact with a node that started long
    * ago. */
-  public synchronized boolean started(long node, long boot, long ageUs, long now) {
+  public synchronized boolean recordStart(long node, long boot, long ageUs, long now) {
     KnownNode known = nodes.get(node);
     if (known == null || known.bootSeen && known.bootId == boot) {
       return false;
@@ -83,7 +83,7 @@
   }
 
   /** Reports the whole list to the listener again. */
-  public synchronized void tellAgain() {
+  public synchronized void republish() {
     listener.accept(new NodeList(true, list()));
   }
 }
--- a/src/main/java/hollyslip/front/sftp/Session.java
+++ b/src/main/java/hollyslip/front/sftp/Session.java
@@ -61,13 +61,13 @@
   @Override
   public void channelActive(ChannelHandlerContext c) {
     context = c;
-    engine.onRoom(roomListener);
+    engine.addCapacityListener(roomListener);
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext c) {
-    engine.forgetRoom(roomListener);
-    flight.forEach(w -> engine.depart(w.io));
+    engine.removeCapacityListener(roomListener);
+    flight.forEach(w -> engine.abandon(w.io));
     blocked.clear();
     writers.clear();
   }
@@ -360,8 +360,8 @@
       this.offset = offset;
       this.length = length;
       this.bytes = bytes;
-      from = offset / Volume.BLOCK * Volume.BLOCK;
-      to = (offset + length + Volume.BLOCK - 1) / Volume.BLOCK * Volume.BLOCK;
+      from = offset / Volume.BLOCK_BYTES * Volume.BLOCK_BYTES;
+      to = (offset + length + Volume.BLOCK_BYTES - 1) / Volume.BLOCK_BYTES * Volume.BLOCK_BYTES;
       blocks = kind.carriesData() ? ByteBuffer.allocateDirect((int) (to - from)) : null;
       filled = kind != IoKind.WRITE || from == offset && to == offset + length;
     }
@@ -383,12 +383,12 @@
     }
 
     @Override
-    public void answered(Answer answer) {
+    public void onAnswer(Answer answer) {
       context.executor().execute(() -> end(answer));
     }
 
     @Override
-    public void released() {
+    public void onRelease() {
       // The blocks are ours and garbage once nothing points to them.
     }
 
--- a/src/main/java/hollyslip/front/vhost/BlockRequest.java
+++ b/src/main/java/hollyslip/front/vhost/BlockRequest.java
@@ -61,10 +61,10 @@
 
   private static BlockRequest whole(IoKind kind, long sector, long length, List<ByteBuffer> data,
       ByteBuffer tail, Volume volume) {
-    boolean fits = sector >= 0 && sector <= Long.MAX_VALUE / Volume.BLOCK && volume.holds(sector
-        * Volume.BLOCK, length);
+    boolean fits = sector >= 0 && sector <= Long.MAX_VALUE / Volume.BLOCK_BYTES && volume.containsRange(sector
+        * Volume.BLOCK_BYTES, length);
     return fits
-        ? new BlockRequest(kind, sector * Volume.BLOCK, length, data, tail, OK, false)
+        ? new BlockRequest(kind, sector * Volume.BLOCK_BYTES, length, data, tail, OK, false)
         : refuse(tail, IOERR);
   }
 
@@ -78,7 +78,7 @@
     if ((flags & (kind == IoKind.DISCARD ? ~0 : ~1)) != 0) {
       return refuse(tail, UNSUPP);
     }
-    long length = Integer.toUnsignedLong(s.getInt(8)) * Volume.BLOCK;
+    long length = Integer.toUnsignedLong(s.getInt(8)) * Volume.BLOCK_BYTES;
     return whole(kind, s.getLong(0), length, List.of(), tail, volume);
   }
 
--- a/src/main/java/hollyslip/front/vhost/Device.java
+++ b/src/main/java/hollyslip/front/vhost/Device.java
@@ -98,14 +98,14 @@
 
   @Override
   public void run() {
-    engine.onRoom(roomListener);
+    engine.addCapacityListener(roomListener);
     String why = "memory region: cut short while in use";
     try {
       why = serve();
     } catch (InternalError e) {
       line(LOG.atWarn()).addKeyValue("field", why).log("device.stopped");
     }
-    ClientMemory.settled();
+    ClientMemory.hasNoPendingFault();
     close(why);
   }
 
@@ -147,7 +147,7 @@
       looksAt(0);
       return;
     }
-    boolean seen = spin.until(Long.MAX_VALUE, work);
+    boolean seen = spin.spinUntil(Long.MAX_VALUE, work);
     settle();
     if (seen) {
       return;
@@ -163,7 +163,7 @@
    * thread calls into it: when a sleep that has no end is over, or never, where one look sees work and the
    * next does not. Harm: some tens of ns after each look in vain. */
   private static void settle() {
-    Violation.check(ClientMemory.settled(), "memory region: cut short while in use");
+    Violation.check(ClientMemory.hasNoPendingFault(), "memory region: cut short while in use");
   }
 
   /** Waits for kicks, letters and messages. While there is work, the socket is looked at now and then. */
@@ -201,7 +201,7 @@
 
   /** Departs what is in flight and closes all. */
   private void close(String why) {
-    engine.forgetRoom(roomListener);
+    engine.removeCapacityListener(roomListener);
     over = true;
     int left = requests.depart();
     messages.close();
--- a/src/main/java/hollyslip/front/vhost/Messages.java
+++ b/src/main/java/hollyslip/front/vhost/Messages.java
@@ -404,11 +404,11 @@
     Violation.check(offset >= 0 && size >= 0 && size == p.remaining() - 12 && size <= 256, "GET_CONFIG: "
         + offset + "+" + size);
     ByteBuffer c = ByteBuffer.allocate(offset + size + CONFIG_BYTES).order(ByteOrder.LITTLE_ENDIAN);
-    c.putLong(0, volume.get().bytes() / Volume.BLOCK)
+    c.putLong(0, volume.get().bytes() / Volume.BLOCK_BYTES)
         .putInt(12, SEG_MAX)
-        .putInt(20, Volume.BLOCK)
+        .putInt(20, Volume.BLOCK_BYTES)
         .putShort(34, (short) MOST_QUEUES);
-    int most = (int) Math.min(Integer.MAX_VALUE, volume.get().bytes() / Volume.BLOCK);
+    int most = (int) Math.min(Integer.MAX_VALUE, volume.get().bytes() / Volume.BLOCK_BYTES);
     c.putInt(36, most).putInt(40, 1).putInt(44, 1).putInt(48, most).putInt(52, 1).put(56, (byte) 1);
     for (int i = 0; i < size; i++) {
       p.put(12 + i, offset + i < CONFIG_BYTES ? c.get(offset + i) : 0);
@@ -419,7 +419,7 @@
   // In flight.
 
   private static int stride(int size) {
-    return (InflightLog.bytes(size) + 63) / 64 * 64;
+    return (InflightLog.regionBytes(size) + 63) / 64 * 64;
   }
 
   private void giveInflight(Wire.Message m) throws IOException {
--- a/src/main/java/hollyslip/front/vhost/Requests.java
+++ b/src/main/java/hollyslip/front/vhost/Requests.java
@@ -54,14 +54,14 @@
     }
 
     @Override
-    public void answered(Answer a) {
+    public void onAnswer(Answer a) {
       answer = a;
       answers.add(this);
       wake.run();
     }
 
     @Override
-    public void released() {
+    public void onRelease() {
       regions.forEach(GuestMemory.Region::release);
     }
   }
@@ -144,8 +144,8 @@
     try {
       return engine.offer(t.io);
     } catch (IllegalArgumentException e) {
-      t.answered(t.io.resumed() && t.io.kind().changes() ? Answer.FAILED : Answer.refused(0));
-      t.released();
+      t.onAnswer(t.io.resumed() && t.io.kind().modifiesData() ? Answer.FAILED : Answer.refused(0));
+      t.onRelease();
       return true;
     }
   }
@@ -213,10 +213,10 @@
     for (Ring r : messages.rings()) {
       if (r.blocked != null) {
         flight.remove(r.blocked);
-        r.blocked.released();
+        r.blocked.onRelease();
       }
     }
-    flight.forEach(t -> engine.depart(t.io));
+    flight.forEach(t -> engine.abandon(t.io));
     return flight.size();
   }
 }
--- a/src/main/java/hollyslip/front/vhost/Virtqueue.java
+++ b/src/main/java/hollyslip/front/vhost/Virtqueue.java
@@ -95,7 +95,7 @@
     inFlight[head] = true;
     count++;
     if (log != null) {
-      log.taken(head);
+      log.recordTaken(head);
     }
     return head;
   }
@@ -165,13 +165,13 @@
     used.putInt(slot, head);
     used.putInt(slot + 4, written);
     if (log != null) {
-      log.answering(head);
+      log.prepareAnswer(head);
     }
     usedIdx = usedIdx + 1 & 0xffff;
     VarHandle.releaseFence();
     used.putShort(2, (short) usedIdx);
     if (log != null) {
-      log.answered(head, usedIdx);
+      log.commitAnswer(head, usedIdx);
     }
     inFlight[head] = false;
     count--;
--- a/src/main/java/hollyslip/gateway/Gateway.java
+++ b/src/main/java/hollyslip/gateway/Gateway.java
@@ -94,7 +94,7 @@
     epoch = new Epoch(p.stateDir());
     holder = begin(takeOver);
     lanes = new Lanes(engines(), deployment.byName(), this::terms);
-    membership = new Membership(deployment.rules().coldUs(), lanes::nodes);
+    membership = new Membership(deployment.rules().coldUs(), lanes::updateNodes);
     Serials serials = new Serials();
     for (int i = 0; i < p.cores(); i++) {
       NodePool pool = new NodePool(lanes.lane(i), new NodePool.Limits(p.name(), holder, p.connections(), p
@@ -105,7 +105,7 @@
       pools.add(pool);
     }
     lanes.start();
-    membership.replace(listed(deployment));
+    membership.replaceAll(listed(deployment));
     Files.createDirectories(p.socketDir());
     acceptor = new Acceptor();
     for (Volume v : deployment.volumes()) {
@@ -134,7 +134,7 @@
   /** The lanes' engines: each a module with its own random source, and its part of what may be held. */
   private List<Engine> engines() {
     Deployment.Process p = deployment.gateway();
-    Classifier classifier = new Classifier(deployment.rows(), p.unitBytes(), deployment.store().mostUnits());
+    Classifier classifier = new Classifier(deployment.rows(), p.unitBytes(), deployment.store().maxUnits());
     List<Engine> engines = new ArrayList<>();
     for (int i = 0; i < p.cores(); i++) {
       HostScheduler.Settings m = deployment.module();
@@ -172,9 +172,9 @@
     Map<String, Succession.Known> known = NodeSurvey.ask(addresses(deployment), name, deployment.allowed()
         .connectTimeoutUs());
     Succession.Step step = takeOver
-        ? Succession.takeOver(recorded, known.values())
-        : Succession.start(recorded, known.values());
-    if (step.verdict() == Succession.Verdict.YIELD) {
+        ? Succession.decideForcedTakeover(recorded, known.values())
+        : Succession.decideAtStart(recorded, known.values());
+    if (step.action() == Succession.Verdict.YIELD) {
       epoch.close();
       throw new IOException("another gateway named " + name + " lives, with epoch " + step.other().epoch()
           + " (ours on disk: " + recorded + "): nodes that say so are " + names(known, step.other())
@@ -188,7 +188,7 @@
           .addKeyValue("taken", step.epoch())
           .log("gateway.epoch.behind");
     }
-    epoch.take(step.epoch());
+    epoch.advanceTo(step.epoch());
     return new Holder(step.epoch(), new SecureRandom().nextLong(Long.MAX_VALUE));
   }
 
@@ -203,8 +203,8 @@
 
   /** A node says that another one holds our name; engine's thread. */
   private void told(long node, Succession.Known known) {
-    Succession.Step step = Succession.heard(holder, known);
-    if (step.verdict() == Succession.Verdict.GO_ON || superseded.isDone()) {
+    Succession.Step step = Succession.decideInService(holder, known);
+    if (step.action() == Succession.Verdict.GO_ON || superseded.isDone()) {
       return;
     }
     LOG.atError()
@@ -212,10 +212,10 @@
         .addKeyValue("node", node)
         .addKeyValue("epoch", holder.epoch())
         .addKeyValue("other", known.holder().epoch())
-        .addKeyValue("open", known.open())
-        .addKeyValue("verdict", step.verdict())
+        .addKeyValue("open", known.openConnections())
+        .addKeyValue("verdict", step.action())
         .log("gateway.superseded");
-    if (step.verdict() == Succession.Verdict.YIELD) {
+    if (step.action() == Succession.Verdict.YIELD) {
       lanes.refuseAll();
       superseded.complete(null);
       return;
@@ -237,7 +237,7 @@
 
   private void record(long taken) {
     try {
-      epoch.take(taken);
+      epoch.advanceTo(taken);
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
@@ -279,7 +279,7 @@
     for (Deployment.Node n : nodes) {
       if (n.name().equals(name)) {
         List<Listed> before = membership.list();
-        membership.state(n.id(), state);
+        membership.setState(n.id(), state);
         logChanges(before);
       }
     }
@@ -314,7 +314,7 @@
   private final class News implements NodePool.News {
     @Override
     public boolean started(long node, long boot, long ageUs) {
-      boolean fresh = membership.started(node, boot, ageUs, Engine.clock());
+      boolean fresh = membership.recordStart(node, boot, ageUs, Engine.monotonicMicros());
       if (fresh) {
         LOG.atInfo().addKeyValue("node", node).addKeyValue("age_ms", ageUs / 1_000).log("node.started");
       }
@@ -328,7 +328,7 @@
 
     @Override
     public void wanted() {
-      membership.tellAgain();
+      membership.republish();
     }
   }
 
@@ -362,7 +362,7 @@
     }
     List<Listed> before = membership.list();
     nodes = next.nodes();
-    membership.replace(listed(next));
+    membership.replaceAll(listed(next));
     if (control != null) {
       // The administrators' word stands against the settings'.
       control.read(r -> List.copyOf(r.nodes()))
@@ -436,7 +436,7 @@
 
   /** Has this called when the engine ends, wanted or not. */
   public void onFault(Runnable listener) {
-    lanes.ended().whenComplete((done, error) -> listener.run());
+    lanes.termination().whenComplete((done, error) -> listener.run());
     superseded.thenRun(listener);
   }
 
--- a/src/main/java/hollyslip/load/DayRunner.java
+++ b/src/main/java/hollyslip/load/DayRunner.java
@@ -115,7 +115,7 @@
   private void start() throws IOException {
     stage.start();
     for (Deployment d : deployments) {
-      told.add(new Told.Started(d.gateway().name(), Engine.clock()));
+      told.add(new Told.Started(d.gateway().name(), Engine.monotonicMicros()));
     }
     for (Day.Load v : day.volumes()) {
       for (int c = 0; c < day.clients(v); c++) {
@@ -220,7 +220,7 @@
         int g = random.nextInt(day.gateways());
         at(t.at(), "gateway " + g + " is killed", () -> gateways.get(g).kill());
         at(end, "gateway " + g + " is started again", () -> {
-          told.add(new Told.Started(deployments.get(g).gateway().name(), Engine.clock()));
+          told.add(new Told.Started(deployments.get(g).gateway().name(), Engine.monotonicMicros()));
           gateways.set(g, stage.gateway(g));
         });
       }
@@ -270,7 +270,7 @@
 
   private void restart(DiskServer d) throws IOException {
     d.faults.clear();
-    told.add(new Told.Born(d.name(), Engine.clock()));
+    told.add(new Told.Born(d.name(), Engine.monotonicMicros()));
     d.restart();
   }
 
@@ -285,7 +285,7 @@
       return;
     }
     // Counted against a gateway: the word of a drain once it must have come, the word of its end at once.
-    long now = Engine.clock();
+    long now = Engine.monotonicMicros();
     for (int g = 0; g < gateways.size(); g++) {
       if (gateways.get(g).isAlive()) {
         gateways.get(g).reload();
--- a/src/main/java/hollyslip/load/DaySettings.java
+++ b/src/main/java/hollyslip/load/DaySettings.java
@@ -105,6 +105,6 @@
     return new Figures(r.answerSlackUs() + slackUs, r.drainGraceUs(), r.orderSettleUs(), d.store()
         .coldUnits(), r.coldFrom(), r.coldUs(), r.fallUs(), r.budgetFree(), r.budgetShare(), r
             .budgetWindowUs(), skewUs, d.volumes().get(0).extentBytes(), d.gateway().unitBytes(), d.store()
-                .mostUnits(), limits, areas);
+                .maxUnits(), limits, areas);
   }
 }
--- a/src/main/java/hollyslip/load/LoadBench.java
+++ b/src/main/java/hollyslip/load/LoadBench.java
@@ -51,7 +51,7 @@
 
     @Override
     public long now() {
-      return Engine.clock();
+      return Engine.monotonicMicros();
     }
   }
 
--- a/src/main/java/hollyslip/load/LoadRun.java
+++ b/src/main/java/hollyslip/load/LoadRun.java
@@ -122,6 +122,6 @@
 
   /** A start soon enough for all clients to be there. */
   public static long soon() {
-    return Engine.clock() + 200_000;
+    return Engine.monotonicMicros() + 200_000;
   }
 }
--- a/src/main/java/hollyslip/load/RingComparison.java
+++ b/src/main/java/hollyslip/load/RingComparison.java
@@ -114,11 +114,11 @@
   private static Engine echo(Deployment d) {
     Engine e = new Engine(new Engine.Config(d.module(), new Classifier(d.rows(), d.gateway().unitBytes(), d
         .store()
-        .mostUnits()), new Splitter(1 << 20), 65_536, 1 << 30, 0), d.byName(), new Choice(d.module()));
+        .maxUnits()), new Splitter(1 << 20), 65_536, 1 << 30, 0), d.byName(), new Choice(d.module()));
     e.start(new NodePort() {
       @Override
       public void send(Attempt attempt) {
-        e.outcome(attempt, Result.OK, null);
+        e.attemptEnded(attempt, Result.OK, null);
       }
 
       @Override
@@ -136,12 +136,12 @@
       public void flush() {}
 
       @Override
-      public void watch() {}
+      public void watchNodeList() {}
 
       @Override
       public void close() {}
     });
-    e.nodes(new hollyslip.HostScheduler.NodeList(true, d.nodes()
+    e.updateNodes(new hollyslip.HostScheduler.NodeList(true, d.nodes()
         .stream()
         .map(Deployment.Node::listed)
         .toList()));
--- a/src/main/java/hollyslip/load/RingLoad.java
+++ b/src/main/java/hollyslip/load/RingLoad.java
@@ -77,7 +77,7 @@
     final IoKind kind;
     final long offset;
     final int length;
-    final long askedUs = Engine.clock();
+    final long askedUs = Engine.monotonicMicros();
     long deadlineUs = askedUs + plan.deadlineUs();
     long checksum;
     long[] floors = {};
@@ -96,7 +96,7 @@
       Asked.Answer answer = status == 0
           ? Asked.Answer.SERVED
           : status == 0x80 ? Asked.Answer.REFUSED : Asked.Answer.FAILED;
-      long now = Engine.clock();
+      long now = Engine.monotonicMicros();
       if (kind == IoKind.READ && answer == Asked.Answer.SERVED) {
         checksum = crc(data, length);
         String fault = stamps.check(data, offset, floors);
@@ -175,7 +175,7 @@
   /** Works until the last answer, or until nothing can come any more. */
   @Override
   public void run() {
-    nextAt = Engine.clock();
+    nextAt = Engine.monotonicMicros();
     long givenUp = Long.MAX_VALUE;
     boolean done = false;
     while (!done) {
@@ -194,9 +194,9 @@
       open.removeIf(o -> o.over);
       boolean last = finishing || plan.count() > 0 && asked >= plan.count();
       if (last && givenUp == Long.MAX_VALUE) {
-        givenUp = Engine.clock() + 3 * plan.deadlineUs() + 5_000_000;
+        givenUp = Engine.monotonicMicros() + 3 * plan.deadlineUs() + 5_000_000;
       }
-      done = last && (open.isEmpty() || Engine.clock() > givenUp);
+      done = last && (open.isEmpty() || Engine.monotonicMicros() > givenUp);
     }
     open.forEach(o -> o.note(0, 0, Asked.Answer.NONE, false));
     client.close();
@@ -211,7 +211,7 @@
 
   /** Runs until so many have been asked, then vanishes with what is out. */
   public void runThenVanish() throws IOException {
-    nextAt = Engine.clock();
+    nextAt = Engine.monotonicMicros();
     client.connect(socket);
     connected = true;
     while (asked < plan.count()) {
@@ -229,7 +229,7 @@
       client.connect(socket);
       connected = true;
       // Whoever serves now has not taken these before: their time begins again.
-      open.forEach(o -> o.deadlineUs = Engine.clock() + plan.deadlineUs());
+      open.forEach(o -> o.deadlineUs = Engine.monotonicMicros() + plan.deadlineUs());
       return true;
     } catch (IOException e) {
       // The gateway is away: asked again soon, as a virtual machine's front end does.
@@ -243,13 +243,13 @@
     if (plan.gapUs() == 0 || finishing || open.size() >= plan.depth()) {
       return 100;
     }
-    return (int) Math.max(0, Math.min(100, (nextAt - Engine.clock() + 999) / 1_000));
+    return (int) Math.max(0, Math.min(100, (nextAt - Engine.monotonicMicros() + 999) / 1_000));
   }
 
   private void ask() {
     while (!finishing && (plan.count() == 0 || asked < plan.count()) && open.size() < plan.depth()) {
       if (plan.gapUs() > 0) {
-        long now = Engine.clock();
+        long now = Engine.monotonicMicros();
         if (repeats > 0) {
           repeats--;
           one();
--- a/src/main/java/hollyslip/load/RingTarget.java
+++ b/src/main/java/hollyslip/load/RingTarget.java
@@ -82,7 +82,7 @@
 
   @Override
   public long now() {
-    return Engine.clock();
+    return Engine.monotonicMicros();
   }
 
   @Override
--- a/src/main/java/hollyslip/node/Fence.java
+++ b/src/main/java/hollyslip/node/Fence.java
@@ -62,7 +62,7 @@
   /** Name of the context that answers it. */
   public static String answer(String client, Known known) {
     return question(client) + "/" + known.holder().epoch() + "/" + known.holder().instance() + "/" + known
-        .open();
+        .openConnections();
   }
 
   /** Reads the name of a context that answers; null if it is none of these, or of another client. */
--- a/src/main/java/hollyslip/node/NbdConnection.java
+++ b/src/main/java/hollyslip/node/NbdConnection.java
@@ -124,7 +124,7 @@
     if (closed) {
       return false;
     }
-    Slot slot = new Slot(attempt, attempt.request() << 12 | attempt.number() & 0xfff);
+    Slot slot = new Slot(attempt, attempt.requestId() << 12 | attempt.number() & 0xfff);
     attempt.handle = slot;
     queue.add(slot);
     size++;
--- a/src/main/java/hollyslip/node/NbdDirect.java
+++ b/src/main/java/hollyslip/node/NbdDirect.java
@@ -37,7 +37,7 @@
 
   /** Asks for a read into {@code into}; its number. It leaves with the next {@link #flush}. */
   public long read(long offset, ByteBuffer into) {
-    connection.add(Attempt.bare(++next, IoKind.READ, 0, offset, List.of(into)));
+    connection.add(Attempt.detached(++next, IoKind.READ, 0, offset, List.of(into)));
     return next;
   }
 
@@ -59,7 +59,7 @@
 
     @Override
     public void ended(Attempt attempt, Result result) {
-      done.accept(attempt.request(), result == Result.OK);
+      done.accept(attempt.requestId(), result == Result.OK);
     }
 
     @Override
--- a/src/main/java/hollyslip/node/NodePool.java
+++ b/src/main/java/hollyslip/node/NodePool.java
@@ -116,19 +116,19 @@
   public void send(Attempt attempt) {
     Target t = targets.get(attempt.node());
     if (t == null || t.address == null || closing) {
-      engine.outcome(attempt, Result.CONNECT_FAILED, null);
+      engine.attemptEnded(attempt, Result.CONNECT_FAILED, null);
       return;
     }
     NbdConnection c = choose(t);
     if (c == null) {
-      engine.outcome(attempt, Result.FULL, null);
+      engine.attemptEnded(attempt, Result.FULL, null);
     } else if (c.add(attempt)) {
       if (!c.dirty) {
         c.dirty = true;
         dirty.add(c);
       }
     } else {
-      engine.outcome(attempt, Result.CONNECT_FAILED, null);
+      engine.attemptEnded(attempt, Result.CONNECT_FAILED, null);
     }
   }
 
@@ -162,7 +162,7 @@
     try {
       NbdConnection c = new NbdConnection(group, t.address.node(), t.address.export(), fence, this);
       t.connections.add(c);
-      engine.after(limits.connectTimeoutUs(), () -> {
+      engine.schedule(limits.connectTimeoutUs(), () -> {
         if (!c.isReady()) {
           c.close("not ready in time");
         }
@@ -195,7 +195,7 @@
       LOG.atInfo()
           .addKeyValue("node", t.address.name())
           .addKeyValue("connection", c.fence.serial())
-          .addKeyValue("request", attempt.request())
+          .addKeyValue("request", attempt.requestId())
           .log("node.fenced");
       c.close("fenced: a newer write waits");
     } else if (t != null && !t.doubts.isEmpty()) {
@@ -213,7 +213,7 @@
         return;
       }
     }
-    engine.probed(node, Result.CONNECT_FAILED, 0, null);
+    engine.probeEnded(node, Result.CONNECT_FAILED, 0, null);
   }
 
   @Override
@@ -226,7 +226,7 @@
   }
 
   @Override
-  public void watch() {
+  public void watchNodeList() {
     news.wanted();
   }
 
@@ -260,7 +260,7 @@
       t.doubts.entrySet().removeIf(e -> {
         boolean dead = e.getKey() < c.fence.serial() && !c.fence.live().contains(e.getKey());
         if (dead) {
-          e.getValue().forEach(engine::resolved);
+          e.getValue().forEach(engine::attemptResolved);
         }
         return dead;
       });
@@ -286,12 +286,12 @@
 
   @Override
   public void ended(Attempt attempt, Result result) {
-    engine.outcome(attempt, result, null);
+    engine.attemptEnded(attempt, result, null);
   }
 
   @Override
   public void resolved(Attempt attempt) {
-    engine.resolved(attempt);
+    engine.attemptResolved(attempt);
   }
 
   @Override
@@ -305,7 +305,7 @@
         default -> 0.0;
       });
     }
-    engine.probed(c.node, result, tookUs, report);
+    engine.probeEnded(c.node, result, tookUs, report);
   }
 
   @Override
@@ -339,10 +339,10 @@
       doubt.add(a);
     }
     doubt.addAll(silent);
-    doubt.removeIf(a -> !a.kind().changes());
+    doubt.removeIf(a -> !a.kind().modifiesData());
     if (doubt.isEmpty() || closing) {
       if (!t.doubts.isEmpty()) {
-        engine.after(limits.connectTimeoutUs(), () -> reopen(t));
+        engine.schedule(limits.connectTimeoutUs(), () -> reopen(t));
       }
       return;
     }
@@ -350,9 +350,9 @@
     if (c.fenced()) {
       reopen(t);
     } else {
-      engine.after(limits.settleUs(), () -> {
+      engine.schedule(limits.settleUs(), () -> {
         if (t.doubts.remove(c.fence.serial(), doubt)) {
-          doubt.forEach(engine::resolved);
+          doubt.forEach(engine::attemptResolved);
         }
       });
     }
@@ -363,9 +363,9 @@
    * back. Harm: a node listed again within that time is trusted to have been fenced by the negotiation before
    * its first command. */
   private void settle(Target t) {
-    engine.after(limits.settleUs(), () -> {
+    engine.schedule(limits.settleUs(), () -> {
       if (!t.listed) {
-        t.doubts.values().forEach(d -> d.forEach(engine::resolved));
+        t.doubts.values().forEach(d -> d.forEach(engine::attemptResolved));
         t.doubts.clear();
       }
     });
--- a/src/main/java/hollyslip/platform/Ask.java
+++ b/src/main/java/hollyslip/platform/Ask.java
@@ -102,7 +102,7 @@
       double units = parseDecimal(io.get("units"), "units").doubleValue();
       int shard = parseInteger(io.get("shard"), "shard");
       int hosts = parseInteger(io.get("hosts"), "hosts");
-      if (!(units > 0) || units > settings.store().mostUnits()) {
+      if (!(units > 0) || units > settings.store().maxUnits()) {
         throw rejected("units");
       }
       if (shard < -1 || shards > 0 && shard >= shards) {
@@ -166,7 +166,7 @@
       throw new RequestRejectedException(HttpResponseStatus.BAD_REQUEST, "Content-Length", true);
     }
     long length = Long.parseLong(lengths.get(0));
-    if (length > Bounds.BODY) {
+    if (length > Bounds.MAX_REQUEST_BODY_BYTES) {
       throw new RequestRejectedException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "Content-Length", true);
     }
     return (int) length;
--- a/src/main/java/hollyslip/platform/Bounds.java
+++ b/src/main/java/hollyslip/platform/Bounds.java
@@ -20,7 +20,7 @@
   private static final int SPARE_DESCRIPTORS = 10;
 
   /** Longest request body, bytes, as the protocol defines it. */
-  static final int BODY = 64 << 10;
+  static final int MAX_REQUEST_BODY_BYTES = 64 << 10;
 
   /** Longest response body, bytes: disk servers were seen to send several hundred KiB. Protects memory from
    * unbounded responses. */
@@ -36,7 +36,7 @@
   }
 
   /** Number of file descriptors that the process has open now. */
-  static int descriptorsHeld() {
+  static int openDescriptors() {
     String[] open = new File("/proc/self/fd").list();
     return open == null ? 64 : open.length;
   }
--- a/src/main/java/hollyslip/platform/Call.java
+++ b/src/main/java/hollyslip/platform/Call.java
@@ -56,7 +56,7 @@
     if (timeoutTask != null) {
       timeoutTask.cancel(false);
     }
-    server.calls--;
+    server.activeCalls--;
     listener.onEnd(result, now - startedAt, headers, body);
   }
 
--- a/src/main/java/hollyslip/platform/ClientConnection.java
+++ b/src/main/java/hollyslip/platform/ClientConnection.java
@@ -144,7 +144,7 @@
     long bytesBefore = -1;
     for (int i = 0; i < MAX_CONSECUTIVE_READS && bytesRead != bytesBefore && channel.isActive(); i++) {
       bytesBefore = bytesRead;
-      Http.readNow(channel);
+      Http.readPending(channel);
     }
     if (!channel.isActive()) {
       // Handlers would be notified only in a later task of the event loop.
--- a/src/main/java/hollyslip/platform/Clock.java
+++ b/src/main/java/hollyslip/platform/Clock.java
@@ -13,7 +13,7 @@
 
   /** Converts Unix time of the system clock, ms, to this clock, us: the two differ once the system clock was
    * adjusted. */
-  long ofWall(long unixMs) {
+  long fromWallClock(long unixMs) {
     return now() + (unixMs - System.currentTimeMillis()) * 1000;
   }
 }
--- a/src/main/java/hollyslip/platform/Configuration.java
+++ b/src/main/java/hollyslip/platform/Configuration.java
@@ -64,9 +64,11 @@
                     .asInt(DEFAULT_MAX_DESCRIPTORS),
         known, WireSettings.parse(parseSeed(json.path("seed").asText("0")), settings), Math.round(settings
             .path(
-                "policyLimits").path("idleClose").asDouble() * 1e6), settings.path("extra")
-                    .path("nShards")
-                    .asInt());
+                "policyLimits")
+            .path("idleClose")
+            .asDouble() * 1e6), settings.path("extra")
+                .path("nShards")
+                .asInt());
   }
 
   private static String requiredText(JsonNode json, String field, Map<String, String> env, String variable) {
--- a/src/main/java/hollyslip/platform/Desk.java
+++ b/src/main/java/hollyslip/platform/Desk.java
@@ -47,7 +47,7 @@
   private final Map<Long, Exchange> byRequestId = new HashMap<>();
   private final Map<Long, Map<Integer, Call>> callsByRequest = new HashMap<>();
   private final Map<String, DiskServer> serversByHost = new HashMap<>();
-  private final Map<Long, DiskServer> serversByNumber = new HashMap<>();
+  private final Map<Long, DiskServer> serversByNodeId = new HashMap<>();
   private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
   /** Null if tracing is off. */
   private Trace trace;
@@ -93,7 +93,7 @@
   }
 
   /** Number of requests that await their response or the end of an attempt. */
-  int open() {
+  int openRequestCount() {
     return byRequestId.size();
   }
 
@@ -101,17 +101,17 @@
     trace = to;
   }
 
-  Map<Long, DiskServer> serversByNumber() {
-    return serversByNumber;
+  Map<Long, DiskServer> serversByNodeId() {
+    return serversByNodeId;
   }
 
   /** Number of disk servers that are listed or have active calls. */
-  int servers() {
+  int serverCount() {
     return serversByHost.size();
   }
 
   /** Announces the end of the process: every request is answered by {@code deadline}, us. */
-  void stopping(long deadline) {
+  void beginShutdown(long deadline) {
     shutdownDeadline = deadline;
     post(new HostScheduler.Stopping(deadline));
   }
@@ -154,7 +154,7 @@
   }
 
   /** Applies an update of the disk server list from discovery. */
-  void news(EndpointUpdate update) {
+  void updateServers(EndpointUpdate update) {
     long now = clock.now();
     List<Listed> listed = new ArrayList<>();
     Set<String> listedHosts = new HashSet<>();
@@ -167,32 +167,34 @@
       if (server == null) {
         server = new DiskServer(entry.host(), ++lastNodeId);
         serversByHost.put(server.host, server);
-        serversByNumber.put(server.number, server);
+        serversByNodeId.put(server.nodeId, server);
       }
       updateServer(server, entry, now);
-      listed.add(new Listed(server.number, entry.zone(), entry.cell(), entry.state(), server.bornUs));
+      listed.add(new Listed(server.nodeId, entry.zone(), entry.cell(), entry.state(), server.startedAtUs));
     }
-    if (update.whole()) {
+    if (update.complete()) {
       serversByHost.values()
           .stream()
           .filter(server -> !listedHosts.contains(server.host))
           .forEach(server -> changeState(server, NodeState.GONE,
               now));
     }
-    post(new HostScheduler.NodeList(update.whole(), listed));
+    post(new HostScheduler.NodeList(update.complete(), listed));
     List.copyOf(serversByHost.values()).forEach(this::removeIfGone);
   }
 
   private void updateServer(DiskServer server, EndpointUpdate.Entry entry, long now) {
-    if (entry.bornMs() != server.bornMs) {
-      server.bornMs = entry.bornMs();
+    if (entry.startedAtMs() != server.startedAtMs) {
+      server.startedAtMs = entry.startedAtMs();
       // Converted only once per start: the module takes a different time for a new start.
-      server.bornUs = entry.bornMs() > 0 ? Math.max(1, clock.ofWall(entry.bornMs())) : 0;
-      diskPool.dropIdle(server);
+      server.startedAtUs = entry.startedAtMs() > 0
+          ? Math.max(1, clock.fromWallClock(entry.startedAtMs()))
+          : 0;
+      diskPool.closeIdle(server);
     }
-    if (entry.dial() != null && !entry.dial().equals(server.dial)) {
-      server.dial = entry.dial();
-      diskPool.dropIdle(server);
+    if (entry.address() != null && !entry.address().equals(server.address)) {
+      server.address = entry.address();
+      diskPool.closeIdle(server);
     }
     changeState(server, entry.state(), now);
   }
@@ -203,15 +205,15 @@
     }
     server.state = state;
     if (state == NodeState.GONE) {
-      diskPool.dropIdle(server);
+      diskPool.closeIdle(server);
     }
   }
 
   private void removeIfGone(DiskServer server) {
-    if (server.state == NodeState.GONE && server.calls == 0) {
-      diskPool.dropIdle(server);
+    if (server.state == NodeState.GONE && server.activeCalls == 0) {
+      diskPool.closeIdle(server);
       serversByHost.remove(server.host, server);
-      serversByNumber.remove(server.number);
+      serversByNodeId.remove(server.nodeId);
     }
   }
 
@@ -245,7 +247,7 @@
       Exchange exchange = byRequestId.get(refuse.request());
       if (exchange != null) {
         logCompletion("request.refused", exchange);
-        exchange.refuse(settings.allowed().retryAfter() ? refuse.retryInUs() : 0);
+        exchange.refuse(settings.allowed().retryAfter() ? refuse.retryAfterUs() : 0);
         removeIfDone(exchange);
       }
     } else if (action instanceof HostScheduler.Fail fail) {
@@ -279,7 +281,7 @@
     }
     int attempt = exchange.attempts++;
     long now = clock.now();
-    DiskServer server = serversByNumber.get(send.node());
+    DiskServer server = serversByNodeId.get(send.node());
     if (server == null || exchange.completed() || attempt >= settings.allowed().maxAttempts()) {
       post(new HostScheduler.Outcome(exchange.requestId, attempt, send.node(), Result.MOOT, exchange
           .completed(), 0, 0, 0, null));
@@ -288,10 +290,10 @@
     exchange.attemptsOutstanding++;
     long latest = Math.min(exchange.deadline(), shutdownDeadline);
     long giveUpAt = send.timeoutAt() > 0 ? Math.min(send.timeoutAt(), latest) : latest;
-    long startedAtUs = server.bornUs;
+    long startedAtUs = server.startedAtUs;
     Call call = new Call(server, now, giveUpAt, waitUs -> encodeAttempt(exchange, server, waitUs),
         () -> exchange.isStillWanted() && clock
-            .now() <= send.startBy() && server.bornUs == startedAtUs && acceptsAttempts(server), (result,
+            .now() <= send.startBy() && server.startedAtUs == startedAtUs && acceptsAttempts(server), (result,
                 tookUs, headers, body) -> attemptEnded(
                     exchange,
                     attempt, server, result, tookUs,
@@ -299,7 +301,7 @@
                     body));
     callsByRequest.computeIfAbsent(exchange.requestId, k -> new HashMap<>()).put(attempt, call);
     if (trace != null) {
-      trace.started(server.number);
+      trace.attemptStarted(server.nodeId);
     }
     diskPool.start(call);
   }
@@ -319,7 +321,7 @@
       callsByRequest.remove(exchange.requestId);
     }
     if (trace != null) {
-      trace.ended(server.number, result, tookUs);
+      trace.attemptEnded(server.nodeId, result, tookUs);
     }
     if (result == Result.OK) {
       if (clock.now() > exchange.deadline() && !exchange.completed()) {
@@ -332,9 +334,9 @@
           "took_ms",
           tookUs / 1000);
     }
-    post(new HostScheduler.Outcome(exchange.requestId, attempt, server.number, result, exchange.completed(),
+    post(new HostScheduler.Outcome(exchange.requestId, attempt, server.nodeId, result, exchange.completed(),
         tookUs, reportParser
-            .metered(headers), reportParser.elsewhere(headers), reportParser.report(headers)));
+            .volumeUse(headers), reportParser.servedElsewhere(headers), reportParser.attemptReport(headers)));
     removeIfDone(exchange);
     removeIfGone(server);
   }
@@ -369,7 +371,7 @@
   private void removeIfDone(Exchange exchange) {
     if (exchange.completed()) {
       List.copyOf(callsByRequest.getOrDefault(exchange.requestId, Map.of()).values())
-          .forEach(diskPool::withdraw);
+          .forEach(diskPool::cancelUnsent);
     }
     if (exchange.completed() && exchange.attemptsOutstanding == 0 && byRequestId.remove(
         exchange.requestId) != null) {
@@ -379,21 +381,22 @@
   }
 
   private void startProbe(long nodeId) {
-    DiskServer server = serversByNumber.get(nodeId);
+    DiskServer server = serversByNodeId.get(nodeId);
     if (server == null) {
       return;
     }
     long now = clock.now();
     boolean reports = settings.reportSource() != HostScheduler.ReportSource.NONE;
     String path = reports ? "/status/load" : "/health";
-    diskPool.start(new Call(server, now, now + settings.allowed().connectTimeoutUs(), waitUs -> Http.bytes(
-        "GET "
-            + path
-            + " HTTP/1.1\r\nHost: " + Http.authority(server.dial) + "\r\n\r\n"),
+    diskPool.start(new Call(server, now, now + settings.allowed().connectTimeoutUs(), waitUs -> Http
+        .latin1Bytes(
+            "GET "
+                + path
+                + " HTTP/1.1\r\nHost: " + Http.authority(server.address) + "\r\n\r\n"),
         () -> server.state != NodeState.GONE, (
             result,
             tookUs, headers, body) -> {
-          post(new HostScheduler.Probed(nodeId, result, tookUs, reportParser.probed(headers, body)));
+          post(new HostScheduler.Probed(nodeId, result, tookUs, reportParser.probeReport(headers, body)));
           removeIfGone(server);
         }));
   }
@@ -406,7 +409,7 @@
         .append(' ')
         .append(requestHead.uri())
         .append(" HTTP/1.1\r\nHost: ")
-        .append(Http.authority(server.dial))
+        .append(Http.authority(server.address))
         .append("\r\nX-Txn: ")
         .append(requestHead.transactionId())
         .append("\r\nX-Remaining: ")
@@ -418,7 +421,7 @@
     if (exchange.body.length > 0 || requestHead.method().equals("PUT")) {
       head.append("Content-Length: ").append(exchange.body.length).append("\r\n");
     }
-    ByteBuf headBytes = Http.bytes(head.append("\r\n").toString());
+    ByteBuf headBytes = Http.latin1Bytes(head.append("\r\n").toString());
     return exchange.body.length == 0
         ? headBytes
         : Unpooled.wrappedBuffer(headBytes, Unpooled.wrappedBuffer(exchange.body));
--- a/src/main/java/hollyslip/platform/DiscoveryClient.java
+++ b/src/main/java/hollyslip/platform/DiscoveryClient.java
@@ -157,7 +157,7 @@
 
   /** Handles one object received on a watch. */
   private void onUpdate(Watch watch, EndpointUpdate update) {
-    if (!update.whole() && update.version() <= version) {
+    if (!update.complete() && update.version() <= version) {
       // Already known, or sent by a discovery service that restarted from an older version: then only the
       // complete list can be trusted. A repeated version changes nothing.
       if (update.version() < version) {
@@ -188,7 +188,7 @@
 
     void readNow() {
       if (channel != null) {
-        Http.readNow(channel);
+        Http.readPending(channel);
       }
     }
 
@@ -225,7 +225,7 @@
         return;
       }
       String index = version < 0 ? "" : "&index=" + version;
-      ctx.writeAndFlush(Http.bytes("GET /v1/endpoints?stream=1" + index + " HTTP/1.1\r\nHost: "
+      ctx.writeAndFlush(Http.latin1Bytes("GET /v1/endpoints?stream=1" + index + " HTTP/1.1\r\nHost: "
           + Http.authority(target) + "\r\n\r\n"));
     }
 
--- a/src/main/java/hollyslip/platform/DiskConnection.java
+++ b/src/main/java/hollyslip/platform/DiskConnection.java
@@ -58,7 +58,7 @@
 
   /** Processes input that has already arrived. */
   void readNow() {
-    Http.readNow(channel);
+    Http.readPending(channel);
   }
 
   boolean isIdle() {
@@ -154,7 +154,7 @@
     // exceptionCaught is called first then.
     selfDelimited = transferCoded || response.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
     // The buffer starts small and grows as data arrives: an announced length alone must not take memory.
-    responseBody = Unpooled.buffer((int) Math.max(64, Math.min(length, 8 * Bounds.BODY)),
+    responseBody = Unpooled.buffer((int) Math.max(64, Math.min(length, 8 * Bounds.MAX_REQUEST_BODY_BYTES)),
         Bounds.MAX_RESPONSE_BODY_BYTES);
   }
 
--- a/src/main/java/hollyslip/platform/DiskServer.java
+++ b/src/main/java/hollyslip/platform/DiskServer.java
@@ -9,18 +9,18 @@
 final class DiskServer {
   final String host;
   /** The id that the scheduler knows it by. */
-  final long number;
-  InetSocketAddress dial;
+  final long nodeId;
+  InetSocketAddress address;
   NodeState state = NodeState.ON;
   /** Time of its last start, as listed (Unix ms) and on the scheduler's clock (us); 0: long ago. */
-  long bornMs, bornUs;
+  long startedAtMs, startedAtUs;
   /** Connections without a call, most recently used last. */
   final Deque<DiskConnection> idleConnections = new ArrayDeque<>();
   /** Calls that have not ended. */
-  int calls;
+  int activeCalls;
 
   DiskServer(String host, long number) {
     this.host = host;
-    this.number = number;
+    this.nodeId = number;
   }
 }
--- a/src/main/java/hollyslip/platform/DiskServers.java
+++ b/src/main/java/hollyslip/platform/DiskServers.java
@@ -23,7 +23,7 @@
    * that arrives late would be taken for the response to the next request, and each later response for its
    * predecessor's. A sender without TCP_NODELAY delays a small write until the previous one is acknowledged,
    * which Linux does within 40 ms where round trips are shorter. Cost: a few more connections. */
-  static final long REST_US = 60_000;
+  static final long MIN_IDLE_BEFORE_REUSE_US = 60_000;
 
   /** A reused connection that breaks within this time of its request being written, us, is taken to have been
    * closed by the peer before that. */
@@ -65,7 +65,7 @@
     this.connectTimeoutUs = connectTimeoutUs > 0 ? connectTimeoutUs : 1_000_000;
     // Stays a tenth below the peer's timeout: a request could be in transit when the peer closes.
     long maxIdleUs = diskIdleTimeoutUs > 0 ? diskIdleTimeoutUs - diskIdleTimeoutUs / 10 : Long.MAX_VALUE;
-    idleTimeout = new AdaptiveIdleTimeout(2 * REST_US, maxIdleUs);
+    idleTimeout = new AdaptiveIdleTimeout(2 * MIN_IDLE_BEFORE_REUSE_US, maxIdleUs);
     bootstrap = new Bootstrap().group(loop)
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
@@ -88,7 +88,7 @@
 
   /** Starts a call; its listener may be told the result before this returns. */
   void start(Call call) {
-    call.server.calls++;
+    call.server.activeCalls++;
     long now = now();
     call.timeoutTask = loop.schedule(() -> onCallTimeout(call), Math.max(0, call.timeoutAt - now),
         TimeUnit.MICROSECONDS);
@@ -120,7 +120,7 @@
 
   /** Cancels a call unless its request was fully written: an incomplete request has not run, and the rest of
    * it must not be sent. */
-  void withdraw(Call call) {
+  void cancelUnsent(Call call) {
     if (!call.written) {
       waitingCalls.remove(call);
       cancel(call);
@@ -159,7 +159,7 @@
   private static DiskConnection findReusable(DiskServer server, long now) {
     for (var it = server.idleConnections.descendingIterator(); it.hasNext();) {
       DiskConnection connection = it.next();
-      if (now - connection.idleSince >= REST_US && connection.isIdle()) {
+      if (now - connection.idleSince >= MIN_IDLE_BEFORE_REUSE_US && connection.isIdle()) {
         return connection;
       }
     }
@@ -189,7 +189,7 @@
 
   private void connect(Call call) {
     DiskServer server = call.server;
-    InetSocketAddress address = server.dial;
+    InetSocketAddress address = server.address;
     connecting++;
     ChannelFuture future;
     try {
@@ -257,7 +257,7 @@
    * address. */
   void onIdle(DiskConnection connection) {
     connection.idleSince = now();
-    if (connection.address.equals(connection.server.dial)) {
+    if (connection.address.equals(connection.server.address)) {
       connection.server.idleConnections.addLast(connection);
     } else {
       connection.close();
@@ -316,7 +316,7 @@
   }
 
   /** Closes the idle connections to a disk server: it was restarted, has moved or is gone. */
-  void dropIdle(DiskServer server) {
+  void closeIdle(DiskServer server) {
     while (!server.idleConnections.isEmpty()) {
       server.idleConnections.peekFirst().close();
     }
--- a/src/main/java/hollyslip/platform/EndpointUpdate.java
+++ b/src/main/java/hollyslip/platform/EndpointUpdate.java
@@ -13,16 +13,17 @@
  *
  * @param version
  *          the version of the list after this update
- * @param whole
+ * @param complete
  *          the list is complete: disk servers that are not named are gone */
-record EndpointUpdate(long version, boolean whole, List<Entry> entries) {
+record EndpointUpdate(long version, boolean complete, List<Entry> entries) {
   EndpointUpdate {
     entries = List.copyOf(entries);
   }
 
   /** One disk server. The time of its last start is Unix time in ms, 0: long ago; its address may be null if
    * it is gone. */
-  record Entry(String host, InetSocketAddress dial, String zone, int cell, NodeState state, long bornMs) {}
+  record Entry(String host, InetSocketAddress address, String zone, int cell, NodeState state,
+      long startedAtMs) {}
 
   /** @throws IllegalArgumentException
    *           naming the field that is missing or invalid; the whole update is rejected */
@@ -57,7 +58,8 @@
         : parseAddress(json.path("dial").asText(""), "list.dial");
     return new Entry(host, address, json.path("site").asText(""), json.path("block").asInt(-1), state, json
         .path(
-            "born_ms").asLong());
+            "born_ms")
+        .asLong());
   }
 
   /** Parses a numeric address and port, so that no name is ever resolved.
--- a/src/main/java/hollyslip/platform/Front.java
+++ b/src/main/java/hollyslip/platform/Front.java
@@ -63,7 +63,7 @@
   private final ArrivalTimeEstimator arrivalTimes;
   private Channel listener;
   private boolean ready, draining, atCapacity, acceptPaused;
-  /** Connections accepted so far, and that number at the last call of {@link #endIfDone}. */
+  /** Connections accepted so far, and that number at the last call of {@link #closeIfDrained}. */
   private long acceptedCount, acceptedAtLastCheck = -1;
 
   Front(EventLoop loop, Clock clock, Log log, Desk dispatcher, Ask.Reader headParser, Bounds bounds) {
@@ -212,7 +212,7 @@
 
   /** Stops listening if no connection is open and none was accepted since the last call. Returns whether it
    * did. */
-  boolean endIfDone() {
+  boolean closeIfDrained() {
     boolean acceptedSince = acceptedCount != acceptedAtLastCheck;
     acceptedAtLastCheck = acceptedCount;
     if (acceptedSince || !openConnections.isEmpty()) {
@@ -222,7 +222,7 @@
     return true;
   }
 
-  int connections() {
+  int connectionCount() {
     return openConnections.size();
   }
 
--- a/src/main/java/hollyslip/platform/HeadCheck.java
+++ b/src/main/java/hollyslip/platform/HeadCheck.java
@@ -17,7 +17,7 @@
    *
    * @throws IllegalArgumentException
    *           if the head is too long or malformed */
-  int whole(ByteBuf in) {
+  int completeHeadLength(ByteBuf in) {
     int from = in.readerIndex();
     int end = Math.min(in.readableBytes(), MAX_HEAD_BYTES);
     for (int i = Math.max(scannedBytes, 3); i < end; i++) {
--- a/src/main/java/hollyslip/platform/Http.java
+++ b/src/main/java/hollyslip/platform/Http.java
@@ -16,7 +16,7 @@
 
   /** Configuration of the request and the response decoder: the codec's own limits back up
    * {@link HeadCheck}. */
-  static HttpDecoderConfig strict() {
+  static HttpDecoderConfig strictDecoderConfig() {
     return new HttpDecoderConfig().setMaxInitialLineLength(HeadCheck.MAX_HEAD_BYTES)
         .setMaxHeaderSize(HeadCheck.MAX_HEAD_BYTES)
         .setStrictLineParsing(true)
@@ -24,7 +24,7 @@
   }
 
   /** Rejects a message with both headers, as parsers differ in which of them they follow. */
-  static void refuseBoth() {
+  static void rejectLengthWithTransferEncoding() {
     throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
   }
 
@@ -32,14 +32,14 @@
    * called with the bytes before this returns, but learn of the connection's end only later;
    * {@link Channel#isActive} tells of it at once. Must not be called from within a read of the same
    * connection. */
-  static void readNow(Channel channel) {
+  static void readPending(Channel channel) {
     if (channel.isActive()) {
       ((AbstractNioChannel) channel).unsafe().read();
     }
   }
 
   /** Encodes a message head as ISO-8859-1, so that bytes above 127 are forwarded as received. */
-  static ByteBuf bytes(String text) {
+  static ByteBuf latin1Bytes(String text) {
     return Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
@@ -65,7 +65,7 @@
     if (close) {
       head.append("Connection: close\r\n");
     }
-    return bytes(head.append("\r\n").toString());
+    return latin1Bytes(head.append("\r\n").toString());
   }
 
   /** Value of the Host header for an address. */
--- a/src/main/java/hollyslip/platform/Node.java
+++ b/src/main/java/hollyslip/platform/Node.java
@@ -53,7 +53,7 @@
   private final Desk desk;
   private final Front front;
   private final DiscoveryClient discovery;
-  private final InetSocketAddress listening;
+  private final InetSocketAddress listenAddress;
   private InetSocketAddress discoveryAddress;
   private boolean stopping;
 
@@ -71,7 +71,7 @@
     discoveryAddress = configuration.discoveryAddress();
     group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop"), NioIoHandler.newFactory());
     loop = (EventLoop) group.next();
-    Bounds bounds = Bounds.of(configuration.maxDescriptors(), Bounds.descriptorsHeld(), configuration
+    Bounds bounds = Bounds.of(configuration.maxDescriptors(), Bounds.openDescriptors(), configuration
         .memoryMb());
     diskConnections = new DiskServers(loop, clock, log, bounds.disks(), bounds.bytes(), configuration
         .settings()
@@ -88,20 +88,20 @@
     loop.submit(() -> {
       if (configuration.knownEndpoints() != null) {
         EndpointUpdate known = configuration.knownEndpoints();
-        desk.news(new EndpointUpdate(known.version(), true, known.entries()));
+        desk.updateServers(new EndpointUpdate(known.version(), true, known.entries()));
       }
       discovery.start();
     }).sync();
-    listening = (InetSocketAddress) front.listen(group, configuration.listenAddress()).localAddress();
+    listenAddress = (InetSocketAddress) front.listen(group, configuration.listenAddress()).localAddress();
     loop.schedule(this::markReady, DISCOVERY_WAIT_MS, TimeUnit.MILLISECONDS);
     loop.scheduleAtFixedRate(log.guarded(diskConnections::closeAllExpired), 1, 1, TimeUnit.SECONDS);
     if (environment.containsKey("HOLLYSLIP_TRACE")) {
       Trace trace = new Trace(out);
       loop.execute(() -> desk.trace(trace));
-      loop.scheduleAtFixedRate(log.guarded(() -> trace.writeLines(scheduler, desk.serversByNumber())), 1, 1,
+      loop.scheduleAtFixedRate(log.guarded(() -> trace.writeLines(scheduler, desk.serversByNodeId())), 1, 1,
           TimeUnit.SECONDS);
     }
-    log.event("node.started", "name", configuration.name(), "listen", listening, "bounds", bounds);
+    log.event("node.started", "name", configuration.name(), "listen", listenAddress, "bounds", bounds);
   }
 
   /** Runs a scheduler until SIGTERM or SIGINT, and ends the JVM with an exit status. With {@code --rehearse},
@@ -147,8 +147,8 @@
   }
 
   /** The address that clients connect to. */
-  InetSocketAddress listening() {
-    return listening;
+  InetSocketAddress listenAddress() {
+    return listenAddress;
   }
 
   /** The event loop that everything runs on. */
@@ -157,17 +157,17 @@
   }
 
   /** Number of requests that have not ended. */
-  int open() {
-    return desk.open();
+  int openRequests() {
+    return desk.openRequestCount();
   }
 
   /** Number of disk servers that are listed or have calls. */
   int diskServerCount() {
-    return desk.servers();
+    return desk.serverCount();
   }
 
   private void onEndpointUpdate(EndpointUpdate update) {
-    desk.news(update);
+    desk.updateServers(update);
     markReady();
   }
 
@@ -215,8 +215,8 @@
           .max()
           .orElseThrow();
       long responseLimitUs = responseLimitAfterStopUs(longestDeadlineUs);
-      log.event("node.stopping", "open", desk.open());
-      desk.stopping(clock.now() + responseLimitUs);
+      log.event("node.stopping", "open", desk.openRequestCount());
+      desk.beginShutdown(clock.now() + responseLimitUs);
       loop.schedule(this::drain, drainDelayUs(longestDeadlineUs), TimeUnit.MICROSECONDS);
     });
   }
@@ -238,8 +238,8 @@
   }
 
   /** Number of open client connections. */
-  int connections() {
-    return front.connections();
+  int clientConnectionCount() {
+    return front.connectionCount();
   }
 
   private void drain() {
@@ -248,8 +248,8 @@
   }
 
   private void terminateIfDrained() {
-    if (front.endIfDone()) {
-      log.event("node.ended", "open", desk.open());
+    if (front.closeIfDrained()) {
+      log.event("node.ended", "open", desk.openRequestCount());
       terminated.countDown();
     }
   }
@@ -263,7 +263,7 @@
   }
 
   /** Waits until the process has ended; returns false if it has not within {@code ms}. */
-  boolean awaitEnd(long ms) throws InterruptedException {
+  boolean awaitTermination(long ms) throws InterruptedException {
     return terminated.await(ms, TimeUnit.MILLISECONDS);
   }
 }
--- a/src/main/java/hollyslip/platform/Readings.java
+++ b/src/main/java/hollyslip/platform/Readings.java
@@ -19,14 +19,14 @@
   }
 
   /** 1 + the volume's use in percent of its plan's rate; 0 if absent. */
-  int metered(HttpHeaders headers) {
+  int volumeUse(HttpHeaders headers) {
     String text = headers == null || settings.store().meterUs() <= 0 ? null : headers.get("X-Volume-Use");
     return text != null && text.matches("[0-9]{1,9}") ? Integer.parseInt(text) : 0;
   }
 
   /** Units served elsewhere; 0 if absent. */
-  double elsewhere(HttpHeaders headers) {
-    String text = headers == null || !settings.store().tellsElsewhere()
+  double servedElsewhere(HttpHeaders headers) {
+    String text = headers == null || !settings.store().reportsServedElsewhere()
         ? null
         : headers.get(
             "X-Served-Elsewhere");
@@ -34,7 +34,7 @@
   }
 
   /** Load report in the response to an attempt; null if absent. */
-  List<Double> report(HttpHeaders headers) {
+  List<Double> attemptReport(HttpHeaders headers) {
     return headers == null || settings.reportSource() != ReportSource.ANSWERS
         ? null
         : parseFields(headers.get(
@@ -43,7 +43,7 @@
 
   /** Load report in the response to a probe: in its header or, from the report's own path, in its body; null
    * if absent. */
-  List<Double> probed(HttpHeaders headers, byte[] body) {
+  List<Double> probeReport(HttpHeaders headers, byte[] body) {
     if (headers == null || settings.reportSource() == ReportSource.NONE) {
       return null;
     }
--- a/src/main/java/hollyslip/platform/RequestAssembler.java
+++ b/src/main/java/hollyslip/platform/RequestAssembler.java
@@ -63,9 +63,9 @@
       errorStatus = HttpResponseStatus.SERVICE_UNAVAILABLE;
     } else if (head.bodyLength() != 0) {
       // Grows with the bytes received: a declared length alone must not allocate memory.
-      body = Unpooled.buffer(1024, Bounds.BODY);
+      body = Unpooled.buffer(1024, Bounds.MAX_REQUEST_BODY_BYTES);
       if (first && request.headers().containsValue(HttpHeaderNames.EXPECT, HttpHeaderValues.CONTINUE, true)) {
-        channel.writeAndFlush(Http.bytes("HTTP/1.1 100 Continue\r\n\r\n"));
+        channel.writeAndFlush(Http.latin1Bytes("HTTP/1.1 100 Continue\r\n\r\n"));
       }
     }
   }
@@ -85,7 +85,7 @@
     }
     int length = content.content().readableBytes();
     if (head != null && length > 0) {
-      if (body.readableBytes() + length > Bounds.BODY) {
+      if (body.readableBytes() + length > Bounds.MAX_REQUEST_BODY_BYTES) {
         throw new FramingException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
       }
       body.writeBytes(content.content());
--- a/src/main/java/hollyslip/platform/RequestDecoder.java
+++ b/src/main/java/hollyslip/platform/RequestDecoder.java
@@ -15,7 +15,7 @@
   private boolean awaitingHead = true;
 
   RequestDecoder() {
-    super(Http.strict());
+    super(Http.strictDecoderConfig());
   }
 
   @Override
@@ -24,7 +24,7 @@
       if (!in.isReadable()) {
         return;
       }
-      int length = headValidator.whole(in);
+      int length = headValidator.completeHeadLength(in);
       if (length < 0) {
         return;
       }
@@ -40,7 +40,7 @@
 
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-    Http.refuseBoth();
+    Http.rejectLengthWithTransferEncoding();
   }
 
   /** Whether a request has arrived in part but not completely. */
--- a/src/main/java/hollyslip/platform/StrictResponseDecoder.java
+++ b/src/main/java/hollyslip/platform/StrictResponseDecoder.java
@@ -17,14 +17,14 @@
   private boolean expectsHead = true;
 
   StrictResponseDecoder() {
-    super(Http.strict());
+    super(Http.strictDecoderConfig());
   }
 
   @Override
   protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
     if (expectsHead) {
       checkStatusLineStart(in);
-      if (!in.isReadable() || headCheck.whole(in) < 0) {
+      if (!in.isReadable() || headCheck.completeHeadLength(in) < 0) {
         return;
       }
       expectsHead = false;
@@ -45,7 +45,7 @@
 
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-    Http.refuseBoth();
+    Http.rejectLengthWithTransferEncoding();
   }
 
   /** Number of bytes received that do not belong to a decoded response. */
--- a/src/main/java/hollyslip/platform/Trace.java
+++ b/src/main/java/hollyslip/platform/Trace.java
@@ -26,11 +26,11 @@
     this.out = out;
   }
 
-  void started(long server) {
+  void attemptStarted(long server) {
     countersByServer.computeIfAbsent(server, k -> new Counters()).started++;
   }
 
-  void ended(long server, Result result, long tookUs) {
+  void attemptEnded(long server, Result result, long tookUs) {
     Counters counters = countersByServer.computeIfAbsent(server, k -> new Counters());
     counters.results.merge(result, 1, Integer::sum);
     if (result == Result.OK) {
@@ -46,9 +46,12 @@
       Counters counters = countersByServer.getOrDefault(belief.node(), new Counters());
       out.printf(Locale.ROOT,
           "trace %s %s out %d of %.1f held %d expects %.1f ms%s%s | calls %d idle %d started %d answered %d mean %.1f ms %s%n",
-          server == null ? "?" : server.host, belief.state(), belief.out(), belief.window(), belief.held(),
-          belief.expectedUs() / 1e3,
-          belief.silent() ? " silent" : "", belief.cold() ? " cold" : "", server == null ? 0 : server.calls,
+          server == null ? "?" : server.host, belief.state(), belief.inFlight(), belief.window(), belief
+              .queued(),
+          belief.expectedLatencyUs() / 1e3,
+          belief.unresponsive() ? " silent" : "", belief.cold() ? " cold" : "", server == null
+              ? 0
+              : server.activeCalls,
           server == null ? 0 : server.idleConnections.size(), counters.started, counters.answered,
           counters.answered == 0
               ? 0
--- a/src/main/java/hollyslip/platform/TrainingRun.java
+++ b/src/main/java/hollyslip/platform/TrainingRun.java
@@ -49,10 +49,10 @@
       Files.writeString(file, configuration.toString());
       Node node = new Node(Map.of("PROXY_CONFIG", file.toString()), new PrintStream(OutputStream
           .nullOutputStream()));
-      sendRequests(node.listening());
+      sendRequests(node.listenAddress());
       node.reload();
       node.stop();
-      node.awaitEnd(5000);
+      node.awaitTermination(5000);
       node.close();
     } finally {
       Files.delete(file);
--- a/src/main/java/hollyslip/platform/WatchClock.java
+++ b/src/main/java/hollyslip/platform/WatchClock.java
@@ -2,13 +2,13 @@
 
 /** Decides when a watch is abandoned and the next one is opened. No I/O, no clock: times are passed in, us.
  * Updates count as delivered some seconds after a watch fell silent, whether they arrived or not, so each
- * phase has a time limit: an open watch must deliver something complete within {@link #SILENT_US}, an attempt
- * must be answered within {@link #RESPONSE_TIMEOUT_US}, and the next attempt follows a failure after a
- * delay. */
+ * phase has a time limit: an open watch must deliver something complete within {@link #SILENCE_TIMEOUT_US},
+ * an attempt must be answered within {@link #RESPONSE_TIMEOUT_US}, and the next attempt follows a failure
+ * after a delay. */
 final class WatchClock {
   /** Discovery sends an empty line at least every 2 s; 1.5 times that counts as silence. Cost: a process that
    * was stalled for a second opens a watch needlessly. */
-  static final long SILENT_US = 3_000_000;
+  static final long SILENCE_TIMEOUT_US = 3_000_000;
 
   /** Limit for connecting and receiving the response head: the discovery agent is on this machine and
    * responds without delay. Updates that it receives when discovery comes back count as delivered
@@ -28,7 +28,7 @@
       retryDelayUs = MIN_RETRY_DELAY_US;
 
   WatchClock() {
-    this(SILENT_US, RESPONSE_TIMEOUT_US);
+    this(SILENCE_TIMEOUT_US, RESPONSE_TIMEOUT_US);
   }
 
   WatchClock(long silenceTimeoutUs, long responseTimeoutUs) {
--- a/src/main/java/hollyslip/recovery/Epoch.java
+++ b/src/main/java/hollyslip/recovery/Epoch.java
@@ -65,7 +65,7 @@
   }
 
   /** Stores an epoch, which must be above the last one; it is durable when this returns. */
-  public synchronized void take(long epoch) throws IOException {
+  public synchronized void advanceTo(long epoch) throws IOException {
     if (epoch <= last) {
       throw new IllegalArgumentException("epoch: " + epoch + " is not above " + last);
     }
--- a/src/main/java/hollyslip/recovery/InflightLog.java
+++ b/src/main/java/hollyslip/recovery/InflightLog.java
@@ -28,14 +28,14 @@
   public InflightLog(ByteBuffer region, int size) {
     this.region = region.order(ByteOrder.LITTLE_ENDIAN);
     this.size = size;
-    if (region.capacity() < bytes(size)) {
+    if (region.capacity() < regionBytes(size)) {
       throw new IllegalArgumentException("inflight region: " + region.capacity() + " bytes for a queue of "
           + size);
     }
   }
 
   /** Size in bytes of the region for a queue of the given number of descriptors. */
-  public static int bytes(int size) {
+  public static int regionBytes(int size) {
     return HEADER_BYTES + ENTRY_BYTES * size;
   }
 
@@ -72,7 +72,7 @@
   }
 
   /** Records that a request was taken. */
-  public void taken(int head) {
+  public void recordTaken(int head) {
     region.putLong(entryOffset(head) + 8, nextCounter++);
     VarHandle.releaseFence();
     region.put(entryOffset(head), (byte) 1);
@@ -80,14 +80,14 @@
   }
 
   /** Records that a request's answer is about to be published. */
-  public void answering(int head) {
+  public void prepareAnswer(int head) {
     region.putShort(entryOffset(head) + 6, region.getShort(12));
     region.putShort(12, (short) head);
     VarHandle.releaseFence();
   }
 
   /** Records that the answer was published, and the index of the used ring after it. */
-  public void answered(int head, int usedIdx) {
+  public void commitAnswer(int head, int usedIdx) {
     VarHandle.releaseFence();
     region.put(entryOffset(head), (byte) 0);
     VarHandle.releaseFence();
--- a/src/main/java/hollyslip/recovery/Succession.java
+++ b/src/main/java/hollyslip/recovery/Succession.java
@@ -20,7 +20,7 @@
    * @param instance
    *          random number drawn at each start, which distinguishes two processes with the same epoch */
   public record Holder(long epoch, long instance) {
-    public static final Holder NOBODY = new Holder(0, 0);
+    public static final Holder NONE = new Holder(0, 0);
 
     private boolean sameAs(Holder other) {
       return epoch == other.epoch && instance == other.instance;
@@ -28,7 +28,7 @@
   }
 
   /** What a node knows of a name: its newest holder and the number of that holder's open connections. */
-  public record Known(Holder holder, int open) {}
+  public record Known(Holder holder, int openConnections) {}
 
   /** What the gateway has to do. */
   public enum Verdict {
@@ -41,17 +41,17 @@
   }
 
   /** What to do, with the epoch to take and the holder that led to it. */
-  public record Step(Verdict verdict, long epoch, Holder other) {}
+  public record Step(Verdict action, long epoch, Holder other) {}
 
   /** Decides at a start; {@code recorded} is the epoch on disk, 0 if there is none. A holder with open
    * connections and an epoch above the recorded one is another gateway. Open connections with the recorded
    * epoch were left by an earlier process that used the same directory. */
-  public static Step start(long recorded, Collection<Known> reports) {
-    Holder newest = Holder.NOBODY;
+  public static Step decideAtStart(long recorded, Collection<Known> reports) {
+    Holder newest = Holder.NONE;
     Holder living = null;
     for (Known report : reports) {
       newest = report.holder.epoch > newest.epoch ? report.holder : newest;
-      if (report.open > 0 && report.holder.epoch > recorded && (living == null
+      if (report.openConnections > 0 && report.holder.epoch > recorded && (living == null
           || report.holder.epoch > living.epoch)) {
         living = report.holder;
       }
@@ -61,19 +61,19 @@
         : new Step(Verdict.TAKE, Math.max(recorded, newest.epoch) + 1, newest);
   }
 
-  /** Like {@link #start}, when an operator says that no other gateway with the name is alive. */
-  public static Step takeOver(long recorded, Collection<Known> reports) {
-    return start(recorded, reports.stream().map(report -> new Known(report.holder, 0)).toList());
+  /** Like {@link #decideAtStart}, when an operator says that no other gateway with the name is alive. */
+  public static Step decideForcedTakeover(long recorded, Collection<Known> reports) {
+    return decideAtStart(recorded, reports.stream().map(report -> new Known(report.holder, 0)).toList());
   }
 
   /** Decides in service, when a node reports the holder of the name after it learned of this gateway. Of two
    * with the same epoch the one with the higher instance continues, so that both decide the same. */
-  public static Step heard(Holder mine, Known report) {
+  public static Step decideInService(Holder mine, Known report) {
     Holder other = report.holder;
     if (other.epoch < mine.epoch || other.sameAs(mine)) {
       return new Step(Verdict.GO_ON, mine.epoch, other);
     }
-    boolean wins = report.open == 0 || other.epoch == mine.epoch && mine.instance > other.instance;
+    boolean wins = report.openConnections == 0 || other.epoch == mine.epoch && mine.instance > other.instance;
     return wins
         ? new Step(Verdict.TAKE, other.epoch + 1, other)
         : new Step(Verdict.YIELD, 0, other);
--- a/src/main/java/hollyslip/standin/DiskServer.java
+++ b/src/main/java/hollyslip/standin/DiskServer.java
@@ -423,7 +423,7 @@
     synchronized (fences) {
       Fence newest = fences.get(client);
       if (newest == null) {
-        return new Known(Holder.NOBODY, 0);
+        return new Known(Holder.NONE, 0);
       }
       long open = connections.stream()
           .filter(c -> c.fence != null && c.fence.client().equals(client) && c.fence.holder()
--- a/src/main/java/hollyslip/tenant/Registrar.java
+++ b/src/main/java/hollyslip/tenant/Registrar.java
@@ -340,8 +340,8 @@
   }
 
   private static void block(long bytes, String field) {
-    if (bytes <= 0 || bytes % Volume.BLOCK != 0) {
-      throw Refusal.invalid(field, field + " must be a multiple of " + Volume.BLOCK + " above 0, not "
+    if (bytes <= 0 || bytes % Volume.BLOCK_BYTES != 0) {
+      throw Refusal.invalid(field, field + " must be a multiple of " + Volume.BLOCK_BYTES + " above 0, not "
           + bytes);
     }
   }
--- a/src/main/java/hollyslip/volume/IoKind.java
+++ b/src/main/java/hollyslip/volume/IoKind.java
@@ -4,15 +4,15 @@
 public enum IoKind {
   READ(false), WRITE(true), FLUSH(false), DISCARD(true), WRITE_ZEROES(true);
 
-  private final boolean changes;
+  private final boolean modifiesData;
 
   IoKind(boolean changes) {
-    this.changes = changes;
+    this.modifiesData = changes;
   }
 
   /** Whether the operation changes what later reads return. */
-  public boolean changes() {
-    return changes;
+  public boolean modifiesData() {
+    return modifiesData;
   }
 
   /** Whether the request or its response carries data. */
--- a/src/main/java/hollyslip/volume/Splitter.java
+++ b/src/main/java/hollyslip/volume/Splitter.java
@@ -11,8 +11,9 @@
   /** @param maxRangeBytes
    *          maximum length of a range in bytes, the limit of one command to a node */
   public Splitter(long maxRangeBytes) {
-    if (maxRangeBytes < Volume.BLOCK || maxRangeBytes % Volume.BLOCK != 0) {
-      throw new IllegalArgumentException("maxRangeBytes: must be a multiple of " + Volume.BLOCK + ", not "
+    if (maxRangeBytes < Volume.BLOCK_BYTES || maxRangeBytes % Volume.BLOCK_BYTES != 0) {
+      throw new IllegalArgumentException("maxRangeBytes: must be a multiple of " + Volume.BLOCK_BYTES
+          + ", not "
           + maxRangeBytes);
     }
     this.maxRangeBytes = maxRangeBytes;
@@ -24,7 +25,7 @@
 
   /** Splits a range, which must lie inside the volume, into shard ranges in order. */
   public List<ShardRange> split(Volume volume, long offset, long length) {
-    if (!volume.holds(offset, length)) {
+    if (!volume.containsRange(offset, length)) {
       throw new IllegalArgumentException("range " + offset + "+" + length + " is not inside volume " + volume
           .name());
     }
--- a/src/main/java/hollyslip/volume/Volume.java
+++ b/src/main/java/hollyslip/volume/Volume.java
@@ -15,16 +15,16 @@
  * @param hosts
  *          number of gateways through which its requests come
  * @param bytes
- *          size in bytes, a multiple of {@link #BLOCK}
+ *          size in bytes, a multiple of {@link #BLOCK_BYTES}
  * @param extentBytes
- *          extent size in bytes, a multiple of {@link #BLOCK}
+ *          extent size in bytes, a multiple of {@link #BLOCK_BYTES}
  * @param extents
  *          location of each extent, in order */
 public record Volume(long id, String name, String tenant, String plan, int hosts, long bytes,
     long extentBytes, List<Extent> extents) {
   /** Size in bytes of a block, the unit of addresses: virtio 1.2, 5.2.4 ("capacity ... in 512-byte
    * sectors"). */
-  public static final int BLOCK = 512;
+  public static final int BLOCK_BYTES = 512;
 
   /** Location of an extent: {@code offset} bytes into the shard's data. */
   public record Extent(int shard, long offset) {
@@ -32,8 +32,8 @@
       if (shard < 0) {
         throw new IllegalArgumentException("extent.shard: must be at least 0, not " + shard);
       }
-      if (offset < 0 || offset % BLOCK != 0) {
-        throw new IllegalArgumentException("extent.offset: must be a multiple of " + BLOCK + ", not "
+      if (offset < 0 || offset % BLOCK_BYTES != 0) {
+        throw new IllegalArgumentException("extent.offset: must be a multiple of " + BLOCK_BYTES + ", not "
             + offset);
       }
     }
@@ -46,11 +46,12 @@
     if (hosts < 1) {
       throw new IllegalArgumentException("volume.hosts: must be at least 1, not " + hosts);
     }
-    if (bytes <= 0 || bytes % BLOCK != 0) {
-      throw new IllegalArgumentException("volume.bytes: must be a multiple of " + BLOCK + ", not " + bytes);
+    if (bytes <= 0 || bytes % BLOCK_BYTES != 0) {
+      throw new IllegalArgumentException("volume.bytes: must be a multiple of " + BLOCK_BYTES + ", not "
+          + bytes);
     }
-    if (extentBytes <= 0 || extentBytes % BLOCK != 0) {
-      throw new IllegalArgumentException("volume.extentBytes: must be a multiple of " + BLOCK + ", not "
+    if (extentBytes <= 0 || extentBytes % BLOCK_BYTES != 0) {
+      throw new IllegalArgumentException("volume.extentBytes: must be a multiple of " + BLOCK_BYTES + ", not "
           + extentBytes);
     }
     extents = List.copyOf(extents);
@@ -62,8 +63,9 @@
   }
 
   /** Whether a byte range lies inside the volume and on block boundaries. */
-  public boolean holds(long offset, long length) {
-    return offset >= 0 && length > 0 && offset % BLOCK == 0 && length % BLOCK == 0 && offset <= bytes
+  public boolean containsRange(long offset, long length) {
+    return offset >= 0 && length > 0 && offset % BLOCK_BYTES == 0 && length % BLOCK_BYTES == 0
+        && offset <= bytes
         && length <= bytes - offset;
   }
 }
--- a/src/test/java/hollyslip/AllocatorTest.java
+++ b/src/test/java/hollyslip/AllocatorTest.java
@@ -10,9 +10,9 @@
   private static Choice.Volume volume(long key, double weight, double asked, double lastAlpha,
       double record) {
     Choice.Volume v = new Choice.Volume(weight, 6, 0);
-    v.asked = asked;
-    v.lastAlpha = lastAlpha;
-    v.known = true;
+    v.requestedUnits = asked;
+    v.lastAllocation = lastAlpha;
+    v.allocatedBefore = true;
     v.record = record;
     return v;
   }
@@ -22,9 +22,9 @@
     Choice.Volume a = volume(1, 1, 2, 5, 0);
     Choice.Volume b = volume(2, 3, 20, 10, 0);
     Choice.initialAllocation(List.of(a, b), 20);
-    assertEquals(5, a.alpha, 1e-9);
-    assertEquals(15, b.alpha, 1e-9);
-    assertEquals(0.25, a.p, 1e-9);
+    assertEquals(5, a.allocation, 1e-9);
+    assertEquals(15, b.allocation, 1e-9);
+    assertEquals(0.25, a.tokenShare, 1e-9);
   }
 
   @Test
@@ -36,11 +36,11 @@
     List<Choice.Volume> active = List.of(a, b);
     Choice.initialAllocation(active, 20);
     Choice.redistribution(active);
-    assertEquals(2 + 3 * 0.1 / 3.6, a.alpha, 1e-9);
-    assertEquals(15 + 3 * 3.5 / 3.6, b.alpha, 1e-9);
+    assertEquals(2 + 3 * 0.1 / 3.6, a.allocation, 1e-9);
+    assertEquals(15 + 3 * 3.5 / 3.6, b.allocation, 1e-9);
     assertEquals(3 - 3 * 0.1 / 3.6, a.record, 1e-9);
     assertEquals(-3 * 3.5 / 3.6, b.record, 1e-9);
-    assertEquals(20, a.alpha + b.alpha, 1e-9);
+    assertEquals(20, a.allocation + b.allocation, 1e-9);
   }
 
   @Test
@@ -53,8 +53,8 @@
     Choice.initialAllocation(active, 20);
     Choice.redistribution(active);
     Choice.recompensation(active);
-    assertEquals(12, a.alpha, 1e-9);
-    assertEquals(8, b.alpha, 1e-9);
+    assertEquals(12, a.allocation, 1e-9);
+    assertEquals(8, b.allocation, 1e-9);
     assertEquals(2, a.record, 1e-9);
     assertEquals(-2, b.record, 1e-9);
   }
@@ -67,8 +67,8 @@
     Choice.initialAllocation(active, 20);
     Choice.redistribution(active);
     Choice.recompensation(active);
-    assertEquals(11, a.alpha, 1e-9);
-    assertEquals(9, b.alpha, 1e-9);
+    assertEquals(11, a.allocation, 1e-9);
+    assertEquals(9, b.allocation, 1e-9);
   }
 
   @Test
@@ -80,18 +80,18 @@
     Choice.initialAllocation(active, 20);
     Choice.redistribution(active);
     Choice.recompensation(active);
-    assertEquals(0, b.alpha, 1e-9);
-    assertEquals(20, a.alpha, 1e-9);
+    assertEquals(0, b.allocation, 1e-9);
+    assertEquals(20, a.allocation, 1e-9);
   }
 
   @Test
   void aNewVolumeHasUtilisationOne() {
     Choice.Volume a = new Choice.Volume(1, 6, 0);
-    a.asked = 4;
+    a.requestedUnits = 4;
     Choice.initialAllocation(List.of(a), 8);
     Choice.redistribution(List.of(a));
-    assertEquals(1, a.u, 1e-9);
-    assertEquals(8, a.alpha, 1e-9);
+    assertEquals(1, a.utilisation, 1e-9);
+    assertEquals(8, a.allocation, 1e-9);
     assertEquals(0, a.record, 1e-9);
   }
 }
--- a/src/test/java/hollyslip/QueuedRequestTest.java
+++ b/src/test/java/hollyslip/QueuedRequestTest.java
@@ -48,7 +48,8 @@
    * seconds once each of their connections had a queued request. */
   @Test
   void aStoppingProcessRefusesWhatItCannotSendSoon() {
-    assertEquals(Choice.LATENCY_GUESS, timeToRefusal(2_000_000, new Stopping(START + 60_000_000)), 3_000);
+    assertEquals(Choice.INITIAL_LATENCY_US, timeToRefusal(2_000_000, new Stopping(START + 60_000_000)),
+        3_000);
   }
 
   /** Requests sent before the process was told to stop, to a node that does not respond, from clients that
@@ -80,14 +81,14 @@
       List<Action> actions = new ArrayList<>();
       scheduler.handle(START, new NodeList(true, List.of(Fixtures.node(1, 0, NodeState.ON, 0))),
           actions::add);
-      int beyondWindow = (int) Choice.WINDOW_START + 1;
+      int beyondWindow = (int) Choice.INITIAL_WINDOW + 1;
       for (int i = 1; i <= beyondWindow; i++) {
         scheduler.handle(START, Fixtures.request(i, "read", "free", 5L, 9, 2, 0), actions::add);
       }
       scheduler.handle(START + Fixtures.SAFE.aimUs(), new TimerDue(0), actions::add);
       long retryIn = actions.stream()
           .filter(a -> a instanceof Refuse r && r.request() == beyondWindow)
-          .mapToLong(a -> ((Refuse) a).retryInUs())
+          .mapToLong(a -> ((Refuse) a).retryAfterUs())
           .findFirst()
           .orElseThrow();
       // The latency estimate exceeds maxRetryAfterUs after so long without a response.
--- a/src/test/java/hollyslip/RandomEventsTest.java
+++ b/src/test/java/hollyslip/RandomEventsTest.java
@@ -47,7 +47,9 @@
       } else if (kind < 80) {
         int index = random.nextInt(nodes.size());
         NodeState state = NodeState.values()[random.nextInt(3)];
-        long bornUs = random.nextBoolean() ? audit.now - random.nextInt(500_000) : nodes.get(index).bornUs();
+        long bornUs = random.nextBoolean()
+            ? audit.now - random.nextInt(500_000)
+            : nodes.get(index).startedAtUs();
         nodes.set(index, Fixtures.node(100 + index, index, state, bornUs));
         audit.updateNodes(random.nextBoolean(), random.nextBoolean() ? nodes : List.of(nodes.get(index)));
       } else if (kind < 81) {
--- a/src/test/java/hollyslip/RuleAudit.java
+++ b/src/test/java/hollyslip/RuleAudit.java
@@ -190,7 +190,8 @@
       TrackedRequest tracked = recordAnswer(refuse.request());
       if (tracked.requestClass != null && tracked.anyMayHaveRun()) {
         boolean harmless = tracked.requestClass.effect() == Effect.SAFE
-            || tracked.requestClass.effect() == Effect.KEYED && tracked.requestClass.group() == Group.ALL;
+            || tracked.requestClass.effect() == Effect.KEYED && tracked.requestClass
+                .dedupScope() == Group.ALL;
         if (!harmless) {
           addViolation("refused although it may have run", refuse.request());
         }
@@ -247,13 +248,13 @@
         continue;
       }
       Listed previousNode = listedNodes.get(previous.node());
-      boolean inGroup = switch (tracked.requestClass.group()) {
+      boolean inGroup = switch (tracked.requestClass.dedupScope()) {
         case ALL -> true;
         case ZONE -> previousNode.zone().equals(target.zone());
         case CELL -> previousNode.cell() == target.cell();
       };
       if (tracked.requestClass.effect() == Effect.UNSAFE || !inGroup
-          || now > previous.sentAt() + tracked.requestClass.windowUs()) {
+          || now > previous.sentAt() + tracked.requestClass.dedupWindowUs()) {
         addViolation("effect may occur twice", tracked.request.id());
       }
     }
@@ -294,18 +295,19 @@
 
   private void checkColdNode(TrackedRequest tracked, Listed target) {
     Rules rules = settings.rules();
-    if (target.bornUs() <= 0 || now > target.bornUs() + rules.coldUs() || settings.store().coldUnits() <= 0) {
+    if (target.startedAtUs() <= 0 || now > target.startedAtUs() + rules.coldUs() || settings.store()
+        .coldUnits() <= 0) {
       return;
     }
-    coldSends.add(new double[]{target.node(), target.bornUs(), now, tracked.request.units()});
+    coldSends.add(new double[]{target.node(), target.startedAtUs(), now, tracked.request.units()});
     double sentUnits = 0;
     for (double[] coldSend : coldSends) {
-      if (coldSend[0] == target.node() && coldSend[1] == target.bornUs()
+      if (coldSend[0] == target.node() && coldSend[1] == target.startedAtUs()
           && coldSend[2] > now - rules.fallUs()) {
         sentUnits += coldSend[3];
       }
     }
-    double age = Math.min(1, (double) Math.max(0, now - target.bornUs()) / rules.coldUs());
+    double age = Math.min(1, (double) Math.max(0, now - target.startedAtUs()) / rules.coldUs());
     double allowedUnits = settings.store().coldUnits() * (rules.coldFrom() + (1 - rules.coldFrom()) * age)
         / rules.coldFrom();
     if (sentUnits > allowedUnits + 1e-6) {
--- a/src/test/java/hollyslip/RulesTest.java
+++ b/src/test/java/hollyslip/RulesTest.java
@@ -117,7 +117,7 @@
     audit.completeAttempt(audit.inFlight.get(0), Result.RESET);
     audit.advanceTo(START + 100_000);
     assertEquals(2, sendCount(audit));
-    assertEquals(START + 400_000 - Choice.KEYED_MARGIN, lastSend(audit).startBy());
+    assertEquals(START + 400_000 - Choice.DEDUP_WINDOW_MARGIN_US, lastSend(audit).startBy());
     audit.submit(Fixtures.request(2, "read", "free", null, 1, 2, 0));
     assertEquals(Long.MAX_VALUE, lastSend(audit).startBy());
   }
@@ -206,10 +206,10 @@
     for (int step = 0; step < 4_000; step++) {
       int index = step / 500 % 2 == 0 ? 0 : random.nextInt(2);
       if (random.nextInt(3) > 0) {
-        budgets[index].took(1);
+        budgets[index].requestsTaken(1);
         history.add(new int[]{1, 0});
-      } else if (budgets[index].allows()) {
-        budgets[index].spend(1);
+      } else if (budgets[index].allowsRetry()) {
+        budgets[index].retriesMade(1);
         history.add(new int[]{0, 1});
       }
     }
@@ -384,7 +384,7 @@
     RuleAudit audit = newAudit();
     audit.submit(Fixtures.request(1, "read", "free", null, 1, 2, 0));
     audit.submit(Fixtures.request(2, "write", "free", null, 2, 2, 1));
-    long guess = (long) (Choice.SURELY_LOST * Choice.LATENCY_GUESS);
+    long guess = (long) (Choice.MIN_TIMEOUT_LATENCIES * Choice.INITIAL_LATENCY_US);
     assertTrue(hasAction(audit, new Send(1, 1, START + guess)));
     assertTrue(hasAction(audit, new Send(2, 2, 0)));
     audit.submit(Fixtures.request(3, "keyed-CELL", "free", 5L, 9, 2, 0));
@@ -446,7 +446,10 @@
     List<Action> actions = new java.util.ArrayList<>();
     scheduler.handle(START, new NodeList(true, nodes), actions::add);
     scheduler.handle(START, Fixtures.request(1, "read", "free", null, 1, 2, -1), actions::add);
-    return actions.stream().filter(x -> x instanceof Send).map(x -> ((Send) x).node()).findFirst()
+    return actions.stream()
+        .filter(x -> x instanceof Send)
+        .map(x -> ((Send) x).node())
+        .findFirst()
         .orElseThrow();
   }
 
@@ -500,7 +503,7 @@
     assertThrows(NullPointerException.class, () -> new Choice(null));
     IllegalArgumentException exception = assertThrows(IllegalArgumentException.class,
         () -> new Plan("x", -1, 0, 1, 1,
-        0, 0, 0));
+            0, 0, 0));
     assertTrue(exception.getMessage().startsWith("plan.rate"), exception.getMessage());
     exception = assertThrows(IllegalArgumentException.class,
         () -> Fixtures.settings(List.of(), Fixtures.rules(), false));
--- a/src/test/java/hollyslip/VolumeChangeTest.java
+++ b/src/test/java/hollyslip/VolumeChangeTest.java
@@ -108,11 +108,11 @@
     Choice.Volume secondLender = volumeWithRecord(node, 2, 10);
     Choice.Volume borrower = volumeWithRecord(node, 3, -25);
     Choice.Volume secondBorrower = volumeWithRecord(node, 4, -15);
-    node.settle(borrower, 0);
+    node.rescaleRecord(borrower, 0);
     assertEquals(30 - 25 * 0.75, lender.record, 1e-9);
     assertEquals(10 - 25 * 0.25, secondLender.record, 1e-9);
     assertEquals(-15, secondBorrower.record, 1e-9);
-    node.settle(lender, 0);
+    node.rescaleRecord(lender, 0);
     assertEquals(-3.75, secondBorrower.record, 1e-9);
     assertEquals(3.75, secondLender.record, 1e-9);
   }
@@ -122,10 +122,10 @@
   void anIdleRecordDecaysByThePeriodsMissed() {
     Choice.Volume v = new Choice.Volume(1, 6, 0);
     v.record = 100;
-    v.fade(3);
-    v.fade(3);
-    v.fade(10);
-    assertEquals(100 * Math.pow(Choice.RECORD_KEEP, 10), v.record, 1e-9);
+    v.decayRecord(3);
+    v.decayRecord(3);
+    v.decayRecord(10);
+    assertEquals(100 * Math.pow(Choice.RECORD_DECAY, 10), v.record, 1e-9);
   }
 
   @Test
@@ -133,10 +133,10 @@
     Choice.Node node = scheduler.new Node(Fixtures.node(1, 0, NodeState.ON, 0));
     Choice.Volume lender = volumeWithRecord(node, 1, 20);
     Choice.Volume borrower = volumeWithRecord(node, 2, -20);
-    node.settle(borrower, 0.5);
+    node.rescaleRecord(borrower, 0.5);
     assertEquals(-10, borrower.record, 1e-9);
     assertEquals(10, lender.record, 1e-9);
-    node.settle(borrower, 1.5);
+    node.rescaleRecord(borrower, 1.5);
     assertEquals(15, lender.record, 1e-9);
   }
 
@@ -236,20 +236,20 @@
     Choice.Volume flatA = new Choice.Volume(0.5, 6, 0);
     Choice.Volume flatB = new Choice.Volume(1, 6, 0);
     Choice.initialAllocation(List.of(flatA, flatB), 90);
-    assertEquals(30, flatA.alpha, 1e-9);
+    assertEquals(30, flatA.allocation, 1e-9);
     Choice.Volume a = volumeInGroup(1, 1, 1);
     Choice.Volume idle = volumeInGroup(3, 1, 1);
     Choice.Volume b = volumeInGroup(2, 5, 2);
     Choice.initialAllocation(List.of(a, b), 90);
-    assertEquals(45, a.alpha, 1e-9);
+    assertEquals(45, a.allocation, 1e-9);
     Choice.initialAllocation(List.of(a, idle, b), 90);
-    assertEquals(22.5, a.alpha, 1e-9);
-    assertEquals(45, b.alpha, 1e-9);
+    assertEquals(22.5, a.allocation, 1e-9);
+    assertEquals(45, b.allocation, 1e-9);
   }
 
   private static Choice.Volume volumeInGroup(long key, double weight, long group) {
     Choice.Volume v = new Choice.Volume(1, 6, 0);
-    v.share(weight, group, 1);
+    v.setWeights(weight, group, 1);
     return v;
   }
 }
--- a/src/test/java/hollyslip/e2e/HardCasesTest.java
+++ b/src/test/java/hollyslip/e2e/HardCasesTest.java
@@ -60,8 +60,8 @@
       until(() -> run.loads.get(0).asked() > 400);
       site.disks.get(1).faults.silent = true;
       leaver.runThenVanish();
-      long at = Engine.clock();
-      assertTrue(g.membership().state(102, NodeState.DRAINING));
+      long at = Engine.monotonicMicros();
+      assertTrue(g.membership().setState(102, NodeState.DRAINING));
       run.told.add(new Told.State("gw-0", "disk-2", NodeState.DRAINING, at));
       until(() -> run.loads.get(0).asked() > 1_200);
       site.disks.get(1).faults.clear();
@@ -256,7 +256,7 @@
         run.start(run.load("b" + i, "gw-" + i, dir.resolve("gw-" + i + "/stock.sock"), "stock", i, 4, 0, 64));
       }
       until(() -> run.loads.stream().allMatch(l -> l.asked() > 200));
-      run.told.add(new Told.Born("disk-1", Engine.clock()));
+      run.told.add(new Told.Born("disk-1", Engine.monotonicMicros()));
       site.disks.get(1).restart();
       for (int i = 0; i < 4; i++) {
         int asked = run.loads.get(0).asked();
--- a/src/test/java/hollyslip/e2e/HostedTest.java
+++ b/src/test/java/hollyslip/e2e/HostedTest.java
@@ -164,10 +164,10 @@
         flood.forEach(Thread::start);
         b.start();
         until(() -> b.answered > 200);
-        long from = Engine.clock();
+        long from = Engine.monotonicMicros();
         int before = b.answered;
         until(() -> b.answered > before + 1_000);
-        long to = Engine.clock();
+        long to = Engine.monotonicMicros();
         for (Busy c : flood) {
           c.over = true;
         }
@@ -331,7 +331,7 @@
         clients.forEach(Thread::start);
         until(() -> clients.stream().allMatch(c -> c.answered > 300));
         limit(apis, 200, 20);
-        long lowered = Engine.clock();
+        long lowered = Engine.monotonicMicros();
         clients.get(3).over = true;
         children[3].kill();
         apis.get(3).close();
@@ -341,7 +341,7 @@
         clients.set(3, back);
         back.start();
         until(() -> back.answered > 40);
-        long raised = Engine.clock();
+        long raised = Engine.monotonicMicros();
         limit(apis, 2000, 200);
         int before = clients.get(0).answered;
         until(() -> clients.get(0).answered > before + 300);
--- a/src/test/java/hollyslip/fleet/MembershipTest.java
+++ b/src/test/java/hollyslip/fleet/MembershipTest.java
@@ -26,34 +26,34 @@
 
   @Test
   void recentStartIsReportedOnceAndSurvivesAnOlderList() {
-    membership.replace(List.of(onNode(1), onNode(2)));
-    assertTrue(membership.started(1, 77, 1_000_000, 90_000_000));
-    assertEquals(89_000_000, lastUpdate().nodes().get(0).bornUs());
-    assertFalse(lastUpdate().whole());
-    assertFalse(membership.started(1, 77, 2_000_000, 91_000_000), "same start again");
-    membership.replace(List.of(onNode(1), onNode(2)));
-    assertEquals(89_000_000, lastUpdate().nodes().get(0).bornUs());
-    assertTrue(membership.started(1, 78, 0, 95_000_000), "another start");
+    membership.replaceAll(List.of(onNode(1), onNode(2)));
+    assertTrue(membership.recordStart(1, 77, 1_000_000, 90_000_000));
+    assertEquals(89_000_000, lastUpdate().nodes().get(0).startedAtUs());
+    assertFalse(lastUpdate().complete());
+    assertFalse(membership.recordStart(1, 77, 2_000_000, 91_000_000), "same start again");
+    membership.replaceAll(List.of(onNode(1), onNode(2)));
+    assertEquals(89_000_000, lastUpdate().nodes().get(0).startedAtUs());
+    assertTrue(membership.recordStart(1, 78, 0, 95_000_000), "another start");
   }
 
   @Test
   void oldStartIsNotReported() {
-    membership.replace(List.of(onNode(1)));
-    assertFalse(membership.started(1, 77, 5_000_000, 90_000_000));
+    membership.replaceAll(List.of(onNode(1)));
+    assertFalse(membership.recordStart(1, 77, 5_000_000, 90_000_000));
     assertEquals(1, updates.size());
-    assertFalse(membership.started(9, 77, 0, 90_000_000), "not listed");
+    assertFalse(membership.recordStart(9, 77, 0, 90_000_000), "not listed");
   }
 
   @Test
   void omittedNodeIsRemovedAndStateChangeIsReportedAlone() {
-    membership.replace(List.of(onNode(1), onNode(2)));
-    assertTrue(membership.state(2, NodeState.DRAINING));
+    membership.replaceAll(List.of(onNode(1), onNode(2)));
+    assertTrue(membership.setState(2, NodeState.DRAINING));
     assertEquals(List.of(new Listed(2, "a", 2, NodeState.DRAINING, 0)), lastUpdate().nodes());
-    assertFalse(membership.state(3, NodeState.ON));
-    membership.replace(List.of(onNode(1)));
-    assertTrue(lastUpdate().whole());
+    assertFalse(membership.setState(3, NodeState.ON));
+    membership.replaceAll(List.of(onNode(1)));
+    assertTrue(lastUpdate().complete());
     assertEquals(1, lastUpdate().nodes().size());
-    membership.tellAgain();
+    membership.republish();
     assertEquals(List.of(onNode(1)), lastUpdate().nodes());
   }
 }
--- a/src/test/java/hollyslip/platform/CallTest.java
+++ b/src/test/java/hollyslip/platform/CallTest.java
@@ -44,7 +44,7 @@
 
   private static DiskServer serverAt(InetSocketAddress address) {
     DiskServer server = new DiskServer("s", 1);
-    server.dial = address;
+    server.address = address;
     return server;
   }
 
@@ -54,7 +54,8 @@
 
   private void start(DiskServers pool, DiskServer server, long timeoutUs, boolean maySend) throws Exception {
     long now = clock.now();
-    Call call = new Call(server, now, now + timeoutUs, w -> Http.bytes(REQUEST), () -> maySend, (result, took,
+    Call call = new Call(server, now, now + timeoutUs, w -> Http.latin1Bytes(REQUEST), () -> maySend, (result,
+        took,
         headers,
         body) -> results.add(result));
     group.submit(() -> pool.start(call)).sync();
@@ -78,9 +79,9 @@
       start(pool, server, LONG_US, false);
       assertEquals(Result.MOOT, result());
       start(pool, server, LONG_US, true);
-      peer.next().ok("x");
+      peer.nextRequest().respondOk("x");
       assertEquals(Result.OK, result());
-      peer.nothingElse();
+      peer.assertNoMoreRequests();
     }
   }
 
@@ -117,7 +118,7 @@
     try (Peer peer = new Peer()) {
       DiskServers pool = pool(4, LONG_US);
       start(pool, serverAt(peer), SHORT_US, true);
-      Peer.Came request = peer.next();
+      Peer.Came request = peer.nextRequest();
       assertEquals(Result.TIMEOUT, result());
       request.awaitClosed();
       assertEquals(0, onLoop(pool::connectionCount));
@@ -129,7 +130,7 @@
   private Peer.Came firstOfTwo(DiskServers pool, Peer peer) throws Exception {
     DiskServer server = serverAt(peer);
     start(pool, server, LONG_US, true);
-    Peer.Came first = peer.next();
+    Peer.Came first = peer.nextRequest();
     start(pool, server, LONG_US, true);
     return first;
   }
@@ -141,9 +142,9 @@
       DiskServers pool = pool(1, SHORT_US);
       Peer.Came first = firstOfTwo(pool, peer);
       assertEquals(Result.MOOT, result());
-      first.ok("x");
+      first.respondOk("x");
       assertEquals(Result.OK, result());
-      peer.nothingElse();
+      peer.assertNoMoreRequests();
       assertEquals(1, onLoop(pool::connectionCount));
     }
   }
@@ -154,9 +155,9 @@
     try (Peer peer = new Peer()) {
       Peer.Came first = firstOfTwo(pool(1, LONG_US), peer);
       // The connection is closed with the first call, as bytes follow the response.
-      first.answer("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxnoise");
+      first.respond("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxnoise");
       assertEquals(Result.OK, result());
-      peer.next().ok("y");
+      peer.nextRequest().respondOk("y");
       assertEquals(Result.OK, result());
     }
   }
--- a/src/test/java/hollyslip/platform/CrossingsTest.java
+++ b/src/test/java/hollyslip/platform/CrossingsTest.java
@@ -20,21 +20,21 @@
   void aRequestReadTogetherWithItsClientsDisconnectIsNotForwarded() throws Exception {
     try (Site site = new Site(); Site.Client stays = site.client()) {
       List<Site.Client> leavers = new ArrayList<>();
-      try (AutoCloseable held = site.held()) {
+      try (AutoCloseable held = site.blockEventLoop()) {
         for (int i = 0; i < 20; i++) {
           Site.Client client = site.client();
-          client.send(Site.read("left" + i));
+          client.send(Site.readRequest("left" + i));
           client.socket.shutdownOutput();
           leavers.add(client);
         }
       }
       for (Site.Client client : leavers) {
-        assertEquals("closed", client.answer());
+        assertEquals("closed", client.readResponse());
         client.close();
       }
-      stays.send(Site.read("stays"));
-      assertEquals("stays", site.disk.next().header("X-Txn"));
-      site.disk.nothingElse();
+      stays.send(Site.readRequest("stays"));
+      assertEquals("stays", site.diskServer.nextRequest().header("X-Txn"));
+      site.diskServer.assertNoMoreRequests();
     }
   }
 
@@ -44,17 +44,17 @@
     try (Site site = new Site(); Site.Client stays = site.client()) {
       for (int i = 0; i < 20; i++) {
         Site.Client client = site.client();
-        client.send(Site.read("served" + i));
-        site.disk.next().ok("x");
-        assertEquals(200, client.status());
-        try (AutoCloseable held = site.held()) {
-          client.send(Site.read("left" + i));
+        client.send(Site.readRequest("served" + i));
+        site.diskServer.nextRequest().respondOk("x");
+        assertEquals(200, client.readStatus());
+        try (AutoCloseable held = site.blockEventLoop()) {
+          client.send(Site.readRequest("left" + i));
           client.reset();
         }
       }
-      stays.send(Site.read("stays"));
-      assertEquals("stays", site.disk.next().header("X-Txn"));
-      site.disk.nothingElse();
+      stays.send(Site.readRequest("stays"));
+      assertEquals("stays", site.diskServer.nextRequest().header("X-Txn"));
+      site.diskServer.assertNoMoreRequests();
     }
   }
 
@@ -64,18 +64,18 @@
   void aRequestThatNeedsANewConnectionIsNotForwardedAfterItsClientDisconnects() throws Exception {
     try (Site site = new Site(); Site.Client stays = site.client(); Site.Client leaves = site.client()) {
       // The first request occupies its connection by then, so the next one needs a connection of its own.
-      stays.send(Site.read("first"));
-      Peer.Came first = site.disk.next();
-      try (AutoCloseable held = site.held()) {
-        leaves.send(Site.read("left"));
+      stays.send(Site.readRequest("first"));
+      Peer.Came first = site.diskServer.nextRequest();
+      try (AutoCloseable held = site.blockEventLoop()) {
+        leaves.send(Site.readRequest("left"));
         leaves.socket.shutdownOutput();
       }
-      assertEquals("closed", leaves.answer());
-      first.ok("x");
-      assertEquals(200, stays.status());
-      stays.send(Site.read("stays"));
-      assertEquals("stays", site.disk.next().header("X-Txn"));
-      site.disk.nothingElse();
+      assertEquals("closed", leaves.readResponse());
+      first.respondOk("x");
+      assertEquals(200, stays.readStatus());
+      stays.send(Site.readRequest("stays"));
+      assertEquals("stays", site.diskServer.nextRequest().header("X-Txn"));
+      site.diskServer.assertNoMoreRequests();
     }
   }
 
@@ -87,24 +87,25 @@
         Peer.Came attempt = null;
         for (boolean reused = false; !reused;) {
           Peer.Came previous = attempt;
-          client.send(Site.read("t"));
-          attempt = site.disk.next();
-          reused = previous != null && previous.on() == attempt.on();
-          attempt.ok("mine");
-          assertTrue(client.answer().endsWith("mine"));
+          client.send(Site.readRequest("t"));
+          attempt = site.diskServer.nextRequest();
+          reused = previous != null && previous.connection() == attempt.connection();
+          attempt.respondOk("mine");
+          assertTrue(client.readResponse().endsWith("mine"));
           // After this delay the connection has been idle long enough to be reused.
           site.node.loop()
-              .schedule(() -> {}, 2 * DiskServers.REST_US, java.util.concurrent.TimeUnit.MICROSECONDS)
+              .schedule(() -> {}, 2 * DiskServers.MIN_IDLE_BEFORE_REUSE_US,
+                  java.util.concurrent.TimeUnit.MICROSECONDS)
               .sync();
         }
-        try (AutoCloseable held = site.held()) {
-          attempt.answer(extra);
-          client.send(Site.read("next"));
+        try (AutoCloseable held = site.blockEventLoop()) {
+          attempt.respond(extra);
+          client.send(Site.readRequest("next"));
         }
-        Peer.Came next = site.disk.next();
-        assertNotSame(attempt.on(), next.on());
-        next.ok("fine");
-        assertTrue(client.answer().endsWith("fine"));
+        Peer.Came next = site.diskServer.nextRequest();
+        assertNotSame(attempt.connection(), next.connection());
+        next.respondOk("fine");
+        assertTrue(client.readResponse().endsWith("fine"));
       }
     }
   }
@@ -114,25 +115,25 @@
   void connectionsInTheAcceptQueueAtShutdownAreAnswered() throws Exception {
     List<Site.Client> late = new ArrayList<>();
     try (Site site = new Site(); Site.Client idle = site.client()) {
-      idle.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
-      try (AutoCloseable held = site.held()) {
+      idle.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus();
+      try (AutoCloseable held = site.blockEventLoop()) {
         site.node.drainNow();
         for (int i = 0; i < 10; i++) {
-          late.add(site.client().send(Site.read("late" + i)));
+          late.add(site.client().send(Site.readRequest("late" + i)));
         }
         // Races with the close of its idle connection: the client would send it again elsewhere.
-        idle.send(Site.read("crossing"));
+        idle.send(Site.readRequest("crossing"));
       }
       for (Site.Client client : late) {
-        String answer = client.answer();
+        String answer = client.readResponse();
         assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Connection: close"), answer);
-        assertEquals("closed", client.answer());
+        assertEquals("closed", client.readResponse());
         client.close();
       }
-      String crossing = idle.answer();
+      String crossing = idle.readResponse();
       assertTrue(crossing.equals("closed") || crossing.startsWith("HTTP/1.1 503 "), crossing);
-      assertTrue(site.node.awaitEnd(20_000));
-      site.disk.nothingElse();
+      assertTrue(site.node.awaitTermination(20_000));
+      site.diskServer.assertNoMoreRequests();
     }
   }
 
@@ -141,11 +142,11 @@
   @Test
   void outstandingRequestsAreAnsweredBeforeTheProcessIsKilled() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.write("pay", "t1", null, "x"));
-      site.disk.next();
+      client.send(Site.writeRequest("pay", "t1", null, "x"));
+      site.diskServer.nextRequest();
       site.node.stop();
-      assertTrue(site.node.awaitEnd(15_000), "the process must not wait for the client's 20 s");
-      assertEquals(502, client.status());
+      assertTrue(site.node.awaitTermination(15_000), "the process must not wait for the client's 20 s");
+      assertEquals(502, client.readStatus());
     }
   }
 
@@ -154,22 +155,23 @@
   @Test
   void aRequestProcessedWithADrainUpdateGoesToTheReplacement() throws Exception {
     try (Site site = new Site(); Peer other = new Peer(); Site.Client client = site.client()) {
-      Peer.Came watch = site.discovery.next();
-      watch.answer(Site.WATCH);
+      Peer.Came watch = site.discovery.nextRequest();
+      watch.respond(Site.WATCH_RESPONSE_HEAD);
       for (int i = 0; i < 20; i++) {
         String first = "s-" + i, next = "s-" + (i + 1);
-        Peer before = i % 2 == 0 ? site.disk : other, after = i % 2 == 0 ? other : site.disk;
-        try (AutoCloseable held = site.held()) {
-          client.send(Site.read("t" + i));
-          watch.answer(Site.chunk(Site.list(42 + i, false, Site.entry(first, before, 0, "draining"), Site
-              .entry(
-                  next, after, 0, "up"))));
+        Peer before = i % 2 == 0 ? site.diskServer : other, after = i % 2 == 0 ? other : site.diskServer;
+        try (AutoCloseable held = site.blockEventLoop()) {
+          client.send(Site.readRequest("t" + i));
+          watch.respond(Site.httpChunk(Site.nodeListJson(42 + i, false, Site.nodeEntryJson(first, before, 0,
+              "draining"), Site
+                  .nodeEntryJson(
+                      next, after, 0, "up"))));
         }
-        Peer.Came attempt = after.next();
+        Peer.Came attempt = after.nextRequest();
         assertEquals("t" + i, attempt.header("X-Txn"));
-        attempt.ok("x");
-        assertEquals(200, client.status());
-        before.nothingElse();
+        attempt.respondOk("x");
+        assertEquals(200, client.readStatus());
+        before.assertNoMoreRequests();
       }
     }
   }
@@ -179,11 +181,11 @@
   void requestsReadAfterTheConnectionEndedAreNotForwarded() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       client.send("GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-      assertTrue(client.status() > 0);
-      assertEquals("closed", client.answer());
-      client.send(Site.read("crossing"));
-      Awaitility.await().until(() -> site.node.connections() == 0);
-      site.disk.nothingElse();
+      assertTrue(client.readStatus() > 0);
+      assertEquals("closed", client.readResponse());
+      client.send(Site.readRequest("crossing"));
+      Awaitility.await().until(() -> site.node.clientConnectionCount() == 0);
+      site.diskServer.assertNoMoreRequests();
     }
   }
 
@@ -194,19 +196,19 @@
         Site.Client firstClient = site.client();
         Site.Client secondClient = site.client()) {
       for (int i = 0; i < 10; i++) {
-        firstClient.send(Site.write("put", "a" + i, "same", "A" + i).replace("20000000u", "9000000u"));
-        secondClient.send(Site.write("pay", "b" + i, "same", "B" + i));
+        firstClient.send(Site.writeRequest("put", "a" + i, "same", "A" + i).replace("20000000u", "9000000u"));
+        secondClient.send(Site.writeRequest("pay", "b" + i, "same", "B" + i));
         for (int k = 0; k < 2; k++) {
-          Peer.Came attempt = site.disk.next();
+          Peer.Came attempt = site.diskServer.nextRequest();
           boolean first = attempt.header("X-Txn").equals("a" + i);
           assertEquals((first ? "A" : "B") + i, attempt.body());
           assertTrue(attempt.head().startsWith(first ? "PUT /put/" : "PUT /pay/"), attempt.head());
           assertEquals("same", attempt.header("Idempotency-Key"));
           assertEquals(first, Long.parseLong(attempt.header("X-Remaining").replace("u", "")) <= 9_000_000);
-          attempt.ok(attempt.header("X-Txn"));
+          attempt.respondOk(attempt.header("X-Txn"));
         }
-        assertTrue(firstClient.answer().endsWith("\r\n\r\na" + i));
-        assertTrue(secondClient.answer().endsWith("\r\n\r\nb" + i));
+        assertTrue(firstClient.readResponse().endsWith("\r\n\r\na" + i));
+        assertTrue(secondClient.readResponse().endsWith("\r\n\r\nb" + i));
       }
     }
   }
--- a/src/test/java/hollyslip/platform/DeskTest.java
+++ b/src/test/java/hollyslip/platform/DeskTest.java
@@ -66,7 +66,7 @@
     String outcome = response.get(20, TimeUnit.SECONDS);
     assertTrue(clock.now() - start < REQUEST_TIMEOUT_US + 500_000,
         "answered within half a second of the deadline");
-    loop.submit(() -> assertEquals(0, desk.open())).sync();
+    loop.submit(() -> assertEquals(0, desk.openRequestCount())).sync();
     return outcome;
   }
 
--- a/src/test/java/hollyslip/platform/DiscoveryClientTest.java
+++ b/src/test/java/hollyslip/platform/DiscoveryClientTest.java
@@ -18,28 +18,28 @@
 @Timeout(60)
 class DiscoveryClientTest {
   private static String watchResponse(String... lines) {
-    StringBuilder response = new StringBuilder(Site.WATCH);
+    StringBuilder response = new StringBuilder(Site.WATCH_RESPONSE_HEAD);
     for (String line : lines) {
-      response.append(Site.chunk(line + "\n"));
+      response.append(Site.httpChunk(line + "\n"));
     }
     return response.toString();
   }
 
   private static String upUpdate(long version, Peer server, int shard) {
-    return Site.list(version, false, Site.entry("s-" + shard, server, shard, "up"));
+    return Site.nodeListJson(version, false, Site.nodeEntryJson("s-" + shard, server, shard, "up"));
   }
 
   @Test
   void newWatchContinuesFromTheLastVersion() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      Peer.Came first = site.discovery.next();
+      Peer.Came first = site.discovery.nextRequest();
       assertTrue(first.head().startsWith("GET /v1/endpoints?stream=1&index=41 HTTP/1.1\r\n"), first.head());
-      first.answer(watchResponse("", upUpdate(43, site.disk, 1)));
-      client.send(Site.read("t1", 1));
-      site.disk.next().ok("x");
-      assertEquals(200, client.status());
-      first.on().close();
-      Peer.Came second = site.discovery.next();
+      first.respond(watchResponse("", upUpdate(43, site.diskServer, 1)));
+      client.send(Site.readRequest("t1", 1));
+      site.diskServer.nextRequest().respondOk("x");
+      assertEquals(200, client.readStatus());
+      first.connection().close();
+      Peer.Came second = site.discovery.nextRequest();
       assertTrue(second.head().contains("&index=43 "), second.head());
     }
   }
@@ -48,36 +48,37 @@
   @Test
   void updatesAreParsedInAnyJsonFormatAndAnyChunks() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      Peer.Came watch = site.discovery.next();
-      String indented = upUpdate(42, site.disk, 1).replace(",", ",\n  ").replace("{", "{\r\n\t");
-      watch.answer(Site.WATCH);
+      Peer.Came watch = site.discovery.nextRequest();
+      String indented = upUpdate(42, site.diskServer, 1).replace(",", ",\n  ").replace("{", "{\r\n\t");
+      watch.respond(Site.WATCH_RESPONSE_HEAD);
       for (String piece : indented.split("(?<=\\G(?s:.{5}))")) {
-        watch.answer(Site.chunk(piece));
+        watch.respond(Site.httpChunk(piece));
       }
-      client.send(Site.read("t1", 1));
-      site.disk.next().ok("x");
-      assertEquals(200, client.status());
-      watch.answer(Site.chunk(Site.list(43, false, Site.entry("s-1", site.disk, 1, "removed")) + upUpdate(44,
-          site.disk,
-          2)));
-      client.send(Site.read("t2", 2));
-      site.disk.next().ok("x");
-      assertEquals(200, client.status());
+      client.send(Site.readRequest("t1", 1));
+      site.diskServer.nextRequest().respondOk("x");
+      assertEquals(200, client.readStatus());
+      watch.respond(Site.httpChunk(Site.nodeListJson(43, false, Site.nodeEntryJson("s-1", site.diskServer, 1,
+          "removed")) + upUpdate(44,
+              site.diskServer,
+              2)));
+      client.send(Site.readRequest("t2", 2));
+      site.diskServer.nextRequest().respondOk("x");
+      assertEquals(200, client.readStatus());
     }
   }
 
   /** Discovery was down: an attempt is not answered, or an answered watch falls silent. */
   @Test
   void silentWatchIsReadUntilTheNextIsAnswered() throws Exception {
-    try (Site site = new Site(new WatchClock(WatchClock.SILENT_US, 3_000_000))) {
-      Peer.Came silent = site.discovery.next();
-      silent.answer(Site.WATCH);
-      Peer.Came unanswered = site.discovery.next();
+    try (Site site = new Site(new WatchClock(WatchClock.SILENCE_TIMEOUT_US, 3_000_000))) {
+      Peer.Came silent = site.discovery.nextRequest();
+      silent.respond(Site.WATCH_RESPONSE_HEAD);
+      Peer.Came unanswered = site.discovery.nextRequest();
       unanswered.awaitClosed();
-      silent.answer(Site.chunk(upUpdate(42, site.disk, 1)));
+      silent.respond(Site.httpChunk(upUpdate(42, site.diskServer, 1)));
       assertServed(site, 1);
-      Peer.Came next = site.discovery.next();
-      next.answer(watchResponse(upUpdate(43, site.disk, 2)));
+      Peer.Came next = site.discovery.nextRequest();
+      next.respond(watchResponse(upUpdate(43, site.diskServer, 2)));
       silent.awaitClosed();
       assertServed(site, 2);
     }
@@ -85,38 +86,41 @@
 
   private static void assertServed(Site site, int shard) throws Exception {
     try (Site.Client client = site.client()) {
-      client.send(Site.read("t" + shard, shard));
-      site.disk.next().ok("x");
-      assertEquals(200, client.status());
+      client.send(Site.readRequest("t" + shard, shard));
+      site.diskServer.nextRequest().respondOk("x");
+      assertEquals(200, client.readStatus());
     }
   }
 
   static List<String> invalidResponses() {
-    return List.of(Site.WATCH + Site.chunk("no json\n"), Site.WATCH + Site.chunk(
-        "{\"seq\":50,\"whole\":true,\"hosts\":[{\"host\":\"s-0\",\"dial\":\"name:80\",\"health\":\"up\"}]}\n"),
-        Site.WATCH + Site.chunk("{\"seq\":\"x\"}\n"), Site.WATCH + Site.chunk("[1]\n"),
-        "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", "noise", Site.WATCH + "0\r\n\r\n", Site.WATCH
-            + Site.chunk("{\"seq\":50,\"who") + "0\r\n\r\n");
+    return List.of(Site.WATCH_RESPONSE_HEAD + Site.httpChunk("no json\n"), Site.WATCH_RESPONSE_HEAD + Site
+        .httpChunk(
+            "{\"seq\":50,\"whole\":true,\"hosts\":[{\"host\":\"s-0\",\"dial\":\"name:80\",\"health\":\"up\"}]}\n"),
+        Site.WATCH_RESPONSE_HEAD + Site.httpChunk("{\"seq\":\"x\"}\n"), Site.WATCH_RESPONSE_HEAD + Site
+            .httpChunk("[1]\n"),
+        "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", "noise", Site.WATCH_RESPONSE_HEAD + "0\r\n\r\n",
+        Site.WATCH_RESPONSE_HEAD
+            + Site.httpChunk("{\"seq\":50,\"who") + "0\r\n\r\n");
   }
 
   @ParameterizedTest
   @MethodSource("invalidResponses")
   void invalidWatchIsReplacedAndTheListStays(String bytes) throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      site.discovery.next().answer(bytes);
-      Peer.Came second = site.discovery.next();
+      site.discovery.nextRequest().respond(bytes);
+      Peer.Came second = site.discovery.nextRequest();
       assertTrue(second.head().contains("&index=41 "), second.head());
-      client.send(Site.read("t1"));
-      site.disk.next().ok("x");
-      assertEquals(200, client.status());
+      client.send(Site.readRequest("t1"));
+      site.diskServer.nextRequest().respondOk("x");
+      assertEquals(200, client.readStatus());
     }
   }
 
   @Test
   void olderVersionCausesARequestForTheCompleteList() throws Exception {
     try (Site site = new Site()) {
-      site.discovery.next().answer(watchResponse(upUpdate(7, site.disk, 1)));
-      Peer.Came second = site.discovery.next();
+      site.discovery.nextRequest().respond(watchResponse(upUpdate(7, site.diskServer, 1)));
+      Peer.Came second = site.discovery.nextRequest();
       assertTrue(second.head().startsWith("GET /v1/endpoints?stream=1 HTTP/1.1\r\n"), second.head());
     }
   }
@@ -124,56 +128,60 @@
   @Test
   void drainingAndUnlistedDiskServersGetNoNewRequests() throws Exception {
     try (Site site = new Site(); Peer other = new Peer(); Site.Client client = site.client()) {
-      Peer.Came watch = site.discovery.next();
-      watch.answer(watchResponse(Site.list(42, false, Site.entry("s-0", site.disk, 0, "draining")), Site.list(
-          43, false,
-          Site.entry("s-9", other, 0, "up"), Site.entry("s-1", site.disk, 1, "up"))));
+      Peer.Came watch = site.discovery.nextRequest();
+      watch.respond(watchResponse(Site.nodeListJson(42, false, Site.nodeEntryJson("s-0", site.diskServer, 0,
+          "draining")), Site.nodeListJson(
+              43, false,
+              Site.nodeEntryJson("s-9", other, 0, "up"), Site.nodeEntryJson("s-1", site.diskServer, 1,
+                  "up"))));
       // The scheduler holds this request until the list is in use.
-      client.send(Site.read("first", 1));
-      site.disk.next().ok("x");
-      assertEquals(200, client.status());
+      client.send(Site.readRequest("first", 1));
+      site.diskServer.nextRequest().respondOk("x");
+      assertEquals(200, client.readStatus());
       for (int i = 0; i < 10; i++) {
-        client.send(Site.read("t" + i));
-        other.next().ok("x");
-        assertEquals(200, client.status());
+        client.send(Site.readRequest("t" + i));
+        other.nextRequest().respondOk("x");
+        assertEquals(200, client.readStatus());
       }
-      watch.answer(Site.chunk(Site.list(44, true, Site.entry("s-2", site.disk, 2, "up")) + "\n"));
-      client.send(Site.read("second", 2));
-      site.disk.next().ok("x");
-      assertEquals(200, client.status());
-      client.send(Site.read("gone", 1));
-      watch.answer(Site.chunk(Site.list(45, false, Site.entry("s-3", other, 1, "up")) + "\n"));
-      assertEquals("gone", other.next().header("X-Txn"));
-      site.disk.nothingElse();
+      watch.respond(Site.httpChunk(Site.nodeListJson(44, true, Site.nodeEntryJson("s-2", site.diskServer, 2,
+          "up")) + "\n"));
+      client.send(Site.readRequest("second", 2));
+      site.diskServer.nextRequest().respondOk("x");
+      assertEquals(200, client.readStatus());
+      client.send(Site.readRequest("gone", 1));
+      watch.respond(Site.httpChunk(Site.nodeListJson(45, false, Site.nodeEntryJson("s-3", other, 1, "up"))
+          + "\n"));
+      assertEquals("gone", other.nextRequest().header("X-Txn"));
+      site.diskServer.assertNoMoreRequests();
     }
   }
 
   @Test
   void reloadSwitchesToTheNewAddressAndAnInvalidFileChangesNothing() throws Exception {
     try (Site site = new Site(); Peer moved = new Peer(); Site.Client client = site.client()) {
-      site.discovery.next().answer(watchResponse(upUpdate(42, site.disk, 1)));
-      client.send(Site.read("t1", 1));
-      site.disk.next().ok("x");
-      assertEquals(200, client.status());
-      String valid = Files.readString(site.file);
+      site.discovery.nextRequest().respond(watchResponse(upUpdate(42, site.diskServer, 1)));
+      client.send(Site.readRequest("t1", 1));
+      site.diskServer.nextRequest().respondOk("x");
+      assertEquals(200, client.readStatus());
+      String valid = Files.readString(site.configFile);
       for (String invalid : List.of("", "{", "[]", valid.replace("\"discovery\"", "\"other\""), valid.replace(
           "\"giveUp\":20", "\"giveUp\":-1"))) {
-        Files.writeString(site.file, invalid);
+        Files.writeString(site.configFile, invalid);
         site.node.reload();
       }
-      site.configure(moved);
+      site.writeConfig(moved);
       site.node.reload();
       site.node.reload();
-      Peer.Came watch = moved.next();
+      Peer.Came watch = moved.nextRequest();
       assertTrue(watch.head().contains("&index=42 "), watch.head());
-      client.send(Site.read("t2", 1));
-      site.disk.next().ok("x");
-      assertEquals(200, client.status());
-      watch.answer(watchResponse(upUpdate(43, site.disk, 2)));
-      client.send(Site.read("t3", 2));
-      site.disk.next().ok("x");
-      assertEquals(200, client.status());
-      moved.nothingElse();
+      client.send(Site.readRequest("t2", 1));
+      site.diskServer.nextRequest().respondOk("x");
+      assertEquals(200, client.readStatus());
+      watch.respond(watchResponse(upUpdate(43, site.diskServer, 2)));
+      client.send(Site.readRequest("t3", 2));
+      site.diskServer.nextRequest().respondOk("x");
+      assertEquals(200, client.readStatus());
+      moved.assertNoMoreRequests();
     }
   }
 
@@ -183,10 +191,10 @@
   @ValueSource(ints = {700, 3000})
   void slowDiscoveryIsHeard(int responseDelayMs) throws Exception {
     try (Site site = new Site(new WatchClock())) {
-      Peer.Came first = site.discovery.next();
+      Peer.Came first = site.discovery.nextRequest();
       ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
       timer.schedule(() -> {
-        first.answer(watchResponse(upUpdate(42, site.disk, 1)));
+        first.respond(watchResponse(upUpdate(42, site.diskServer, 1)));
         return null;
       }, responseDelayMs, TimeUnit.MILLISECONDS);
       assertServed(site, 1);
--- a/src/test/java/hollyslip/platform/DiskServerResponseTest.java
+++ b/src/test/java/hollyslip/platform/DiskServerResponseTest.java
@@ -22,10 +22,10 @@
   @Test
   void turnedAwayRequestIsRetriedEvenIfItMustNotRunTwice() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.write("pay", "t1", null, "x"));
-      site.disk.next().answer(TURNED_AWAY);
-      site.disk.next().ok("done");
-      assertTrue(client.answer().endsWith("done"));
+      client.send(Site.writeRequest("pay", "t1", null, "x"));
+      site.diskServer.nextRequest().respond(TURNED_AWAY);
+      site.diskServer.nextRequest().respondOk("done");
+      assertTrue(client.readResponse().endsWith("done"));
     }
   }
 
@@ -49,37 +49,37 @@
   @MethodSource("unusableResponses")
   void unusableResponseIsAFailureAndNothingOfItIsPassedOn(String bytes) throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.write("pay", "t1", null, "x"));
-      Peer.Came request = site.disk.next();
-      request.answer(bytes.replace("<close>", "").replace("<reset>", ""));
+      client.send(Site.writeRequest("pay", "t1", null, "x"));
+      Peer.Came request = site.diskServer.nextRequest();
+      request.respond(bytes.replace("<close>", "").replace("<reset>", ""));
       if (bytes.endsWith("<reset>")) {
-        request.on().setSoLinger(true, 0);
-        request.on().close();
+        request.connection().setSoLinger(true, 0);
+        request.connection().close();
       } else if (bytes.endsWith("<close>")) {
-        request.on().close();
+        request.connection().close();
       }
-      String answer = client.answer();
+      String answer = client.readResponse();
       assertTrue(answer.startsWith("HTTP/1.1 502 "), answer);
       assertFalse(answer.contains("abc"), answer);
-      client.send(Site.read("t2"));
-      Peer.Came next = site.disk.next();
+      client.send(Site.readRequest("t2"));
+      Peer.Came next = site.diskServer.nextRequest();
       assertEquals("t2", next.header("X-Txn"), "a request that may have run must not be sent again");
       if (!bytes.startsWith("HTTP/1.1 50")) {
-        assertNotSame(request.on(), next.on());
+        assertNotSame(request.connection(), next.connection());
       }
-      next.ok("fine");
-      assertTrue(client.answer().endsWith("fine"));
+      next.respondOk("fine");
+      assertTrue(client.readResponse().endsWith("fine"));
     }
   }
 
   @Test
   void interimResponsesAreSkipped() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.read("t1"));
-      site.disk.next()
-          .answer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
+      client.send(Site.readRequest("t1"));
+      site.diskServer.nextRequest()
+          .respond("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
               + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nreal");
-      assertTrue(client.answer().endsWith("real"));
+      assertTrue(client.readResponse().endsWith("real"));
     }
   }
 
@@ -89,24 +89,24 @@
     try (Site site = new Site(); Site.Client client = site.client()) {
       for (int i = 0; i < 20; i++) {
         String large = ("" + i).repeat(300_000);
-        client.send(Site.read("t" + i));
-        site.disk.next().ok(large);
-        assertTrue(client.answer().endsWith("\r\n\r\n" + large));
+        client.send(Site.readRequest("t" + i));
+        site.diskServer.nextRequest().respondOk(large);
+        assertTrue(client.readResponse().endsWith("\r\n\r\n" + large));
       }
-      client.send(Site.read("last"));
-      site.disk.next().answer("HTTP/1.1 200 OK\r\nContent-Length: 4194305\r\n\r\n");
-      site.disk.next().ok("small");
-      assertTrue(client.answer().endsWith("small"));
+      client.send(Site.readRequest("last"));
+      site.diskServer.nextRequest().respond("HTTP/1.1 200 OK\r\nContent-Length: 4194305\r\n\r\n");
+      site.diskServer.nextRequest().respondOk("small");
+      assertTrue(client.readResponse().endsWith("small"));
     }
   }
 
   @Test
   void chunkedResponsesAreReadCompletely() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.read("t1"));
-      site.disk.next()
-          .answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n3\r\ncde\r\n0\r\n\r\n");
-      assertTrue(client.answer().endsWith("\r\n\r\nabcde"));
+      client.send(Site.readRequest("t1"));
+      site.diskServer.nextRequest()
+          .respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n3\r\ncde\r\n0\r\n\r\n");
+      assertTrue(client.readResponse().endsWith("\r\n\r\nabcde"));
     }
   }
 
@@ -117,19 +117,19 @@
     for (String extra : List.of(duplicate, "noise", "HTTP/1.1 2", "\r\n")) {
       for (boolean later : List.of(false, true)) {
         try (Site site = new Site(); Site.Client client = site.client()) {
-          client.send(Site.read("t1"));
-          Peer.Came request = site.disk.next();
-          request.answer("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine" + (later ? "" : extra));
-          assertTrue(client.answer().endsWith("mine"));
+          client.send(Site.readRequest("t1"));
+          Peer.Came request = site.diskServer.nextRequest();
+          request.respond("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine" + (later ? "" : extra));
+          assertTrue(client.readResponse().endsWith("mine"));
           if (later) {
-            request.answer(extra);
+            request.respond(extra);
           }
           request.awaitClosed();
-          client.send(Site.read("t2"));
-          Peer.Came next = site.disk.next();
-          assertNotSame(request.on(), next.on());
-          next.ok("next");
-          assertTrue(client.answer().endsWith("next"));
+          client.send(Site.readRequest("t2"));
+          Peer.Came next = site.diskServer.nextRequest();
+          assertNotSame(request.connection(), next.connection());
+          next.respondOk("next");
+          assertTrue(client.readResponse().endsWith("next"));
         }
       }
     }
@@ -140,12 +140,12 @@
   void responseWithoutALengthIsCompleteAtTheEndOfItsConnection() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       for (String header : List.of("", "Connection: close\r\n")) {
-        client.send(Site.write("pay", "t" + header.length(), null, "x"));
-        Peer.Came request = site.disk.next();
-        request.answer("HTTP/1.1 200 OK\r\n" + header + "\r\nall ");
-        request.answer("of it");
-        request.on().shutdownOutput();
-        assertTrue(client.answer().endsWith("\r\n\r\nall of it"));
+        client.send(Site.writeRequest("pay", "t" + header.length(), null, "x"));
+        Peer.Came request = site.diskServer.nextRequest();
+        request.respond("HTTP/1.1 200 OK\r\n" + header + "\r\nall ");
+        request.respond("of it");
+        request.connection().shutdownOutput();
+        assertTrue(client.readResponse().endsWith("\r\n\r\nall of it"));
         request.awaitClosed();
       }
     }
@@ -158,11 +158,11 @@
       int requests = 0;
       boolean reused = false;
       while (!reused) {
-        client.send(Site.read("t" + requests++));
-        Peer.Came request = site.disk.next();
-        reused = !seen.add(request.on());
-        request.ok("x");
-        assertEquals(200, client.status());
+        client.send(Site.readRequest("t" + requests++));
+        Peer.Came request = site.diskServer.nextRequest();
+        reused = !seen.add(request.connection());
+        request.respondOk("x");
+        assertEquals(200, client.readStatus());
       }
       assertTrue(requests > 1);
     }
@@ -176,15 +176,16 @@
         Site.Client client = site.client();
         Site.Client other = site
             .client()) {
-      client.send(Site.read("t1"));
-      Peer.Came old = site.disk.next();
-      site.discovery.next()
-          .answer(Site.WATCH + Site.chunk(Site.list(42, false, Site.entry("s-0", moved, 0, "up"), Site.entry(
-              "s-1", moved, 1, "up")) + "\n"));
-      other.send(Site.read("in-force", 1));
-      moved.next().ok("x");
-      old.ok("late");
-      assertTrue(client.answer().endsWith("late"));
+      client.send(Site.readRequest("t1"));
+      Peer.Came old = site.diskServer.nextRequest();
+      site.discovery.nextRequest()
+          .respond(Site.WATCH_RESPONSE_HEAD + Site.httpChunk(Site.nodeListJson(42, false, Site.nodeEntryJson(
+              "s-0", moved, 0, "up"), Site.nodeEntryJson(
+                  "s-1", moved, 1, "up")) + "\n"));
+      other.send(Site.readRequest("in-force", 1));
+      moved.nextRequest().respondOk("x");
+      old.respondOk("late");
+      assertTrue(client.readResponse().endsWith("late"));
       old.awaitClosed();
     }
   }
@@ -193,12 +194,12 @@
   void connectionClosedByTheDiskServerIsNotUsed() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       for (int i = 0; i < 20; i++) {
-        client.send(Site.write("pay", "t" + i, null, "x"));
-        Peer.Came request = site.disk.next();
-        request.ok("x");
-        request.on().shutdownOutput();
+        client.send(Site.writeRequest("pay", "t" + i, null, "x"));
+        Peer.Came request = site.diskServer.nextRequest();
+        request.respondOk("x");
+        request.connection().shutdownOutput();
         request.awaitClosed();
-        assertEquals(200, client.status());
+        assertEquals(200, client.readStatus());
       }
     }
   }
--- a/src/test/java/hollyslip/platform/FaultSoakTest.java
+++ b/src/test/java/hollyslip/platform/FaultSoakTest.java
@@ -82,8 +82,8 @@
       for (int i = 0; i < WARM_UP_REQUESTS; i++) {
         String id = "warm" + i;
         audit.sending(id, Integer.MAX_VALUE, true);
-        client.send(Site.read(id, i % ProcessSite.SOAK_SHARDS));
-        audit.responseReceived(id, client.answer());
+        client.send(Site.readRequest(id, i % ProcessSite.SOAK_SHARDS));
+        audit.responseReceived(id, client.readResponse());
       }
     }
   }
