--- a/src/test/java/hollyslip/platform/FrontTest.java
+++ b/src/test/java/hollyslip/platform/FrontTest.java
@@ -20,8 +20,8 @@
   @Test
   void aWriteIsRewrittenForTheDiskServerAndItsResponseIsReturnedIntact() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.write("put", "9b1f03aa5c7e2d41", "k-1", "some bytes"));
-      Peer.Came attempt = site.disk.next();
+      client.send(Site.writeRequest("put", "9b1f03aa5c7e2d41", "k-1", "some bytes"));
+      Peer.Came attempt = site.diskServer.nextRequest();
       assertTrue(attempt.head().startsWith("PUT /put/00/7f3a9c21e0b4d655?a=%20b HTTP/1.1\r\n"), attempt
           .head());
       assertEquals("9b1f03aa5c7e2d41", attempt.header("X-Txn"));
@@ -29,13 +29,13 @@
       assertTrue(attempt.header("X-Remaining").matches("[0-9]+u"), attempt.head());
       assertNull(attempt.header("X-Plan"));
       assertEquals("some bytes", attempt.body());
-      attempt.ok("stored\r\n\r\n\0");
-      assertTrue(client.answer().endsWith("\r\n\r\nstored\r\n\r\n\0"));
+      attempt.respondOk("stored\r\n\r\n\0");
+      assertTrue(client.readResponse().endsWith("\r\n\r\nstored\r\n\r\n\0"));
     }
   }
 
   static List<String> invalidRequests() {
-    String read = Site.read("t1"), write = Site.write("put", "t1", "k", "body");
+    String read = Site.readRequest("t1"), write = Site.writeRequest("put", "t1", "k", "body");
     List<String> bad = new ArrayList<>(List.of(read.replace("/get/", "/nothing/"), read.replace("gold",
         "lead"), read.replace("X-Txn: t1\r\n", ""), read.replace("t1", "a b"), read.replace("X-Txn: t1",
             "X-Txn: t1\r\nX-Txn: t2"), read.replace("X-Plan: gold\r\n", ""), read.replace("units=2",
@@ -58,20 +58,20 @@
   @MethodSource("invalidRequests")
   void anInvalidRequestIsRejectedAndTheConnectionStaysOpen(String bytes) throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      int status = client.send(bytes).status();
+      int status = client.send(bytes).readStatus();
       assertTrue(status >= 400 && status < 500, () -> status + " for " + bytes);
-      client.send(Site.read("good"));
-      Peer.Came attempt = site.disk.next();
+      client.send(Site.readRequest("good"));
+      Peer.Came attempt = site.diskServer.nextRequest();
       assertEquals("good", attempt.header("X-Txn"), bytes);
-      attempt.ok("x");
-      assertEquals(200, client.status());
+      attempt.respondOk("x");
+      assertEquals(200, client.readStatus());
     }
   }
 
   static List<String> invalidFraming() {
-    String read = Site.read("t1"), write = Site.write("put", "t1", "k", "body");
+    String read = Site.readRequest("t1"), write = Site.writeRequest("put", "t1", "k", "body");
     String hidden = write.replace("\r\n\r\nbody", "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n") + Site
-        .read("hidden");
+        .readRequest("hidden");
     return List.of(hidden, hidden.replace("Transfer-Encoding: chunked", "Transfer-Encoding: xchunked"), write
         .replace("Content-Length: 4", "Transfer-Encoding: chunked") + "\r\n", write.replace(
             "Content-Length: 4", "Transfer-Encoding: xchunked"), write
@@ -101,38 +101,39 @@
   void invalidFramingClosesTheConnectionAndForwardsNothing(String bytes) throws Exception {
     try (Site site = new Site(); Site.Client client = site.client(); Site.Client other = site.client()) {
       client.send(bytes);
-      int status = client.status();
+      int status = client.readStatus();
       assertTrue(status == 0 || status >= 400, () -> status + " for " + bytes);
-      assertEquals("closed", client.answer());
-      other.send(Site.read("good"));
-      assertEquals("good", site.disk.next().header("X-Txn"));
-      site.disk.nothingElse();
+      assertEquals("closed", client.readResponse());
+      other.send(Site.readRequest("good"));
+      assertEquals("good", site.diskServer.nextRequest().header("X-Txn"));
+      site.diskServer.assertNoMoreRequests();
     }
   }
 
   @Test
   void aChunkedBodyIsForwardedWithAContentLength() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      String head = Site.write("put", "t1", "k", "")
+      String head = Site.writeRequest("put", "t1", "k", "")
           .replace("Content-Length: 0", "Transfer-Encoding: Chunked");
       for (String piece : (head + "4;x=y\r\nsome\r\n6\r\n bytes\r\n0\r\nX-Last: 1\r\n\r\n").split(
           "(?<=\\G.{7})")) {
         client.send(piece);
       }
-      Peer.Came attempt = site.disk.next();
+      Peer.Came attempt = site.diskServer.nextRequest();
       assertEquals("some bytes", attempt.body());
       assertEquals("10", attempt.header("Content-Length"));
       assertNull(attempt.header("Transfer-Encoding"));
       assertNull(attempt.header("X-Last"));
-      attempt.ok("stored");
-      assertTrue(client.answer().endsWith("stored"));
-      client.send(Site.read("t2").replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"));
-      site.disk.next().ok("empty");
-      assertTrue(client.answer().endsWith("empty"));
-      client.send(Site.read("t3")
+      attempt.respondOk("stored");
+      assertTrue(client.readResponse().endsWith("stored"));
+      client.send(Site.readRequest("t2")
+          .replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"));
+      site.diskServer.nextRequest().respondOk("empty");
+      assertTrue(client.readResponse().endsWith("empty"));
+      client.send(Site.readRequest("t3")
           .replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"));
-      assertEquals(400, client.status());
-      site.disk.nothingElse();
+      assertEquals(400, client.readStatus());
+      site.diskServer.assertNoMoreRequests();
     }
   }
 
@@ -149,42 +150,44 @@
   @MethodSource("invalidChunkedBodies")
   void anInvalidOrOversizedChunkedBodyIsNeverForwarded(String body) throws Exception {
     try (Site site = new Site(); Site.Client client = site.client(); Site.Client other = site.client()) {
-      client.send(Site.write("put", "t1", "k", "").replace("Content-Length: 0", "Transfer-Encoding: chunked")
+      client.send(Site.writeRequest("put", "t1", "k", "")
+          .replace("Content-Length: 0", "Transfer-Encoding: chunked")
           + body);
-      int status = client.status();
+      int status = client.readStatus();
       assertTrue(status == 0 || status >= 400, () -> "" + status);
-      assertEquals("closed", client.answer());
-      other.send(Site.read("good"));
-      assertEquals("good", site.disk.next().header("X-Txn"));
-      site.disk.nothingElse();
+      assertEquals("closed", client.readResponse());
+      other.send(Site.readRequest("good"));
+      assertEquals("good", site.diskServer.nextRequest().header("X-Txn"));
+      site.diskServer.assertNoMoreRequests();
     }
   }
 
   @Test
   void aDuplicateOfAnOpenIdIsRejectedWithoutAffectingTheFirst() throws Exception {
     try (Site site = new Site(); Site.Client first = site.client(); Site.Client second = site.client()) {
-      first.send(Site.read("t1"));
-      Peer.Came attempt = site.disk.next();
-      assertEquals(409, second.send(Site.read("t1")).status());
-      attempt.ok("mine");
-      assertTrue(first.answer().endsWith("mine"));
-      site.disk.nothingElse();
+      first.send(Site.readRequest("t1"));
+      Peer.Came attempt = site.diskServer.nextRequest();
+      assertEquals(409, second.send(Site.readRequest("t1")).readStatus());
+      attempt.respondOk("mine");
+      assertTrue(first.readResponse().endsWith("mine"));
+      site.diskServer.assertNoMoreRequests();
     }
   }
 
   @Test
   void pipelinedRequestsAreServedInOrder() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.read("t1") + Site.read("t2").replace("gold", "lead") + Site.read("t3"));
-      Peer.Came attempt = site.disk.next();
+      client.send(Site.readRequest("t1") + Site.readRequest("t2").replace("gold", "lead") + Site.readRequest(
+          "t3"));
+      Peer.Came attempt = site.diskServer.nextRequest();
       assertEquals("t1", attempt.header("X-Txn"));
-      site.disk.nothingElse();
-      attempt.ok("one");
-      assertTrue(client.answer().endsWith("one"));
-      assertEquals(400, client.status());
-      Peer.Came third = site.disk.next();
-      third.ok("three");
-      assertTrue(client.answer().endsWith("three"));
+      site.diskServer.assertNoMoreRequests();
+      attempt.respondOk("one");
+      assertTrue(client.readResponse().endsWith("one"));
+      assertEquals(400, client.readStatus());
+      Peer.Came third = site.diskServer.nextRequest();
+      third.respondOk("three");
+      assertTrue(client.readResponse().endsWith("three"));
     }
   }
 
@@ -193,24 +196,24 @@
   @Test
   void pipelinedRequestsBeyondTheQueueLimitAreRefusedInOrder() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      site.echo();
+      site.startEcho();
       int requests = 200;
       StringBuilder all = new StringBuilder();
       for (int i = 0; i < requests; i++) {
-        all.append(Site.read("t" + i));
+        all.append(Site.readRequest("t" + i));
       }
       client.send(all.toString());
       int served = 0;
       for (int i = 0; i < requests; i++) {
-        String answer = client.answer();
+        String answer = client.readResponse();
         boolean ok = answer.startsWith("HTTP/1.1 200 ");
         assertTrue(ok && answer.endsWith("\r\n\r\nt" + i) || answer.startsWith("HTTP/1.1 503 "), answer);
         assertTrue(ok || i >= 9, "the first nine requests must be served");
         served += ok ? 1 : 0;
       }
       assertTrue(served < requests, "the queue must be bounded");
-      client.send(Site.read("after"));
-      assertTrue(client.answer().endsWith("after"));
+      client.send(Site.readRequest("after"));
+      assertTrue(client.readResponse().endsWith("after"));
     }
   }
 
@@ -218,15 +221,16 @@
   void aRequestWhoseClientDisconnectedWhileItWaitedIsNotForwarded() throws Exception {
     try (Site site = new Site(); Site.Client stays = site.client()) {
       Site.Client leaves = site.client();
-      Peer.Came watch = site.discovery.next();
-      leaves.send(Site.read("left", 1));
+      Peer.Came watch = site.discovery.nextRequest();
+      leaves.send(Site.readRequest("left", 1));
       leaves.socket.shutdownOutput();
-      assertEquals("closed", leaves.answer());
-      stays.send(Site.read("stays", 1));
-      watch.answer(Site.WATCH + Site.chunk(Site.list(42, false, Site.entry("s-1", site.disk, 1, "up"))
+      assertEquals("closed", leaves.readResponse());
+      stays.send(Site.readRequest("stays", 1));
+      watch.respond(Site.WATCH_RESPONSE_HEAD + Site.httpChunk(Site.nodeListJson(42, false, Site.nodeEntryJson(
+          "s-1", site.diskServer, 1, "up"))
           + "\n"));
-      assertEquals("stays", site.disk.next().header("X-Txn"));
-      site.disk.nothingElse();
+      assertEquals("stays", site.diskServer.nextRequest().header("X-Txn"));
+      site.diskServer.assertNoMoreRequests();
       leaves.close();
     }
   }
@@ -234,10 +238,10 @@
   @Test
   void aBodySentInPiecesIsAssembled() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      for (String piece : Site.write("put", "t1", "k", "0123456789").split("(?<=\\G.{40})")) {
+      for (String piece : Site.writeRequest("put", "t1", "k", "0123456789").split("(?<=\\G.{40})")) {
         client.send(piece);
       }
-      assertEquals("0123456789", site.disk.next().body());
+      assertEquals("0123456789", site.diskServer.nextRequest().body());
     }
   }
 
@@ -245,27 +249,27 @@
   @Test
   void anErrorQueuedBehindAnOpenRequestLeavesItTimeToFinish() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.read("t1") + Site.read("t2").replace("gold", "lead"));
-      Peer.Came attempt = site.disk.next();
+      client.send(Site.readRequest("t1") + Site.readRequest("t2").replace("gold", "lead"));
+      Peer.Came attempt = site.diskServer.nextRequest();
       Thread.sleep(600);
-      attempt.ok("served");
-      assertTrue(client.answer().endsWith("served"));
-      assertEquals(400, client.status());
+      attempt.respondOk("served");
+      assertTrue(client.readResponse().endsWith("served"));
+      assertEquals(400, client.readStatus());
     }
   }
 
   @Test
   void expectContinueIsAnsweredBeforeTheBody() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      String write = Site.write("put", "t1", "k", "body")
+      String write = Site.writeRequest("put", "t1", "k", "body")
           .replace("\r\n\r\n", "\r\nExpect: 100-continue\r\n\r\n");
       client.send(write.replace("\r\n\r\nbody", "\r\n\r\n"));
-      assertEquals("HTTP/1.1 100 Continue\r\n\r\n", Peer.head(client.socket.getInputStream()));
+      assertEquals("HTTP/1.1 100 Continue\r\n\r\n", Peer.readHead(client.socket.getInputStream()));
       client.send("body");
-      Peer.Came attempt = site.disk.next();
+      Peer.Came attempt = site.diskServer.nextRequest();
       assertEquals("body", attempt.body());
-      attempt.ok("x");
-      assertEquals(200, client.status());
+      attempt.respondOk("x");
+      assertEquals(200, client.readStatus());
     }
   }
 
@@ -274,18 +278,19 @@
   void anIncompleteRequestTimesOut(String bytes) throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
       client.send(bytes.equals("half")
-          ? Site.write("put", "t1", "k", "0123456789").replace("789", "")
+          ? Site.writeRequest("put", "t1", "k", "0123456789").replace("789", "")
           : bytes);
-      int status = client.status();
+      int status = client.readStatus();
       assertTrue(status == 0 || status == 408, () -> "" + status);
-      site.disk.nothingElse();
+      site.diskServer.assertNoMoreRequests();
     }
   }
 
   @Test
   void anOversizedContentLengthIsRejectedBeforeTheBody() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.write("put", "t1", "k", "x").replace("Content-Length: 1", "Content-Length: 62914560"));
+      client.send(Site.writeRequest("put", "t1", "k", "x")
+          .replace("Content-Length: 1", "Content-Length: 62914560"));
       try {
         for (int i = 0; i < 60; i++) {
           client.send("x".repeat(1 << 20));
@@ -293,9 +298,9 @@
       } catch (IOException connectionClosed) {
         // Expected: the connection may be closed before the whole body is sent.
       }
-      int status = client.status();
+      int status = client.readStatus();
       assertTrue(status == 0 || status == 413, () -> "" + status);
-      site.disk.nothingElse();
+      site.diskServer.assertNoMoreRequests();
     }
   }
 
@@ -307,12 +312,12 @@
         silentClients.add(site.client());
       }
       try (Site.Client client = site.client()) {
-        client.send(Site.read("t1"));
-        site.disk.next().ok("x");
-        assertEquals(200, client.status());
+        client.send(Site.readRequest("t1"));
+        site.diskServer.nextRequest().respondOk("x");
+        assertEquals(200, client.readStatus());
       }
       for (Site.Client client : silentClients) {
-        int status = client.status();
+        int status = client.readStatus();
         assertTrue(status == 0 || status == 408);
       }
     } finally {
@@ -325,8 +330,8 @@
   @Test
   void aClientThatKeepsSendingAfterAFramingErrorIsClosedDespiteAnOpenRequest() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.read("t1"));
-      site.disk.next();
+      client.send(Site.readRequest("t1"));
+      site.diskServer.nextRequest();
       client.send("noise \1\r\n\r\n");
       boolean closed = false;
       for (int i = 0; i < 200 && !closed; i++) {
@@ -346,14 +351,14 @@
     List<Site.Client> waiting = new ArrayList<>();
     try (Site site = new Site(); Site.Client client = site.client()) {
       for (int i = 0; i < 4; i++) {
-        waiting.add(site.client().send(Site.read("out" + i)));
-        site.disk.next();
+        waiting.add(site.client().send(Site.readRequest("out" + i)));
+        site.diskServer.nextRequest();
       }
-      client.send(Site.read("t1").replace("20000m", "400m"));
-      String answer = client.answer();
+      client.send(Site.readRequest("t1").replace("20000m", "400m"));
+      String answer = client.readResponse();
       assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
       assertTrue(answer.matches("(?s).*\r\nRetry-After: [0-2]\\.[0-9]{3}\r\n.*"), answer);
-      site.disk.nothingElse();
+      site.diskServer.assertNoMoreRequests();
     } finally {
       for (Site.Client client : waiting) {
         client.close();
@@ -364,18 +369,18 @@
   @Test
   void afterAStopOpenRequestsAreAnsweredAndTheProcessEnds() throws Exception {
     try (Site site = new Site(); Site.Client open = site.client(); Site.Client idle = site.client()) {
-      open.send(Site.read("t1"));
-      Peer.Came attempt = site.disk.next();
+      open.send(Site.readRequest("t1"));
+      Peer.Came attempt = site.diskServer.nextRequest();
       site.node.stop();
-      idle.send(Site.read("t2"));
-      Peer.Came second = site.disk.next();
-      attempt.ok("x");
-      second.ok("y");
-      assertTrue(open.answer().endsWith("x"));
-      assertTrue(idle.answer().endsWith("y"));
-      assertEquals("closed", open.answer());
-      assertEquals("closed", idle.answer());
-      assertTrue(site.node.awaitEnd(20_000));
+      idle.send(Site.readRequest("t2"));
+      Peer.Came second = site.diskServer.nextRequest();
+      attempt.respondOk("x");
+      second.respondOk("y");
+      assertTrue(open.readResponse().endsWith("x"));
+      assertTrue(idle.readResponse().endsWith("y"));
+      assertEquals("closed", open.readResponse());
+      assertEquals("closed", idle.readResponse());
+      assertTrue(site.node.awaitTermination(20_000));
     }
   }
 
@@ -384,14 +389,14 @@
   @Test
   void afterAStopARequestWithoutADiskServerIsRefusedPromptly() throws Exception {
     try (Site site = new Site(); Site.Client before = site.client(); Site.Client after = site.client()) {
-      before.send(Site.read("t1", 2).replace("20000m", "2400m"));
-      Awaitility.await().until(() -> site.node.open() == 1);
+      before.send(Site.readRequest("t1", 2).replace("20000m", "2400m"));
+      Awaitility.await().until(() -> site.node.openRequests() == 1);
       site.node.stop();
       Awaitility.await().until(() -> site.log.toString().contains("node.stopping"));
-      after.send(Site.read("t2", 2));
-      assertEquals(503, after.status());
+      after.send(Site.readRequest("t2", 2));
+      assertEquals(503, after.readStatus());
       assertEquals(0, before.socket.getInputStream().available());
-      assertEquals(503, before.status());
+      assertEquals(503, before.readStatus());
     }
   }
 }
--- a/src/test/java/hollyslip/platform/LoadReportParserTest.java
+++ b/src/test/java/hollyslip/platform/LoadReportParserTest.java
@@ -28,11 +28,11 @@
   @Test
   void reportIsParsedOnlyFromTheConfiguredSource() throws Exception {
     HttpHeaders headers = headers("X-Pressure", "inflight=7,queue=2,util=0.61");
-    assertEquals(List.of(7.0, 0.61), parser("answers", 0, false).report(headers));
-    assertNull(parser("probe", 0, false).report(headers));
-    assertEquals(List.of(7.0, 0.61), parser("probe", 0, false).probed(new DefaultHttpHeaders(),
+    assertEquals(List.of(7.0, 0.61), parser("answers", 0, false).attemptReport(headers));
+    assertNull(parser("probe", 0, false).attemptReport(headers));
+    assertEquals(List.of(7.0, 0.61), parser("probe", 0, false).probeReport(new DefaultHttpHeaders(),
         "inflight=7,util=0.61\n".getBytes(StandardCharsets.US_ASCII)));
-    assertNull(parser("none", 0, false).probed(headers, new byte[0]));
+    assertNull(parser("none", 0, false).probeReport(headers, new byte[0]));
   }
 
   @Test
@@ -40,15 +40,15 @@
     Readings parser = parser("answers", 1, true);
     for (String invalid : List.of("", "inflight", "inflight=7", "inflight=x,util=0.1", "inflight=-1,util=0.1",
         "inflight=NaN,util=1", "inflight=1e99,util=1", "\u00ff")) {
-      assertNull(parser.report(headers("X-Pressure", invalid)), invalid);
+      assertNull(parser.attemptReport(headers("X-Pressure", invalid)), invalid);
     }
     for (String invalid : List.of("", "-1", "x", "1.5", "99999999999999999999")) {
-      assertEquals(0, parser.metered(headers("X-Volume-Use", invalid)), invalid);
-      assertEquals(0, parser.elsewhere(headers("X-Served-Elsewhere", invalid)), invalid);
+      assertEquals(0, parser.volumeUse(headers("X-Volume-Use", invalid)), invalid);
+      assertEquals(0, parser.servedElsewhere(headers("X-Served-Elsewhere", invalid)), invalid);
     }
-    assertEquals(0, parser.metered(null));
-    assertEquals(87, parser.metered(headers("X-Volume-Use", "87")));
-    assertEquals(12, parser.elsewhere(headers("X-Served-Elsewhere", "12")));
-    assertEquals(0, parser("answers", 0, false).metered(headers("X-Volume-Use", "87")));
+    assertEquals(0, parser.volumeUse(null));
+    assertEquals(87, parser.volumeUse(headers("X-Volume-Use", "87")));
+    assertEquals(12, parser.servedElsewhere(headers("X-Served-Elsewhere", "12")));
+    assertEquals(0, parser("answers", 0, false).volumeUse(headers("X-Volume-Use", "87")));
   }
 }
--- a/src/test/java/hollyslip/platform/LostRequestsTest.java
+++ b/src/test/java/hollyslip/platform/LostRequestsTest.java
@@ -43,7 +43,7 @@
   }
 
   private static String read(String id, int waitsMs) {
-    return Site.read(id).replace("20000m", waitsMs + "m");
+    return Site.readRequest(id).replace("20000m", waitsMs + "m");
   }
 
   private static void write(Socket socket, String bytes) throws IOException {
@@ -64,7 +64,7 @@
   @Test
   void pipelinedRequestsAreAllAnswered() throws Exception {
     try (ProcessSite site = new ProcessSite(); Site.Client client = site.client()) {
-      site.echo();
+      site.startEcho();
       int requests = 200;
       StringBuilder all = new StringBuilder();
       for (int i = 0; i < requests; i++) {
@@ -74,7 +74,7 @@
       client.send(all.toString());
       int served = 0;
       for (int i = 0; i < requests; i++) {
-        String answer = client.answer();
+        String answer = client.readResponse();
         assertFalse(answer.equals("closed"), "responses before the connection closed: " + i);
         boolean ok = answer.startsWith("HTTP/1.1 200 ");
         assertTrue(ok || answer.startsWith("HTTP/1.1 503 "), answer);
@@ -90,11 +90,11 @@
   void aRequestQueuedBehindASlowOneIsAnsweredInTime() throws Exception {
     try (ProcessSite site = new ProcessSite(); Site.Client client = site.client()) {
       client.send(read("slow", 15_000).replace("/get/", "/scan/"));
-      site.disk.next();
+      site.diskServer.nextRequest();
       long start = nowMs();
       client.send(read("fast", 800));
-      assertTrue(client.status() > 0, "the slow request must be answered");
-      assertTrue(client.status() > 0, "the fast request must be answered");
+      assertTrue(client.readStatus() > 0, "the slow request must be answered");
+      assertTrue(client.readStatus() > 0, "the fast request must be answered");
       assertTrue(nowMs() - start < 800 + MAX_LATENESS_MS, "answered after ms: " + (nowMs() - start));
     }
   }
@@ -130,7 +130,7 @@
   @Test
   void aRequestThatRacesWithAnIdleCloseIsNotReadAndDropped() throws Exception {
     try (ProcessSite site = new ProcessSite(); Socket client = site.connect()) {
-      site.echo();
+      site.startEcho();
       assertEquals(ConnectionEnd.CLOSED, awaitEnd(client, 10_000));
       write(client, read("crossing", 2000));
       assertTrue(isReset(client), "the request was read after the close and is never answered");
@@ -143,7 +143,7 @@
   void atTheConnectionLimitNewRequestsAreAnsweredOrKnownUnread() throws Exception {
     List<Socket> sockets = new ArrayList<>();
     try (ProcessSite site = new ProcessSite(200, Map.of())) {
-      site.echo();
+      site.startEcho();
       for (int round = 0; round < 5; round++) {
         site.signal("STOP");
         List<Socket> requestSockets = new ArrayList<>();
@@ -197,11 +197,11 @@
   @Test
   void acceptErrorsDoNotDelayClients() throws Exception {
     try (ProcessSite site = new ProcessSite(400, SyscallFaults.environment("FAULT_ACCEPT_EVERY", "3"))) {
-      site.echo();
+      site.startEcho();
       for (int i = 0; i < 60; i++) {
         long start = nowMs();
         try (Site.Client client = site.client()) {
-          assertEquals(200, client.send(read("t" + i, 400)).status());
+          assertEquals(200, client.send(read("t" + i, 400)).readStatus());
         }
         assertTrue(nowMs() - start < 400 + MAX_LATENESS_MS, "connection " + i + " took ms: " + (nowMs()
             - start));
@@ -212,12 +212,12 @@
   @Test
   void aPartialPipelinedRequestTimesOut() throws Exception {
     try (ProcessSite site = new ProcessSite(); Site.Client client = site.client()) {
-      site.echo();
+      site.startEcho();
       long start = nowMs();
       client.send(read("whole", 2000) + read("part", 2000).substring(0, 30));
-      assertEquals(200, client.status());
+      assertEquals(200, client.readStatus());
       client.socket.setSoTimeout(3000);
-      int status = client.status();
+      int status = client.readStatus();
       assertTrue(status == 0 || status == 408, "" + status);
       assertTrue(nowMs() - start < 3000);
     }
@@ -226,13 +226,13 @@
   @Test
   void aPartialPipelinedRequestDoesNotDelayShutdown() throws Exception {
     try (ProcessSite site = new ProcessSite(); Site.Client client = site.client()) {
-      site.echo();
+      site.startEcho();
       client.send(read("whole", 2000));
-      assertEquals(200, client.status());
+      assertEquals(200, client.readStatus());
       site.signal("TERM");
       Thread.sleep(ProcessSite.KILL_AFTER_MS - 500);
       client.send(read("whole2", 2000) + read("part", 2000).substring(0, 30));
-      assertTrue(client.status() > 0);
+      assertTrue(client.readStatus() > 0);
       assertTrue(site.process.waitFor(500, TimeUnit.MILLISECONDS),
           "the process must end before it is killed");
       assertEquals(0, site.process.exitValue());
@@ -248,10 +248,10 @@
                 + disk.getLocalPort()))) {
       String body = "x".repeat(60_000);
       Socket client = site.connect();
-      write(client, Site.write("pay", "left", null, body));
+      write(client, Site.writeRequest("pay", "left", null, body));
       try (Socket attempt = disk.accept()) {
         InputStream in = attempt.getInputStream();
-        assertTrue(Peer.head(in).contains("left"));
+        assertTrue(Peer.readHead(in).contains("left"));
         client.close();
         long leftAt = nowMs();
         int receivedBytes = 0;
@@ -288,7 +288,7 @@
         fill.add(new Socket(disk.getInetAddress(), disk.getLocalPort()));
       }
       Socket client = site.connect();
-      write(client, Site.write("pay", "left", null, "x"));
+      write(client, Site.writeRequest("pay", "left", null, "x"));
       Thread.sleep(300);
       client.close();
       for (int i = 0; i < 2; i++) {
@@ -310,8 +310,8 @@
     try (ProcessSite site = new ProcessSite(); Site.Client client = site.client()) {
       for (int i = 0; i < 3; i++) {
         client.send(read("warm" + i, 2000));
-        site.disk.next().ok("x");
-        assertEquals(200, client.status());
+        site.diskServer.nextRequest().respondOk("x");
+        assertEquals(200, client.readStatus());
       }
       for (int heldMs : new int[]{140, 450, 900}) {
         site.signal("STOP");
@@ -319,13 +319,13 @@
         client.send(unsafeWrite("held" + heldMs, 2000));
         Thread.sleep(heldMs);
         site.signal("CONT");
-        Peer.Came attempt = site.disk.next();
+        Peer.Came attempt = site.diskServer.nextRequest();
         long leftMs = 2000 - (nowMs() - sentAt);
         long forwardedMs = Long.parseLong(attempt.header("X-Remaining").replace("u", "")) / 1000;
         assertTrue(forwardedMs <= leftMs + 150, "held for " + heldMs + " ms: forwarded " + forwardedMs
             + ", left " + leftMs);
-        attempt.ok("x");
-        assertEquals(200, client.status());
+        attempt.respondOk("x");
+        assertEquals(200, client.readStatus());
       }
     }
   }
@@ -336,8 +336,8 @@
   void aRequestThatWaitedUnreadIsAnsweredInTime() throws Exception {
     try (ProcessSite site = new ProcessSite(); Site.Client kept = site.client()) {
       kept.send(read("warm", 2000));
-      site.disk.next().ok("x");
-      assertEquals(200, kept.status());
+      site.diskServer.nextRequest().respondOk("x");
+      assertEquals(200, kept.readStatus());
       site.signal("STOP");
       long start = nowMs();
       kept.send(unsafeWrite("kept", 1000));
@@ -346,7 +346,7 @@
         Thread.sleep(800);
         site.signal("CONT");
         for (Site.Client client : List.of(kept, queued)) {
-          int status = client.status();
+          int status = client.readStatus();
           assertTrue(status == 502 || status == 503, "" + status);
           assertTrue(nowMs() - start < 1000 + MAX_LATENESS_MS, "answered after ms: " + (nowMs() - start));
         }
@@ -356,7 +356,7 @@
 
   /** A write that must not be repeated. */
   private static String unsafeWrite(String id, int waitsMs) {
-    return Site.write("pay", id, null, "x").replace("20000000u", waitsMs + "m");
+    return Site.writeRequest("pay", id, null, "x").replace("20000000u", waitsMs + "m");
   }
 
   /** A disk server responds twice. Its operating system holds the second, small write back until the first is
@@ -368,20 +368,20 @@
       for (int i = 0; i < 10; i++) {
         for (int k = 0; k < 10; k++) {
           client.send(read("warm" + k, 2000));
-          site.disk.next().ok("x");
-          assertEquals(200, client.status());
+          site.diskServer.nextRequest().respondOk("x");
+          assertEquals(200, client.readStatus());
           Thread.sleep(28);
         }
         client.send(read("a" + i, 2000));
-        Peer.Came attempt = site.disk.next();
+        Peer.Came attempt = site.diskServer.nextRequest();
         Thread.sleep(5);
-        attempt.ok("a" + i);
-        attempt.ok("second");
-        assertTrue(client.answer().endsWith("\r\n\r\na" + i));
+        attempt.respondOk("a" + i);
+        attempt.respondOk("second");
+        assertTrue(client.readResponse().endsWith("\r\n\r\na" + i));
         Thread.sleep(27);
         client.send(read("b" + i, 2000));
-        site.disk.next().ok("b" + i);
-        String answer = client.answer();
+        site.diskServer.nextRequest().respondOk("b" + i);
+        String answer = client.readResponse();
         assertTrue(answer.endsWith("\r\n\r\nb" + i), answer);
       }
     }
--- a/src/test/java/hollyslip/platform/Peer.java
+++ b/src/test/java/hollyslip/platform/Peer.java
@@ -23,13 +23,13 @@
   private final BlockingQueue<Came> received = new LinkedBlockingQueue<>();
 
   /** A received request and its connection. */
-  record Came(Socket on, String head, String body) {
-    void answer(String bytes) throws IOException {
-      on.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
+  record Came(Socket connection, String head, String body) {
+    void respond(String bytes) throws IOException {
+      connection.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    void ok(String body) throws IOException {
-      answer("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+    void respondOk(String body) throws IOException {
+      respond("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
     String header(String name) {
@@ -43,8 +43,8 @@
     /** Waits until the scheduler has closed this connection. */
     void awaitClosed() throws IOException {
       try {
-        on.setSoTimeout((int) TIMEOUT_S * 1000);
-        while (on.getInputStream().read() >= 0) {
+        connection.setSoTimeout((int) TIMEOUT_S * 1000);
+        while (connection.getInputStream().read() >= 0) {
           // Discards further bytes.
         }
       } catch (java.net.SocketException reset) {
@@ -89,7 +89,7 @@
 
   private void readRequests(Socket socket) throws IOException {
     InputStream in = socket.getInputStream();
-    for (String head = head(in); head != null; head = head(in)) {
+    for (String head = readHead(in); head != null; head = readHead(in)) {
       Came withoutBody = new Came(socket, head, "");
       String contentLength = withoutBody.header("Content-Length");
       byte[] body = in.readNBytes(contentLength == null ? 0 : Integer.parseInt(contentLength));
@@ -98,7 +98,7 @@
   }
 
   /** Reads up to and including an empty line; null at the end of the stream. */
-  static String head(InputStream in) throws IOException {
+  static String readHead(InputStream in) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     while (!bytes.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
       int next = in.read();
@@ -115,14 +115,14 @@
   }
 
   /** Waits for the next request and takes it. */
-  Came next() throws InterruptedException {
+  Came nextRequest() throws InterruptedException {
     Came request = received.poll(TIMEOUT_S, TimeUnit.SECONDS);
     assertNotNull(request, "no request was received");
     return request;
   }
 
   /** From now on, responds to each request with the id of the request. */
-  void echo() {
+  void startEcho() {
     startDaemon(() -> {
       try {
         while (true) {
@@ -136,14 +136,14 @@
 
   private static void respondWithId(Came request) {
     try {
-      request.ok(request.header("X-Txn"));
+      request.respondOk(request.header("X-Txn"));
     } catch (IOException gone) {
       // The scheduler has abandoned this attempt.
     }
   }
 
   /** Asserts that all received requests have been taken. */
-  void nothingElse() {
+  void assertNoMoreRequests() {
     assertNull(received.peek());
   }
 
--- a/src/test/java/hollyslip/platform/ProcessSite.java
+++ b/src/test/java/hollyslip/platform/ProcessSite.java
@@ -17,7 +17,7 @@
 import org.awaitility.Awaitility;
 
 /** A scheduler in a process of its own, with the flags of the {@code run} line of the deploy file, between
- * scripted servers: shard 0 at {@link #disk}, the node list at {@link #discovery}. */
+ * scripted servers: shard 0 at {@link #diskServer}, the node list at {@link #discovery}. */
 final class ProcessSite implements AutoCloseable {
   /** The platform kills the process this long after SIGTERM: 3 s, as the longest deadline here exceeds that,
    * plus 0.7 s. */
@@ -40,7 +40,7 @@
 
   private static final Pattern STARTED_LINE = Pattern.compile(".* node.started .*listen=\\S*:(\\d+).*");
 
-  final Peer disk = new Peer(), discovery = new Peer();
+  final Peer diskServer = new Peer(), discovery = new Peer();
   final List<String> log = new CopyOnWriteArrayList<>();
   final Process process;
   private final Path configFile = Files.createTempFile("scheduler", ".json");
@@ -55,17 +55,19 @@
     this(sockets, environment, List.of());
   }
 
-  /** With shards at the given addresses, in order, instead of shard 0 at {@link #disk}. */
+  /** With shards at the given addresses, in order, instead of shard 0 at {@link #diskServer}. */
   ProcessSite(int sockets, Map<String, String> environment, List<String> shards) throws IOException {
-    List<String> addresses = shards.isEmpty() ? List.of(disk.address()) : shards;
+    List<String> addresses = shards.isEmpty() ? List.of(diskServer.address()) : shards;
     String[] entries = new String[addresses.size()];
     for (int i = 0; i < entries.length; i++) {
-      entries[i] = Site.entry("s-" + i, disk, i, "up").replace(disk.address(), addresses.get(i));
+      entries[i] = Site.nodeEntryJson("s-" + i, diskServer, i, "up")
+          .replace(diskServer.address(), addresses.get(i));
     }
     Files.writeString(configFile, "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery
         .address()
         + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":"
-        + sockets + "},\"known\":" + Site.list(41, true, entries) + ",\"settings\":" + SETTINGS + "}");
+        + sockets + "},\"known\":" + Site.nodeListJson(41, true, entries) + ",\"settings\":" + SETTINGS
+        + "}");
     ProcessBuilder builder = new ProcessBuilder(command()).redirectErrorStream(true);
     builder.environment().put("PROXY_CONFIG", configFile.toString());
     builder.environment().putAll(environment);
@@ -133,8 +135,8 @@
   }
 
   /** From now on, the disk server responds to each request with the id of the request. */
-  void echo() {
-    disk.echo();
+  void startEcho() {
+    diskServer.startEcho();
   }
 
   @Override
@@ -145,7 +147,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    disk.close();
+    diskServer.close();
     discovery.close();
     Files.delete(configFile);
   }
--- a/src/test/java/hollyslip/platform/SchedulerProcessTest.java
+++ b/src/test/java/hollyslip/platform/SchedulerProcessTest.java
@@ -27,7 +27,7 @@
     try (Site site = new Site(); Site.Client client = site.client()) {
       int status = 503;
       while (status == 503) {
-        status = client.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
+        status = client.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus();
       }
       assertEquals(200, status);
     }
@@ -46,9 +46,9 @@
           new WatchClock(), address, 41,
           n -> {}, answered::countDown);
       group.submit(discovery::start).sync();
-      Peer.Came watch = agent.next();
+      Peer.Came watch = agent.nextRequest();
       assertEquals(1, answered.getCount());
-      watch.answer(Site.WATCH);
+      watch.respond(Site.WATCH_RESPONSE_HEAD);
       assertTrue(answered.await(20, TimeUnit.SECONDS));
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -71,12 +71,12 @@
   @Test
   void endedRequestsAndRemovedDiskServersLeaveNothingBehind() throws Exception {
     try (Site site = new Site(); Site.Client client = site.client()) {
-      Peer.Came watch = site.discovery.next();
-      watch.answer(Site.WATCH);
+      Peer.Came watch = site.discovery.nextRequest();
+      watch.respond(Site.WATCH_RESPONSE_HEAD);
       Thread disk = new Thread(() -> {
         try {
           while (true) {
-            site.disk.next().ok("x");
+            site.diskServer.nextRequest().respondOk("x");
           }
         } catch (Exception | AssertionError ended) {
           // The test has ended.
@@ -87,10 +87,11 @@
       int before = 0;
       for (int i = 0; i < REQUESTS; i++) {
         if (i % 20 == 0) {
-          watch.answer(Site.chunk(Site.list(42 + i, true, Site.entry("s-" + i, site.disk, 0, "up")) + "\n"));
+          watch.respond(Site.httpChunk(Site.nodeListJson(42 + i, true, Site.nodeEntryJson("s-" + i,
+              site.diskServer, 0, "up")) + "\n"));
         }
-        client.send(Site.read("t" + i).replace("00000003b4d60021", String.format("%016x", i)));
-        assertEquals(200, client.status());
+        client.send(Site.readRequest("t" + i).replace("00000003b4d60021", String.format("%016x", i)));
+        assertEquals(200, client.readStatus());
         if (i == REQUESTS / 2) {
           before = descriptors();
         }
@@ -99,8 +100,8 @@
       // ones.
       assertEquals(before, descriptors(), 150, "descriptors");
       // Once this is answered, the event loop has released the last request.
-      assertEquals(200, client.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
-      assertEquals(0, site.node.open());
+      assertEquals(200, client.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
+      assertEquals(0, site.node.openRequests());
       assertTrue(site.node.diskServerCount() <= 3, () -> "" + site.node.diskServerCount());
     }
   }
--- a/src/test/java/hollyslip/platform/Site.java
+++ b/src/test/java/hollyslip/platform/Site.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** A scheduler in this process between scripted servers: shard 0 at {@link #disk}, the node list at
+/** A scheduler in this process between scripted servers: shard 0 at {@link #diskServer}, the node list at
  * {@link #discovery}. */
 final class Site implements AutoCloseable {
   static final String SETTINGS = """
@@ -29,52 +29,53 @@
 
   private static final int FREE_SOCKETS = 200;
 
-  final Peer disk = new Peer(), discovery = new Peer();
-  final Path file;
+  final Peer diskServer = new Peer(), discovery = new Peer();
+  final Path configFile;
   final Node node;
   final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
   /** The scheduler waits for the discovery of a test for as long as the test may take on a busy machine. */
   Site() throws IOException, InterruptedException {
-    this(new WatchClock(WatchClock.SILENT_US, 20_000_000));
+    this(new WatchClock(WatchClock.SILENCE_TIMEOUT_US, 20_000_000));
   }
 
   Site(WatchClock times) throws IOException, InterruptedException {
-    file = Files.createTempFile("platform", ".json");
-    configure(discovery);
-    node = new Node(Map.of("PROXY_CONFIG", file.toString()), new PrintStream(log, true), times);
+    configFile = Files.createTempFile("platform", ".json");
+    writeConfig(discovery);
+    node = new Node(Map.of("PROXY_CONFIG", configFile.toString()), new PrintStream(log, true), times);
   }
 
-  void configure(Peer discoveryServer) throws IOException {
+  void writeConfig(Peer discoveryServer) throws IOException {
     // In addition to what other tests of this JVM still hold open, so that the limits do not depend on them.
-    int sockets = Bounds.descriptorsHeld() + FREE_SOCKETS;
-    Files.writeString(file, "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
+    int sockets = Bounds.openDescriptors() + FREE_SOCKETS;
+    Files.writeString(configFile, "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
         + discoveryServer.address()
         + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":"
         + sockets + "},"
-        + "\"known\":" + list(41, true, entry("s-0", disk, 0, "up")) + ",\"settings\":" + SETTINGS + "}");
+        + "\"known\":" + nodeListJson(41, true, nodeEntryJson("s-0", diskServer, 0, "up")) + ",\"settings\":"
+        + SETTINGS + "}");
   }
 
-  static String entry(String host, Peer server, int shard, String health) {
+  static String nodeEntryJson(String host, Peer server, int shard, String health) {
     return "{\"host\":\"" + host + "\",\"dial\":\"" + server.address()
         + "\",\"site\":\"a\",\"class\":\"m\",\"block\":"
         + shard + ",\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}";
   }
 
-  static String list(long seq, boolean whole, String... entries) {
+  static String nodeListJson(long seq, boolean whole, String... entries) {
     return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", entries) + "]}";
   }
 
   /** The response head of a watch. */
-  static final String WATCH = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+  static final String WATCH_RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-  static String chunk(String text) {
+  static String httpChunk(String text) {
     return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
   }
 
   /** Blocks the event loop until the result is closed: all that arrives meanwhile is processed in one
    * iteration. */
-  AutoCloseable held() {
+  AutoCloseable blockEventLoop() {
     CountDownLatch release = new CountDownLatch(1);
     CountDownLatch blocked = new CountDownLatch(1);
     node.loop().execute(() -> {
@@ -94,27 +95,27 @@
   }
 
   /** From now on, the disk server responds to each request with the id of the request. */
-  void echo() {
-    disk.echo();
+  void startEcho() {
+    diskServer.startEcho();
   }
 
   Client client() throws IOException {
-    return new Client(node.listening());
+    return new Client(node.listenAddress());
   }
 
   /** A read request for shard 0. */
-  static String read(String id) {
-    return read(id, 0);
+  static String readRequest(String id) {
+    return readRequest(id, 0);
   }
 
-  static String read(String id, int shard) {
+  static String readRequest(String id, int shard) {
     return "GET /get/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: " + id
         + "\r\nX-Plan: gold\r\nX-Remaining: 20000m\r\nX-IO: volume=00000003b4d60021,units=2,shard=" + shard
         + ",hosts=1\r\n\r\n";
   }
 
   /** A write request; without an idempotency key if {@code key} is null. */
-  static String write(String className, String id, String key, String body) {
+  static String writeRequest(String className, String id, String key, String body) {
     return "PUT /" + className + "/00/7f3a9c21e0b4d655?a=%20b HTTP/1.1\r\nHost: service.internal\r\nX-Txn: "
         + id + "\r\nX-Plan: gold\r\nX-Remaining: 20000000u\r\n" + (key == null
             ? ""
@@ -139,10 +140,10 @@
     }
 
     /** Reads the next response, head and body; "closed" if the connection has ended. */
-    String answer() throws IOException {
+    String readResponse() throws IOException {
       InputStream in = socket.getInputStream();
       try {
-        String head = Peer.head(in);
+        String head = Peer.readHead(in);
         if (head == null) {
           return "closed";
         }
@@ -159,8 +160,8 @@
       socket.close();
     }
 
-    int status() throws IOException {
-      String response = answer();
+    int readStatus() throws IOException {
+      String response = readResponse();
       return response.equals("closed") ? 0 : Integer.parseInt(response.substring(9, 12));
     }
 
@@ -173,8 +174,8 @@
   @Override
   public void close() throws IOException {
     node.close();
-    disk.close();
+    diskServer.close();
     discovery.close();
-    Files.delete(file);
+    Files.delete(configFile);
   }
 }
--- a/src/test/java/hollyslip/platform/SoakAudit.java
+++ b/src/test/java/hollyslip/platform/SoakAudit.java
@@ -93,8 +93,9 @@
   /** Whether this process was stalled in the span of the violation, or just before. */
   private boolean overlapsMachineStall(TimingViolation violation) {
     synchronized (machineStalls) {
-      return machineStalls.stream().anyMatch(
-          stall -> stall[0] <= violation.to && stall[1] >= violation.from - AFTER_END_MS);
+      return machineStalls.stream()
+          .anyMatch(
+              stall -> stall[0] <= violation.to && stall[1] >= violation.from - AFTER_END_MS);
     }
   }
 
--- a/src/test/java/hollyslip/platform/SoakClient.java
+++ b/src/test/java/hollyslip/platform/SoakClient.java
@@ -92,10 +92,10 @@
     boolean isWrite = random.nextInt(4) == 0;
     audit.sending(id, timeoutMs, !isWrite);
     return isWrite
-        ? Site.write("pay", id, null, "x".repeat(random.nextInt(3_000)))
+        ? Site.writeRequest("pay", id, null, "x".repeat(random.nextInt(3_000)))
             .replace("20000000u", timeoutMs + "m")
             .replace("shard=0", "shard=" + shard)
-        : Site.read(id, shard).replace("20000m", timeoutMs + "m");
+        : Site.readRequest(id, shard).replace("20000m", timeoutMs + "m");
   }
 
   private void send(String bytes) throws IOException {
@@ -144,7 +144,7 @@
   /** Reads the next response; null if the connection ended before it. */
   private String readResponse() throws IOException {
     try {
-      String head = Peer.head(socket.getInputStream());
+      String head = Peer.readHead(socket.getInputStream());
       if (head == null) {
         return null;
       }
@@ -212,7 +212,7 @@
   private void sendIncompleteRequest() throws IOException, InterruptedException {
     List<String> ids = new ArrayList<>();
     String completeRequest = random.nextBoolean() ? newRequest(ids) : "";
-    String incompleteRequest = Site.read(name + "-part");
+    String incompleteRequest = Site.readRequest(name + "-part");
     sendAndAwaitResponses(ids, completeRequest
         + incompleteRequest.substring(0, 1 + random.nextInt(incompleteRequest.length() - 1)));
     if (socket == null) {
--- a/src/test/java/hollyslip/platform/SoakDiskServer.java
+++ b/src/test/java/hollyslip/platform/SoakDiskServer.java
@@ -59,7 +59,7 @@
       while (open) {
         int first = in.read();
         long firstByteAt = SoakAudit.nowMs();
-        String rest = first < 0 ? null : Peer.head(in);
+        String rest = first < 0 ? null : Peer.readHead(in);
         if (rest == null) {
           return;
         }
@@ -80,7 +80,7 @@
     String id = request.header("X-Txn");
     int percentile = random.nextInt(100);
     if (percentile < 4) {
-      request.answer("HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+      request.respond("HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
       return true;
     }
     audit.executed(id, firstByteAt, Long.parseLong(request.header("X-Remaining").replace("u", "")));
@@ -90,23 +90,23 @@
     }
     Thread.sleep(random.nextInt(percentile < 14 ? SLOW_MS : FAST_MS));
     if (percentile < 18) {
-      request.answer("HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n" + id);
-      request.on().setSoLinger(true, 0);
+      request.respond("HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n" + id);
+      request.connection().setSoLinger(true, 0);
       return false;
     } else if (percentile < 21) {
-      request.answer("noise " + id + "\r\n\r\n");
+      request.respond("noise " + id + "\r\n\r\n");
       return true;
     } else if (percentile < 24) {
-      request.answer("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n");
+      request.respond("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n");
       return true;
     } else if (percentile < 28) {
-      request.answer("HTTP/1.1 200 OK\r\n\r\n" + id);
+      request.respond("HTTP/1.1 200 OK\r\n\r\n" + id);
       return false;
     }
-    request.ok(id);
+    request.respondOk(id);
     if (percentile < 32) {
       Thread.sleep(random.nextInt(SECOND_RESPONSE_DELAY_MS));
-      request.ok("second" + id);
+      request.respondOk("second" + id);
     }
     return true;
   }
--- a/src/test/java/hollyslip/platform/WatchRetryPolicyTest.java
+++ b/src/test/java/hollyslip/platform/WatchRetryPolicyTest.java
@@ -62,7 +62,7 @@
   void silenceAfterTheResponseHeadCountsFromTheHead() {
     answerAttempt();
     long silentSince = now;
-    assertTrue(advanceUntilOpened(true) - silentSince <= WatchClock.SILENT_US + TICK_US);
+    assertTrue(advanceUntilOpened(true) - silentSince <= WatchClock.SILENCE_TIMEOUT_US + TICK_US);
   }
 
   @Test
--- a/src/test/java/hollyslip/recovery/EpochElectionTest.java
+++ b/src/test/java/hollyslip/recovery/EpochElectionTest.java
@@ -22,34 +22,35 @@
 
   @Test
   void startTakesAnEpochAboveAllKnownOnes() {
-    assertEquals(1, Succession.start(0, List.of()).epoch());
-    assertEquals(4, Succession.start(3, List.of()).epoch());
-    assertEquals(9, Succession.start(0, List.of(reported(8, 0), reported(5, 0))).epoch(),
+    assertEquals(1, Succession.decideAtStart(0, List.of()).epoch());
+    assertEquals(4, Succession.decideAtStart(3, List.of()).epoch());
+    assertEquals(9, Succession.decideAtStart(0, List.of(reported(8, 0), reported(5, 0))).epoch(),
         "lost state directory");
-    assertEquals(9, Succession.start(6, List.of(reported(8, 0))).epoch(), "restored from an older copy");
-    assertEquals(9, Succession.start(8, List.of(reported(8, 2))).epoch(),
+    assertEquals(9, Succession.decideAtStart(6, List.of(reported(8, 0))).epoch(),
+        "restored from an older copy");
+    assertEquals(9, Succession.decideAtStart(8, List.of(reported(8, 2))).epoch(),
         "connections left by the last process");
   }
 
   @Test
   void livingGatewayIsDistinguishedFromALostStateDirectory() {
-    Step decision = Succession.start(0, List.of(reported(8, 0), reported(8, 2)));
-    assertEquals(Verdict.YIELD, decision.verdict());
+    Step decision = Succession.decideAtStart(0, List.of(reported(8, 0), reported(8, 2)));
+    assertEquals(Verdict.YIELD, decision.action());
     assertEquals(8, decision.other().epoch());
-    assertEquals(Verdict.YIELD, Succession.start(7, List.of(reported(8, 1))).verdict());
-    assertEquals(9, Succession.takeOver(0, List.of(reported(8, 2))).epoch());
+    assertEquals(Verdict.YIELD, Succession.decideAtStart(7, List.of(reported(8, 1))).action());
+    assertEquals(9, Succession.decideForcedTakeover(0, List.of(reported(8, 2))).epoch());
   }
 
   @Test
   void oneOfTwoContinuesInService() {
     Holder mine = new Holder(5, 10);
-    assertEquals(Verdict.GO_ON, Succession.heard(mine, new Known(mine, 3)).verdict());
-    assertEquals(Verdict.GO_ON, Succession.heard(mine, reported(4, 3)).verdict());
-    assertEquals(Verdict.YIELD, Succession.heard(mine, reported(6, 1)).verdict());
-    assertEquals(7, Succession.heard(mine, reported(6, 0)).epoch(), "the other holder is gone");
+    assertEquals(Verdict.GO_ON, Succession.decideInService(mine, new Known(mine, 3)).action());
+    assertEquals(Verdict.GO_ON, Succession.decideInService(mine, reported(4, 3)).action());
+    assertEquals(Verdict.YIELD, Succession.decideInService(mine, reported(6, 1)).action());
+    assertEquals(7, Succession.decideInService(mine, reported(6, 0)).epoch(), "the other holder is gone");
     Holder other = new Holder(5, 11);
-    assertEquals(Verdict.YIELD, Succession.heard(mine, new Known(other, 1)).verdict());
-    assertEquals(6, Succession.heard(other, new Known(mine, 1)).epoch());
+    assertEquals(Verdict.YIELD, Succession.decideInService(mine, new Known(other, 1)).action());
+    assertEquals(6, Succession.decideInService(other, new Known(mine, 1)).epoch());
   }
 
   /** Two gateways that started at the same time, each first at other nodes, reconnect repeatedly in any
@@ -83,9 +84,9 @@
       }
       int other = 1 - gateway;
       int open = !stopped[other] && newest[node].equals(holders[other]) ? 1 : 0;
-      Step decision = Succession.heard(holders[gateway], new Known(newest[node], open));
-      stopped[gateway] = decision.verdict() == Verdict.YIELD;
-      if (decision.verdict() == Verdict.TAKE) {
+      Step decision = Succession.decideInService(holders[gateway], new Known(newest[node], open));
+      stopped[gateway] = decision.action() == Verdict.YIELD;
+      if (decision.action() == Verdict.TAKE) {
         assertTrue(decision.epoch() > holders[gateway].epoch());
         holders[gateway] = new Holder(decision.epoch(), holders[gateway].instance());
       }
--- a/src/test/java/hollyslip/recovery/RecoveryTest.java
+++ b/src/test/java/hollyslip/recovery/RecoveryTest.java
@@ -18,17 +18,17 @@
 class RecoveryTest {
   @Test
   void inflightRequestsAreRecoveredInOrder() {
-    ByteBuffer region = ByteBuffer.allocate(InflightLog.bytes(8));
+    ByteBuffer region = ByteBuffer.allocate(InflightLog.regionBytes(8));
     InflightLog log = new InflightLog(region, 8);
     assertEquals(List.of(), log.recover(0));
     for (int head : new int[]{5, 1, 7, 2}) {
-      log.taken(head);
+      log.recordTaken(head);
     }
-    log.answering(1);
-    log.answered(1, 1);
+    log.prepareAnswer(1);
+    log.commitAnswer(1, 1);
     InflightLog recovered = new InflightLog(region, 8);
     assertEquals(List.of(5, 7, 2), recovered.recover(1));
-    recovered.taken(0);
+    recovered.recordTaken(0);
     assertEquals(List.of(5, 7, 2, 0), new InflightLog(region, 8).recover(1));
   }
 
@@ -36,15 +36,15 @@
    * neither. */
   @Test
   void killBetweenStepsNeitherLosesNorRepeatsAnAnswer() {
-    ByteBuffer region = ByteBuffer.allocate(InflightLog.bytes(8));
+    ByteBuffer region = ByteBuffer.allocate(InflightLog.regionBytes(8));
     InflightLog log = new InflightLog(region, 8);
     log.recover(0);
-    log.taken(3);
-    log.taken(4);
-    log.answering(3);
+    log.recordTaken(3);
+    log.recordTaken(4);
+    log.prepareAnswer(3);
     assertEquals(List.of(3, 4), copyOf(region).recover(0), "not published yet");
     assertEquals(List.of(4), copyOf(region).recover(1), "published but not recorded");
-    log.answered(3, 1);
+    log.commitAnswer(3, 1);
     assertEquals(List.of(4), copyOf(region).recover(1));
   }
 
@@ -57,7 +57,7 @@
   @Test
   void longRunWithRandomKills() {
     SplittableRandom random = new SplittableRandom(3);
-    ByteBuffer region = ByteBuffer.allocate(InflightLog.bytes(16));
+    ByteBuffer region = ByteBuffer.allocate(InflightLog.regionBytes(16));
     InflightLog log = new InflightLog(region, 16);
     log.recover(0);
     List<Integer> inflight = new ArrayList<>();
@@ -65,14 +65,14 @@
     for (int i = 0; i < 20_000; i++) {
       int head = random.nextInt(16);
       if (!inflight.contains(head)) {
-        log.taken(head);
+        log.recordTaken(head);
         inflight.add(head);
       } else {
         inflight.remove((Integer) head);
-        log.answering(head);
+        log.prepareAnswer(head);
         used = used + 1 & 0xffff;
         if (random.nextInt(4) > 0) {
-          log.answered(head, used);
+          log.commitAnswer(head, used);
         } else {
           log = new InflightLog(region, 16);
           assertEquals(inflight, log.recover(used));
@@ -85,7 +85,7 @@
   void randomRegionContentIsTolerated() {
     SplittableRandom random = new SplittableRandom(8);
     for (int i = 0; i < 500; i++) {
-      byte[] content = new byte[InflightLog.bytes(8)];
+      byte[] content = new byte[InflightLog.regionBytes(8)];
       random.nextBytes(content);
       content[8] = 1;
       content[9] = 0;
@@ -101,9 +101,9 @@
     Path file = directory.resolve("epoch");
     try (Epoch epoch = new Epoch(directory)) {
       assertEquals(0, epoch.last());
-      epoch.take(1);
-      epoch.take(9);
-      assertThrows(IllegalArgumentException.class, () -> epoch.take(9));
+      epoch.advanceTo(1);
+      epoch.advanceTo(9);
+      assertThrows(IllegalArgumentException.class, () -> epoch.advanceTo(9));
       IOException e = assertThrows(IOException.class, () -> new Epoch(directory));
       assertTrue(e.getMessage().contains("uses this state folder"), e.getMessage());
     }
--- a/src/test/java/hollyslip/volume/VolumeTest.java
+++ b/src/test/java/hollyslip/volume/VolumeTest.java
@@ -75,9 +75,10 @@
 
   @Test
   void unalignedAndOutOfBoundsRangesAreRejected() {
-    assertTrue(VOLUME.holds(0, VOLUME.bytes()));
-    assertFalse(VOLUME.holds(1, 512) || VOLUME.holds(0, 0) || VOLUME.holds(512, VOLUME.bytes()) || VOLUME
-        .holds(-512, 512) || VOLUME.holds(
-            Long.MAX_VALUE - 511, 512));
+    assertTrue(VOLUME.containsRange(0, VOLUME.bytes()));
+    assertFalse(VOLUME.containsRange(1, 512) || VOLUME.containsRange(0, 0) || VOLUME.containsRange(512, VOLUME
+        .bytes()) || VOLUME
+            .containsRange(-512, 512) || VOLUME.containsRange(
+                Long.MAX_VALUE - 511, 512));
   }
 }
