--- a/src/main/java/hollyslip/HostScheduler.java
+++ b/src/main/java/hollyslip/HostScheduler.java
@@ -21,7 +21,7 @@
   }
 
   /** The nodes among which repeats of a keyed request are dropped. */
-  enum Group {
+  enum DedupScope {
     ALL, ZONE, CELL
   }
 
@@ -53,7 +53,7 @@
    *          part of the worth that remains after the aim
    * @param inOrder
    *          requests with the same key run one at a time, in order of arrival */
-  record RequestClass(String name, Effect effect, Group dedupScope, long dedupWindowUs, long aimUs,
+  record RequestClass(String name, Effect effect, DedupScope dedupScope, long dedupWindowUs, long aimUs,
       long deadlineUs,
       double worth, double lateWorth, boolean inOrder, boolean write) {
     public RequestClass {
@@ -172,26 +172,27 @@
   }
 
   /** One entry of the node list, with the node's start time; 0: long ago. */
-  record Listed(long node, String zone, int cell, NodeState state, long startedAtUs) {
-    public Listed {
+  record NodeEntry(long node, String zone, int cell, NodeState state, long startedAtUs) {
+    public NodeEntry {
       requirePresent(zone, "listed.zone");
       requirePresent(state, "listed.state");
     }
   }
 
   /** Something that happened. */
-  sealed interface Event permits NodeList, ListFailed, Request, TimerDue, Outcome, Departed, Hastened, Probed,
+  sealed interface Event permits NodeList, NodeListFailed, Request, TimerFired, AttemptEnded,
+      RequestAbandoned, DeadlineShortened, ProbeEnded,
       ResponseStarted, VolumeChanged, VolumeRemoved, Stopping {}
 
   /** The node list, whole or only the entries that changed. With the whole list, nodes not in it are gone. */
-  record NodeList(boolean complete, List<Listed> nodes) implements Event {
+  record NodeList(boolean complete, List<NodeEntry> nodes) implements Event {
     public NodeList {
       nodes = List.copyOf(nodes);
     }
   }
 
   /** A request for the node list failed, or the subscription to it was lost. */
-  record ListFailed() implements Event {}
+  record NodeListFailed() implements Event {}
 
   /** A request arrived. {@code shard} -1: a new object, which any node may store. {@code hosts} 0: unknown.
    * {@code clientRetry}: the client has sent it before, or it was accepted a while ago, so that it adds
@@ -206,27 +207,28 @@
   }
 
   /** A timer expired. */
-  record TimerDue(long id) implements Event {}
+  record TimerFired(long id) implements Event {}
 
   /** An attempt ended. {@code requestEnded}: its request has its final answer. {@code metered}: 1 + percent
    * of the plan's rate, 0 if not metered. {@code report} may be null. */
-  record Outcome(long request, int attempt, long node, Result result, boolean requestEnded, long latencyUs,
+  record AttemptEnded(long request, int attempt, long node, Result result, boolean requestEnded,
+      long latencyUs,
       int metered, double servedElsewhere, List<Double> report) implements Event {
-    public Outcome {
+    public AttemptEnded {
       requirePresent(result, "outcome.result");
     }
   }
 
   /** The client of a request is gone. */
-  record Departed(long request) implements Event {}
+  record RequestAbandoned(long request) implements Event {}
 
   /** A request must have its final answer by {@code answerBy}, if that is before its client gives up. A later
    * request on the same connection, where answers are sent in order, cannot wait longer. */
-  record Hastened(long request, long answerBy) implements Event {}
+  record DeadlineShortened(long request, long answerBy) implements Event {}
 
   /** A probe ended; {@code report} may be null. */
-  record Probed(long node, Result result, long latencyUs, List<Double> report) implements Event {
-    public Probed {
+  record ProbeEnded(long node, Result result, long latencyUs, List<Double> report) implements Event {
+    public ProbeEnded {
       requirePresent(result, "probed.result");
     }
   }
@@ -254,7 +256,7 @@
   record Stopping(long answerBy) implements Event {}
 
   /** Something that the caller has to do. */
-  sealed interface Action permits Send, Refuse, Fail, Cancel, Probe, SetTimer, Watch {}
+  sealed interface Action permits Send, Refuse, Fail, Cancel, Probe, SetTimer, WatchNodes {}
 
   /** Starts an attempt that times out at {@code timeoutAt} (0: when the client gives up). Nothing of it may
    * be sent after {@code startBy}; it then ends as {@link Result#MOOT}. */
@@ -280,11 +282,11 @@
   /** Probes a node for its health and load. */
   record Probe(long node) implements Action {}
 
-  /** Requests a {@link TimerDue} event at {@code at}. */
+  /** Requests a {@link TimerFired} event at {@code at}. */
   record SetTimer(long at, long id) implements Action {}
 
   /** Subscribes to the node list. */
-  record Watch() implements Action {}
+  record WatchNodes() implements Action {}
 
   private static <T> T requirePresent(T value, String field) {
     if (value == null) {
--- a/src/main/java/hollyslip/WireSettings.java
+++ b/src/main/java/hollyslip/JsonSettingsParser.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import hollyslip.HostScheduler.Allowed;
 import hollyslip.HostScheduler.Effect;
-import hollyslip.HostScheduler.Group;
+import hollyslip.HostScheduler.DedupScope;
 import hollyslip.HostScheduler.Plan;
 import hollyslip.HostScheduler.ReportSource;
 import hollyslip.HostScheduler.RequestClass;
@@ -16,8 +16,8 @@
 
 /** Parses the settings object of the simulator's protocol and of the platform's configuration file into
  * {@link Settings}: converts times from seconds to microseconds and ignores unknown keys. */
-public final class WireSettings {
-  private WireSettings() {}
+public final class JsonSettingsParser {
+  private JsonSettingsParser() {}
 
   /** Parses settings in the form of the protocol's launch message.
    *
@@ -64,9 +64,9 @@
       case "token" -> Effect.KEYED;
       default -> Effect.UNSAFE;
     }, switch (json.path("group").asText()) {
-      case "all" -> Group.ALL;
-      case "zone" -> Group.ZONE;
-      default -> Group.CELL;
+      case "all" -> DedupScope.ALL;
+      case "zone" -> DedupScope.ZONE;
+      default -> DedupScope.CELL;
     }, micros(json.path("window")), micros(json.path("aim")), micros(json.path("giveUp")), json.path("points")
         .asDouble(), json.path("lateValue").asDouble(), json.path("byArrival").asBoolean(), write
             .asBoolean());
--- a/src/main/java/hollyslip/Belief.java
+++ b/src/main/java/hollyslip/NodeSnapshot.java
@@ -14,14 +14,14 @@
  *          expected latency of a request sent now
  * @param unresponsive
  *          the last attempts had no answer */
-public record Belief(long node, HostScheduler.NodeState state, int inFlight, int queued, double window,
+public record NodeSnapshot(long node, HostScheduler.NodeState state, int inFlight, int queued, double window,
     double expectedLatencyUs, boolean unresponsive, boolean cold) {
 
   /** One for each node that the scheduler knows, by node number. */
-  public static List<Belief> of(Choice choice) {
+  public static List<NodeSnapshot> of(TokenBorrowingScheduler choice) {
     return choice.nodes.values()
         .stream()
-        .map(n -> new Belief(n.id, n.state, n.countedInFlight, n.queued, n.window,
+        .map(n -> new NodeSnapshot(n.id, n.state, n.countedInFlight, n.queued, n.window,
             n.expectedLatency(), n.unresponsive, n.isCold()))
         .toList();
   }
--- a/src/main/java/hollyslip/AttemptBudget.java
+++ b/src/main/java/hollyslip/RetryBudget.java
@@ -6,11 +6,11 @@
  * plus a share of the requests taken in it, so that the rule also holds for the sum over hosts or lanes. With
  * a sliding window in each it would not, as the requests that justified an attempt may have left the window.
  * Drawback: fewer attempts at once, and none at all with less than one free. */
-final class AttemptBudget {
+final class RetryBudget {
   private final Rules rules;
   private double available;
 
-  AttemptBudget(Rules rules) {
+  RetryBudget(Rules rules) {
     this.rules = rules;
     available = rules.budgetFree();
   }
--- a/src/main/java/hollyslip/WireHost.java
+++ b/src/main/java/hollyslip/SimulatorAdapter.java
@@ -19,19 +19,19 @@
 
 /** Runs scheduler instances for the simulator, over its protocol of one JSON object per line. Translates
  * lines to events and actions to lines, and does nothing else. */
-public final class WireHost {
+public final class SimulatorAdapter {
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final Function<HostScheduler.Settings, HostScheduler> factory;
   private final JsonGenerator out;
   private final Map<String, HostScheduler> instances = new HashMap<>();
-  private final Map<Integer, List<HostScheduler.Listed>> pages = new HashMap<>();
+  private final Map<Integer, List<HostScheduler.NodeEntry>> pages = new HashMap<>();
   private long lineNumber;
   private long now;
   private long serial;
   private boolean inBatch;
 
-  private WireHost(Function<HostScheduler.Settings, HostScheduler> factory, OutputStream out)
+  private SimulatorAdapter(Function<HostScheduler.Settings, HostScheduler> factory, OutputStream out)
       throws IOException {
     this.factory = factory;
     this.out = JSON.getFactory().createGenerator(new BufferedOutputStream(out, 1 << 16));
@@ -50,13 +50,13 @@
       System.err.println("usage: java -jar hollyslip.jar wirehost");
       System.exit(2);
     }
-    System.exit(serve(Choice::new, System.in, System.out, System.err));
+    System.exit(serve(TokenBorrowingScheduler::new, System.in, System.out, System.err));
   }
 
   /** Serves until the input ends and returns the exit status. */
   static int serve(Function<HostScheduler.Settings, HostScheduler> factory, InputStream in, OutputStream out,
       PrintStream err) throws IOException {
-    WireHost host = new WireHost(factory, out);
+    SimulatorAdapter host = new SimulatorAdapter(factory, out);
     try (BufferedReader reader = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8),
         1 << 16)) {
       for (String line = reader.readLine(); line != null; line = reader.readLine()) {
@@ -103,7 +103,7 @@
 
   private void handleEvent(String kind, JsonNode message) throws IOException {
     if (kind.equals("PAGE")) {
-      List<HostScheduler.Listed> entries = new ArrayList<>();
+      List<HostScheduler.NodeEntry> entries = new ArrayList<>();
       require(message, "entries").forEach(e -> entries.add(nodeEntry(e)));
       pages.put((int) number(message, "slot"), entries);
       return;
@@ -137,7 +137,7 @@
     JsonNode conf = require(message, "conf");
     long seed = require(message, "nonce64").asLong();
     try {
-      instances.put(name, factory.apply(WireSettings.parse(seed, conf)));
+      instances.put(name, factory.apply(JsonSettingsParser.parse(seed, conf)));
     } catch (IllegalArgumentException e) {
       reportFault(name, e);
     }
@@ -160,11 +160,12 @@
               : null, message.path("storeUser").asLong(), message.path("sizeUnits").asDouble(1), message.path(
                   "liesIn").asInt(-1), message.path("nHosts").asInt(), micros(require(message, "remaining")),
           message.path("againByClient").asBoolean());
-      case "REMINDER" -> new HostScheduler.TimerDue(number(message, "name"));
-      case "ABANDONED" -> new HostScheduler.Departed(number(message, "opId"));
-      case "ECHO" -> new HostScheduler.Probed(number(message, "server"), result(require(message, "code")
+      case "REMINDER" -> new HostScheduler.TimerFired(number(message, "name"));
+      case "ABANDONED" -> new HostScheduler.RequestAbandoned(number(message, "opId"));
+      case "ECHO" -> new HostScheduler.ProbeEnded(number(message, "server"), result(require(message, "code")
           .asText()), micros(require(message, "waitTime")), report(message.path("pressure")));
-      case "FINISHED" -> new HostScheduler.Outcome(number(message, "opId"), (int) number(message, "seqNo"),
+      case "FINISHED" -> new HostScheduler.AttemptEnded(number(message, "opId"), (int) number(message,
+          "seqNo"),
           number(message, "server"), result(require(message, "code").asText()), require(message, "ended")
               .asBoolean(), micros(require(message, "waitTime")), message.path("metered").asInt(), message
                   .path("delta")
@@ -179,24 +180,25 @@
   private HostScheduler.Event nodeList(JsonNode message) {
     String mode = require(message, "mode").asText();
     if (mode.equals("broken")) {
-      return new HostScheduler.ListFailed();
+      return new HostScheduler.NodeListFailed();
     }
-    List<HostScheduler.Listed> page = pages.get((int) number(message, "slot"));
+    List<HostScheduler.NodeEntry> page = pages.get((int) number(message, "slot"));
     if (page == null) {
       throw new InvalidInputException("a slot that a PAGE has set");
     }
     return new HostScheduler.NodeList(!mode.equals("patch"), page);
   }
 
-  private static HostScheduler.Listed nodeEntry(JsonNode entry) {
+  private static HostScheduler.NodeEntry nodeEntry(JsonNode entry) {
     HostScheduler.NodeState state = switch (require(entry, "mode").asText()) {
       case "on" -> HostScheduler.NodeState.ON;
       case "fading" -> HostScheduler.NodeState.DRAINING;
       case "off" -> HostScheduler.NodeState.GONE;
       default -> throw new InvalidInputException("mode on, fading or off");
     };
-    return new HostScheduler.Listed(number(entry, "server"), entry.path("regionPart").asText(""), entry.path(
-        "cluster").asInt(-1), state, isPresent(entry, "born") ? micros(entry.get("born")) : 0);
+    return new HostScheduler.NodeEntry(number(entry, "server"), entry.path("regionPart").asText(""), entry
+        .path(
+            "cluster").asInt(-1), state, isPresent(entry, "born") ? micros(entry.get("born")) : 0);
   }
 
   private static HostScheduler.Result result(String code) {
@@ -250,7 +252,7 @@
       startLine("SLEEP", name);
       out.writeNumberField("at", timer.at() / 1e6);
       out.writeNumberField("name", timer.id());
-    } else if (action instanceof HostScheduler.Watch) {
+    } else if (action instanceof HostScheduler.WatchNodes) {
       startLine("FOLLOW", name);
       out.writeBooleanField("on", true);
     }
--- a/src/main/java/hollyslip/Choice.java
+++ b/src/main/java/hollyslip/TokenBorrowingScheduler.java
@@ -7,11 +7,11 @@
  * Its events and actions are declared in {@link HostScheduler}; read that first.
  *
  * <p>
- * Each request waits in the queue of its {@link Volume} at its {@link Node}. Each period, a node's token rate
- * is divided among the active volumes (initial allocation), unused tokens are lent (redistribution) and
- * reclaimed (re-compensation). Queued requests are sent as the node's window has room: the most valuable
- * first, and among equals the one whose volume has had tokens for the longest time. */
-public final class Choice implements HostScheduler {
+ * Each request waits in the queue of its {@link VolumeQueue} at its {@link SchedulerProcess}. Each period, a
+ * node's token rate is divided among the active volumes (initial allocation), unused tokens are lent
+ * (redistribution) and reclaimed (re-compensation). Queued requests are sent as the node's window has room:
+ * the most valuable first, and among equals the one whose volume has had tokens for the longest time. */
+public final class TokenBorrowingScheduler implements HostScheduler {
   /** Allocation period, in microseconds: the 100 ms of the specification. */
   static final long ALLOCATION_PERIOD_US = 100_000;
 
@@ -105,7 +105,7 @@
   private final TreeSet<PendingRequest> byAnswerTime = new TreeSet<>(Comparator.<PendingRequest>comparingLong(
       pending -> pending.answerBy).thenComparingLong(pending -> pending.sequence));
   private final SplittableRandom random;
-  private final AttemptBudget retryBudget;
+  private final RetryBudget retryBudget;
   private final double shortestAimUs, maxWorth;
   private Consumer<Action> actionSink;
   private double maxValue;
@@ -117,12 +117,12 @@
   private long firstEventAt = Long.MIN_VALUE, timerAt = Long.MAX_VALUE, listRetryAt = Long.MAX_VALUE;
   private boolean recheckNeeded, stopping;
 
-  public Choice(Settings settings) {
+  public TokenBorrowingScheduler(Settings settings) {
     this.settings = Objects.requireNonNull(settings, "settings");
     settings.classes().forEach(c -> classes.put(c.name(), c));
     settings.plans().forEach(p -> plans.put(p.name(), p));
     random = new SplittableRandom(settings.seed());
-    retryBudget = new AttemptBudget(settings.rules());
+    retryBudget = new RetryBudget(settings.rules());
     maxWorth = settings.classes().stream().mapToDouble(RequestClass::worth).max().orElseThrow();
     maxValue = maxWorth * settings.plans().stream().mapToDouble(Plan::price).max().orElseThrow();
     shortestAimUs = settings.classes().stream().mapToLong(RequestClass::aimUs).min().orElseThrow();
@@ -158,7 +158,7 @@
     KeyQueue keyQueue;
     Node node;
     /** Where the request is queued, or was last. */
-    Volume volumeQueue;
+    VolumeQueue volumeQueue;
     QueueKey queueKey;
     int attempts, inFlightAttempts;
     long deadline, notBefore, sentAt, answerBy;
@@ -204,12 +204,12 @@
     /** Whether the client may be told that a retry does no harm (rule 2). */
     boolean mayRefuse() {
       return possibleRunNode == null || requestClass.effect() == Effect.SAFE
-          || requestClass.effect() == Effect.KEYED && requestClass.dedupScope() == Group.ALL;
+          || requestClass.effect() == Effect.KEYED && requestClass.dedupScope() == DedupScope.ALL;
     }
   }
 
   /** A volume at a node: its queued requests, token bucket, demand and record of lending. */
-  static final class Volume {
+  static final class VolumeQueue {
     final double bucketDepth;
     double weight, groupWeight;
     long group;
@@ -227,7 +227,7 @@
      * alpha of the previous allocation. */
     double tokenShare, utilisation, demand, allocation, lent, distributionFactor, lastAllocation;
 
-    Volume(double weight, double bucketDepth, long now) {
+    VolumeQueue(double weight, double bucketDepth, long now) {
       this.bucketDepth = bucketDepth;
       setWeights(weight, 0, weight);
       tokens = bucketDepth;
@@ -268,10 +268,10 @@
     final long id;
     final String zone;
     final int cell;
-    final Map<Long, Volume> volumes = new LinkedHashMap<>();
+    final Map<Long, VolumeQueue> volumes = new LinkedHashMap<>();
     /** Volumes with queued requests, and volumes with requests in this period: costs depend on these, not on
      * all volumes ever seen. */
-    final Set<Volume> volumesWithQueuedRequests = new LinkedHashSet<>(),
+    final Set<VolumeQueue> volumesWithQueuedRequests = new LinkedHashSet<>(),
         activeVolumes = new LinkedHashSet<>();
     long periodCount;
     NodeState state = NodeState.GONE;
@@ -290,7 +290,7 @@
     /** Requests with an attempt in flight to this node, oldest first. */
     final LinkedHashSet<PendingRequest> inFlight = new LinkedHashSet<>();
 
-    Node(Listed entry) {
+    Node(NodeEntry entry) {
       id = entry.node();
       zone = entry.zone();
       cell = entry.cell();
@@ -432,10 +432,11 @@
       }
     }
 
-    Volume volumeQueue(PendingRequest pending) {
-      Volume volume = volumes.get(pending.request.volume());
+    VolumeQueue volumeQueue(PendingRequest pending) {
+      VolumeQueue volume = volumes.get(pending.request.volume());
       if (volume == null) {
-        volume = new Volume(pending.plan.weight(), BUCKET_DEPTH_REQUESTS * settings.store().meanUnits(), now);
+        volume = new VolumeQueue(pending.plan.weight(), BUCKET_DEPTH_REQUESTS * settings.store().meanUnits(),
+            now);
         volumes.put(pending.request.volume(), volume);
         VolumeChanged terms = volumeTerms.get(pending.request.volume());
         if (terms != null) {
@@ -447,19 +448,19 @@
 
     /** Scales a volume's record (equation 8). Records are mutual claims, so the volumes with a record of the
      * other sign take the difference in proportion. Drawback: a volume that had lent loses its claim. */
-    void rescaleRecord(Volume volume, double factor) {
+    void rescaleRecord(VolumeQueue volume, double factor) {
       volume.decayRecord(periodCount);
       double record = volume.record * factor;
       double difference = record - volume.record;
       boolean borrower = volume.record < 0;
       double counterpartSum = 0;
-      for (Volume other : volumes.values()) {
+      for (VolumeQueue other : volumes.values()) {
         other.decayRecord(periodCount);
         counterpartSum += other != volume && other.record < 0 != borrower ? Math.abs(other.record) : 0;
       }
       double correction = counterpartSum > 0 ? Math.max(-1, -Math.abs(difference) / counterpartSum) : 0;
       correction = Math.abs(record) > Math.abs(volume.record) ? -correction : correction;
-      for (Volume other : volumes.values()) {
+      for (VolumeQueue other : volumes.values()) {
         other.record += other != volume && other.record < 0 != borrower ? other.record * correction : 0;
       }
       volume.record = record;
@@ -497,9 +498,9 @@
     void allocateTokens() {
       excludeOverdue();
       activeVolumes.addAll(volumesWithQueuedRequests);
-      List<Volume> active = List.copyOf(activeVolumes);
+      List<VolumeQueue> active = List.copyOf(activeVolumes);
       activeVolumes.clear();
-      for (Volume volume : active) {
+      for (VolumeQueue volume : active) {
         volume.refill(now);
         volume.decayRecord(periodCount);
         volume.decayedPeriods++;
@@ -511,7 +512,7 @@
       initialAllocation(active, tokensPerSecond() * ALLOCATION_PERIOD_US / 1e6);
       redistribution(active);
       recompensation(active);
-      for (Volume volume : active) {
+      for (VolumeQueue volume : active) {
         volume.lastAllocation = volume.allocation;
         volume.allocatedBefore = true;
         volume.rate = volume.allocation / ALLOCATION_PERIOD_US;
@@ -523,14 +524,14 @@
   /** Equations 1 and 2: divides the period's tokens by weight, over groups and then over the active volumes
    * of each, so that what an idle volume leaves goes to its group. Demand is what was requested in the
    * period. */
-  static void initialAllocation(List<Volume> active, double tokens) {
+  static void initialAllocation(List<VolumeQueue> active, double tokens) {
     double weightSum = 0;
     Map<Long, Double> weightByGroup = new HashMap<>();
-    for (Volume volume : active) {
+    for (VolumeQueue volume : active) {
       weightSum += volume.group == 0 || !weightByGroup.containsKey(volume.group) ? volume.groupWeight : 0;
       weightByGroup.merge(volume.group, volume.weight, Double::sum);
     }
-    for (Volume volume : active) {
+    for (VolumeQueue volume : active) {
       double groupShare = volume.group == 0 ? 1 : volume.weight / weightByGroup.get(volume.group);
       volume.tokenShare = weightSum > 0 ? volume.groupWeight * groupShare / weightSum : 1.0 / active.size();
       volume.allocation = tokens * volume.tokenShare;
@@ -539,9 +540,9 @@
   }
 
   /** Equations 3 to 8: pools the surplus tokens, shares them by distribution factor and updates records. */
-  static void redistribution(List<Volume> active) {
+  static void redistribution(List<VolumeQueue> active) {
     double pool = 0, factorSum = 0;
-    for (Volume volume : active) {
+    for (VolumeQueue volume : active) {
       volume.utilisation = !volume.allocatedBefore
           ? 1
           : volume.lastAllocation > 0
@@ -554,7 +555,7 @@
       pool += volume.lent;
       factorSum += volume.distributionFactor;
     }
-    for (Volume volume : active) {
+    for (VolumeQueue volume : active) {
       double received = factorSum > 0 ? volume.distributionFactor / factorSum * pool : volume.lent;
       volume.allocation += received - volume.lent;
       volume.lent -= received;
@@ -564,9 +565,9 @@
 
   /** Equations 9 to 20: borrowers return tokens to lenders, at most what they owed before this period's
    * redistribution. */
-  static void recompensation(List<Volume> active) {
+  static void recompensation(List<VolumeQueue> active) {
     double reclaimFactor = 0, factorSum = 0;
-    for (Volume volume : active) {
+    for (VolumeQueue volume : active) {
       if (isLender(volume)) {
         double futureUtilisation = volume.allocation > 0 ? volume.demand / volume.allocation : 1;
         reclaimFactor += volume.tokenShare * (Math.max(1, volume.utilisation) + Math.max(0, 1
@@ -578,7 +579,7 @@
       return;
     }
     double pool = 0;
-    for (Volume volume : active) {
+    for (VolumeQueue volume : active) {
       double recordBefore = volume.record - volume.lent;
       if (recordBefore < 0 && volume.record < 0) {
         double reclaimed = Math.min(volume.allocation,
@@ -588,7 +589,7 @@
         pool += reclaimed;
       }
     }
-    for (Volume volume : active) {
+    for (VolumeQueue volume : active) {
       if (isLender(volume)) {
         double received = volume.distributionFactor / factorSum * pool;
         volume.allocation += received;
@@ -598,7 +599,7 @@
     }
   }
 
-  private static boolean isLender(Volume volume) {
+  private static boolean isLender(VolumeQueue volume) {
     return volume.record > 0 && volume.record - volume.lent > 0;
   }
 
@@ -611,20 +612,20 @@
       firstEventAt = now;
       periodEnd = now + ALLOCATION_PERIOD_US;
       if (settings.listOnRequest()) {
-        actionSink.accept(new Watch());
+        actionSink.accept(new WatchNodes());
       }
     }
     if (event instanceof NodeList list) {
       updateNodes(list);
-    } else if (event instanceof ListFailed) {
+    } else if (event instanceof NodeListFailed) {
       listRetryAt = now + NODE_LIST_RETRY_US;
     } else if (event instanceof Request request) {
       acceptRequest(request);
-    } else if (event instanceof Outcome ended) {
+    } else if (event instanceof AttemptEnded ended) {
       attemptEnded(ended);
-    } else if (event instanceof Departed abandoned && pendings.containsKey(abandoned.request())) {
+    } else if (event instanceof RequestAbandoned abandoned && pendings.containsKey(abandoned.request())) {
       finish(pendings.get(abandoned.request()));
-    } else if (event instanceof Hastened shortened && pendings.containsKey(shortened.request())) {
+    } else if (event instanceof DeadlineShortened shortened && pendings.containsKey(shortened.request())) {
       shortenDeadline(pendings.get(shortened.request()), shortened.answerBy());
     } else if (event instanceof ResponseStarted started && pendings.containsKey(started.request())) {
       pendings.get(started.request()).streaming = true;
@@ -636,7 +637,7 @@
     } else if (event instanceof Stopping stop) {
       stopping = true;
       List.copyOf(byAnswerTime).forEach(pending -> shortenDeadline(pending, stop.answerBy()));
-    } else if (event instanceof TimerDue && now >= timerAt) {
+    } else if (event instanceof TimerFired && now >= timerAt) {
       timerAt = Long.MAX_VALUE;
     }
     runDueWork();
@@ -673,7 +674,7 @@
       }
     }
     for (Node node : nodes.values()) {
-      Volume volume = node.volumes.get(change.volume());
+      VolumeQueue volume = node.volumes.get(change.volume());
       if (volume != null) {
         double before = volume.nominalWeight();
         volume.setWeights(plan.weight(), change.group(), change.groupWeight());
@@ -692,7 +693,7 @@
     limits.remove(volume);
     reserves.remove(volume);
     for (Node node : nodes.values()) {
-      Volume queue = node.volumes.get(volume);
+      VolumeQueue queue = node.volumes.get(volume);
       if (queue != null) {
         node.rescaleRecord(queue, 0);
         node.activeVolumes.remove(node.volumes.remove(volume));
@@ -715,7 +716,7 @@
     }
     if (now >= listRetryAt) {
       listRetryAt = Long.MAX_VALUE;
-      actionSink.accept(new Watch());
+      actionSink.accept(new WatchNodes());
     }
     if (now >= periodEnd) {
       nodes.values().forEach(Node::allocateTokens);
@@ -754,8 +755,8 @@
   }
 
   private void updateNodes(NodeList list) {
-    Map<Long, Listed> listed = new HashMap<>();
-    for (Listed entry : list.nodes()) {
+    Map<Long, NodeEntry> listed = new HashMap<>();
+    for (NodeEntry entry : list.nodes()) {
       listed.put(entry.node(), entry);
       Node node = nodes.computeIfAbsent(entry.node(), k -> new Node(entry));
       if (entry.startedAtUs() > 0 && entry.startedAtUs() != node.listedStartedAt) {
@@ -817,7 +818,7 @@
     }
     assignNode(pending);
     if (pending.node != null) {
-      Volume volume = pending.volumeQueue;
+      VolumeQueue volume = pending.volumeQueue;
       volume.requestedUnits += request.units();
       pending.node.activeVolumes.add(volume);
       pending.node.meanRequestGap += MIN_LATENCY_GAIN
@@ -872,10 +873,10 @@
 
   private PendingRequest selectNext(Node node) {
     PendingRequest best = null;
-    Volume bestVolume = null;
+    VolumeQueue bestVolume = null;
     double bestValue = 0;
     node.selectionLatency = node.expectedLatency();
-    for (Volume volume : node.volumesWithQueuedRequests) {
+    for (VolumeQueue volume : node.volumesWithQueuedRequests) {
       volume.refill(now);
       for (Map.Entry<QueueKey, TreeMap<AimKey, PendingRequest>> entry : volume.queues.entrySet()) {
         PendingRequest pending = firstSendable(node, entry.getKey(), entry.getValue());
@@ -922,7 +923,8 @@
 
   /** Order among requests of equal value per unit: those whose volume has the tokens come first, by the time
    * since which it has them; the others by weight; within a volume by aim; then by arrival. */
-  private boolean precedes(Volume volumeA, PendingRequest pendingA, Volume volumeB, PendingRequest pendingB) {
+  private boolean precedes(VolumeQueue volumeA, PendingRequest pendingA, VolumeQueue volumeB,
+      PendingRequest pendingB) {
     if (volumeA == volumeB) {
       return pendingA.aimAt != pendingB.aimAt
           ? pendingA.aimAt < pendingB.aimAt
@@ -980,7 +982,7 @@
     byAnswerTime.remove(pending);
     pending.answerBy = pending.deadline;
     byAnswerTime.add(pending);
-    Volume volume = pending.volumeQueue;
+    VolumeQueue volume = pending.volumeQueue;
     volume.refill(now);
     volume.tokens -= pending.request.units();
     retryBudget.retriesMade(pending.attempts > 0 ? 1 : 0);
@@ -1019,7 +1021,7 @@
         && pending.mayAttemptOn(node, timeoutAt) ? timeoutAt : 0, startBy));
   }
 
-  private void attemptEnded(Outcome ended) {
+  private void attemptEnded(AttemptEnded ended) {
     PendingRequest pending = pendings.get(ended.request());
     if (pending == null || pending.inFlightAttempts == 0) {
       return;
@@ -1058,7 +1060,7 @@
   /** A broken connection, or a single refused one, does not indicate a queue: treated as one, it blocked a
    * node that answers in milliseconds for most of a second. Drawback: one more attempt goes to a process that
    * is gone. */
-  private void updateNodeHealth(Node node, PendingRequest pending, Outcome ended) {
+  private void updateNodeHealth(Node node, PendingRequest pending, AttemptEnded ended) {
     node.connectFailures += ended.result() == Result.CONNECT_FAILED ? 1 : 0;
     if (ended.result() == Result.OK) {
       node.recordAnswer(Math.max(1, ended.latencyUs() - sizeLatency(pending)));
@@ -1072,7 +1074,7 @@
   }
 
   /** Retries where the rules may allow it before the client gives up; otherwise gives the final answer. */
-  private void retryOrEnd(PendingRequest pending, Outcome ended) {
+  private void retryOrEnd(PendingRequest pending, AttemptEnded ended) {
     boolean isLast = pending.attempts >= settings.allowed().maxAttempts()
         || now + RETRY_DELAY_US >= pending.deadline;
     if (isLast || pending.possibleRunNode != null && pending.requestClass.effect() == Effect.UNSAFE
--- a/src/main/java/hollyslip/cli/Main.java
+++ b/src/main/java/hollyslip/cli/Main.java
@@ -1,7 +1,7 @@
 package hollyslip.cli;
 
-import hollyslip.WireHost;
-import hollyslip.platform.Node;
+import hollyslip.SimulatorAdapter;
+import hollyslip.platform.SchedulerProcess;
 import java.io.IOException;
 import java.util.concurrent.Callable;
 import picocli.AutoComplete.GenerateCompletion;
@@ -27,11 +27,11 @@
   public static void main(String[] args) throws IOException, InterruptedException {
     // These two are started often and by many, the second with little memory: they load nothing of all this.
     if (args.length > 0 && args[0].equals("wirehost")) {
-      WireHost.main(args);
+      SimulatorAdapter.main(args);
       return;
     }
     if (args.length > 0 && args[0].equals("platform") && (args.length == 1 || args[1].equals("--rehearse"))) {
-      Node.main(args);
+      SchedulerProcess.main(args);
       return;
     }
     System.exit(new CommandLine(new Main()).setCaseInsensitiveEnumValuesAllowed(true).execute(args));
@@ -48,7 +48,7 @@
   static final class Wire implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
-      WireHost.main(new String[]{"wirehost"});
+      SimulatorAdapter.main(new String[]{"wirehost"});
       return DONE;
     }
   }
@@ -61,7 +61,7 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-      Node.main(new String[]{"platform"});
+      SchedulerProcess.main(new String[]{"platform"});
       return DONE;
     }
   }
--- a/src/main/java/hollyslip/emulator/Caller.java
+++ b/src/main/java/hollyslip/emulator/Caller.java
@@ -4,7 +4,7 @@
 import hollyslip.audit.Asked;
 import hollyslip.engine.Answer;
 import hollyslip.engine.Engine;
-import hollyslip.engine.Io;
+import hollyslip.engine.IoRequest;
 import hollyslip.load.Arrivals;
 import hollyslip.load.Day;
 import hollyslip.load.RequestMix;
@@ -34,14 +34,14 @@
   private long number;
 
   /** A request, from when it is due to its end. */
-  private final class Ask implements Io.Client {
+  private final class Ask implements IoRequest.CompletionListener {
     final long id;
     final IoKind kind;
     final long offset, length, dueUs;
     final long mark;
     final RequestClass rules;
     long askedUs, deadlineUs;
-    Io io;
+    IoRequest io;
     private boolean taken, over, left;
     /** Whether a process that was killed had taken it. */
     private boolean begun;
@@ -60,7 +60,7 @@
       List<ByteBuffer> data = kind.modifiesData()
           ? List.of(ByteBuffer.allocate(Long.BYTES).putLong(0, mark))
           : List.of();
-      Io mine = new Io(load.volume(), kind, offset, length, data, 0, this, begun);
+      IoRequest mine = new IoRequest(load.volume(), kind, offset, length, data, 0, this, begun);
       io = mine;
       out.add(this);
       site.offer(mine, room -> {
--- a/src/main/java/hollyslip/emulator/Net.java
+++ b/src/main/java/hollyslip/emulator/Net.java
@@ -2,14 +2,14 @@
 
 import hollyslip.HostScheduler.Result;
 import hollyslip.engine.Attempt;
-import hollyslip.engine.NodePort;
+import hollyslip.engine.NodeTransport;
 import java.util.Arrays;
 import java.util.List;
 import java.util.TreeMap;
 
 /** The nodes as one start of a gateway's engine reaches them, in place of the product's connections: a link
  * each, made when it is needed, fences by making a newer one. */
-final class Net implements NodePort {
+final class Net implements NodeTransport {
   private final Site site;
   private final long epoch;
   private final Link[] links;
@@ -87,18 +87,18 @@
   }
 
   @Override
-  public Withdrawn withdraw(Attempt attempt) {
+  public WithdrawResult withdraw(Attempt attempt) {
     Flight f = (Flight) attempt.handle;
     if (f.told) {
-      return Withdrawn.ENDED;
+      return WithdrawResult.ENDED;
     }
     if (f.link.takeBack(f)) {
       f.told = true;
-      return Withdrawn.NEVER_SENT;
+      return WithdrawResult.NEVER_SENT;
     }
     f.withdrawn = true;
     f.told = true;
-    return Withdrawn.MAY_RUN;
+    return WithdrawResult.MAY_RUN;
   }
 
   @Override
--- a/src/main/java/hollyslip/emulator/Site.java
+++ b/src/main/java/hollyslip/emulator/Site.java
@@ -1,13 +1,13 @@
 package hollyslip.emulator;
 
-import hollyslip.Choice;
+import hollyslip.TokenBorrowingScheduler;
 import hollyslip.HostScheduler;
-import hollyslip.HostScheduler.Listed;
+import hollyslip.HostScheduler.NodeEntry;
 import hollyslip.engine.Engine;
-import hollyslip.engine.Io;
+import hollyslip.engine.IoRequest;
 import hollyslip.fleet.Membership;
-import hollyslip.volume.Classifier;
-import hollyslip.volume.Splitter;
+import hollyslip.volume.RequestClassifier;
+import hollyslip.volume.ExtentSplitter;
 import hollyslip.volume.Volume;
 import java.util.ArrayList;
 import java.util.List;
@@ -26,7 +26,7 @@
   final int index;
   final String name;
   private final HostScheduler.Settings settings;
-  private final Classifier classifier;
+  private final RequestClassifier classifier;
   private final SplittableRandom random;
   /** Until when each node is out of reach. */
   private final long[] cutUntil;
@@ -43,7 +43,7 @@
   private double busyUntil;
   private boolean stepping;
 
-  Site(World world, int index, Classifier classifier, SplittableRandom random) {
+  Site(World world, int index, RequestClassifier classifier, SplittableRandom random) {
     this.world = world;
     this.index = index;
     this.classifier = classifier;
@@ -84,9 +84,10 @@
     wakeAt = Long.MAX_VALUE;
     busyUntil = world.time.now();
     net = new Net(this, ++epoch);
-    engine = new Engine(new Engine.Config(settings, classifier, new Splitter(MOST_COMMAND), g.mostRequests(),
+    engine = new Engine(new Engine.Config(settings, classifier, new ExtentSplitter(MOST_COMMAND), g
+        .mostRequests(),
         g
-            .mostBytes(), 0), volumes, new Choice(settings), world.time::now);
+            .mostBytes(), 0), volumes, new TokenBorrowingScheduler(settings), world.time::now);
     engine.startWithoutThread(net);
     Engine mine = engine;
     membership = new Membership(settings.rules().coldUs(), mine::updateNodes);
@@ -156,7 +157,7 @@
   }
 
   /** The operator's word on one node reaches it. */
-  void state(Listed l) {
+  void state(NodeEntry l) {
     input(() -> {
       membership.setState(l.node(), l.state());
       world.told(this, List.of(l));
@@ -181,11 +182,11 @@
   }
 
   /** Takes a request from a client, which hears whether there was room. */
-  void offer(Io io, Consumer<Boolean> taken) {
+  void offer(IoRequest io, Consumer<Boolean> taken) {
     input(() -> taken.accept(engine.offer(io)));
   }
 
-  void depart(Io io) {
+  void depart(IoRequest io) {
     if (alive) {
       input(() -> engine.abandon(io));
     }
--- a/src/main/java/hollyslip/emulator/World.java
+++ b/src/main/java/hollyslip/emulator/World.java
@@ -1,6 +1,6 @@
 package hollyslip.emulator;
 
-import hollyslip.HostScheduler.Listed;
+import hollyslip.HostScheduler.NodeEntry;
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.HostScheduler.RequestClass;
 import hollyslip.audit.Asked;
@@ -13,7 +13,7 @@
 import hollyslip.settings.Loader;
 import hollyslip.standin.Command;
 import hollyslip.standin.ServiceModel;
-import hollyslip.volume.Classifier;
+import hollyslip.volume.RequestClassifier;
 import hollyslip.volume.IoKind;
 import hollyslip.volume.Volume;
 import java.io.IOException;
@@ -46,7 +46,7 @@
   final Sequence time = new Sequence();
   private final Deployment deployment;
   private final Map<String, Volume> volumes;
-  private final Classifier classifier;
+  private final RequestClassifier classifier;
   private final SplittableRandom random;
   private final List<Disk> disks = new ArrayList<>();
   private final List<Site> sites = new ArrayList<>();
@@ -65,7 +65,7 @@
     this.day = day;
     this.deployment = deployment;
     volumes = deployment.byName();
-    classifier = new Classifier(deployment.rows(), deployment.gateway().unitBytes(), deployment.store()
+    classifier = new RequestClassifier(deployment.rows(), deployment.gateway().unitBytes(), deployment.store()
         .maxUnits());
     random = new SplittableRandom(day.seed());
     states = new NodeState[day.nodes().count()];
@@ -185,21 +185,21 @@
   }
 
   /** The list as the operator has it. */
-  List<Listed> listed() {
-    List<Listed> all = new ArrayList<>();
+  List<NodeEntry> listed() {
+    List<NodeEntry> all = new ArrayList<>();
     for (int i = 0; i < states.length; i++) {
       all.add(listed(i));
     }
     return all;
   }
 
-  private Listed listed(int disk) {
-    return new Listed(disk + 1, deployment.nodes().get(disk).zone(), disk, states[disk], 0);
+  private NodeEntry listed(int disk) {
+    return new NodeEntry(disk + 1, deployment.nodes().get(disk).zone(), disk, states[disk], 0);
   }
 
   /** A gateway was told so. */
-  void told(Site site, List<Listed> list) {
-    for (Listed l : list) {
+  void told(Site site, List<NodeEntry> list) {
+    for (NodeEntry l : list) {
       String key = site.name + "/" + l.node();
       NodeState before = lastTold.getOrDefault(key, NodeState.ON);
       if (before != l.state()) {
@@ -347,7 +347,7 @@
   private void list(Disk d, NodeState state) {
     states[d.index] = state;
     if (!listDown) {
-      Listed l = listed(d.index);
+      NodeEntry l = listed(d.index);
       sites.stream().filter(Site::isAlive).forEach(s -> time.in(listDelay(random), () -> {
         if (s.isAlive() && states[d.index] == state) {
           s.state(l);
--- a/src/main/java/hollyslip/engine/ActiveRequest.java
+++ b/src/main/java/hollyslip/engine/ActiveRequest.java
@@ -9,7 +9,7 @@
 /** A request held by the engine, from acceptance until its client's data is released. As a mailbox message it
  * announces its own arrival. */
 final class ActiveRequest implements Runnable {
-  final Io io;
+  final IoRequest io;
   final Volume volume;
   final RequestClass requestClass;
   final long takenAt;
@@ -31,7 +31,7 @@
   /** Attempts whose outcome has not been reported; they may still touch the data. */
   int pendingAttempts;
 
-  ActiveRequest(Engine engine, Io io, Volume volume, RequestClass requestClass, long takenAt) {
+  ActiveRequest(Engine engine, IoRequest io, Volume volume, RequestClass requestClass, long takenAt) {
     this.engine = engine;
     this.io = io;
     this.volume = volume;
--- a/src/main/java/hollyslip/engine/Attempt.java
+++ b/src/main/java/hollyslip/engine/Attempt.java
@@ -19,7 +19,7 @@
   TimerQueue.Timer timer;
   private Result result;
   private List<Double> report;
-  /** For the {@link NodePort} only: its own reference for finding the attempt again. */
+  /** For the {@link NodeTransport} only: its own reference for finding the attempt again. */
   public Object handle;
 
   Attempt(Engine engine, SubRequest subRequest, int number, long node, long sentAt) {
@@ -33,7 +33,7 @@
   /** Creates an attempt that belongs to no engine, for measuring a node client by itself. */
   public static Attempt detached(long request, IoKind kind, int shard, long offset, List<ByteBuffer> data) {
     long length = data.stream().mapToLong(ByteBuffer::remaining).sum();
-    Io io = new Io("", kind, offset, length, data, 0, null);
+    IoRequest io = new IoRequest("", kind, offset, length, data, 0, null);
     ActiveRequest activeRequest = new ActiveRequest(null, io, null, null, 0);
     return new Attempt(null, new SubRequest(request, activeRequest, shard, offset, 0, length), 0, 0, 0);
   }
--- a/src/main/java/hollyslip/engine/Engine.java
+++ b/src/main/java/hollyslip/engine/Engine.java
@@ -8,9 +8,9 @@
 import hollyslip.HostScheduler.RequestClass;
 import hollyslip.HostScheduler.Result;
 import hollyslip.door.AdmissionQueue;
-import hollyslip.volume.Classifier;
+import hollyslip.volume.RequestClassifier;
 import hollyslip.volume.IoKind;
-import hollyslip.volume.Splitter;
+import hollyslip.volume.ExtentSplitter;
 import hollyslip.volume.Volume;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -37,7 +37,7 @@
  * to the scheduler; {@link #perform} sends attempts where the scheduler says; {@link #onAttemptEnded} reports
  * the outcome of an attempt; {@link #answerSubRequest} collects the answers of the sub-requests into the one
  * answer for the client. */
-public final class Engine implements Intake {
+public final class Engine implements RequestIntake {
   private static final Logger LOG = LoggerFactory.getLogger(Engine.class);
 
   /** Messages processed before timers and sends get their turn, so that a full mailbox cannot starve them. */
@@ -69,7 +69,7 @@
    * @param firstRequestId
    *          ID of the first request. The ID ranges of two lanes in one process must differ, because nodes
    *          see the IDs in the cookies of one client. */
-  public record Config(HostScheduler.Settings settings, Classifier classifier, Splitter splitter,
+  public record Config(HostScheduler.Settings settings, RequestClassifier classifier, ExtentSplitter splitter,
       long maxRequests, long maxBytes, long firstRequestId) {}
 
   /** Totals since the start; {@code moduleNs} is the time spent inside the scheduler, extrapolated from
@@ -114,7 +114,7 @@
   private volatile boolean stopping;
   private volatile boolean refusing;
   private volatile boolean frontsAwaitCapacity;
-  private NodePort transport;
+  private NodeTransport transport;
   /** Events reported to the scheduler. */
   private long handledEvents;
   private long now;
@@ -178,7 +178,7 @@
   }
 
   /** Starts the engine's thread; attempts are sent through {@code nodes}. */
-  public void start(NodePort nodes) {
+  public void start(NodeTransport nodes) {
     transport = nodes;
     Thread thread = new Thread(this::run, "engine");
     mailbox.setOwner(thread);
@@ -187,7 +187,7 @@
 
   /** Starts without a thread: the caller drives the engine through {@link #runUntilIdle}, and makes all other
    * calls on that same thread. */
-  public void startWithoutThread(NodePort nodes) {
+  public void startWithoutThread(NodeTransport nodes) {
     transport = nodes;
   }
 
@@ -206,7 +206,7 @@
   }
 
   @Override
-  public boolean offer(Io io) {
+  public boolean offer(IoRequest io) {
     Volume volume = volumes.get(io.volume());
     if (volume == null) {
       throw new IllegalArgumentException("volume: " + io.volume() + " is not known");
@@ -228,7 +228,7 @@
     return true;
   }
 
-  private RequestClass requestClass(Io io) {
+  private RequestClass requestClass(IoRequest io) {
     return classesByName.get(config.classifier().className(io.kind(), io.length()));
   }
 
@@ -243,7 +243,7 @@
   }
 
   @Override
-  public void abandon(Io io) {
+  public void abandon(IoRequest io) {
     mailbox.post(() -> abandonRequest(io.activeRequest));
   }
 
@@ -265,7 +265,7 @@
 
   /** Reports that fetching the node list failed. Thread-safe. */
   public void nodeListFailed() {
-    mailbox.post(() -> handleEvent(new HostScheduler.ListFailed()));
+    mailbox.post(() -> handleEvent(new HostScheduler.NodeListFailed()));
   }
 
   /** Reports the outcome of an attempt, once for each attempt that was not withdrawn; {@code report} may be
@@ -282,7 +282,7 @@
 
   /** Reports the outcome of a probe; {@code report} may be null. Thread-safe. */
   public void probeEnded(long node, Result result, long tookUs, List<Double> report) {
-    mailbox.post(() -> handleEvent(new HostScheduler.Probed(node, result, tookUs, report)));
+    mailbox.post(() -> handleEvent(new HostScheduler.ProbeEnded(node, result, tookUs, report)));
   }
 
   /** Runs a task on the engine's thread. */
@@ -537,11 +537,11 @@
   private List<SubRequest> split(ActiveRequest request) {
     List<SubRequest> parts = new ArrayList<>(1);
     if (request.io.kind() == IoKind.FLUSH) {
-      for (int shard : Splitter.shards(request.volume)) {
+      for (int shard : ExtentSplitter.shards(request.volume)) {
         parts.add(new SubRequest(nextSubRequestId++, request, shard, 0, 0, 0));
       }
     } else {
-      for (Splitter.ShardRange p : config.splitter()
+      for (ExtentSplitter.ShardRange p : config.splitter()
           .split(request.volume, request.io.offset(), request.io.length())) {
         parts.add(new SubRequest(nextSubRequestId++, request, p.shard(), p.offset(), p.requestOffset(), p
             .length()));
@@ -632,8 +632,8 @@
     } else if (action instanceof HostScheduler.Probe p) {
       transport.probe(p.node());
     } else if (action instanceof HostScheduler.SetTimer t) {
-      timers.schedule(t.at(), () -> handleEvent(new HostScheduler.TimerDue(t.id())));
-    } else if (action instanceof HostScheduler.Watch) {
+      timers.schedule(t.at(), () -> handleEvent(new HostScheduler.TimerFired(t.id())));
+    } else if (action instanceof HostScheduler.WatchNodes) {
       transport.watchNodeList();
     }
   }
@@ -682,7 +682,7 @@
     if (result == Result.OK && !wasAnswered) {
       answerSubRequest(subRequest, Answer.SERVED);
     }
-    handleEvent(new HostScheduler.Outcome(subRequest.id, attempt.number, attempt.node(), result,
+    handleEvent(new HostScheduler.AttemptEnded(subRequest.id, attempt.number, attempt.node(), result,
         subRequest.answered, Math.max(
             0, now - attempt.sentAt), 0, 0, report));
     if (!attempt.mayStillRun) {
@@ -783,7 +783,7 @@
       }
       subRequest.answered = true;
       if (subRequest.submitted) {
-        handleEvent(new HostScheduler.Departed(subRequest.id));
+        handleEvent(new HostScheduler.RequestAbandoned(subRequest.id));
       } else {
         rangeLocks.cancelWait(subRequest).forEach(this::submit);
       }
--- a/src/main/java/hollyslip/engine/Lanes.java
+++ b/src/main/java/hollyslip/engine/EngineLanes.java
@@ -21,8 +21,8 @@
  * host among several. A volume is on one lane at a time, with all its rings, so that a single scheduler has
  * its limit, reserve, order and records. Whatever hosts may do without knowing of each other, lanes may do
  * too (docs/cores.md). */
-public final class Lanes implements Intake {
-  private static final Logger LOG = LoggerFactory.getLogger(Lanes.class);
+public final class EngineLanes implements RequestIntake {
+  private static final Logger LOG = LoggerFactory.getLogger(EngineLanes.class);
 
   /** How often the loads of the lanes are compared, ms. */
   private static final long BALANCE_INTERVAL_MS = 1_000;
@@ -61,7 +61,7 @@
    *          volumes of the settings
    * @param termsOf
    *          their terms, for a lane that takes a volume over */
-  public Lanes(List<Engine> engines, Map<String, Volume> configuredVolumes,
+  public EngineLanes(List<Engine> engines, Map<String, Volume> configuredVolumes,
       Function<Volume, VolumeChanged> termsOf) {
     this.engines = List.copyOf(engines);
     this.termsOf = termsOf;
@@ -104,7 +104,7 @@
   }
 
   @Override
-  public boolean offer(Io io) {
+  public boolean offer(IoRequest io) {
     Route route = routes.get(io.volume());
     if (route == null) {
       throw new IllegalArgumentException("volume: " + io.volume() + " is not known");
@@ -119,7 +119,7 @@
   }
 
   @Override
-  public void abandon(Io io) {
+  public void abandon(IoRequest io) {
     if (io.activeRequest != null) {
       io.activeRequest.engine().abandon(io);
     }
--- a/src/main/java/hollyslip/engine/Io.java
+++ b/src/main/java/hollyslip/engine/IoRequest.java
@@ -9,10 +9,10 @@
  * <p>
  * {@code data} is the client's own memory: for a write it is read while an attempt is being sent, for a read
  * it is filled when a response arrives. It belongs to the engine from {@link Engine#offer} until
- * {@link Client#onRelease}; the bytes remaining in the buffers add up to {@code length}. */
-public final class Io {
+ * {@link CompletionListener#onRelease}; the bytes remaining in the buffers add up to {@code length}. */
+public final class IoRequest {
   /** Callbacks to the front. Both run on the engine's thread and must not block. */
-  public interface Client {
+  public interface CompletionListener {
     /** Delivers the final answer; called exactly once unless the client disconnected before. */
     void onAnswer(Answer answer);
 
@@ -27,7 +27,7 @@
   private final long length;
   private final List<ByteBuffer> data;
   private final long remainingUs;
-  private final Client listener;
+  private final CompletionListener listener;
   private final boolean resumed;
   /** Set once the engine has accepted the request. */
   volatile ActiveRequest activeRequest;
@@ -46,16 +46,18 @@
    *          how long the client still waits, us; 0 for the deadline of the request's class
    * @param listener
    *          receives the answer */
-  public Io(String volume, IoKind kind, long offset, long length, List<ByteBuffer> data, long remainingUs,
-      Client listener) {
+  public IoRequest(String volume, IoKind kind, long offset, long length, List<ByteBuffer> data,
+      long remainingUs,
+      CompletionListener listener) {
     this(volume, kind, offset, length, data, remainingUs, listener, false);
   }
 
   /** @param resumed
    *          whether an earlier gateway process accepted the request and may have started it; a write can
    *          then no longer be reported as safe to retry */
-  public Io(String volume, IoKind kind, long offset, long length, List<ByteBuffer> data, long remainingUs,
-      Client listener, boolean resumed) {
+  public IoRequest(String volume, IoKind kind, long offset, long length, List<ByteBuffer> data,
+      long remainingUs,
+      CompletionListener listener, boolean resumed) {
     this.resumed = resumed;
     this.volume = volume;
     this.kind = kind;
@@ -90,7 +92,7 @@
     return remainingUs;
   }
 
-  public Client listener() {
+  public CompletionListener listener() {
     return listener;
   }
 
--- a/src/main/java/hollyslip/engine/Mailbox.java
+++ b/src/main/java/hollyslip/engine/Mailbox.java
@@ -9,7 +9,7 @@
 final class Mailbox {
   private static final int CHUNK_SIZE = 4_096;
 
-  private final Spin spin = new Spin();
+  private final AdaptiveSpinner spin = new AdaptiveSpinner();
   private final Queue<Runnable> queue = new MpscUnboundedArrayQueue<>(CHUNK_SIZE);
   private volatile boolean asleep;
   private volatile Thread owner;
--- a/src/main/java/hollyslip/engine/NodePort.java
+++ b/src/main/java/hollyslip/engine/NodeTransport.java
@@ -3,12 +3,12 @@
 /** Connects the engine to the storage nodes. All calls come on the engine's thread and must not block;
  * results are reported through {@link Engine#attemptEnded}, {@link Engine#probeEnded} and
  * {@link Engine#attemptResolved}, from any thread. */
-public interface NodePort {
+public interface NodeTransport {
   /** Starts an attempt. A failure that is known at once may be reported during the call. */
   void send(Attempt attempt);
 
   /** Result of {@link #withdraw}. */
-  enum Withdrawn {
+  enum WithdrawResult {
     /** No byte had been sent: the attempt never runs. */
     NEVER_SENT,
     /** It may still run; {@link Engine#attemptResolved} is called once it no longer can. */
@@ -18,7 +18,7 @@
   }
 
   /** Withdraws an attempt: after this call nothing touches its data. */
-  Withdrawn withdraw(Attempt attempt);
+  WithdrawResult withdraw(Attempt attempt);
 
   /** Requests that an attempt which may still run at its node be fenced, because a request waits for its
    * block range. */
--- a/src/main/java/hollyslip/fleet/Membership.java
+++ b/src/main/java/hollyslip/fleet/Membership.java
@@ -1,6 +1,6 @@
 package hollyslip.fleet;
 
-import hollyslip.HostScheduler.Listed;
+import hollyslip.HostScheduler.NodeEntry;
 import hollyslip.HostScheduler.NodeList;
 import hollyslip.HostScheduler.NodeState;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
   private final Map<Long, KnownNode> nodes = new TreeMap<>();
 
   private static final class KnownNode {
-    Listed entry;
+    NodeEntry entry;
     boolean bootSeen;
     long bootId;
   }
@@ -33,13 +33,13 @@
 
   /** Replaces the operator's list; nodes that are not in it are removed. An observed start is kept even if
    * the list is older. */
-  public synchronized void replaceAll(List<Listed> list) {
+  public synchronized void replaceAll(List<NodeEntry> list) {
     Map<Long, KnownNode> previous = new TreeMap<>(nodes);
     nodes.clear();
-    for (Listed listed : list) {
+    for (NodeEntry listed : list) {
       KnownNode known = previous.getOrDefault(listed.node(), new KnownNode());
       long bornUs = Math.max(listed.startedAtUs(), known.entry == null ? 0 : known.entry.startedAtUs());
-      known.entry = new Listed(listed.node(), listed.zone(), listed.cell(), listed.state(), bornUs);
+      known.entry = new NodeEntry(listed.node(), listed.zone(), listed.cell(), listed.state(), bornUs);
       nodes.put(listed.node(), known);
     }
     listener.accept(new NodeList(true, list()));
@@ -51,7 +51,8 @@
     if (known == null) {
       return false;
     }
-    known.entry = new Listed(node, known.entry.zone(), known.entry.cell(), state, known.entry.startedAtUs());
+    known.entry = new NodeEntry(node, known.entry.zone(), known.entry.cell(), state, known.entry
+        .startedAtUs());
     listener.accept(new NodeList(false, List.of(known.entry)));
     return true;
   }
@@ -69,15 +70,15 @@
     if (ageUs >= coldPeriodUs) {
       return false;
     }
-    known.entry = new Listed(node, known.entry.zone(), known.entry.cell(), known.entry.state(), Math.max(1,
+    known.entry = new NodeEntry(node, known.entry.zone(), known.entry.cell(), known.entry.state(), Math.max(1,
         now - ageUs));
     listener.accept(new NodeList(false, List.of(known.entry)));
     return true;
   }
 
   /** The current list. */
-  public synchronized List<Listed> list() {
-    List<Listed> all = new ArrayList<>();
+  public synchronized List<NodeEntry> list() {
+    List<NodeEntry> all = new ArrayList<>();
     nodes.values().forEach(known -> all.add(known.entry));
     return all;
   }
--- a/src/main/java/hollyslip/front/sftp/Session.java
+++ b/src/main/java/hollyslip/front/sftp/Session.java
@@ -3,8 +3,8 @@
 import static hollyslip.front.sftp.Packets.*;
 
 import hollyslip.engine.Answer;
-import hollyslip.engine.Intake;
-import hollyslip.engine.Io;
+import hollyslip.engine.RequestIntake;
+import hollyslip.engine.IoRequest;
 import hollyslip.volume.IoKind;
 import hollyslip.volume.Volume;
 import io.netty.buffer.ByteBuf;
@@ -32,7 +32,7 @@
   /** Open handles and requests in flight of one session at most. */
   private static final int MOST_HANDLES = 256, MOST_FLIGHT = 64;
 
-  private final Intake engine;
+  private final RequestIntake engine;
   private final Map<String, Handle> handles = new HashMap<>();
   private final Set<Work> flight = new HashSet<>();
   private final ArrayDeque<Work> blocked = new ArrayDeque<>();
@@ -54,7 +54,7 @@
     }
   }
 
-  Session(Intake engine) {
+  Session(RequestIntake engine) {
     this.engine = engine;
   }
 
@@ -340,7 +340,7 @@
   }
 
   /** One READ, WRITE or fsync; a write of parts of blocks is a read of whole ones and then a write. */
-  private final class Work implements Io.Client {
+  private final class Work implements IoRequest.CompletionListener {
     final int id;
     final Volume volume;
     final IoKind kind;
@@ -351,7 +351,7 @@
     final ByteBuffer blocks;
     boolean filled;
     IoKind doing;
-    Io io;
+    IoRequest io;
 
     Work(int id, Volume volume, IoKind kind, long offset, int length, byte[] bytes) {
       this.id = id;
@@ -375,7 +375,8 @@
       if (doing == IoKind.WRITE) {
         blocks.put((int) (offset - from), bytes);
       }
-      io = new Io(volume.name(), doing, from, to - from, blocks == null ? List.of() : List.of(blocks), 0,
+      io = new IoRequest(volume.name(), doing, from, to - from, blocks == null ? List.of() : List.of(blocks),
+          0,
           this);
       if (!engine.offer(io)) {
         blocked.add(this);
--- a/src/main/java/hollyslip/front/sftp/SftpServer.java
+++ b/src/main/java/hollyslip/front/sftp/SftpServer.java
@@ -1,6 +1,6 @@
 package hollyslip.front.sftp;
 
-import hollyslip.engine.Intake;
+import hollyslip.engine.RequestIntake;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
@@ -24,7 +24,7 @@
 
   /** @param path
    *          of the socket; a file left there is replaced */
-  public SftpServer(Intake engine, Path path) throws IOException {
+  public SftpServer(RequestIntake engine, Path path) throws IOException {
     this.path = path;
     Files.deleteIfExists(path);
     try {
--- a/src/main/java/hollyslip/front/vhost/Device.java
+++ b/src/main/java/hollyslip/front/vhost/Device.java
@@ -1,8 +1,8 @@
 package hollyslip.front.vhost;
 
 import hollyslip.engine.ClientMemory;
-import hollyslip.engine.Intake;
-import hollyslip.engine.Spin;
+import hollyslip.engine.RequestIntake;
+import hollyslip.engine.AdaptiveSpinner;
 import hollyslip.front.sys.Linux;
 import hollyslip.volume.Volume;
 import java.io.IOException;
@@ -22,7 +22,7 @@
 final class Device implements Runnable {
   private static final Logger LOG = LoggerFactory.getLogger(Device.class);
 
-  private final Intake engine;
+  private final RequestIntake engine;
   private final long user;
   private final int socket;
   private final int wake;
@@ -31,7 +31,7 @@
   private final Requests requests;
   private final Linux.Poll poll = new Linux.Poll();
   private final Runnable roomListener = this::wake;
-  private final Spin spin = new Spin();
+  private final AdaptiveSpinner spin = new AdaptiveSpinner();
   private final BooleanSupplier work;
   private volatile Volume volume;
   private volatile boolean grown;
@@ -41,7 +41,7 @@
   private boolean wakeClosed;
   private int quiet;
 
-  Device(Intake engine, Volume volume, int socket, long user, Runnable ended) throws IOException {
+  Device(RequestIntake engine, Volume volume, int socket, long user, Runnable ended) throws IOException {
     this.engine = engine;
     this.user = user;
     this.volume = volume;
--- a/src/main/java/hollyslip/front/vhost/Requests.java
+++ b/src/main/java/hollyslip/front/vhost/Requests.java
@@ -1,8 +1,8 @@
 package hollyslip.front.vhost;
 
 import hollyslip.engine.Answer;
-import hollyslip.engine.Intake;
-import hollyslip.engine.Io;
+import hollyslip.engine.RequestIntake;
+import hollyslip.engine.IoRequest;
 import hollyslip.volume.IoKind;
 import hollyslip.volume.Volume;
 import java.nio.ByteBuffer;
@@ -18,7 +18,7 @@
   /** Requests taken off one queue before the others get their turn. */
   private static final int TURN = 64;
 
-  private final Intake engine;
+  private final RequestIntake engine;
   private final Messages messages;
   private final Supplier<Volume> volume;
   private final Runnable wake;
@@ -27,7 +27,7 @@
 
   /** @param wake
    *          called from the engine's thread when there is an answer */
-  Requests(Intake engine, Messages messages, Supplier<Volume> volume, Runnable wake) {
+  Requests(RequestIntake engine, Messages messages, Supplier<Volume> volume, Runnable wake) {
     this.engine = engine;
     this.messages = messages;
     this.volume = volume;
@@ -35,12 +35,12 @@
   }
 
   /** A request on its way through the engine. */
-  final class Taken implements Io.Client {
+  final class Taken implements IoRequest.CompletionListener {
     final Ring ring;
     final int head;
     final BlockRequest request;
     final List<GuestMemory.Region> regions;
-    final Io io;
+    final IoRequest io;
     volatile Answer answer;
 
     Taken(Ring ring, Virtqueue.Chain chain, BlockRequest request, boolean resumed) {
@@ -48,7 +48,8 @@
       this.head = chain.head;
       this.request = request;
       this.regions = chain.regions;
-      io = new Io(volume.get().name(), request.kind(), request.offset(), request.length(), request.data(), 0,
+      io = new IoRequest(volume.get().name(), request.kind(), request.offset(), request.length(), request
+          .data(), 0,
           this, resumed);
       regions.forEach(GuestMemory.Region::hold);
     }
--- a/src/main/java/hollyslip/front/vhost/VhostServer.java
+++ b/src/main/java/hollyslip/front/vhost/VhostServer.java
@@ -1,6 +1,6 @@
 package hollyslip.front.vhost;
 
-import hollyslip.engine.Intake;
+import hollyslip.engine.RequestIntake;
 import hollyslip.front.sys.Linux;
 import hollyslip.volume.Volume;
 import java.io.IOException;
@@ -23,7 +23,7 @@
   /** Anybody who may open the socket. */
   public static final LongPredicate ANYBODY = user -> true;
 
-  private final Intake engine;
+  private final RequestIntake engine;
   private final Acceptor acceptor;
   private final Path path;
   private final String volume;
@@ -36,7 +36,7 @@
    *          of the socket; a file left there is replaced
    * @param members
    *          which users may connect */
-  public VhostServer(Intake engine, Acceptor acceptor, String volume, Path path, LongPredicate members)
+  public VhostServer(RequestIntake engine, Acceptor acceptor, String volume, Path path, LongPredicate members)
       throws IOException {
     this.engine = engine;
     this.acceptor = acceptor;
--- a/src/main/java/hollyslip/gateway/Gateway.java
+++ b/src/main/java/hollyslip/gateway/Gateway.java
@@ -1,15 +1,15 @@
 package hollyslip.gateway;
 
-import hollyslip.Choice;
+import hollyslip.TokenBorrowingScheduler;
 import hollyslip.HostScheduler;
-import hollyslip.HostScheduler.Listed;
+import hollyslip.HostScheduler.NodeEntry;
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.HostScheduler.VolumeChanged;
 import hollyslip.admin.AdminServer;
 import hollyslip.admin.Carrier;
 import hollyslip.admin.Control;
 import hollyslip.engine.Engine;
-import hollyslip.engine.Lanes;
+import hollyslip.engine.EngineLanes;
 import hollyslip.fleet.Membership;
 import hollyslip.front.sftp.SftpServer;
 import hollyslip.front.vhost.Acceptor;
@@ -17,14 +17,14 @@
 import hollyslip.node.NodePool;
 import hollyslip.node.NodeSurvey;
 import hollyslip.node.Serials;
-import hollyslip.recovery.Epoch;
-import hollyslip.recovery.Succession;
-import hollyslip.recovery.Succession.Holder;
+import hollyslip.recovery.EpochStore;
+import hollyslip.recovery.EpochElection;
+import hollyslip.recovery.EpochElection.Holder;
 import hollyslip.settings.Deployment;
 import hollyslip.store.Folder;
 import hollyslip.tenant.Shard;
-import hollyslip.volume.Classifier;
-import hollyslip.volume.Splitter;
+import hollyslip.volume.RequestClassifier;
+import hollyslip.volume.ExtentSplitter;
 import hollyslip.volume.Volume;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -57,7 +57,7 @@
   private static final long LANE_SEEDS = 1L << 32;
 
   private final Deployment deployment;
-  private final Lanes lanes;
+  private final EngineLanes lanes;
   private final Membership membership;
   private final List<NodePool> pools = new ArrayList<>();
   private final List<VhostServer> fronts = new ArrayList<>();
@@ -66,7 +66,7 @@
   private final HostedVolumes hosted;
   private final Control control;
   private final AdminServer admin;
-  private final Epoch epoch;
+  private final EpochStore epoch;
   private final CompletableFuture<Void> superseded = new CompletableFuture<>();
   private volatile Holder holder;
   private CompletableFuture<Void> stopping;
@@ -91,9 +91,9 @@
     this.deployment = deployment;
     nodes = deployment.nodes();
     Deployment.Process p = deployment.gateway();
-    epoch = new Epoch(p.stateDir());
+    epoch = new EpochStore(p.stateDir());
     holder = begin(takeOver);
-    lanes = new Lanes(engines(), deployment.byName(), this::terms);
+    lanes = new EngineLanes(engines(), deployment.byName(), this::terms);
     membership = new Membership(deployment.rules().coldUs(), lanes::updateNodes);
     Serials serials = new Serials();
     for (int i = 0; i < p.cores(); i++) {
@@ -134,7 +134,8 @@
   /** The lanes' engines: each a module with its own random source, and its part of what may be held. */
   private List<Engine> engines() {
     Deployment.Process p = deployment.gateway();
-    Classifier classifier = new Classifier(deployment.rows(), p.unitBytes(), deployment.store().maxUnits());
+    RequestClassifier classifier = new RequestClassifier(deployment.rows(), p.unitBytes(), deployment.store()
+        .maxUnits());
     List<Engine> engines = new ArrayList<>();
     for (int i = 0; i < p.cores(); i++) {
       HostScheduler.Settings m = deployment.module();
@@ -148,9 +149,11 @@
               .zone(), m.tickUs(), m.listOnRequest(), m.classes(), m.plans(), part, m.allowed(), m
                   .store(), m
                       .reportSource(), m.reportFields());
-      engines.add(new Engine(new Engine.Config(own, classifier, new Splitter(MOST_COMMAND), Math.max(1, p
-          .mostRequests() / p.cores()), Math.max(1, p.mostBytes() / p.cores()), i * LANE_REQUESTS), Map.of(),
-          new Choice(own)));
+      engines.add(new Engine(new Engine.Config(own, classifier, new ExtentSplitter(MOST_COMMAND), Math.max(1,
+          p
+              .mostRequests() / p.cores()), Math.max(1, p.mostBytes() / p.cores()), i * LANE_REQUESTS), Map
+                  .of(),
+          new TokenBorrowingScheduler(own)));
     }
     return engines;
   }
@@ -169,12 +172,13 @@
   private Holder begin(boolean takeOver) throws IOException {
     String name = deployment.gateway().name();
     long recorded = epoch.last();
-    Map<String, Succession.Known> known = NodeSurvey.ask(addresses(deployment), name, deployment.allowed()
+    Map<String, EpochElection.NodeView> known = NodeSurvey.ask(addresses(deployment), name, deployment
+        .allowed()
         .connectTimeoutUs());
-    Succession.Step step = takeOver
-        ? Succession.decideForcedTakeover(recorded, known.values())
-        : Succession.decideAtStart(recorded, known.values());
-    if (step.action() == Succession.Verdict.YIELD) {
+    EpochElection.Decision step = takeOver
+        ? EpochElection.decideForcedTakeover(recorded, known.values())
+        : EpochElection.decideAtStart(recorded, known.values());
+    if (step.action() == EpochElection.Action.YIELD) {
       epoch.close();
       throw new IOException("another gateway named " + name + " lives, with epoch " + step.other().epoch()
           + " (ours on disk: " + recorded + "): nodes that say so are " + names(known, step.other())
@@ -192,7 +196,7 @@
     return new Holder(step.epoch(), new SecureRandom().nextLong(Long.MAX_VALUE));
   }
 
-  private static List<String> names(Map<String, Succession.Known> known, Holder other) {
+  private static List<String> names(Map<String, EpochElection.NodeView> known, Holder other) {
     return known.entrySet()
         .stream()
         .filter(e -> e.getValue().holder().equals(other))
@@ -202,9 +206,9 @@
   }
 
   /** A node says that another one holds our name; engine's thread. */
-  private void told(long node, Succession.Known known) {
-    Succession.Step step = Succession.decideInService(holder, known);
-    if (step.action() == Succession.Verdict.GO_ON || superseded.isDone()) {
+  private void told(long node, EpochElection.NodeView known) {
+    EpochElection.Decision step = EpochElection.decideInService(holder, known);
+    if (step.action() == EpochElection.Action.GO_ON || superseded.isDone()) {
       return;
     }
     LOG.atError()
@@ -215,7 +219,7 @@
         .addKeyValue("open", known.openConnections())
         .addKeyValue("verdict", step.action())
         .log("gateway.superseded");
-    if (step.action() == Succession.Verdict.YIELD) {
+    if (step.action() == EpochElection.Action.YIELD) {
       lanes.refuseAll();
       superseded.complete(null);
       return;
@@ -278,7 +282,7 @@
   private void nodeState(String name, NodeState state) {
     for (Deployment.Node n : nodes) {
       if (n.name().equals(name)) {
-        List<Listed> before = membership.list();
+        List<NodeEntry> before = membership.list();
         membership.setState(n.id(), state);
         logChanges(before);
       }
@@ -286,11 +290,11 @@
   }
 
   private Map<String, Carrier.NodeView> nodeViews() {
-    Map<Long, Listed> listed = new HashMap<>();
+    Map<Long, NodeEntry> listed = new HashMap<>();
     membership.list().forEach(l -> listed.put(l.node(), l));
     Map<String, Carrier.NodeView> views = new TreeMap<>();
     for (Deployment.Node n : nodes) {
-      Listed l = listed.get(n.id());
+      NodeEntry l = listed.get(n.id());
       views.put(n.name(), new Carrier.NodeView(n.id(), n.shard(), n.zone(), l == null
           ? n.state()
           : l.state()));
@@ -306,7 +310,7 @@
         .toList();
   }
 
-  private static List<Listed> listed(Deployment d) {
+  private static List<NodeEntry> listed(Deployment d) {
     return d.nodes().stream().map(Deployment.Node::listed).toList();
   }
 
@@ -322,7 +326,7 @@
     }
 
     @Override
-    public void superseded(long node, Succession.Known known) {
+    public void superseded(long node, EpochElection.NodeView known) {
       told(node, known);
     }
 
@@ -332,10 +336,10 @@
     }
   }
 
-  private void logChanges(List<Listed> before) {
-    List<Listed> now = membership.list();
-    for (Listed l : now) {
-      Listed old = before.stream().filter(b -> b.node() == l.node()).findFirst().orElse(null);
+  private void logChanges(List<NodeEntry> before) {
+    List<NodeEntry> now = membership.list();
+    for (NodeEntry l : now) {
+      NodeEntry old = before.stream().filter(b -> b.node() == l.node()).findFirst().orElse(null);
       if (old == null || old.state() != l.state()) {
         LOG.atInfo()
             .addKeyValue("node", l.node())
@@ -360,7 +364,7 @@
       NodePool pool = pools.get(i);
       lanes.lane(i).execute(() -> pool.addresses(addresses));
     }
-    List<Listed> before = membership.list();
+    List<NodeEntry> before = membership.list();
     nodes = next.nodes();
     membership.replaceAll(listed(next));
     if (control != null) {
@@ -398,7 +402,7 @@
   }
 
   /** Where its requests go. */
-  public Lanes lanes() {
+  public EngineLanes lanes() {
     return lanes;
   }
 
--- a/src/main/java/hollyslip/gateway/HostedVolumes.java
+++ b/src/main/java/hollyslip/gateway/HostedVolumes.java
@@ -3,7 +3,7 @@
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.HostScheduler.VolumeChanged;
 import hollyslip.admin.Carrier;
-import hollyslip.engine.Lanes;
+import hollyslip.engine.EngineLanes;
 import hollyslip.front.vhost.Acceptor;
 import hollyslip.front.vhost.VhostServer;
 import hollyslip.tenant.HostedVolume;
@@ -29,7 +29,7 @@
 final class HostedVolumes implements Carrier {
   private static final Logger LOG = LoggerFactory.getLogger(HostedVolumes.class);
 
-  private final Lanes engine;
+  private final EngineLanes engine;
   private final Acceptor acceptor;
   private final Path sockets;
   private final int hosts;
@@ -44,7 +44,7 @@
     return t;
   });
 
-  HostedVolumes(Lanes engine, Acceptor acceptor, Path sockets, int hosts,
+  HostedVolumes(EngineLanes engine, Acceptor acceptor, Path sockets, int hosts,
       BiConsumer<String, NodeState> nodeState, Supplier<Map<String, NodeView>> nodes) {
     this.engine = engine;
     this.acceptor = acceptor;
--- a/src/main/java/hollyslip/load/ModuleBench.java
+++ b/src/main/java/hollyslip/load/ModuleBench.java
@@ -1,8 +1,8 @@
 package hollyslip.load;
 
-import hollyslip.Choice;
+import hollyslip.TokenBorrowingScheduler;
 import hollyslip.HostScheduler;
-import hollyslip.HostScheduler.Listed;
+import hollyslip.HostScheduler.NodeEntry;
 import hollyslip.HostScheduler.NodeState;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -40,13 +40,14 @@
 
   /** As many come as are answered, so that as many wait all the time. */
   private static double measure(int volumes, int held) throws IOException {
-    Choice choice = new Choice(BenchSite.load(Files.createTempDirectory("hollyslip-bench-"), new int[]{1, 2},
+    TokenBorrowingScheduler choice = new TokenBorrowingScheduler(BenchSite.load(Files.createTempDirectory(
+        "hollyslip-bench-"), new int[]{1, 2},
         ", hosted = True", "").module());
     List<HostScheduler.Action> actions = new ArrayList<>();
     ArrayDeque<HostScheduler.Send> out = new ArrayDeque<>();
     long now = 1_000_000;
-    choice.handle(now, new HostScheduler.NodeList(true, List.of(new Listed(1, "a", 0, NodeState.ON, 0),
-        new Listed(2, "a", 1, NodeState.ON, 0))), actions::add);
+    choice.handle(now, new HostScheduler.NodeList(true, List.of(new NodeEntry(1, "a", 0, NodeState.ON, 0),
+        new NodeEntry(2, "a", 1, NodeState.ON, 0))), actions::add);
     long id = 0;
     long from = 0;
     for (int i = -held; i < 2 * COUNTED; i++) {
@@ -57,7 +58,8 @@
       actions.clear();
       if (i >= 0 && !out.isEmpty()) {
         HostScheduler.Send s = out.poll();
-        choice.handle(now, new HostScheduler.Outcome(s.request(), 0, s.node(), HostScheduler.Result.OK, true,
+        choice.handle(now, new HostScheduler.AttemptEnded(s.request(), 0, s.node(), HostScheduler.Result.OK,
+            true,
             200, 0, 0, null), actions::add);
       }
       long r = id++;
--- a/src/main/java/hollyslip/load/RingComparison.java
+++ b/src/main/java/hollyslip/load/RingComparison.java
@@ -1,17 +1,17 @@
 package hollyslip.load;
 
-import hollyslip.Choice;
+import hollyslip.TokenBorrowingScheduler;
 import hollyslip.HostScheduler.Result;
 import hollyslip.engine.Attempt;
 import hollyslip.engine.Engine;
-import hollyslip.engine.NodePort;
+import hollyslip.engine.NodeTransport;
 import hollyslip.front.vhost.VhostServer;
 import hollyslip.gateway.Gateway;
 import hollyslip.load.RingBench.Node;
 import hollyslip.load.RingBench.Row;
 import hollyslip.settings.Deployment;
-import hollyslip.volume.Classifier;
-import hollyslip.volume.Splitter;
+import hollyslip.volume.RequestClassifier;
+import hollyslip.volume.ExtentSplitter;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -112,18 +112,20 @@
 
   /** An engine whose nodes answer at once without any bytes: what ring, engine and module cost. */
   private static Engine echo(Deployment d) {
-    Engine e = new Engine(new Engine.Config(d.module(), new Classifier(d.rows(), d.gateway().unitBytes(), d
-        .store()
-        .maxUnits()), new Splitter(1 << 20), 65_536, 1 << 30, 0), d.byName(), new Choice(d.module()));
-    e.start(new NodePort() {
+    Engine e = new Engine(new Engine.Config(d.module(), new RequestClassifier(d.rows(), d.gateway()
+        .unitBytes(), d
+            .store()
+            .maxUnits()), new ExtentSplitter(1 << 20), 65_536, 1 << 30, 0), d.byName(),
+        new TokenBorrowingScheduler(d.module()));
+    e.start(new NodeTransport() {
       @Override
       public void send(Attempt attempt) {
         e.attemptEnded(attempt, Result.OK, null);
       }
 
       @Override
-      public Withdrawn withdraw(Attempt attempt) {
-        return Withdrawn.ENDED;
+      public WithdrawResult withdraw(Attempt attempt) {
+        return WithdrawResult.ENDED;
       }
 
       @Override
--- a/src/main/java/hollyslip/load/TenantBench.java
+++ b/src/main/java/hollyslip/load/TenantBench.java
@@ -1,9 +1,9 @@
 package hollyslip.load;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import hollyslip.Choice;
+import hollyslip.TokenBorrowingScheduler;
 import hollyslip.HostScheduler;
-import hollyslip.HostScheduler.Listed;
+import hollyslip.HostScheduler.NodeEntry;
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.admin.ApiClient;
 import hollyslip.admin.Carrier;
@@ -72,11 +72,12 @@
   }
 
   private void measure(int volumes) throws IOException {
-    Choice choice = new Choice(settings(Files.createTempDirectory("hollyslip-bench-")));
+    TokenBorrowingScheduler choice = new TokenBorrowingScheduler(settings(Files.createTempDirectory(
+        "hollyslip-bench-")));
     long[] now = {1_000_000};
     List<HostScheduler.Action> actions = new ArrayList<>();
-    choice.handle(now[0], new HostScheduler.NodeList(true, List.of(new Listed(1, "a", 0, NodeState.ON, 0),
-        new Listed(2, "a", 1, NodeState.ON, 0))), actions::add);
+    choice.handle(now[0], new HostScheduler.NodeList(true, List.of(new NodeEntry(1, "a", 0, NodeState.ON, 0),
+        new NodeEntry(2, "a", 1, NodeState.ON, 0))), actions::add);
     System.gc();
     long before = used();
     HostScheduler.Plan plan = new HostScheduler.Plan("p", 10, 1, 1, 1, 0, 0, 0);
@@ -98,7 +99,7 @@
           & 1), 1, 5_000_000, false), actions::add);
       for (HostScheduler.Action a : List.copyOf(actions)) {
         if (a instanceof HostScheduler.Send s) {
-          choice.handle(now[0] + 5, new HostScheduler.Outcome(s.request(), 0, s.node(),
+          choice.handle(now[0] + 5, new HostScheduler.AttemptEnded(s.request(), 0, s.node(),
               HostScheduler.Result.OK, true, 100, 0, 0, null), actions::add);
         }
       }
--- a/src/main/java/hollyslip/node/Fence.java
+++ b/src/main/java/hollyslip/node/Fence.java
@@ -1,7 +1,7 @@
 package hollyslip.node;
 
-import hollyslip.recovery.Succession.Holder;
-import hollyslip.recovery.Succession.Known;
+import hollyslip.recovery.EpochElection.Holder;
+import hollyslip.recovery.EpochElection.NodeView;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -60,19 +60,19 @@
   }
 
   /** Name of the context that answers it. */
-  public static String answer(String client, Known known) {
+  public static String answer(String client, NodeView known) {
     return question(client) + "/" + known.holder().epoch() + "/" + known.holder().instance() + "/" + known
         .openConnections();
   }
 
   /** Reads the name of a context that answers; null if it is none of these, or of another client. */
-  public static Known known(String text, String client) {
+  public static NodeView known(String text, String client) {
     String[] parts = parts(text, Nbd.CONTEXT_EPOCH, 4);
     if (parts == null || !parts[0].equals(client)) {
       return null;
     }
     try {
-      return new Known(holder(parts), Integer.parseInt(parts[3]));
+      return new NodeView(holder(parts), Integer.parseInt(parts[3]));
     } catch (IllegalArgumentException e) {
       return null;
     }
--- a/src/main/java/hollyslip/node/NbdConnection.java
+++ b/src/main/java/hollyslip/node/NbdConnection.java
@@ -3,8 +3,8 @@
 import hollyslip.HostScheduler.Result;
 import hollyslip.engine.Attempt;
 import hollyslip.engine.ClientMemory;
-import hollyslip.engine.NodePort.Withdrawn;
-import hollyslip.recovery.Succession.Known;
+import hollyslip.engine.NodeTransport.WithdrawResult;
+import hollyslip.recovery.EpochElection.NodeView;
 import hollyslip.volume.IoKind;
 import java.io.IOException;
 import java.net.SocketAddress;
@@ -40,7 +40,7 @@
     void probed(NbdConnection connection, Result result, long tookUs, long[] load);
 
     /** The node does not count this connection as the newest holder's: nothing of it runs there. */
-    void superseded(NbdConnection connection, Known known);
+    void superseded(NbdConnection connection, NodeView known);
 
     /** It is over: {@code waiting} never left, {@code sent} may run, {@code silent} are those of which the
      * engine has already heard. */
@@ -158,21 +158,21 @@
 
   /** Gives an attempt up: nothing touches its data after this call. A write that is being sent goes on from
    * its copy: others' requests are on this connection too. */
-  synchronized Withdrawn withdraw(Attempt attempt) {
+  synchronized WithdrawResult withdraw(Attempt attempt) {
     Slot slot = (Slot) attempt.handle;
     if (slot.detached || closed) {
-      return Withdrawn.ENDED;
+      return WithdrawResult.ENDED;
     }
     if (slot.stage == Stage.QUEUED) {
       size -= queue.remove(slot) ? 1 : 0;
-      return Withdrawn.NEVER_SENT;
+      return WithdrawResult.NEVER_SENT;
     }
     if (flight.get(slot.cookie) != slot) {
-      return Withdrawn.ENDED;
+      return WithdrawResult.ENDED;
     }
     slot.detached = true;
     detached++;
-    return Withdrawn.MAY_RUN;
+    return WithdrawResult.MAY_RUN;
   }
 
   /** Gives back what has not left yet. */
@@ -447,7 +447,7 @@
     if (out.hasRemaining()) {
       sendAll(out);
     }
-    Known known = done ? handshake.known() : null;
+    NodeView known = done ? handshake.known() : null;
     if (known != null && !known.holder().equals(fence.holder())) {
       close("superseded by epoch " + known.holder().epoch());
       owner.superseded(this, known);
--- a/src/main/java/hollyslip/node/NbdDirect.java
+++ b/src/main/java/hollyslip/node/NbdDirect.java
@@ -2,8 +2,8 @@
 
 import hollyslip.HostScheduler.Result;
 import hollyslip.engine.Attempt;
-import hollyslip.recovery.Succession.Holder;
-import hollyslip.recovery.Succession.Known;
+import hollyslip.recovery.EpochElection.Holder;
+import hollyslip.recovery.EpochElection.NodeView;
 import hollyslip.volume.IoKind;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -66,7 +66,7 @@
     public void resolved(Attempt attempt) {}
 
     @Override
-    public void superseded(NbdConnection c, Known known) {
+    public void superseded(NbdConnection c, NodeView known) {
       ready.countDown();
     }
 
--- a/src/main/java/hollyslip/node/NbdHandshake.java
+++ b/src/main/java/hollyslip/node/NbdHandshake.java
@@ -1,6 +1,6 @@
 package hollyslip.node;
 
-import hollyslip.recovery.Succession.Known;
+import hollyslip.recovery.EpochElection.NodeView;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -27,7 +27,7 @@
   private boolean structured;
   private int loadContext = -1;
   private boolean fenced;
-  private Known known;
+  private NodeView known;
   private long size = -1;
   private int flags;
 
@@ -86,7 +86,7 @@
   }
 
   /** Who holds the client's name there, null: the node does not say. */
-  Known known() {
+  NodeView known() {
     return known;
   }
 
--- a/src/main/java/hollyslip/node/NodePool.java
+++ b/src/main/java/hollyslip/node/NodePool.java
@@ -3,9 +3,9 @@
 import hollyslip.HostScheduler.Result;
 import hollyslip.engine.Attempt;
 import hollyslip.engine.Engine;
-import hollyslip.engine.NodePort;
-import hollyslip.recovery.Succession.Holder;
-import hollyslip.recovery.Succession.Known;
+import hollyslip.engine.NodeTransport;
+import hollyslip.recovery.EpochElection.Holder;
+import hollyslip.recovery.EpochElection.NodeView;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.AsynchronousChannelGroup;
@@ -22,7 +22,7 @@
 
 /** The nodes as the engine reaches them: a few connections each, made when they are needed, and what is left
  * of those that ended. All state belongs to the engine's thread; connections tell it by letters. */
-public final class NodePool implements NodePort, NbdConnection.Owner {
+public final class NodePool implements NodeTransport, NbdConnection.Owner {
   private static final Logger LOG = LoggerFactory.getLogger(NodePool.class);
 
   /** How a node is reached: its export is named after its shard. */
@@ -51,7 +51,7 @@
     boolean started(long node, long boot, long ageUs);
 
     /** A node counts another one as the newest holder of our name. */
-    void superseded(long node, Known known);
+    void superseded(long node, NodeView known);
 
     /** The module asks for the list. */
     void wanted();
@@ -180,9 +180,9 @@
   }
 
   @Override
-  public Withdrawn withdraw(Attempt attempt) {
+  public WithdrawResult withdraw(Attempt attempt) {
     NbdConnection c = NbdConnection.carrier(attempt);
-    return c == null ? Withdrawn.ENDED : c.withdraw(attempt);
+    return c == null ? WithdrawResult.ENDED : c.withdraw(attempt);
   }
 
   /** Closes the connection that carried the attempt, if it still lives, and makes another, whose negotiation
@@ -276,7 +276,7 @@
   }
 
   @Override
-  public void superseded(NbdConnection c, Known known) {
+  public void superseded(NbdConnection c, NodeView known) {
     engine.execute(() -> {
       if (c.fence.holder().equals(holder)) {
         news.superseded(c.node, known);
--- a/src/main/java/hollyslip/node/NodeSurvey.java
+++ b/src/main/java/hollyslip/node/NodeSurvey.java
@@ -1,6 +1,6 @@
 package hollyslip.node;
 
-import hollyslip.recovery.Succession.Known;
+import hollyslip.recovery.EpochElection.NodeView;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -30,7 +30,7 @@
    *
    * @param timeoutUs
    *          for all of them together, us */
-  public static Map<String, Known> ask(Collection<NodePool.Address> nodes, String client, long timeoutUs)
+  public static Map<String, NodeView> ask(Collection<NodePool.Address> nodes, String client, long timeoutUs)
       throws IOException {
     AsynchronousChannelGroup group = AsynchronousChannelGroup.withFixedThreadPool(1, r -> {
       Thread t = Executors.defaultThreadFactory().newThread(r);
@@ -43,10 +43,10 @@
       for (NodePool.Address a : nodes) {
         asked.add(new Question(group, a, client));
       }
-      Map<String, Known> known = new HashMap<>();
+      Map<String, NodeView> known = new HashMap<>();
       long end = System.nanoTime() + timeoutUs * 1_000;
       for (Question q : asked) {
-        Known k = q.within(end - System.nanoTime());
+        NodeView k = q.within(end - System.nanoTime());
         if (k != null) {
           known.put(q.node, k);
         }
@@ -63,7 +63,7 @@
     private final AsynchronousSocketChannel channel;
     private final NbdHandshake handshake;
     private final ByteBuffer in = ByteBuffer.allocate(Nbd.MOST_OPTION + 64);
-    private final CompletableFuture<Known> answer = new CompletableFuture<>();
+    private final CompletableFuture<NodeView> answer = new CompletableFuture<>();
 
     Question(AsynchronousChannelGroup group, NodePool.Address node, String client) throws IOException {
       this.node = node.name();
@@ -131,7 +131,7 @@
       answer.completeExceptionally(e);
     }
 
-    private Known within(long ns) {
+    private NodeView within(long ns) {
       try {
         return answer.get(Math.max(0, ns), TimeUnit.NANOSECONDS);
       } catch (InterruptedException e) {
--- a/src/main/java/hollyslip/node/Serials.java
+++ b/src/main/java/hollyslip/node/Serials.java
@@ -1,6 +1,6 @@
 package hollyslip.node;
 
-import hollyslip.recovery.Succession.Holder;
+import hollyslip.recovery.EpochElection.Holder;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeSet;
--- a/src/main/java/hollyslip/platform/ClientConnection.java
+++ b/src/main/java/hollyslip/platform/ClientConnection.java
@@ -60,7 +60,7 @@
     }
   }
 
-  private final Front manager;
+  private final ClientConnectionManager manager;
   private final Channel channel;
   private final RequestDecoder decoder = new RequestDecoder();
   private final RequestAssembler assembler;
@@ -79,7 +79,7 @@
   private boolean insideRead;
   private String closeReason = "client closed";
 
-  ClientConnection(Front manager, Channel channel) {
+  ClientConnection(ClientConnectionManager manager, Channel channel) {
     this.manager = manager;
     this.channel = channel;
     assembler = new RequestAssembler(manager, channel);
@@ -144,7 +144,7 @@
     long bytesBefore = -1;
     for (int i = 0; i < MAX_CONSECUTIVE_READS && bytesRead != bytesBefore && channel.isActive(); i++) {
       bytesBefore = bytesRead;
-      Http.readPending(channel);
+      HttpSupport.readPending(channel);
     }
     if (!channel.isActive()) {
       // Handlers would be notified only in a later task of the event loop.
@@ -154,7 +154,7 @@
 
   /** Enforces the timeouts for writing a response and for receiving a request. */
   void checkTimeouts(long now) {
-    if (writeStartedAt >= 0 && now - writeStartedAt >= Front.WRITE_TIMEOUT_US) {
+    if (writeStartedAt >= 0 && now - writeStartedAt >= ClientConnectionManager.WRITE_TIMEOUT_US) {
       close("response write timed out");
     } else if (state.acceptsRequests() && partialRequestSince >= 0 && now - partialRequestSince >= manager
         .requestReadTimeoutUs()) {
@@ -227,8 +227,8 @@
       partialRequestSince = -1;
       assembler.reset();
       long dueInUs = status == HttpResponseStatus.REQUEST_TIMEOUT
-          ? Front.TIMEOUT_RESPONSE_DEADLINE_US
-          : Front.ERROR_RESPONSE_DEADLINE_US;
+          ? ClientConnectionManager.TIMEOUT_RESPONSE_DEADLINE_US
+          : ClientConnectionManager.ERROR_RESPONSE_DEADLINE_US;
       enqueue(InboundRequest.rejected(status, manager.now() + dueInUs, true));
     }
   }
@@ -299,7 +299,7 @@
     }
     // All requests read so far are answered before the connection is closed.
     boolean last = state != State.OPEN && queued.isEmpty();
-    ByteBuf head = Http.responseHead(status, body.length, retryInUs, last);
+    ByteBuf head = HttpSupport.responseHead(status, body.length, retryInUs, last);
     writeStartedAt = manager.now();
     channel.writeAndFlush(body.length == 0
         ? head
@@ -326,7 +326,8 @@
       // The response told the client to close; requests that cross it are refused until the grace period
       // ends.
       channel.eventLoop()
-          .schedule(() -> closeIfIdle("closed after notice to client"), Front.CLOSE_GRACE_US,
+          .schedule(() -> closeIfIdle("closed after notice to client"),
+              ClientConnectionManager.CLOSE_GRACE_US,
               TimeUnit.MICROSECONDS);
     }
   }
@@ -336,7 +337,9 @@
   private void startDiscarding() {
     state = State.DISCARDING;
     ((SocketChannel) channel).shutdownOutput();
-    long linger = manager.draining() ? Front.CLOSE_GRACE_US : Front.LINGER_US;
+    long linger = manager.draining()
+        ? ClientConnectionManager.CLOSE_GRACE_US
+        : ClientConnectionManager.LINGER_US;
     channel.eventLoop().schedule(this::closeIfDiscarding, linger, TimeUnit.MICROSECONDS);
   }
 
--- a/src/main/java/hollyslip/platform/Front.java
+++ b/src/main/java/hollyslip/platform/ClientConnectionManager.java
@@ -18,7 +18,7 @@
 
 /** Accepts and manages client connections: limits their number, enforces timeouts for incomplete requests and
  * unread responses, and evicts idle connections when places run out. */
-final class Front {
+final class ClientConnectionManager {
   /** A request must be complete this long after its first byte or, for the first request of a connection,
    * after the connection was accepted, us: the platform settles the outcome at 3 s. The drawback is that
    * well-behaved clients slower than this are cut off. */
@@ -54,10 +54,10 @@
   private static final int CROWDED_DIVISOR = 8;
 
   private final EventLoop loop;
-  private final Clock clock;
-  private final Log log;
-  private final Desk dispatcher;
-  private final Ask.Reader headParser;
+  private final MonotonicClock clock;
+  private final EventLog log;
+  private final RequestDispatcher dispatcher;
+  private final RequestHead.Parser headParser;
   private final int maxConnections, maxIdleConnections;
   private final Set<ClientConnection> openConnections = new LinkedHashSet<>();
   private final ArrivalTimeEstimator arrivalTimes;
@@ -66,7 +66,8 @@
   /** Connections accepted so far, and that number at the last call of {@link #closeIfDrained}. */
   private long acceptedCount, acceptedAtLastCheck = -1;
 
-  Front(EventLoop loop, Clock clock, Log log, Desk dispatcher, Ask.Reader headParser, Bounds bounds) {
+  ClientConnectionManager(EventLoop loop, MonotonicClock clock, EventLog log, RequestDispatcher dispatcher,
+      RequestHead.Parser headParser, Bounds bounds) {
     this.loop = loop;
     this.clock = clock;
     this.log = log;
@@ -89,7 +90,7 @@
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
-            ClientConnection connection = new ClientConnection(Front.this, channel);
+            ClientConnection connection = new ClientConnection(ClientConnectionManager.this, channel);
             openConnections.add(connection);
             acceptedCount++;
             connection.start();
@@ -159,11 +160,11 @@
     listener.config().setAutoRead(accepting);
   }
 
-  Desk dispatcher() {
+  RequestDispatcher dispatcher() {
     return dispatcher;
   }
 
-  Ask.Reader headParser() {
+  RequestHead.Parser headParser() {
     return headParser;
   }
 
@@ -175,7 +176,7 @@
     return arrivalTimes;
   }
 
-  Log log() {
+  EventLog log() {
     return log;
   }
 
--- a/src/main/java/hollyslip/platform/Configuration.java
+++ b/src/main/java/hollyslip/platform/Configuration.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import hollyslip.HostScheduler.Settings;
-import hollyslip.WireSettings;
+import hollyslip.JsonSettingsParser;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -62,13 +62,14 @@
                 "PROXY_DISCOVERY"),
                 "discovery"), limits.path("memory_mb").asInt(DEFAULT_MEMORY_MB), limits.path("sockets")
                     .asInt(DEFAULT_MAX_DESCRIPTORS),
-        known, WireSettings.parse(parseSeed(json.path("seed").asText("0")), settings), Math.round(settings
-            .path(
-                "policyLimits")
-            .path("idleClose")
-            .asDouble() * 1e6), settings.path("extra")
-                .path("nShards")
-                .asInt());
+        known, JsonSettingsParser.parse(parseSeed(json.path("seed").asText("0")), settings), Math.round(
+            settings
+                .path(
+                    "policyLimits")
+                .path("idleClose")
+                .asDouble() * 1e6), settings.path("extra")
+                    .path("nShards")
+                    .asInt());
   }
 
   private static String requiredText(JsonNode json, String field, Map<String, String> env, String variable) {
--- a/src/main/java/hollyslip/platform/DiscoveryClient.java
+++ b/src/main/java/hollyslip/platform/DiscoveryClient.java
@@ -24,7 +24,7 @@
 /** Keeps the list of disk servers up to date by one watch, a streaming response that continues from the last
  * known version. A watch that ends, falls silent or cannot be parsed is replaced; the old one is read until
  * the new one is answered. If an attempt is not answered soon, another is started beside it, and the first
- * response wins. {@link WatchClock} decides when. */
+ * response wins. {@link WatchRetryPolicy} decides when. */
 final class DiscoveryClient {
   private static final long TICK_MS = 50;
 
@@ -32,11 +32,11 @@
   private static final int MAX_OBJECT_BYTES = 1 << 20;
 
   private final EventLoop loop;
-  private final Clock clock;
-  private final Log log;
+  private final MonotonicClock clock;
+  private final EventLog log;
   private final Consumer<EndpointUpdate> updateListener;
   private final Runnable answeredListener;
-  private final WatchClock retryPolicy;
+  private final WatchRetryPolicy retryPolicy;
   private InetSocketAddress address;
   /** Last version received; -1: none, the complete list is requested. */
   private long version;
@@ -51,7 +51,8 @@
    * @param answeredListener
    *          called when a watch is answered and a list is known: changes since that version follow
    *          immediately, and nothing follows if nothing has changed */
-  DiscoveryClient(EventLoop loop, Clock clock, Log log, WatchClock retryPolicy, InetSocketAddress address,
+  DiscoveryClient(EventLoop loop, MonotonicClock clock, EventLog log, WatchRetryPolicy retryPolicy,
+      InetSocketAddress address,
       long version, Consumer<EndpointUpdate> updateListener, Runnable answeredListener) {
     this.loop = loop;
     this.clock = clock;
@@ -100,7 +101,7 @@
     overdue.add(pending);
     pending = null;
     retryPolicy.watchFailed(clock.now());
-    if (overdue.size() > WatchClock.MAX_OVERDUE) {
+    if (overdue.size() > WatchRetryPolicy.MAX_OVERDUE) {
       overdue.get(1).fail("no response in time");
     }
   }
@@ -117,7 +118,7 @@
         markPendingOverdue();
       }
     }
-    if (!overdue.isEmpty() && now - overdue.get(0).openedAt >= WatchClock.OVERDUE_LIFETIME_US) {
+    if (!overdue.isEmpty() && now - overdue.get(0).openedAt >= WatchRetryPolicy.OVERDUE_LIFETIME_US) {
       overdue.get(0).fail("no response in time");
     }
     if (pending == null && current != null && retryPolicy.shouldOpen(now, true)) {
@@ -139,7 +140,7 @@
     new Bootstrap().group(loop)
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (WatchClock.OVERDUE_LIFETIME_US / 1000))
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (WatchRetryPolicy.OVERDUE_LIFETIME_US / 1000))
         .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel ch) {
@@ -188,7 +189,7 @@
 
     void readNow() {
       if (channel != null) {
-        Http.readPending(channel);
+        HttpSupport.readPending(channel);
       }
     }
 
@@ -199,7 +200,7 @@
       }
     }
 
-    /** Ends this watch, once; {@link WatchClock} decides when the next one is opened. */
+    /** Ends this watch, once; {@link WatchRetryPolicy} decides when the next one is opened. */
     void fail(String reason) {
       if (closed) {
         return;
@@ -225,8 +226,8 @@
         return;
       }
       String index = version < 0 ? "" : "&index=" + version;
-      ctx.writeAndFlush(Http.latin1Bytes("GET /v1/endpoints?stream=1" + index + " HTTP/1.1\r\nHost: "
-          + Http.authority(target) + "\r\n\r\n"));
+      ctx.writeAndFlush(HttpSupport.latin1Bytes("GET /v1/endpoints?stream=1" + index + " HTTP/1.1\r\nHost: "
+          + HttpSupport.authority(target) + "\r\n\r\n"));
     }
 
     @Override
--- a/src/main/java/hollyslip/platform/DiskConnection.java
+++ b/src/main/java/hollyslip/platform/DiskConnection.java
@@ -27,7 +27,7 @@
   /** The address it was connected to; the disk server may have moved since. */
   final InetSocketAddress address;
   private final Channel channel;
-  private final DiskServers pool;
+  private final DiskConnectionPool pool;
   private final StrictResponseDecoder decoder = new StrictResponseDecoder();
   /** When the last call on it ended, us. */
   long idleSince;
@@ -43,7 +43,7 @@
   private boolean selfDelimited;
   private boolean closed;
 
-  DiskConnection(DiskServer server, InetSocketAddress address, Channel channel, DiskServers pool) {
+  DiskConnection(DiskServer server, InetSocketAddress address, Channel channel, DiskConnectionPool pool) {
     this.server = server;
     this.address = address;
     this.channel = channel;
@@ -58,7 +58,7 @@
 
   /** Processes input that has already arrived. */
   void readNow() {
-    Http.readPending(channel);
+    HttpSupport.readPending(channel);
   }
 
   boolean isIdle() {
@@ -99,7 +99,7 @@
     if (endedCall != null) {
       long now = pool.now();
       if (idleBeforeCallUs >= 0 && responseHead == null && now
-          - callStartedAt < DiskServers.STALE_WINDOW_US) {
+          - callStartedAt < DiskConnectionPool.STALE_WINDOW_US) {
         pool.onStaleConnection(server, idleBeforeCallUs);
       }
       endedCall.end(endedCall.written ? Result.RESET : Result.CONNECT_FAILED, now);
--- a/src/main/java/hollyslip/platform/DiskServers.java
+++ b/src/main/java/hollyslip/platform/DiskConnectionPool.java
@@ -18,7 +18,7 @@
 
 /** The pool of connections to disk servers, which runs calls on them. It never retries: each call's request
  * is sent at most once. */
-final class DiskServers {
+final class DiskConnectionPool {
   /** How long a connection must stay silent after a response before it is reused, us. A duplicate response
    * that arrives late would be taken for the response to the next request, and each later response for its
    * predecessor's. A sender without TCP_NODELAY delays a small write until the previous one is acknowledged,
@@ -30,8 +30,8 @@
   static final long STALE_WINDOW_US = 5_000;
 
   private final EventLoop loop;
-  private final Clock clock;
-  private final Log log;
+  private final MonotonicClock clock;
+  private final EventLog log;
   private final int maxConnections;
   private final long connectTimeoutUs;
   private final Bootstrap bootstrap;
@@ -54,7 +54,8 @@
    *          connect timeout; 1 s if not positive
    * @param diskIdleTimeoutUs
    *          disk servers close connections that were idle for this long; 0: never */
-  DiskServers(EventLoop loop, Clock clock, Log log, int maxConnections, long maxBufferedBytes,
+  DiskConnectionPool(EventLoop loop, MonotonicClock clock, EventLog log, int maxConnections,
+      long maxBufferedBytes,
       long connectTimeoutUs,
       long diskIdleTimeoutUs) {
     this.loop = loop;
--- a/src/main/java/hollyslip/platform/Trace.java
+++ b/src/main/java/hollyslip/platform/DiskServerTrace.java
@@ -1,7 +1,7 @@
 package hollyslip.platform;
 
-import hollyslip.Belief;
-import hollyslip.Choice;
+import hollyslip.NodeSnapshot;
+import hollyslip.TokenBorrowingScheduler;
 import hollyslip.HostScheduler.Result;
 import java.io.PrintStream;
 import java.util.EnumMap;
@@ -11,7 +11,7 @@
 
 /** Prints one line per second and disk server that compares the scheduler's state with what was measured on
  * the connections. Off unless {@code HOLLYSLIP_TRACE} is set; then it costs some us per second. */
-final class Trace {
+final class DiskServerTrace {
   private final PrintStream out;
   private final Map<Long, Counters> countersByServer = new HashMap<>();
 
@@ -22,7 +22,7 @@
     final Map<Result, Integer> results = new EnumMap<>(Result.class);
   }
 
-  Trace(PrintStream out) {
+  DiskServerTrace(PrintStream out) {
     this.out = out;
   }
 
@@ -40,8 +40,8 @@
   }
 
   /** Writes the lines and resets the counters. */
-  void writeLines(Choice scheduler, Map<Long, DiskServer> servers) {
-    for (Belief belief : Belief.of(scheduler)) {
+  void writeLines(TokenBorrowingScheduler scheduler, Map<Long, DiskServer> servers) {
+    for (NodeSnapshot belief : NodeSnapshot.of(scheduler)) {
       DiskServer server = servers.get(belief.node());
       Counters counters = countersByServer.getOrDefault(belief.node(), new Counters());
       out.printf(Locale.ROOT,
--- a/src/main/java/hollyslip/platform/Log.java
+++ b/src/main/java/hollyslip/platform/EventLog.java
@@ -13,7 +13,7 @@
  * blocks the event loop; lines that do not fit into its queue are dropped and counted. Each event name is
  * limited to {@link #LINES_PER_SECOND}, with bursts of {@link #BURST_LINES}; the next line of that name tells
  * how many were suppressed. Thread-safe. */
-final class Log implements AutoCloseable {
+final class EventLog implements AutoCloseable {
   /** Sustained rate of one event name in lines per second, and its burst size. */
   static final int LINES_PER_SECOND = 20, BURST_LINES = 60;
 
@@ -37,7 +37,7 @@
     long suppressedLines;
   }
 
-  Log(PrintStream out) {
+  EventLog(PrintStream out) {
     this.out = out;
     writer.setDaemon(true);
     writer.start();
--- a/src/main/java/hollyslip/platform/Exchange.java
+++ b/src/main/java/hollyslip/platform/Exchange.java
@@ -15,11 +15,11 @@
     void fail();
 
     /** Reads all pending input from the client. If this shows that the client has disconnected,
-     * {@link Desk#abandon} is called before this method returns. */
+     * {@link RequestDispatcher#abandon} is called before this method returns. */
     void readPending();
   }
 
-  final Ask head;
+  final RequestHead head;
   final byte[] body;
   /** Id by which the decision module knows this request. */
   final long requestId;
@@ -31,7 +31,8 @@
   /** Whether the response was given or the client has disconnected. */
   private boolean completed;
 
-  Exchange(Ask head, byte[] body, long requestId, long acceptedAt, long deadline, Responder responder) {
+  Exchange(RequestHead head, byte[] body, long requestId, long acceptedAt, long deadline,
+      Responder responder) {
     this.head = head;
     this.body = body;
     this.requestId = requestId;
--- a/src/main/java/hollyslip/platform/HeadCheck.java
+++ b/src/main/java/hollyslip/platform/HttpHeadValidator.java
@@ -6,7 +6,7 @@
  * may read one message differently: bare CR or LF, folded lines, control characters, whitespace before a
  * colon. This guards against request smuggling; the drawback is that well-meaning clients that send such
  * heads are rejected too. */
-final class HeadCheck {
+final class HttpHeadValidator {
   /** Maximum size of a head, bytes. */
   static final int MAX_HEAD_BYTES = 8 << 10;
 
--- a/src/main/java/hollyslip/platform/Http.java
+++ b/src/main/java/hollyslip/platform/HttpSupport.java
@@ -11,14 +11,14 @@
 import java.util.Locale;
 
 /** HTTP utilities shared by the client, disk server and discovery sides. */
-final class Http {
-  private Http() {}
+final class HttpSupport {
+  private HttpSupport() {}
 
   /** Configuration of the request and the response decoder: the codec's own limits back up
-   * {@link HeadCheck}. */
+   * {@link HttpHeadValidator}. */
   static HttpDecoderConfig strictDecoderConfig() {
-    return new HttpDecoderConfig().setMaxInitialLineLength(HeadCheck.MAX_HEAD_BYTES)
-        .setMaxHeaderSize(HeadCheck.MAX_HEAD_BYTES)
+    return new HttpDecoderConfig().setMaxInitialLineLength(HttpHeadValidator.MAX_HEAD_BYTES)
+        .setMaxHeaderSize(HttpHeadValidator.MAX_HEAD_BYTES)
         .setStrictLineParsing(true)
         .setAllowDuplicateContentLengths(false);
   }
--- a/src/main/java/hollyslip/platform/InboundRequest.java
+++ b/src/main/java/hollyslip/platform/InboundRequest.java
@@ -17,7 +17,8 @@
  *          null for a request
  * @param closeAfterResponse
  *          whether the client asked to close the connection after the response */
-record InboundRequest(Ask head, byte[] body, long receivedAt, long respondBy, HttpResponseStatus errorStatus,
+record InboundRequest(RequestHead head, byte[] body, long receivedAt, long respondBy,
+    HttpResponseStatus errorStatus,
     boolean closeAfterResponse) {
   private static final byte[] EMPTY_BODY = {};
 
--- a/src/main/java/hollyslip/platform/Readings.java
+++ b/src/main/java/hollyslip/platform/LoadReportParser.java
@@ -11,10 +11,10 @@
 
 /** Parses load reports and usage figures in disk servers' responses, if the settings enable them. Values that
  * cannot be parsed count as absent, not as zero. */
-final class Readings {
+final class LoadReportParser {
   private final Settings settings;
 
-  Readings(Settings settings) {
+  LoadReportParser(Settings settings) {
     this.settings = settings;
   }
 
--- a/src/main/java/hollyslip/platform/Clock.java
+++ b/src/main/java/hollyslip/platform/MonotonicClock.java
@@ -2,7 +2,7 @@
 
 /** The scheduler's clock: starts at Unix time and is then monotonic, unaffected by changes of the system
  * clock. */
-final class Clock {
+final class MonotonicClock {
   private final long startUnixUs = System.currentTimeMillis() * 1000;
   private final long startNanos = System.nanoTime();
 
--- a/src/main/java/hollyslip/platform/RequestAssembler.java
+++ b/src/main/java/hollyslip/platform/RequestAssembler.java
@@ -26,15 +26,15 @@
     }
   }
 
-  private final Front manager;
+  private final ClientConnectionManager manager;
   private final Channel channel;
   /** Head of the current request, or the error to respond with, and the body received so far. */
-  private Ask head;
+  private RequestHead head;
   private HttpResponseStatus errorStatus;
   private ByteBuf body = Unpooled.EMPTY_BUFFER;
   private boolean closeAfterResponse;
 
-  RequestAssembler(Front manager, Channel channel) {
+  RequestAssembler(ClientConnectionManager manager, Channel channel) {
     this.manager = manager;
     this.channel = channel;
   }
@@ -54,7 +54,7 @@
     }
     try {
       head = manager.headParser().parse(request);
-    } catch (Ask.RequestRejectedException e) {
+    } catch (RequestHead.RequestRejectedException e) {
       reject(e);
       return;
     }
@@ -65,12 +65,12 @@
       // Grows with the bytes received: a declared length alone must not allocate memory.
       body = Unpooled.buffer(1024, Bounds.MAX_REQUEST_BODY_BYTES);
       if (first && request.headers().containsValue(HttpHeaderNames.EXPECT, HttpHeaderValues.CONTINUE, true)) {
-        channel.writeAndFlush(Http.latin1Bytes("HTTP/1.1 100 Continue\r\n\r\n"));
+        channel.writeAndFlush(HttpSupport.latin1Bytes("HTTP/1.1 100 Continue\r\n\r\n"));
       }
     }
   }
 
-  private void reject(Ask.RequestRejectedException e) throws FramingException {
+  private void reject(RequestHead.RequestRejectedException e) throws FramingException {
     manager.log().event("request.bad", "reason", e.getMessage(), "client", channel.remoteAddress());
     if (e.framingLost) {
       throw new FramingException(e.status);
@@ -94,7 +94,8 @@
       return null;
     }
     InboundRequest complete = errorStatus != null
-        ? InboundRequest.rejected(errorStatus, receivedAt + Front.ERROR_RESPONSE_DEADLINE_US,
+        ? InboundRequest.rejected(errorStatus, receivedAt
+            + ClientConnectionManager.ERROR_RESPONSE_DEADLINE_US,
             closeAfterResponse)
         : completeRequest(receivedAt);
     reset();
@@ -105,7 +106,7 @@
     if (!head.write() && body.isReadable()) {
       manager.log().event("request.bad", "reason", "body of a read", "client", channel.remoteAddress());
       return InboundRequest.rejected(HttpResponseStatus.BAD_REQUEST, receivedAt
-          + Front.ERROR_RESPONSE_DEADLINE_US, closeAfterResponse);
+          + ClientConnectionManager.ERROR_RESPONSE_DEADLINE_US, closeAfterResponse);
     }
     byte[] bytes = body.isReadable() ? ByteBufUtil.getBytes(body) : EMPTY_BODY;
     return new InboundRequest(head, bytes, receivedAt, manager.dispatcher()
--- a/src/main/java/hollyslip/platform/RequestDecoder.java
+++ b/src/main/java/hollyslip/platform/RequestDecoder.java
@@ -7,15 +7,15 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.List;
 
-/** Decodes requests with the codec's decoder after {@link HeadCheck} has validated each head. An invalid
- * head, or a head with both a length and a transfer coding, causes an exception, after which nothing more is
- * read from the connection. */
+/** Decodes requests with the codec's decoder after {@link HttpHeadValidator} has validated each head. An
+ * invalid head, or a head with both a length and a transfer coding, causes an exception, after which nothing
+ * more is read from the connection. */
 final class RequestDecoder extends HttpRequestDecoder {
-  private final HeadCheck headValidator = new HeadCheck();
+  private final HttpHeadValidator headValidator = new HttpHeadValidator();
   private boolean awaitingHead = true;
 
   RequestDecoder() {
-    super(Http.strictDecoderConfig());
+    super(HttpSupport.strictDecoderConfig());
   }
 
   @Override
@@ -28,7 +28,7 @@
       if (length < 0) {
         return;
       }
-      if (!HeadCheck.isTokenChar(in.getByte(in.readerIndex()))) {
+      if (!HttpHeadValidator.isTokenChar(in.getByte(in.readerIndex()))) {
         throw new IllegalArgumentException("request line does not start with a method");
       }
       awaitingHead = false;
@@ -40,7 +40,7 @@
 
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-    Http.rejectLengthWithTransferEncoding();
+    HttpSupport.rejectLengthWithTransferEncoding();
   }
 
   /** Whether a request has arrived in part but not completely. */
--- a/src/main/java/hollyslip/platform/Desk.java
+++ b/src/main/java/hollyslip/platform/RequestDispatcher.java
@@ -3,7 +3,7 @@
 import hollyslip.HostScheduler;
 import hollyslip.HostScheduler.Action;
 import hollyslip.HostScheduler.Event;
-import hollyslip.HostScheduler.Listed;
+import hollyslip.HostScheduler.NodeEntry;
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.HostScheduler.Result;
 import hollyslip.HostScheduler.Settings;
@@ -23,7 +23,7 @@
 /** Owns the decision module and the open requests. Passes events to the module in order and executes the
  * actions it returns. Maps external ids to numeric ids for the module and drops each mapping together with
  * the request or disk server it stands for. */
-final class Desk {
+final class RequestDispatcher {
   /** Delay before the module is called again after it threw, us: its timer may have been lost. */
   private static final long FAULT_RETRY_DELAY_US = 10_000;
 
@@ -38,10 +38,10 @@
   private final HostScheduler module;
   private final Settings settings;
   private final EventLoop loop;
-  private final Clock clock;
-  private final Log log;
-  private final DiskServers diskPool;
-  private final Readings reportParser;
+  private final MonotonicClock clock;
+  private final EventLog log;
+  private final DiskConnectionPool diskPool;
+  private final LoadReportParser reportParser;
   private final long maxBufferedBytes;
   private final Map<String, Exchange> byTransactionId = new HashMap<>();
   private final Map<Long, Exchange> byRequestId = new HashMap<>();
@@ -50,13 +50,14 @@
   private final Map<Long, DiskServer> serversByNodeId = new HashMap<>();
   private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
   /** Null if tracing is off. */
-  private Trace trace;
+  private DiskServerTrace trace;
   /** Whether {@link #handleEvents} is already queued on the event loop. */
   private boolean handlingScheduled;
   private long lastRequestId, lastNodeId, bufferedBytes;
   private long shutdownDeadline = Long.MAX_VALUE;
 
-  Desk(HostScheduler module, Settings settings, EventLoop loop, Clock clock, Log log, DiskServers diskPool,
+  RequestDispatcher(HostScheduler module, Settings settings, EventLoop loop, MonotonicClock clock,
+      EventLog log, DiskConnectionPool diskPool,
       long maxBufferedBytes) {
     this.module = module;
     this.settings = settings;
@@ -65,7 +66,7 @@
     this.log = log;
     this.diskPool = diskPool;
     this.maxBufferedBytes = maxBufferedBytes;
-    reportParser = new Readings(settings);
+    reportParser = new LoadReportParser(settings);
   }
 
   /** Whether this id belongs to a request that is still open. */
@@ -97,7 +98,7 @@
     return byRequestId.size();
   }
 
-  void trace(Trace to) {
+  void trace(DiskServerTrace to) {
     trace = to;
   }
 
@@ -118,7 +119,7 @@
 
   /** Accepts a request whose last byte arrived at {@code receivedAt}, us. Its transaction id must not be
    * open. */
-  Exchange accept(Ask head, byte[] body, long receivedAt, Exchange.Responder responder) {
+  Exchange accept(RequestHead head, byte[] body, long receivedAt, Exchange.Responder responder) {
     long deadline = Math.min(responseDeadline(head, receivedAt), shutdownDeadline);
     Exchange exchange = new Exchange(head, body, ++lastRequestId, clock.now(), deadline, responder);
     byTransactionId.put(head.transactionId(), exchange);
@@ -131,7 +132,7 @@
   }
 
   /** Latest time to send the response to a request that arrived at {@code receivedAt}, us. */
-  long responseDeadline(Ask head, long receivedAt) {
+  long responseDeadline(RequestHead head, long receivedAt) {
     return receivedAt + head.remainingUs() - Math.min(RESPONSE_MARGIN_US, head.remainingUs() / 10);
   }
 
@@ -139,7 +140,7 @@
   void shortenDeadline(Exchange exchange, long latest) {
     if (!exchange.completed() && latest < exchange.deadline()) {
       exchange.shortenDeadline(latest);
-      post(new HostScheduler.Hastened(exchange.requestId, latest));
+      post(new HostScheduler.DeadlineShortened(exchange.requestId, latest));
     }
   }
 
@@ -148,7 +149,7 @@
     if (!exchange.completed()) {
       logCompletion("request.abandoned", exchange);
       exchange.abandon();
-      post(new HostScheduler.Departed(exchange.requestId));
+      post(new HostScheduler.RequestAbandoned(exchange.requestId));
       removeIfDone(exchange);
     }
   }
@@ -156,7 +157,7 @@
   /** Applies an update of the disk server list from discovery. */
   void updateServers(EndpointUpdate update) {
     long now = clock.now();
-    List<Listed> listed = new ArrayList<>();
+    List<NodeEntry> listed = new ArrayList<>();
     Set<String> listedHosts = new HashSet<>();
     for (EndpointUpdate.Entry entry : update.entries()) {
       listedHosts.add(entry.host());
@@ -170,7 +171,7 @@
         serversByNodeId.put(server.nodeId, server);
       }
       updateServer(server, entry, now);
-      listed.add(new Listed(server.nodeId, entry.zone(), entry.cell(), entry.state(), server.startedAtUs));
+      listed.add(new NodeEntry(server.nodeId, entry.zone(), entry.cell(), entry.state(), server.startedAtUs));
     }
     if (update.complete()) {
       serversByHost.values()
@@ -270,7 +271,7 @@
   }
 
   private void scheduleTimer(long at, long id) {
-    loop.schedule(() -> post(new HostScheduler.TimerDue(id)), Math.max(0, at - clock.now()),
+    loop.schedule(() -> post(new HostScheduler.TimerFired(id)), Math.max(0, at - clock.now()),
         TimeUnit.MICROSECONDS);
   }
 
@@ -283,7 +284,7 @@
     long now = clock.now();
     DiskServer server = serversByNodeId.get(send.node());
     if (server == null || exchange.completed() || attempt >= settings.allowed().maxAttempts()) {
-      post(new HostScheduler.Outcome(exchange.requestId, attempt, send.node(), Result.MOOT, exchange
+      post(new HostScheduler.AttemptEnded(exchange.requestId, attempt, send.node(), Result.MOOT, exchange
           .completed(), 0, 0, 0, null));
       return;
     }
@@ -334,7 +335,8 @@
           "took_ms",
           tookUs / 1000);
     }
-    post(new HostScheduler.Outcome(exchange.requestId, attempt, server.nodeId, result, exchange.completed(),
+    post(new HostScheduler.AttemptEnded(exchange.requestId, attempt, server.nodeId, result, exchange
+        .completed(),
         tookUs, reportParser
             .volumeUse(headers), reportParser.servedElsewhere(headers), reportParser.attemptReport(headers)));
     removeIfDone(exchange);
@@ -348,7 +350,7 @@
       if (!exchange.completed() && now > exchange.deadline() + OVERDUE_GRACE_US) {
         logCompletion("request.overdue", exchange);
         exchange.fail();
-        post(new HostScheduler.Departed(exchange.requestId));
+        post(new HostScheduler.RequestAbandoned(exchange.requestId));
         removeIfDone(exchange);
       }
     }
@@ -388,15 +390,15 @@
     long now = clock.now();
     boolean reports = settings.reportSource() != HostScheduler.ReportSource.NONE;
     String path = reports ? "/status/load" : "/health";
-    diskPool.start(new Call(server, now, now + settings.allowed().connectTimeoutUs(), waitUs -> Http
+    diskPool.start(new Call(server, now, now + settings.allowed().connectTimeoutUs(), waitUs -> HttpSupport
         .latin1Bytes(
             "GET "
                 + path
-                + " HTTP/1.1\r\nHost: " + Http.authority(server.address) + "\r\n\r\n"),
+                + " HTTP/1.1\r\nHost: " + HttpSupport.authority(server.address) + "\r\n\r\n"),
         () -> server.state != NodeState.GONE, (
             result,
             tookUs, headers, body) -> {
-          post(new HostScheduler.Probed(nodeId, result, tookUs, reportParser.probeReport(headers, body)));
+          post(new HostScheduler.ProbeEnded(nodeId, result, tookUs, reportParser.probeReport(headers, body)));
           removeIfGone(server);
         }));
   }
@@ -404,12 +406,12 @@
   /** Encodes the request of an attempt. The head is written anew: only what the protocol defines is
    * forwarded. */
   private static ByteBuf encodeAttempt(Exchange exchange, DiskServer server, long waitUs) {
-    Ask requestHead = exchange.head;
+    RequestHead requestHead = exchange.head;
     StringBuilder head = new StringBuilder(256).append(requestHead.method())
         .append(' ')
         .append(requestHead.uri())
         .append(" HTTP/1.1\r\nHost: ")
-        .append(Http.authority(server.address))
+        .append(HttpSupport.authority(server.address))
         .append("\r\nX-Txn: ")
         .append(requestHead.transactionId())
         .append("\r\nX-Remaining: ")
@@ -421,7 +423,7 @@
     if (exchange.body.length > 0 || requestHead.method().equals("PUT")) {
       head.append("Content-Length: ").append(exchange.body.length).append("\r\n");
     }
-    ByteBuf headBytes = Http.latin1Bytes(head.append("\r\n").toString());
+    ByteBuf headBytes = HttpSupport.latin1Bytes(head.append("\r\n").toString());
     return exchange.body.length == 0
         ? headBytes
         : Unpooled.wrappedBuffer(headBytes, Unpooled.wrappedBuffer(exchange.body));
--- a/src/main/java/hollyslip/platform/Ask.java
+++ b/src/main/java/hollyslip/platform/RequestHead.java
@@ -27,7 +27,8 @@
  *          -1 for a new object
  * @param bodyLength
  *          bytes, or {@link #CHUNKED} if the chunked body itself tells its length */
-record Ask(String transactionId, String method, String uri, String className, String plan, long objectKey,
+record RequestHead(String transactionId, String method, String uri, String className, String plan,
+    long objectKey,
     String idempotencyKey, long remainingUs, long volumePlanId, double units, int shard, int hosts,
     boolean resent,
     boolean write, int bodyLength) {
@@ -57,12 +58,12 @@
   }
 
   /** Parses request heads under the settings of one deployment. */
-  static final class Reader {
+  static final class Parser {
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Settings settings;
     private final int shards;
 
-    Reader(Settings settings, int shards) {
+    Parser(Settings settings, int shards) {
       this.settings = settings;
       this.shards = shards;
       settings.classes().forEach(c -> classes.put(c.name(), c));
@@ -70,7 +71,7 @@
 
     /** @throws RequestRejectedException
      *           if the request is not valid under the protocol and these settings */
-    Ask parse(HttpRequest request) throws RequestRejectedException {
+    RequestHead parse(HttpRequest request) throws RequestRejectedException {
       HttpHeaders headers = request.headers();
       int length = parseBodyLength(request);
       String path = request.uri().indexOf('?') < 0
@@ -113,11 +114,12 @@
       }
       String resent = optionalHeader(headers, "X-Resent");
       int planIndex = findPlan(headers);
-      return new Ask(parseTransactionId(headers), method.name(), request.uri(), requestClass.name(), settings
-          .plans()
-          .get(planIndex)
-          .name(), parseHex(path
-              .substring(lastSlash + 1), "key"),
+      return new RequestHead(parseTransactionId(headers), method.name(), request.uri(), requestClass.name(),
+          settings
+              .plans()
+              .get(planIndex)
+              .name(), parseHex(path
+                  .substring(lastSlash + 1), "key"),
           idempotencyKey, parseRemaining(requiredHeader(headers, "X-Remaining"), requestClass), volumePlanId(
               parseHex(io.get("volume"), "volume"), planIndex),
           units, shard,
--- a/src/main/java/hollyslip/platform/Node.java
+++ b/src/main/java/hollyslip/platform/SchedulerProcess.java
@@ -1,6 +1,6 @@
 package hollyslip.platform;
 
-import hollyslip.Choice;
+import hollyslip.TokenBorrowingScheduler;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -21,7 +21,7 @@
 import sun.misc.Signal;
 
 /** A scheduler process of the platform: one event loop owns its sockets, timers and the scheduler. */
-public final class Node implements AutoCloseable {
+public final class SchedulerProcess implements AutoCloseable {
   /** How long a start waits for discovery to respond before it reports that it is ready, ms: an outdated list
    * serves better than none. */
   private static final long DISCOVERY_WAIT_MS = 400;
@@ -44,44 +44,47 @@
 
   private final Configuration configuration;
   private final Map<String, String> environment;
-  private final Log log;
+  private final EventLog log;
   private final EventLoopGroup group;
   private final EventLoop loop;
-  private final Clock clock = new Clock();
+  private final MonotonicClock clock = new MonotonicClock();
   private final CountDownLatch terminated = new CountDownLatch(1);
-  private final DiskServers diskConnections;
-  private final Desk desk;
-  private final Front front;
+  private final DiskConnectionPool diskConnections;
+  private final RequestDispatcher desk;
+  private final ClientConnectionManager front;
   private final DiscoveryClient discovery;
   private final InetSocketAddress listenAddress;
   private InetSocketAddress discoveryAddress;
   private boolean stopping;
 
   /** Starts the process; {@code environment} is read again at each reload. */
-  Node(Map<String, String> environment, PrintStream out) throws IOException, InterruptedException {
-    this(environment, out, new WatchClock());
+  SchedulerProcess(Map<String, String> environment, PrintStream out) throws IOException,
+      InterruptedException {
+    this(environment, out, new WatchRetryPolicy());
   }
 
-  Node(Map<String, String> environment, PrintStream out, WatchClock watchRetryPolicy) throws IOException,
+  SchedulerProcess(Map<String, String> environment, PrintStream out, WatchRetryPolicy watchRetryPolicy)
+      throws IOException,
       InterruptedException {
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     this.environment = environment;
-    log = new Log(out);
+    log = new EventLog(out);
     configuration = Configuration.read(environment);
     discoveryAddress = configuration.discoveryAddress();
     group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop"), NioIoHandler.newFactory());
     loop = (EventLoop) group.next();
     Bounds bounds = Bounds.of(configuration.maxDescriptors(), Bounds.openDescriptors(), configuration
         .memoryMb());
-    diskConnections = new DiskServers(loop, clock, log, bounds.disks(), bounds.bytes(), configuration
+    diskConnections = new DiskConnectionPool(loop, clock, log, bounds.disks(), bounds.bytes(), configuration
         .settings()
         .allowed()
         .connectTimeoutUs(), configuration.diskIdleTimeoutUs());
-    Choice scheduler = new Choice(configuration.settings());
-    desk = new Desk(scheduler, configuration.settings(), loop, clock, log, diskConnections,
+    TokenBorrowingScheduler scheduler = new TokenBorrowingScheduler(configuration.settings());
+    desk = new RequestDispatcher(scheduler, configuration.settings(), loop, clock, log, diskConnections,
         bounds.bytes());
-    front = new Front(loop, clock, log, desk, new Ask.Reader(configuration.settings(), configuration
-        .shardCount()), bounds);
+    front = new ClientConnectionManager(loop, clock, log, desk, new RequestHead.Parser(configuration
+        .settings(), configuration
+            .shardCount()), bounds);
     long version = configuration.knownEndpoints() == null ? -1 : configuration.knownEndpoints().version();
     discovery = new DiscoveryClient(loop, clock, log, watchRetryPolicy, discoveryAddress, version,
         this::onEndpointUpdate, this::markReady);
@@ -96,7 +99,7 @@
     loop.schedule(this::markReady, DISCOVERY_WAIT_MS, TimeUnit.MILLISECONDS);
     loop.scheduleAtFixedRate(log.guarded(diskConnections::closeAllExpired), 1, 1, TimeUnit.SECONDS);
     if (environment.containsKey("HOLLYSLIP_TRACE")) {
-      Trace trace = new Trace(out);
+      DiskServerTrace trace = new DiskServerTrace(out);
       loop.execute(() -> desk.trace(trace));
       loop.scheduleAtFixedRate(log.guarded(() -> trace.writeLines(scheduler, desk.serversByNodeId())), 1, 1,
           TimeUnit.SECONDS);
@@ -112,20 +115,20 @@
       return;
     }
     // Signals that arrive during the start are handled once it is complete.
-    AtomicReference<Node> started = new AtomicReference<>();
+    AtomicReference<SchedulerProcess> started = new AtomicReference<>();
     Set<String> received = ConcurrentHashMap.newKeySet();
     for (String name : List.of("TERM", "INT", "HUP")) {
       Signal.handle(new Signal(name), s -> {
         received.add(s.getName());
-        Node node = started.get();
+        SchedulerProcess node = started.get();
         if (node != null) {
           node.onSignal(s.getName());
         }
       });
     }
-    Node node;
+    SchedulerProcess node;
     try {
-      node = new Node(System.getenv(), System.out);
+      node = new SchedulerProcess(System.getenv(), System.out);
     } catch (IOException | RuntimeException e) {
       System.err.println("configuration: " + e.getMessage());
       System.exit(2);
--- a/src/main/java/hollyslip/platform/StrictResponseDecoder.java
+++ b/src/main/java/hollyslip/platform/StrictResponseDecoder.java
@@ -8,16 +8,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Netty's response decoder behind {@link HeadCheck}: a response that violates the HTTP standard ends in an
- * exception. */
+/** Netty's response decoder behind {@link HttpHeadValidator}: a response that violates the HTTP standard ends
+ * in an exception. */
 final class StrictResponseDecoder extends HttpResponseDecoder {
   private static final byte[] STATUS_LINE_START = "HTTP/1.1 ".getBytes(StandardCharsets.US_ASCII);
 
-  private final HeadCheck headCheck = new HeadCheck();
+  private final HttpHeadValidator headCheck = new HttpHeadValidator();
   private boolean expectsHead = true;
 
   StrictResponseDecoder() {
-    super(Http.strictDecoderConfig());
+    super(HttpSupport.strictDecoderConfig());
   }
 
   @Override
@@ -45,7 +45,7 @@
 
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-    Http.rejectLengthWithTransferEncoding();
+    HttpSupport.rejectLengthWithTransferEncoding();
   }
 
   /** Number of bytes received that do not belong to a decoded response. */
--- a/src/main/java/hollyslip/platform/TrainingRun.java
+++ b/src/main/java/hollyslip/platform/TrainingRun.java
@@ -47,8 +47,9 @@
       configuration.set("known", json.readTree(endpointList(1, address)));
       configuration.set("settings", json.readTree(SETTINGS));
       Files.writeString(file, configuration.toString());
-      Node node = new Node(Map.of("PROXY_CONFIG", file.toString()), new PrintStream(OutputStream
-          .nullOutputStream()));
+      SchedulerProcess node = new SchedulerProcess(Map.of("PROXY_CONFIG", file.toString()), new PrintStream(
+          OutputStream
+              .nullOutputStream()));
       sendRequests(node.listenAddress());
       node.reload();
       node.stop();
--- a/src/main/java/hollyslip/platform/WatchClock.java
+++ b/src/main/java/hollyslip/platform/WatchRetryPolicy.java
@@ -5,7 +5,7 @@
  * phase has a time limit: an open watch must deliver something complete within {@link #SILENCE_TIMEOUT_US},
  * an attempt must be answered within {@link #RESPONSE_TIMEOUT_US}, and the next attempt follows a failure
  * after a delay. */
-final class WatchClock {
+final class WatchRetryPolicy {
   /** Discovery sends an empty line at least every 2 s; 1.5 times that counts as silence. Cost: a process that
    * was stalled for a second opens a watch needlessly. */
   static final long SILENCE_TIMEOUT_US = 3_000_000;
@@ -27,11 +27,11 @@
   private long lastReceivedAt, attemptStartedAt, nextAttemptAt = Long.MIN_VALUE,
       retryDelayUs = MIN_RETRY_DELAY_US;
 
-  WatchClock() {
+  WatchRetryPolicy() {
     this(SILENCE_TIMEOUT_US, RESPONSE_TIMEOUT_US);
   }
 
-  WatchClock(long silenceTimeoutUs, long responseTimeoutUs) {
+  WatchRetryPolicy(long silenceTimeoutUs, long responseTimeoutUs) {
     this.silenceTimeoutUs = silenceTimeoutUs;
     this.responseTimeoutUs = responseTimeoutUs;
   }
--- a/src/main/java/hollyslip/recovery/Succession.java
+++ b/src/main/java/hollyslip/recovery/EpochElection.java
@@ -10,8 +10,8 @@
  * This guards against a state directory that was lost or restored from an older copy: its epochs start over,
  * and nodes that saw a newer one would run nothing of it. The cost is that connections which a host left open
  * when it lost power look like a living gateway until their nodes drop them, and delay a start. */
-public final class Succession {
-  private Succession() {}
+public final class EpochElection {
+  private EpochElection() {}
 
   /** Holder of a gateway name.
    *
@@ -28,10 +28,10 @@
   }
 
   /** What a node knows of a name: its newest holder and the number of that holder's open connections. */
-  public record Known(Holder holder, int openConnections) {}
+  public record NodeView(Holder holder, int openConnections) {}
 
   /** What the gateway has to do. */
-  public enum Verdict {
+  public enum Action {
     /** Continue as the holder. */
     GO_ON,
     /** Take the epoch of this decision and continue with it. */
@@ -41,15 +41,15 @@
   }
 
   /** What to do, with the epoch to take and the holder that led to it. */
-  public record Step(Verdict action, long epoch, Holder other) {}
+  public record Decision(Action action, long epoch, Holder other) {}
 
   /** Decides at a start; {@code recorded} is the epoch on disk, 0 if there is none. A holder with open
    * connections and an epoch above the recorded one is another gateway. Open connections with the recorded
    * epoch were left by an earlier process that used the same directory. */
-  public static Step decideAtStart(long recorded, Collection<Known> reports) {
+  public static Decision decideAtStart(long recorded, Collection<NodeView> reports) {
     Holder newest = Holder.NONE;
     Holder living = null;
-    for (Known report : reports) {
+    for (NodeView report : reports) {
       newest = report.holder.epoch > newest.epoch ? report.holder : newest;
       if (report.openConnections > 0 && report.holder.epoch > recorded && (living == null
           || report.holder.epoch > living.epoch)) {
@@ -57,25 +57,25 @@
       }
     }
     return living != null
-        ? new Step(Verdict.YIELD, 0, living)
-        : new Step(Verdict.TAKE, Math.max(recorded, newest.epoch) + 1, newest);
+        ? new Decision(Action.YIELD, 0, living)
+        : new Decision(Action.TAKE, Math.max(recorded, newest.epoch) + 1, newest);
   }
 
   /** Like {@link #decideAtStart}, when an operator says that no other gateway with the name is alive. */
-  public static Step decideForcedTakeover(long recorded, Collection<Known> reports) {
-    return decideAtStart(recorded, reports.stream().map(report -> new Known(report.holder, 0)).toList());
+  public static Decision decideForcedTakeover(long recorded, Collection<NodeView> reports) {
+    return decideAtStart(recorded, reports.stream().map(report -> new NodeView(report.holder, 0)).toList());
   }
 
   /** Decides in service, when a node reports the holder of the name after it learned of this gateway. Of two
    * with the same epoch the one with the higher instance continues, so that both decide the same. */
-  public static Step decideInService(Holder mine, Known report) {
+  public static Decision decideInService(Holder mine, NodeView report) {
     Holder other = report.holder;
     if (other.epoch < mine.epoch || other.sameAs(mine)) {
-      return new Step(Verdict.GO_ON, mine.epoch, other);
+      return new Decision(Action.GO_ON, mine.epoch, other);
     }
     boolean wins = report.openConnections == 0 || other.epoch == mine.epoch && mine.instance > other.instance;
     return wins
-        ? new Step(Verdict.TAKE, other.epoch + 1, other)
-        : new Step(Verdict.YIELD, 0, other);
+        ? new Decision(Action.TAKE, other.epoch + 1, other)
+        : new Decision(Action.YIELD, 0, other);
   }
 }
--- a/src/main/java/hollyslip/recovery/Epoch.java
+++ b/src/main/java/hollyslip/recovery/EpochStore.java
@@ -12,7 +12,7 @@
 
 /** Stores the epoch of a gateway, a number that grows with each start whatever the clock does: nodes fence
  * earlier epochs. Locks its state directory against other processes until {@link #close}. */
-public final class Epoch implements AutoCloseable {
+public final class EpochStore implements AutoCloseable {
   private final Path file;
   private final FileChannel lock;
   private long last;
@@ -22,7 +22,7 @@
    * @throws IOException
    *           another process uses the directory, or the file cannot be read; assuming an epoch could let
    *           writes of an old process through */
-  public Epoch(Path directory) throws IOException {
+  public EpochStore(Path directory) throws IOException {
     Files.createDirectories(directory);
     file = directory.resolve("epoch");
     lock = FileChannel.open(directory.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
--- a/src/main/java/hollyslip/settings/Deployment.java
+++ b/src/main/java/hollyslip/settings/Deployment.java
@@ -1,7 +1,7 @@
 package hollyslip.settings;
 
 import hollyslip.HostScheduler.Allowed;
-import hollyslip.HostScheduler.Listed;
+import hollyslip.HostScheduler.NodeEntry;
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.HostScheduler.Plan;
 import hollyslip.HostScheduler.ReportSource;
@@ -9,7 +9,7 @@
 import hollyslip.HostScheduler.Rules;
 import hollyslip.HostScheduler.Settings;
 import hollyslip.HostScheduler.Store;
-import hollyslip.volume.Classifier;
+import hollyslip.volume.RequestClassifier;
 import hollyslip.volume.Volume;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
@@ -36,7 +36,7 @@
  *          storage nodes
  * @param volumes
  *          volumes */
-public record Deployment(Process gateway, List<RequestClass> classes, List<Classifier.Row> rows,
+public record Deployment(Process gateway, List<RequestClass> classes, List<RequestClassifier.Rule> rows,
     List<Plan> plans, Rules rules, Allowed allowed, Store store, List<Node> nodes, List<Volume> volumes) {
 
   /** What binds the process.
@@ -107,8 +107,8 @@
     }
 
     /** As the module's list has it. */
-    public Listed listed() {
-      return new Listed(id, zone, shard, state, 0);
+    public NodeEntry listed() {
+      return new NodeEntry(id, zone, shard, state, 0);
     }
   }
 
--- a/src/main/java/hollyslip/settings/Loader.java
+++ b/src/main/java/hollyslip/settings/Loader.java
@@ -9,14 +9,14 @@
 import com.networknt.schema.SpecificationVersion;
 import hollyslip.HostScheduler.Allowed;
 import hollyslip.HostScheduler.Effect;
-import hollyslip.HostScheduler.Group;
+import hollyslip.HostScheduler.DedupScope;
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.HostScheduler.Plan;
 import hollyslip.HostScheduler.RequestClass;
 import hollyslip.HostScheduler.Rules;
 import hollyslip.HostScheduler.Store;
 import hollyslip.settings.Script.Fault;
-import hollyslip.volume.Classifier;
+import hollyslip.volume.RequestClassifier;
 import hollyslip.volume.IoKind;
 import hollyslip.volume.Volume;
 import java.io.IOException;
@@ -252,7 +252,7 @@
     JsonNode r = all.at("/rules/0");
     JsonNode s = all.at("/store/0");
     List<RequestClass> classes = new ArrayList<>();
-    List<Classifier.Row> rows = new ArrayList<>();
+    List<RequestClassifier.Rule> rows = new ArrayList<>();
     all.get("request_class").forEach(c -> {
       classes.add(requestClass(c));
       rows.add(row(c));
@@ -309,15 +309,17 @@
     boolean write = kinds.contains("write");
     return new RequestClass(c.get("name").asText(), Effect.valueOf(c.get("effect")
         .asText()
-        .toUpperCase(Locale.ROOT)), Group.valueOf(c.get("group").asText().toUpperCase(Locale.ROOT)), c.get(
-            "window").asLong(), c.get("aim").asLong(), c.get("deadline").asLong(), c.get("worth").asDouble(),
+        .toUpperCase(Locale.ROOT)), DedupScope.valueOf(c.get("group").asText().toUpperCase(Locale.ROOT)), c
+            .get(
+                "window").asLong(), c.get("aim").asLong(), c.get("deadline").asLong(), c.get("worth")
+                    .asDouble(),
         c.get("late_worth").asDouble(), c.get("in_order").asBoolean(), write);
   }
 
-  private static Classifier.Row row(JsonNode c) {
+  private static RequestClassifier.Rule row(JsonNode c) {
     Set<IoKind> kinds = new HashSet<>();
     c.get("kinds").forEach(k -> kinds.add(IoKind.valueOf(k.asText().toUpperCase(Locale.ROOT))));
-    return new Classifier.Row(c.get("name").asText(), kinds, c.has("most_bytes")
+    return new RequestClassifier.Rule(c.get("name").asText(), kinds, c.has("most_bytes")
         ? c.get("most_bytes").asLong()
         : Long.MAX_VALUE);
   }
--- a/src/main/java/hollyslip/standin/DiskServer.java
+++ b/src/main/java/hollyslip/standin/DiskServer.java
@@ -2,8 +2,8 @@
 
 import hollyslip.node.Fence;
 import hollyslip.node.Nbd;
-import hollyslip.recovery.Succession.Holder;
-import hollyslip.recovery.Succession.Known;
+import hollyslip.recovery.EpochElection.Holder;
+import hollyslip.recovery.EpochElection.NodeView;
 import java.io.BufferedInputStream;
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -419,17 +419,17 @@
   }
 
   /** Who holds a client's name here. */
-  private Known holder(String client) {
+  private NodeView holder(String client) {
     synchronized (fences) {
       Fence newest = fences.get(client);
       if (newest == null) {
-        return new Known(Holder.NONE, 0);
+        return new NodeView(Holder.NONE, 0);
       }
       long open = connections.stream()
           .filter(c -> c.fence != null && c.fence.client().equals(client) && c.fence.holder()
               .equals(newest.holder()))
           .count();
-      return new Known(newest.holder(), (int) open);
+      return new NodeView(newest.holder(), (int) open);
     }
   }
 
--- a/src/main/java/hollyslip/volume/Splitter.java
+++ b/src/main/java/hollyslip/volume/ExtentSplitter.java
@@ -5,12 +5,12 @@
 
 /** Splits a request along extents. Consecutive parts without a gap on the same shard are joined again, up to
  * the maximum length; merging neighbouring ranges of different requests would start here. */
-public final class Splitter {
+public final class ExtentSplitter {
   private final long maxRangeBytes;
 
   /** @param maxRangeBytes
    *          maximum length of a range in bytes, the limit of one command to a node */
-  public Splitter(long maxRangeBytes) {
+  public ExtentSplitter(long maxRangeBytes) {
     if (maxRangeBytes < Volume.BLOCK_BYTES || maxRangeBytes % Volume.BLOCK_BYTES != 0) {
       throw new IllegalArgumentException("maxRangeBytes: must be a multiple of " + Volume.BLOCK_BYTES
           + ", not "
--- a/src/main/java/hollyslip/volume/Classifier.java
+++ b/src/main/java/hollyslip/volume/RequestClassifier.java
@@ -4,14 +4,14 @@
 import java.util.Set;
 
 /** Determines a request's class and its number of units, both from configured rules by operation and size. */
-public final class Classifier {
-  private final List<Row> rules;
+public final class RequestClassifier {
+  private final List<Rule> rules;
   private final long unitBytes;
   private final int maxUnits;
 
   /** Requests with one of these operations and at most {@code maxBytes} are of this class. */
-  public record Row(String className, Set<IoKind> kinds, long maxBytes) {
-    public Row {
+  public record Rule(String className, Set<IoKind> kinds, long maxBytes) {
+    public Rule {
       kinds = Set.copyOf(kinds);
     }
   }
@@ -22,7 +22,7 @@
    *          bytes per unit
    * @param maxUnits
    *          maximum number of units of a request */
-  public Classifier(List<Row> rules, long unitBytes, int maxUnits) {
+  public RequestClassifier(List<Rule> rules, long unitBytes, int maxUnits) {
     this.rules = List.copyOf(rules);
     this.unitBytes = unitBytes;
     this.maxUnits = maxUnits;
@@ -38,7 +38,7 @@
 
   /** Name of the class of a request of the given size. */
   public String className(IoKind kind, long bytes) {
-    for (Row rule : rules) {
+    for (Rule rule : rules) {
       if (bytes <= rule.maxBytes && rule.kinds.contains(kind)) {
         return rule.className;
       }
--- a/src/test/java/hollyslip/AllocatorTest.java
+++ b/src/test/java/hollyslip/AllocatorTest.java
@@ -7,9 +7,10 @@
 
 /** The three allocation steps, checked against values computed by hand. */
 class AllocatorTest {
-  private static Choice.Volume volume(long key, double weight, double asked, double lastAlpha,
+  private static TokenBorrowingScheduler.VolumeQueue volume(long key, double weight, double asked,
+      double lastAlpha,
       double record) {
-    Choice.Volume v = new Choice.Volume(weight, 6, 0);
+    TokenBorrowingScheduler.VolumeQueue v = new TokenBorrowingScheduler.VolumeQueue(weight, 6, 0);
     v.requestedUnits = asked;
     v.lastAllocation = lastAlpha;
     v.allocatedBefore = true;
@@ -19,9 +20,9 @@
 
   @Test
   void initialAllocationIsProportionalToWeight() {
-    Choice.Volume a = volume(1, 1, 2, 5, 0);
-    Choice.Volume b = volume(2, 3, 20, 10, 0);
-    Choice.initialAllocation(List.of(a, b), 20);
+    TokenBorrowingScheduler.VolumeQueue a = volume(1, 1, 2, 5, 0);
+    TokenBorrowingScheduler.VolumeQueue b = volume(2, 3, 20, 10, 0);
+    TokenBorrowingScheduler.initialAllocation(List.of(a, b), 20);
     assertEquals(5, a.allocation, 1e-9);
     assertEquals(15, b.allocation, 1e-9);
     assertEquals(0.25, a.tokenShare, 1e-9);
@@ -31,11 +32,11 @@
   void surplusIsSharedByTheDistributionFactor() {
     // a: alpha 5, d 2, surplus 3, u 2/5 = 0.4, DF 0.4 * 0.25 = 0.1
     // b: alpha 15, d 20, no surplus, u 20/10 = 2, DF 2 + 2 * 0.75 = 3.5; the pool of 3 goes 0.1 : 3.5
-    Choice.Volume a = volume(1, 1, 2, 5, 0);
-    Choice.Volume b = volume(2, 3, 20, 10, 0);
-    List<Choice.Volume> active = List.of(a, b);
-    Choice.initialAllocation(active, 20);
-    Choice.redistribution(active);
+    TokenBorrowingScheduler.VolumeQueue a = volume(1, 1, 2, 5, 0);
+    TokenBorrowingScheduler.VolumeQueue b = volume(2, 3, 20, 10, 0);
+    List<TokenBorrowingScheduler.VolumeQueue> active = List.of(a, b);
+    TokenBorrowingScheduler.initialAllocation(active, 20);
+    TokenBorrowingScheduler.redistribution(active);
     assertEquals(2 + 3 * 0.1 / 3.6, a.allocation, 1e-9);
     assertEquals(15 + 3 * 3.5 / 3.6, b.allocation, 1e-9);
     assertEquals(3 - 3 * 0.1 / 3.6, a.record, 1e-9);
@@ -47,12 +48,12 @@
   void borrowersReturnAtMostWhatTheyOwedBeforeRedistribution() {
     // Both demand their whole allocation: no surplus. a lent 4 before, b owes 4. u = 1 and 1, DF 0.5 each.
     // C = 0.5 * (max(1, 1) + max(0, 1 - 10/10)) / 2 = 0.25; reclaim min(4, floor(0.25 * 10)) = 2.
-    Choice.Volume a = volume(1, 1, 10, 10, 4);
-    Choice.Volume b = volume(2, 1, 10, 10, -4);
-    List<Choice.Volume> active = List.of(a, b);
-    Choice.initialAllocation(active, 20);
-    Choice.redistribution(active);
-    Choice.recompensation(active);
+    TokenBorrowingScheduler.VolumeQueue a = volume(1, 1, 10, 10, 4);
+    TokenBorrowingScheduler.VolumeQueue b = volume(2, 1, 10, 10, -4);
+    List<TokenBorrowingScheduler.VolumeQueue> active = List.of(a, b);
+    TokenBorrowingScheduler.initialAllocation(active, 20);
+    TokenBorrowingScheduler.redistribution(active);
+    TokenBorrowingScheduler.recompensation(active);
     assertEquals(12, a.allocation, 1e-9);
     assertEquals(8, b.allocation, 1e-9);
     assertEquals(2, a.record, 1e-9);
@@ -61,12 +62,12 @@
 
   @Test
   void reclaimIsBoundedByTheEarlierRecord() {
-    Choice.Volume a = volume(1, 1, 10, 10, 1);
-    Choice.Volume b = volume(2, 1, 10, 10, -1);
-    List<Choice.Volume> active = List.of(a, b);
-    Choice.initialAllocation(active, 20);
-    Choice.redistribution(active);
-    Choice.recompensation(active);
+    TokenBorrowingScheduler.VolumeQueue a = volume(1, 1, 10, 10, 1);
+    TokenBorrowingScheduler.VolumeQueue b = volume(2, 1, 10, 10, -1);
+    List<TokenBorrowingScheduler.VolumeQueue> active = List.of(a, b);
+    TokenBorrowingScheduler.initialAllocation(active, 20);
+    TokenBorrowingScheduler.redistribution(active);
+    TokenBorrowingScheduler.recompensation(active);
     assertEquals(11, a.allocation, 1e-9);
     assertEquals(9, b.allocation, 1e-9);
   }
@@ -74,22 +75,22 @@
   @Test
   void noAllocationFallsBelowZero() {
     // a's high utilisation raises C to 5: without the bound b would return more than its allocation.
-    Choice.Volume a = volume(1, 1, 100, 5, 90);
-    Choice.Volume b = volume(2, 1, 10, 10, -90);
-    List<Choice.Volume> active = List.of(a, b);
-    Choice.initialAllocation(active, 20);
-    Choice.redistribution(active);
-    Choice.recompensation(active);
+    TokenBorrowingScheduler.VolumeQueue a = volume(1, 1, 100, 5, 90);
+    TokenBorrowingScheduler.VolumeQueue b = volume(2, 1, 10, 10, -90);
+    List<TokenBorrowingScheduler.VolumeQueue> active = List.of(a, b);
+    TokenBorrowingScheduler.initialAllocation(active, 20);
+    TokenBorrowingScheduler.redistribution(active);
+    TokenBorrowingScheduler.recompensation(active);
     assertEquals(0, b.allocation, 1e-9);
     assertEquals(20, a.allocation, 1e-9);
   }
 
   @Test
   void aNewVolumeHasUtilisationOne() {
-    Choice.Volume a = new Choice.Volume(1, 6, 0);
+    TokenBorrowingScheduler.VolumeQueue a = new TokenBorrowingScheduler.VolumeQueue(1, 6, 0);
     a.requestedUnits = 4;
-    Choice.initialAllocation(List.of(a), 8);
-    Choice.redistribution(List.of(a));
+    TokenBorrowingScheduler.initialAllocation(List.of(a), 8);
+    TokenBorrowingScheduler.redistribution(List.of(a));
     assertEquals(1, a.utilisation, 1e-9);
     assertEquals(8, a.allocation, 1e-9);
     assertEquals(0, a.record, 1e-9);
--- a/src/test/java/hollyslip/EventOrderTest.java
+++ b/src/test/java/hollyslip/EventOrderTest.java
@@ -36,7 +36,7 @@
       audit.updateNodes(true, nodes());
     }
 
-    private List<HostScheduler.Listed> nodes() {
+    private List<HostScheduler.NodeEntry> nodes() {
       return List.of(Fixtures.node(1, 0, firstNodeState, 0),
           Fixtures.node(2, 1, NodeState.ON, secondNodeStartedAt));
     }
--- a/src/test/java/hollyslip/Fixtures.java
+++ b/src/test/java/hollyslip/Fixtures.java
@@ -5,22 +5,25 @@
 
 /** Settings, requests and node list entries for tests of the decision module. */
 final class Fixtures {
-  static final RequestClass SAFE = new RequestClass("read", Effect.SAFE, Group.ALL, 0, 250_000, 2_000_000, 2,
+  static final RequestClass SAFE = new RequestClass("read", Effect.SAFE, DedupScope.ALL, 0, 250_000,
+      2_000_000, 2,
       0.2, false, false);
-  static final RequestClass UNSAFE = new RequestClass("write", Effect.UNSAFE, Group.CELL, 0, 250_000,
+  static final RequestClass UNSAFE = new RequestClass("write", Effect.UNSAFE, DedupScope.CELL, 0, 250_000,
       2_000_000, 2, 0.2, false, true);
-  static final RequestClass ORDERED = new RequestClass("log", Effect.SAFE, Group.ALL, 0, 250_000, 1_000_000,
+  static final RequestClass ORDERED = new RequestClass("log", Effect.SAFE, DedupScope.ALL, 0, 250_000,
+      1_000_000,
       2, 0.2, true, true);
 
   private Fixtures() {}
 
-  static RequestClass keyed(Group group) {
+  static RequestClass keyed(DedupScope group) {
     return new RequestClass("keyed-" + group, Effect.KEYED, group, 400_000, 250_000, 2_000_000, 2, 0.2, false,
         true);
   }
 
   static List<RequestClass> classes() {
-    return List.of(SAFE, UNSAFE, ORDERED, keyed(Group.ALL), keyed(Group.ZONE), keyed(Group.CELL));
+    return List.of(SAFE, UNSAFE, ORDERED, keyed(DedupScope.ALL), keyed(DedupScope.ZONE), keyed(
+        DedupScope.CELL));
   }
 
   /** Settings of one host out of {@code hosts}, with its own seed. */
@@ -45,8 +48,8 @@
     return settings(classes(), rules(), false);
   }
 
-  static Listed node(long id, int cell, NodeState state, long bornUs) {
-    return new Listed(id, cell % 2 == 0 ? "a" : "b", cell, state, bornUs);
+  static NodeEntry node(long id, int cell, NodeState state, long bornUs) {
+    return new NodeEntry(id, cell % 2 == 0 ? "a" : "b", cell, state, bornUs);
   }
 
   static Request request(long id, String className, String plan, Long key, long volume, double units,
--- a/src/test/java/hollyslip/ModuleSizeTest.java
+++ b/src/test/java/hollyslip/ModuleSizeTest.java
@@ -9,7 +9,7 @@
 
 /** Bounds the size of the decision module, which new developers read first. */
 class ModuleSizeTest {
-  private static final Path MODULE = Path.of("src/main/java/hollyslip/Choice.java");
+  private static final Path MODULE = Path.of("src/main/java/hollyslip/TokenBorrowingScheduler.java");
 
   @Test
   void hasAtMost1000NonBlankLines() throws Exception {
--- a/src/test/java/hollyslip/QueuedRequestTest.java
+++ b/src/test/java/hollyslip/QueuedRequestTest.java
@@ -19,7 +19,7 @@
 
   /** Time until a request that no node can serve is refused, us. */
   private static long timeToRefusal(long remainingUs, Event... before) {
-    Choice scheduler = new Choice(Fixtures.settings());
+    TokenBorrowingScheduler scheduler = new TokenBorrowingScheduler(Fixtures.settings());
     List<Action> actions = new ArrayList<>();
     for (Event e : before) {
       scheduler.handle(START, e, actions::add);
@@ -29,7 +29,7 @@
     long now = START;
     while (!actions.contains(new Refuse(1, 0))) {
       now += 1_000;
-      scheduler.handle(now, new TimerDue(0), actions::add);
+      scheduler.handle(now, new TimerFired(0), actions::add);
     }
     return now - START;
   }
@@ -48,7 +48,8 @@
    * seconds once each of their connections had a queued request. */
   @Test
   void aStoppingProcessRefusesWhatItCannotSendSoon() {
-    assertEquals(Choice.INITIAL_LATENCY_US, timeToRefusal(2_000_000, new Stopping(START + 60_000_000)),
+    assertEquals(TokenBorrowingScheduler.INITIAL_LATENCY_US, timeToRefusal(2_000_000, new Stopping(START
+        + 60_000_000)),
         3_000);
   }
 
@@ -56,7 +57,7 @@
    * wait for longer than the process runs. */
   @Test
   void requestsInFlightAreAnsweredBeforeTheProcessEnds() {
-    Choice scheduler = new Choice(Fixtures.settings());
+    TokenBorrowingScheduler scheduler = new TokenBorrowingScheduler(Fixtures.settings());
     List<Action> actions = new ArrayList<>();
     scheduler.handle(START, new NodeList(true, List.of(Fixtures.node(1, 0, NodeState.ON, 0))), actions::add);
     scheduler.handle(START, Fixtures.request(1, "read", "free", 5L, 9, 2, 0), actions::add);
@@ -65,7 +66,7 @@
     long answerBy = START + 300_000;
     scheduler.handle(START + 1_000, new Stopping(answerBy), actions::add);
     for (long now = START + 1_000; now < answerBy; now += 1_000) {
-      scheduler.handle(now, new TimerDue(0), actions::add);
+      scheduler.handle(now, new TimerFired(0), actions::add);
     }
     assertTrue(actions.contains(new Fail(2)), actions::toString);
     assertTrue(actions.stream().anyMatch(a -> a instanceof Refuse r && r.request() == 1), actions::toString);
@@ -75,17 +76,18 @@
   void aRefusalCarriesARetryDelayIfTheSettingsAllowIt() {
     Settings settings = Fixtures.settings();
     for (boolean allowed : new boolean[]{true, false}) {
-      Choice scheduler = new Choice(new Settings(7, 0, 2, "a", 2_000, false, settings.classes(),
+      TokenBorrowingScheduler scheduler = new TokenBorrowingScheduler(new Settings(7, 0, 2, "a", 2_000, false,
+          settings.classes(),
           settings.plans(), settings.rules(), new Allowed(4, false, false, false, allowed, 90_000, 250_000),
           settings.store(), settings.reportSource(), settings.reportFields()));
       List<Action> actions = new ArrayList<>();
       scheduler.handle(START, new NodeList(true, List.of(Fixtures.node(1, 0, NodeState.ON, 0))),
           actions::add);
-      int beyondWindow = (int) Choice.INITIAL_WINDOW + 1;
+      int beyondWindow = (int) TokenBorrowingScheduler.INITIAL_WINDOW + 1;
       for (int i = 1; i <= beyondWindow; i++) {
         scheduler.handle(START, Fixtures.request(i, "read", "free", 5L, 9, 2, 0), actions::add);
       }
-      scheduler.handle(START + Fixtures.SAFE.aimUs(), new TimerDue(0), actions::add);
+      scheduler.handle(START + Fixtures.SAFE.aimUs(), new TimerFired(0), actions::add);
       long retryIn = actions.stream()
           .filter(a -> a instanceof Refuse r && r.request() == beyondWindow)
           .mapToLong(a -> ((Refuse) a).retryAfterUs())
@@ -98,7 +100,7 @@
 
   @Test
   void stateOfIdleVolumesIsDropped() throws Exception {
-    Choice scheduler = new Choice(Fixtures.settings());
+    TokenBorrowingScheduler scheduler = new TokenBorrowingScheduler(Fixtures.settings());
     long now = START;
     scheduler.handle(now, new NodeList(true, List.of(Fixtures.node(1, 77, NodeState.ON, 0))), a -> {});
     int largest = 0;
@@ -108,7 +110,8 @@
       scheduler.handle(now, read(i, 1_000_000 + i, 2_000_000), actions::add);
       for (Action a : List.copyOf(actions)) {
         if (a instanceof Send send) {
-          scheduler.handle(now + 1_000, new Outcome(send.request(), 0, send.node(), Result.OK, true, 1_000,
+          scheduler.handle(now + 1_000, new AttemptEnded(send.request(), 0, send.node(), Result.OK, true,
+              1_000,
               0, 0, null), actions::add);
         }
       }
@@ -119,8 +122,9 @@
     assertTrue(sizeOfMapField(scheduler, "pendings") < 100);
   }
 
-  private static int sizeOfMapField(Choice scheduler, String field) throws ReflectiveOperationException {
-    var mapField = Choice.class.getDeclaredField(field);
+  private static int sizeOfMapField(TokenBorrowingScheduler scheduler, String field)
+      throws ReflectiveOperationException {
+    var mapField = TokenBorrowingScheduler.class.getDeclaredField(field);
     mapField.setAccessible(true);
     return ((Map<?, ?>) mapField.get(scheduler)).size();
   }
@@ -128,21 +132,21 @@
   /** A later request on the same connection has an earlier deadline, and responses are sent in order. */
   @Test
   void aRequestThatBlocksALaterResponseIsAnsweredByTheEarlierDeadline() {
-    Choice scheduler = new Choice(Fixtures.settings());
+    TokenBorrowingScheduler scheduler = new TokenBorrowingScheduler(Fixtures.settings());
     List<Action> actions = new ArrayList<>();
     scheduler.handle(START, new NodeList(true, List.of(Fixtures.node(1, 0, NodeState.ON, 0))), actions::add);
     scheduler.handle(START, Fixtures.request(1, "read", "free", 5L, 9, 2, 0), actions::add);
     scheduler.handle(START, Fixtures.request(2, "write", "free", 5L, 9, 2, 0), actions::add);
     long answerBy = START + 100_000;
-    scheduler.handle(START, new Hastened(1, answerBy), actions::add);
-    scheduler.handle(START, new Hastened(2, START + 60_000_000), actions::add);
+    scheduler.handle(START, new DeadlineShortened(1, answerBy), actions::add);
+    scheduler.handle(START, new DeadlineShortened(2, START + 60_000_000), actions::add);
     for (long now = START; now < answerBy; now += 1_000) {
-      scheduler.handle(now, new TimerDue(0), actions::add);
+      scheduler.handle(now, new TimerFired(0), actions::add);
     }
     assertTrue(actions.stream().anyMatch(a -> a instanceof Refuse r && r.request() == 1), actions::toString);
     assertTrue(actions.stream().noneMatch(a -> a instanceof Fail),
         "the deadline of the other request is unchanged");
-    scheduler.handle(answerBy, new Hastened(1, answerBy - 1), actions::add);
+    scheduler.handle(answerBy, new DeadlineShortened(1, answerBy - 1), actions::add);
     assertEquals(1, actions.stream().filter(a -> a instanceof Refuse).count(), "answered once");
   }
 }
--- a/src/test/java/hollyslip/RandomEventsTest.java
+++ b/src/test/java/hollyslip/RandomEventsTest.java
@@ -31,7 +31,7 @@
   static RuleAudit runRandomEvents(long seed, int steps) {
     Random random = new Random(seed);
     RuleAudit audit = new RuleAudit(Fixtures.settings(), 50_000_000, 2);
-    List<Listed> nodes = new ArrayList<>();
+    List<NodeEntry> nodes = new ArrayList<>();
     for (int cell = 0; cell < 4; cell++) {
       nodes.add(Fixtures.node(100 + cell, cell, NodeState.ON, 0));
     }
--- a/src/test/java/hollyslip/RuleAudit.java
+++ b/src/test/java/hollyslip/RuleAudit.java
@@ -52,7 +52,7 @@
   final List<Action> actions = new ArrayList<>();
   final TreeMap<Long, Integer> timers = new TreeMap<>();
   final Map<Long, TrackedRequest> requests = new LinkedHashMap<>();
-  final Map<Long, Listed> listedNodes = new HashMap<>();
+  final Map<Long, NodeEntry> listedNodes = new HashMap<>();
   final Map<Long, Long> notOnSince = new HashMap<>();
   final List<Attempt> inFlight = new ArrayList<>();
   private final List<Long> arrivalTimes = new ArrayList<>();
@@ -68,11 +68,11 @@
     this.settings = settings;
     this.now = now;
     this.hostsPerVolume = hostsPerVolume;
-    scheduler = new Choice(settings);
+    scheduler = new TokenBorrowingScheduler(settings);
   }
 
-  void restart(List<Listed> stale) {
-    scheduler = new Choice(settings);
+  void restart(List<NodeEntry> stale) {
+    scheduler = new TokenBorrowingScheduler(settings);
     timers.clear();
     requests.clear();
     inFlight.clear();
@@ -84,7 +84,7 @@
     updateNodes(true, stale);
   }
 
-  void updateNodes(boolean whole, List<Listed> nodes) {
+  void updateNodes(boolean whole, List<NodeEntry> nodes) {
     if (whole) {
       Set<Long> named = new HashSet<>();
       nodes.forEach(l -> named.add(l.node()));
@@ -93,7 +93,7 @@
           .filter(n -> !named.contains(n))
           .forEach(n -> notOnSince.putIfAbsent(n, now));
     }
-    for (Listed l : nodes) {
+    for (NodeEntry l : nodes) {
       listedNodes.put(l.node(), l);
       if (l.state() == NodeState.ON) {
         notOnSince.remove(l.node());
@@ -131,13 +131,13 @@
         keyBlockedUntil.put(tracked.request.key(), now + settings.rules().orderSettleUs());
       }
     }
-    deliver(new Outcome(attempt.request(), attempt.number(), attempt.node(), result, ended,
+    deliver(new AttemptEnded(attempt.request(), attempt.number(), attempt.node(), result, ended,
         now - attempt.sentAt(), 0, 0, null));
   }
 
   void disconnect(long id) {
     requests.get(id).answered = true;
-    deliver(new Departed(id));
+    deliver(new RequestAbandoned(id));
   }
 
   /** Advances the clock and fires the timers and client timeouts that come due. */
@@ -161,7 +161,7 @@
       now = Math.max(now, next);
       if (nextTimerAt <= nextTimeoutAt) {
         timers.pollFirstEntry();
-        deliver(new TimerDue(nextTimerAt));
+        deliver(new TimerFired(nextTimerAt));
       } else {
         completeAttempt(nextTimedOut, Result.TIMEOUT);
       }
@@ -191,7 +191,7 @@
       if (tracked.requestClass != null && tracked.anyMayHaveRun()) {
         boolean harmless = tracked.requestClass.effect() == Effect.SAFE
             || tracked.requestClass.effect() == Effect.KEYED && tracked.requestClass
-                .dedupScope() == Group.ALL;
+                .dedupScope() == DedupScope.ALL;
         if (!harmless) {
           addViolation("refused although it may have run", refuse.request());
         }
@@ -220,7 +220,7 @@
       addViolation("sent for an unknown or answered request", send.request());
       return;
     }
-    Listed target = listedNodes.get(send.node());
+    NodeEntry target = listedNodes.get(send.node());
     if (target == null) {
       addViolation("sent to an unlisted node", send.request());
       return;
@@ -239,7 +239,7 @@
     inFlight.add(attempt);
   }
 
-  private void checkRepeats(TrackedRequest tracked, Listed target) {
+  private void checkRepeats(TrackedRequest tracked, NodeEntry target) {
     if (tracked.hasAttemptInFlight() && !settings.allowed().secondCopies()) {
       addViolation("second concurrent attempt", tracked.request.id());
     }
@@ -247,7 +247,7 @@
       if (tracked.requestClass.effect() == Effect.SAFE || !tracked.mayHaveRun(previous.number())) {
         continue;
       }
-      Listed previousNode = listedNodes.get(previous.node());
+      NodeEntry previousNode = listedNodes.get(previous.node());
       boolean inGroup = switch (tracked.requestClass.dedupScope()) {
         case ALL -> true;
         case ZONE -> previousNode.zone().equals(target.zone());
@@ -293,7 +293,7 @@
     }
   }
 
-  private void checkColdNode(TrackedRequest tracked, Listed target) {
+  private void checkColdNode(TrackedRequest tracked, NodeEntry target) {
     Rules rules = settings.rules();
     if (target.startedAtUs() <= 0 || now > target.startedAtUs() + rules.coldUs() || settings.store()
         .coldUnits() <= 0) {
--- a/src/test/java/hollyslip/RulesTest.java
+++ b/src/test/java/hollyslip/RulesTest.java
@@ -23,7 +23,7 @@
     return newAudit(Fixtures.settings());
   }
 
-  private static Listed node(long id, int cell) {
+  private static NodeEntry node(long id, int cell) {
     return Fixtures.node(id, cell, NodeState.ON, 0);
   }
 
@@ -117,7 +117,7 @@
     audit.completeAttempt(audit.inFlight.get(0), Result.RESET);
     audit.advanceTo(START + 100_000);
     assertEquals(2, sendCount(audit));
-    assertEquals(START + 400_000 - Choice.DEDUP_WINDOW_MARGIN_US, lastSend(audit).startBy());
+    assertEquals(START + 400_000 - TokenBorrowingScheduler.DEDUP_WINDOW_MARGIN_US, lastSend(audit).startBy());
     audit.submit(Fixtures.request(2, "read", "free", null, 1, 2, 0));
     assertEquals(Long.MAX_VALUE, lastSend(audit).startBy());
   }
@@ -146,7 +146,7 @@
   @Test
   void noHostExceedsTheColdNodeBudgetEvenAfterRestarts() {
     RuleAudit audit = newAudit();
-    Listed coldNode = Fixtures.node(1, 0, NodeState.ON, START - 1_000);
+    NodeEntry coldNode = Fixtures.node(1, 0, NodeState.ON, START - 1_000);
     audit.updateNodes(false, List.of(coldNode));
     for (int i = 1; i <= 200; i++) {
       audit.submit(read(i, 0));
@@ -165,7 +165,7 @@
   @Test
   void repeatingTheSameStartTimeDoesNotRefillTheColdBudget() {
     RuleAudit audit = newAudit();
-    Listed coldNode = Fixtures.node(1, 0, NodeState.ON, START - 1_000);
+    NodeEntry coldNode = Fixtures.node(1, 0, NodeState.ON, START - 1_000);
     for (int i = 1; i <= 60; i++) {
       audit.updateNodes(false, List.of(coldNode));
       audit.submit(read(i, 0));
@@ -200,7 +200,7 @@
   void severalAttemptBudgetsHoldTogetherInAnySpan() {
     double free = 6;
     Rules rules = new Rules(0, 0, 0, 0, 1, 1, 0, 0.5, free / 2, 1_000, 0);
-    AttemptBudget[] budgets = {new AttemptBudget(rules), new AttemptBudget(rules)};
+    RetryBudget[] budgets = {new RetryBudget(rules), new RetryBudget(rules)};
     var random = new java.util.SplittableRandom(9);
     List<int[]> history = new java.util.ArrayList<>();
     for (int step = 0; step < 4_000; step++) {
@@ -264,10 +264,10 @@
     RuleAudit.Attempt attempt = audit.inFlight.get(0);
     audit.completeAttempt(attempt, Result.OK);
     long before = sendCount(audit);
-    audit.deliver(new Outcome(1, 0, 1, Result.ERROR, false, 10, 0, 0, null));
-    audit.deliver(new Outcome(999, 0, 1, Result.OK, true, 10, 0, 0, null));
-    audit.deliver(new Departed(999));
-    audit.deliver(new TimerDue(12));
+    audit.deliver(new AttemptEnded(1, 0, 1, Result.ERROR, false, 10, 0, 0, null));
+    audit.deliver(new AttemptEnded(999, 0, 1, Result.OK, true, 10, 0, 0, null));
+    audit.deliver(new RequestAbandoned(999));
+    audit.deliver(new TimerFired(12));
     assertEquals(before, sendCount(audit));
     assertEquals(List.of(), audit.violations);
   }
@@ -384,7 +384,8 @@
     RuleAudit audit = newAudit();
     audit.submit(Fixtures.request(1, "read", "free", null, 1, 2, 0));
     audit.submit(Fixtures.request(2, "write", "free", null, 2, 2, 1));
-    long guess = (long) (Choice.MIN_TIMEOUT_LATENCIES * Choice.INITIAL_LATENCY_US);
+    long guess = (long) (TokenBorrowingScheduler.MIN_TIMEOUT_LATENCIES
+        * TokenBorrowingScheduler.INITIAL_LATENCY_US);
     assertTrue(hasAction(audit, new Send(1, 1, START + guess)));
     assertTrue(hasAction(audit, new Send(2, 2, 0)));
     audit.submit(Fixtures.request(3, "keyed-CELL", "free", 5L, 9, 2, 0));
@@ -416,7 +417,7 @@
 
   @Test
   void aFirstAttemptThatCannotBeRepeatedIsNotGivenUpEarly() {
-    RequestClass shortWindow = new RequestClass("brief", Effect.KEYED, Group.CELL, 100_000, 250_000,
+    RequestClass shortWindow = new RequestClass("brief", Effect.KEYED, DedupScope.CELL, 100_000, 250_000,
         2_000_000, 2,
         0.2, false, true);
     RuleAudit audit = newAudit(Fixtures.settings(List.of(shortWindow), Fixtures.rules(), false));
@@ -441,8 +442,8 @@
   }
 
   private static long nodeChosenForANewObject(int host) {
-    Choice scheduler = new Choice(Fixtures.settingsWithSeed(host, 100));
-    List<Listed> nodes = java.util.stream.IntStream.range(0, 10).mapToObj(i -> node(i + 1, i)).toList();
+    TokenBorrowingScheduler scheduler = new TokenBorrowingScheduler(Fixtures.settingsWithSeed(host, 100));
+    List<NodeEntry> nodes = java.util.stream.IntStream.range(0, 10).mapToObj(i -> node(i + 1, i)).toList();
     List<Action> actions = new java.util.ArrayList<>();
     scheduler.handle(START, new NodeList(true, nodes), actions::add);
     scheduler.handle(START, Fixtures.request(1, "read", "free", null, 1, 2, -1), actions::add);
@@ -459,22 +460,22 @@
     // node can take was less than one request, so nothing was sent for seventeen seconds. Nor may a restart
     // of a host add to the traffic.
     int hosts = 100;
-    List<Listed> cold = List.of(Fixtures.node(1, 0, NodeState.ON, START - 1_000));
+    List<NodeEntry> cold = List.of(Fixtures.node(1, 0, NodeState.ON, START - 1_000));
     int[] sent = new int[3];
     for (int host = 0; host < hosts; host++) {
-      Choice scheduler = null;
+      TokenBorrowingScheduler scheduler = null;
       for (int i = 0; i < 24; i++) {
         long now = START + i * 500_000L + host * 4_000L;
         if (scheduler == null || host % 2 == 0 && i % 5 == 4) {
-          scheduler = new Choice(Fixtures.settingsWithSeed(host * 100 + i, hosts));
+          scheduler = new TokenBorrowingScheduler(Fixtures.settingsWithSeed(host * 100 + i, hosts));
           scheduler.handle(now, new NodeList(true, cold), x -> {});
         }
-        Choice instance = scheduler;
+        TokenBorrowingScheduler instance = scheduler;
         int third = i / 8;
         scheduler.handle(now, Fixtures.request(i, "read", "free", null, host, 2, 0), x -> {
           if (x instanceof Send send) {
             sent[third]++;
-            instance.handle(now + 1_000, new Outcome(send.request(), 0, 1, Result.OK, true, 1_000, 0, 0,
+            instance.handle(now + 1_000, new AttemptEnded(send.request(), 0, 1, Result.OK, true, 1_000, 0, 0,
                 null),
                 y -> {});
           }
@@ -492,15 +493,15 @@
   void theNodeListIsSubscribedToIfRequiredAndAgainAfterAFailure() {
     Settings settings = Fixtures.settings(Fixtures.classes(), Fixtures.rules(), true);
     RuleAudit audit = newAudit(settings);
-    assertEquals(1, audit.actions.stream().filter(x -> x instanceof Watch).count());
-    audit.deliver(new ListFailed());
+    assertEquals(1, audit.actions.stream().filter(x -> x instanceof WatchNodes).count());
+    audit.deliver(new NodeListFailed());
     audit.advanceTo(START + 2_000_000);
-    assertEquals(2, audit.actions.stream().filter(x -> x instanceof Watch).count());
+    assertEquals(2, audit.actions.stream().filter(x -> x instanceof WatchNodes).count());
   }
 
   @Test
   void invalidSettingsAreNamedInTheException() {
-    assertThrows(NullPointerException.class, () -> new Choice(null));
+    assertThrows(NullPointerException.class, () -> new TokenBorrowingScheduler(null));
     IllegalArgumentException exception = assertThrows(IllegalArgumentException.class,
         () -> new Plan("x", -1, 0, 1, 1,
             0, 0, 0));
--- a/src/test/java/hollyslip/VolumeChangeTest.java
+++ b/src/test/java/hollyslip/VolumeChangeTest.java
@@ -12,7 +12,7 @@
 class VolumeChangeTest {
   private static final long START = 50_000_000;
 
-  private final Choice scheduler = new Choice(Fixtures.settings());
+  private final TokenBorrowingScheduler scheduler = new TokenBorrowingScheduler(Fixtures.settings());
   private final List<Long> sendTimes = new ArrayList<>();
   private final List<Action> actions = new ArrayList<>();
   private long now = START;
@@ -38,7 +38,7 @@
       deliver(Fixtures.request(++lastId, "read", "free", null, 9, 1, 0));
       for (Action a : List.copyOf(actions)) {
         if (a instanceof Send s) {
-          deliver(new Outcome(s.request(), 0, s.node(), Result.OK, true, 500, 0, 0, null));
+          deliver(new AttemptEnded(s.request(), 0, s.node(), Result.OK, true, 500, 0, 0, null));
         }
       }
     }
@@ -88,13 +88,14 @@
     deliver(new VolumeChanged(9, 1, planWithLimit(10, 5), 0, 0));
     actions.clear();
     for (long r = 1; r <= lastId; r++) {
-      deliver(new Outcome(r, 0, 1, Result.OK, true, 500, 0, 0, null));
+      deliver(new AttemptEnded(r, 0, 1, Result.OK, true, 500, 0, 0, null));
     }
     assertEquals(sendsBefore, sendTimes.size(), "no queued request was sent under the old plan");
   }
 
-  private Choice.Volume volumeWithRecord(Choice.Node node, long key, double record) {
-    Choice.Volume volume = new Choice.Volume(1, 6, 0);
+  private TokenBorrowingScheduler.VolumeQueue volumeWithRecord(TokenBorrowingScheduler.Node node, long key,
+      double record) {
+    TokenBorrowingScheduler.VolumeQueue volume = new TokenBorrowingScheduler.VolumeQueue(1, 6, 0);
     volume.record = record;
     node.volumes.put(key, volume);
     return volume;
@@ -103,11 +104,11 @@
   /** Records are claims on each other: when a volume leaves, their sum stays and none changes its sign. */
   @Test
   void aRemovedVolumeSettlesItsRecord() {
-    Choice.Node node = scheduler.new Node(Fixtures.node(1, 0, NodeState.ON, 0));
-    Choice.Volume lender = volumeWithRecord(node, 1, 30);
-    Choice.Volume secondLender = volumeWithRecord(node, 2, 10);
-    Choice.Volume borrower = volumeWithRecord(node, 3, -25);
-    Choice.Volume secondBorrower = volumeWithRecord(node, 4, -15);
+    TokenBorrowingScheduler.Node node = scheduler.new Node(Fixtures.node(1, 0, NodeState.ON, 0));
+    TokenBorrowingScheduler.VolumeQueue lender = volumeWithRecord(node, 1, 30);
+    TokenBorrowingScheduler.VolumeQueue secondLender = volumeWithRecord(node, 2, 10);
+    TokenBorrowingScheduler.VolumeQueue borrower = volumeWithRecord(node, 3, -25);
+    TokenBorrowingScheduler.VolumeQueue secondBorrower = volumeWithRecord(node, 4, -15);
     node.rescaleRecord(borrower, 0);
     assertEquals(30 - 25 * 0.75, lender.record, 1e-9);
     assertEquals(10 - 25 * 0.25, secondLender.record, 1e-9);
@@ -120,19 +121,19 @@
   /** A record decays by the periods that its volume missed, whether counted one by one or at once. */
   @Test
   void anIdleRecordDecaysByThePeriodsMissed() {
-    Choice.Volume v = new Choice.Volume(1, 6, 0);
+    TokenBorrowingScheduler.VolumeQueue v = new TokenBorrowingScheduler.VolumeQueue(1, 6, 0);
     v.record = 100;
     v.decayRecord(3);
     v.decayRecord(3);
     v.decayRecord(10);
-    assertEquals(100 * Math.pow(Choice.RECORD_DECAY, 10), v.record, 1e-9);
+    assertEquals(100 * Math.pow(TokenBorrowingScheduler.RECORD_DECAY, 10), v.record, 1e-9);
   }
 
   @Test
   void aRecordIsRescaledWithTheWeight() {
-    Choice.Node node = scheduler.new Node(Fixtures.node(1, 0, NodeState.ON, 0));
-    Choice.Volume lender = volumeWithRecord(node, 1, 20);
-    Choice.Volume borrower = volumeWithRecord(node, 2, -20);
+    TokenBorrowingScheduler.Node node = scheduler.new Node(Fixtures.node(1, 0, NodeState.ON, 0));
+    TokenBorrowingScheduler.VolumeQueue lender = volumeWithRecord(node, 1, 20);
+    TokenBorrowingScheduler.VolumeQueue borrower = volumeWithRecord(node, 2, -20);
     node.rescaleRecord(borrower, 0.5);
     assertEquals(-10, borrower.record, 1e-9);
     assertEquals(10, lender.record, 1e-9);
@@ -156,8 +157,8 @@
     }
     assertTrue(sendTimes.size() - before <= 5, "the limit still applies while a request is in flight");
     for (long r = inFlight; r <= lastId; r++) {
-      deliver(new Outcome(r, 0, 1, Result.OK, true, 500, 0, 0, null));
-      deliver(new Departed(r));
+      deliver(new AttemptEnded(r, 0, 1, Result.OK, true, 500, 0, 0, null));
+      deliver(new RequestAbandoned(r));
     }
     before = sendTimes.size();
     runTraffic(20_000);
@@ -167,7 +168,7 @@
   /** Units granted to volumes 1 to 3 in the three seconds after the removal of volume 1, or after the time at
    * which it would have been removed; same seed and same arrivals, which exceed the capacity of the node. */
   private static long[] unitsGranted(boolean removed) {
-    Choice scheduler = new Choice(Fixtures.settings());
+    TokenBorrowingScheduler scheduler = new TokenBorrowingScheduler(Fixtures.settings());
     java.util.PriorityQueue<long[]> completions = new java.util.PriorityQueue<>(
         (x, y) -> Long.compare(x[0], y[0]));
     java.util.Map<Long, Integer> openRequests = new java.util.HashMap<>();
@@ -194,7 +195,8 @@
     for (; now[0] < START + 6_000_000; now[0] += 1_000) {
       while (!completions.isEmpty() && completions.peek()[0] <= now[0]) {
         long r = completions.poll()[1];
-        scheduler.handle(now[0], new Outcome(r, 0, 1, Result.OK, true, 4_000, 0, 0, null), actionHandler);
+        scheduler.handle(now[0], new AttemptEnded(r, 0, 1, Result.OK, true, 4_000, 0, 0, null),
+            actionHandler);
         openRequests.remove(r);
       }
       boolean pastRemoval = removed && now[0] >= START + 3_000_000;
@@ -209,7 +211,7 @@
         scheduler.handle(now[0], new VolumeRemoved(1), actionHandler);
         removalDelivered = true;
       }
-      scheduler.handle(now[0], new TimerDue(now[0]), actionHandler);
+      scheduler.handle(now[0], new TimerFired(now[0]), actionHandler);
     }
     assertEquals(removed, removalDelivered, "whether the removal was delivered");
     return units;
@@ -233,22 +235,22 @@
    * the tokens; with groups in the allocation it gets the tenant's half. */
   @Test
   void aGroupsShareGoesToItsActiveVolumes() {
-    Choice.Volume flatA = new Choice.Volume(0.5, 6, 0);
-    Choice.Volume flatB = new Choice.Volume(1, 6, 0);
-    Choice.initialAllocation(List.of(flatA, flatB), 90);
+    TokenBorrowingScheduler.VolumeQueue flatA = new TokenBorrowingScheduler.VolumeQueue(0.5, 6, 0);
+    TokenBorrowingScheduler.VolumeQueue flatB = new TokenBorrowingScheduler.VolumeQueue(1, 6, 0);
+    TokenBorrowingScheduler.initialAllocation(List.of(flatA, flatB), 90);
     assertEquals(30, flatA.allocation, 1e-9);
-    Choice.Volume a = volumeInGroup(1, 1, 1);
-    Choice.Volume idle = volumeInGroup(3, 1, 1);
-    Choice.Volume b = volumeInGroup(2, 5, 2);
-    Choice.initialAllocation(List.of(a, b), 90);
+    TokenBorrowingScheduler.VolumeQueue a = volumeInGroup(1, 1, 1);
+    TokenBorrowingScheduler.VolumeQueue idle = volumeInGroup(3, 1, 1);
+    TokenBorrowingScheduler.VolumeQueue b = volumeInGroup(2, 5, 2);
+    TokenBorrowingScheduler.initialAllocation(List.of(a, b), 90);
     assertEquals(45, a.allocation, 1e-9);
-    Choice.initialAllocation(List.of(a, idle, b), 90);
+    TokenBorrowingScheduler.initialAllocation(List.of(a, idle, b), 90);
     assertEquals(22.5, a.allocation, 1e-9);
     assertEquals(45, b.allocation, 1e-9);
   }
 
-  private static Choice.Volume volumeInGroup(long key, double weight, long group) {
-    Choice.Volume v = new Choice.Volume(1, 6, 0);
+  private static TokenBorrowingScheduler.VolumeQueue volumeInGroup(long key, double weight, long group) {
+    TokenBorrowingScheduler.VolumeQueue v = new TokenBorrowingScheduler.VolumeQueue(1, 6, 0);
     v.setWeights(weight, group, 1);
     return v;
   }
--- a/src/test/java/hollyslip/WireHostTest.java
+++ b/src/test/java/hollyslip/WireHostTest.java
@@ -24,7 +24,8 @@
     String in = String.join("\n", lines).replace('\'', '"') + "\n";
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     ByteArrayOutputStream err = new ByteArrayOutputStream();
-    int status = WireHost.serve(Choice::new, new ByteArrayInputStream(in.getBytes(StandardCharsets.UTF_8)),
+    int status = SimulatorAdapter.serve(TokenBorrowingScheduler::new, new ByteArrayInputStream(in.getBytes(
+        StandardCharsets.UTF_8)),
         out, new PrintStream(err, true));
     return new Run(status, out.toString(StandardCharsets.UTF_8), err.toString());
   }
--- a/src/test/java/hollyslip/e2e/Site.java
+++ b/src/test/java/hollyslip/e2e/Site.java
@@ -2,7 +2,7 @@
 
 import hollyslip.HostScheduler.Allowed;
 import hollyslip.HostScheduler.Effect;
-import hollyslip.HostScheduler.Group;
+import hollyslip.HostScheduler.DedupScope;
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.HostScheduler.Plan;
 import hollyslip.HostScheduler.RequestClass;
@@ -11,7 +11,7 @@
 import hollyslip.gateway.Gateway;
 import hollyslip.settings.Deployment;
 import hollyslip.standin.DiskServer;
-import hollyslip.volume.Classifier;
+import hollyslip.volume.RequestClassifier;
 import hollyslip.volume.IoKind;
 import hollyslip.volume.Volume;
 import java.io.IOException;
@@ -69,11 +69,14 @@
   }
 
   Deployment deployment(String name, int index, List<Integer> draining) {
-    List<RequestClass> classes = List.of(new RequestClass("read", Effect.SAFE, Group.ALL, 0, 250_000,
-        deadlineUs, 2, 0.2, false, false), new RequestClass("write", Effect.UNSAFE, Group.CELL, 0, 250_000,
+    List<RequestClass> classes = List.of(new RequestClass("read", Effect.SAFE, DedupScope.ALL, 0, 250_000,
+        deadlineUs, 2, 0.2, false, false), new RequestClass("write", Effect.UNSAFE, DedupScope.CELL, 0,
+            250_000,
             deadlineUs, 2, 0.2, false, true));
-    List<Classifier.Row> rows = List.of(new Classifier.Row("read", Set.of(IoKind.READ), Long.MAX_VALUE),
-        new Classifier.Row("write", Set.of(IoKind.WRITE, IoKind.FLUSH, IoKind.DISCARD, IoKind.WRITE_ZEROES),
+    List<RequestClassifier.Rule> rows = List.of(new RequestClassifier.Rule("read", Set.of(IoKind.READ),
+        Long.MAX_VALUE),
+        new RequestClassifier.Rule("write", Set.of(IoKind.WRITE, IoKind.FLUSH, IoKind.DISCARD,
+            IoKind.WRITE_ZEROES),
             Long.MAX_VALUE));
     List<Deployment.Node> nodes = new ArrayList<>();
     for (int i = 0; i < disks.size(); i++) {
--- a/src/test/java/hollyslip/engine/EngineComponentsTest.java
+++ b/src/test/java/hollyslip/engine/EngineComponentsTest.java
@@ -17,7 +17,7 @@
 /** Range locks, answer aggregation, limits, log sampling and timers of the engine. */
 class EngineComponentsTest {
   private static SubRequest subRequest(long id, int shard, long offset, long length) {
-    Io io = new Io("v", IoKind.WRITE, offset, length, List.of(), 0, null);
+    IoRequest io = new IoRequest("v", IoKind.WRITE, offset, length, List.of(), 0, null);
     return new SubRequest(id, new ActiveRequest(null, io, null, null, 0), shard, offset, 0, length);
   }
 
@@ -182,7 +182,7 @@
     ByteBuffer first = ByteBuffer.allocate(10);
     ByteBuffer second = ByteBuffer.allocate(10);
     second.put(2, (byte) 7);
-    Io io = new Io("v", IoKind.READ, 0, 20, List.of(first, second), 0, null);
+    IoRequest io = new IoRequest("v", IoKind.READ, 0, 20, List.of(first, second), 0, null);
     ActiveRequest request = new ActiveRequest(null, io, null, null, 0);
     List<ByteBuffer> views = new SubRequest(1, request, 0, 0, 8, 6).data();
     assertEquals(List.of(2, 4), views.stream().map(ByteBuffer::remaining).toList());
--- a/src/test/java/hollyslip/fleet/MembershipTest.java
+++ b/src/test/java/hollyslip/fleet/MembershipTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hollyslip.HostScheduler.Listed;
+import hollyslip.HostScheduler.NodeEntry;
 import hollyslip.HostScheduler.NodeList;
 import hollyslip.HostScheduler.NodeState;
 import java.util.ArrayList;
@@ -16,8 +16,8 @@
   private final List<NodeList> updates = new ArrayList<>();
   private final Membership membership = new Membership(5_000_000, updates::add);
 
-  private static Listed onNode(long node) {
-    return new Listed(node, "a", (int) node, NodeState.ON, 0);
+  private static NodeEntry onNode(long node) {
+    return new NodeEntry(node, "a", (int) node, NodeState.ON, 0);
   }
 
   private NodeList lastUpdate() {
@@ -48,7 +48,7 @@
   void omittedNodeIsRemovedAndStateChangeIsReportedAlone() {
     membership.replaceAll(List.of(onNode(1), onNode(2)));
     assertTrue(membership.setState(2, NodeState.DRAINING));
-    assertEquals(List.of(new Listed(2, "a", 2, NodeState.DRAINING, 0)), lastUpdate().nodes());
+    assertEquals(List.of(new NodeEntry(2, "a", 2, NodeState.DRAINING, 0)), lastUpdate().nodes());
     assertFalse(membership.setState(3, NodeState.ON));
     membership.replaceAll(List.of(onNode(1)));
     assertTrue(lastUpdate().complete());
--- a/src/test/java/hollyslip/node/NbdParsersTest.java
+++ b/src/test/java/hollyslip/node/NbdParsersTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hollyslip.recovery.Succession.Holder;
-import hollyslip.recovery.Succession.Known;
+import hollyslip.recovery.EpochElection.Holder;
+import hollyslip.recovery.EpochElection.NodeView;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
@@ -160,7 +160,7 @@
     Fence twin = new Fence("gw", new Holder(3, 8), 20, Set.of());
     assertTrue(f.kills(twin), "another process with the same epoch");
     assertEquals(f, f.orNewer(twin), "who came first stands");
-    Known known = new Known(holder, 2);
+    NodeView known = new NodeView(holder, 2);
     assertEquals(known, Fence.known(Fence.answer("gw", known), "gw"));
     assertNull(Fence.known(Fence.answer("gw", known), "other"));
     assertNull(Fence.known("hollyslip:epoch/gw/x/1/0", "gw"));
--- a/src/test/java/hollyslip/platform/ArrivalClockTest.java
+++ b/src/test/java/hollyslip/platform/ArrivalTimeEstimatorTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-class ArrivalClockTest {
+class ArrivalTimeEstimatorTest {
   private static final long START_US = 1_000_000;
 
   private final ArrivalTimeEstimator estimator = new ArrivalTimeEstimator(START_US);
--- a/src/test/java/hollyslip/platform/CallTest.java
+++ b/src/test/java/hollyslip/platform/CallTest.java
@@ -29,7 +29,7 @@
   private static final long LONG_US = 30_000_000, SHORT_US = 2_000_000;
 
   private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final Clock clock = new Clock();
+  private final MonotonicClock clock = new MonotonicClock();
   private final BlockingQueue<Result> results = new LinkedBlockingQueue<>();
 
   @AfterEach
@@ -37,8 +37,9 @@
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
   }
 
-  private DiskServers pool(int maxConnections, long connectTimeoutUs) {
-    return new DiskServers((EventLoop) group.next(), clock, new Log(System.out), maxConnections, 1 << 20,
+  private DiskConnectionPool pool(int maxConnections, long connectTimeoutUs) {
+    return new DiskConnectionPool((EventLoop) group.next(), clock, new EventLog(System.out), maxConnections,
+        1 << 20,
         connectTimeoutUs, 0);
   }
 
@@ -48,13 +49,15 @@
     return server;
   }
 
-  private static DiskServer serverAt(Peer peer) {
+  private static DiskServer serverAt(ScriptedServer peer) {
     return serverAt(EndpointUpdate.parseAddress(peer.address(), "peer"));
   }
 
-  private void start(DiskServers pool, DiskServer server, long timeoutUs, boolean maySend) throws Exception {
+  private void start(DiskConnectionPool pool, DiskServer server, long timeoutUs, boolean maySend)
+      throws Exception {
     long now = clock.now();
-    Call call = new Call(server, now, now + timeoutUs, w -> Http.latin1Bytes(REQUEST), () -> maySend, (result,
+    Call call = new Call(server, now, now + timeoutUs, w -> HttpSupport.latin1Bytes(REQUEST), () -> maySend, (
+        result,
         took,
         headers,
         body) -> results.add(result));
@@ -73,8 +76,8 @@
    * established. */
   @Test
   void requestThatMayNoLongerBeSentIsNotWritten() throws Exception {
-    try (Peer peer = new Peer()) {
-      DiskServers pool = pool(4, LONG_US);
+    try (ScriptedServer peer = new ScriptedServer()) {
+      DiskConnectionPool pool = pool(4, LONG_US);
       DiskServer server = serverAt(peer);
       start(pool, server, LONG_US, false);
       assertEquals(Result.MOOT, result());
@@ -102,7 +105,7 @@
           full = true;
         }
       }
-      DiskServers pool = pool(4, SHORT_US);
+      DiskConnectionPool pool = pool(4, SHORT_US);
       start(pool, serverAt(address), LONG_US, true);
       assertEquals(Result.CONNECT_FAILED, result());
       assertEquals(0, onLoop(pool::connectionCount));
@@ -115,10 +118,10 @@
 
   @Test
   void silentConnectionIsClosedWhenItsCallTimesOut() throws Exception {
-    try (Peer peer = new Peer()) {
-      DiskServers pool = pool(4, LONG_US);
+    try (ScriptedServer peer = new ScriptedServer()) {
+      DiskConnectionPool pool = pool(4, LONG_US);
       start(pool, serverAt(peer), SHORT_US, true);
-      Peer.Came request = peer.nextRequest();
+      ScriptedServer.ReceivedRequest request = peer.nextRequest();
       assertEquals(Result.TIMEOUT, result());
       request.awaitClosed();
       assertEquals(0, onLoop(pool::connectionCount));
@@ -127,10 +130,11 @@
 
   /** Starts two calls in a pool of one connection: the first one's request is returned, the second one
    * waits. */
-  private Peer.Came firstOfTwo(DiskServers pool, Peer peer) throws Exception {
+  private ScriptedServer.ReceivedRequest firstOfTwo(DiskConnectionPool pool, ScriptedServer peer)
+      throws Exception {
     DiskServer server = serverAt(peer);
     start(pool, server, LONG_US, true);
-    Peer.Came first = peer.nextRequest();
+    ScriptedServer.ReceivedRequest first = peer.nextRequest();
     start(pool, server, LONG_US, true);
     return first;
   }
@@ -138,9 +142,9 @@
   /** A call that gets no connection ends without a failure of the disk server, as nothing was sent. */
   @Test
   void callWaitsForAFreeConnectionForALimitedTime() throws Exception {
-    try (Peer peer = new Peer()) {
-      DiskServers pool = pool(1, SHORT_US);
-      Peer.Came first = firstOfTwo(pool, peer);
+    try (ScriptedServer peer = new ScriptedServer()) {
+      DiskConnectionPool pool = pool(1, SHORT_US);
+      ScriptedServer.ReceivedRequest first = firstOfTwo(pool, peer);
       assertEquals(Result.MOOT, result());
       first.respondOk("x");
       assertEquals(Result.OK, result());
@@ -152,8 +156,8 @@
   /** A call that waits for a connection gets one when another is closed. */
   @Test
   void waitingCallStartsWhenAConnectionBecomesAvailable() throws Exception {
-    try (Peer peer = new Peer()) {
-      Peer.Came first = firstOfTwo(pool(1, LONG_US), peer);
+    try (ScriptedServer peer = new ScriptedServer()) {
+      ScriptedServer.ReceivedRequest first = firstOfTwo(pool(1, LONG_US), peer);
       // The connection is closed with the first call, as bytes follow the response.
       first.respond("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxnoise");
       assertEquals(Result.OK, result());
