--- a/src/test/java/hollyslip/platform/FrontTest.java
+++ b/src/test/java/hollyslip/platform/ClientConnectionManagerTest.java
@@ -16,12 +16,12 @@
 
 /** Clients on loopback: which requests are accepted or rejected, and what a disk server receives of them. */
 @Timeout(60)
-class FrontTest {
+class ClientConnectionManagerTest {
   @Test
   void aWriteIsRewrittenForTheDiskServerAndItsResponseIsReturnedIntact() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.writeRequest("put", "9b1f03aa5c7e2d41", "k-1", "some bytes"));
-      Peer.Came attempt = site.diskServer.nextRequest();
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+      client.send(SchedulerFixture.writeRequest("put", "9b1f03aa5c7e2d41", "k-1", "some bytes"));
+      ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
       assertTrue(attempt.head().startsWith("PUT /put/00/7f3a9c21e0b4d655?a=%20b HTTP/1.1\r\n"), attempt
           .head());
       assertEquals("9b1f03aa5c7e2d41", attempt.header("X-Txn"));
@@ -35,7 +35,8 @@
   }
 
   static List<String> invalidRequests() {
-    String read = Site.readRequest("t1"), write = Site.writeRequest("put", "t1", "k", "body");
+    String read = SchedulerFixture.readRequest("t1"), write = SchedulerFixture.writeRequest("put", "t1", "k",
+        "body");
     List<String> bad = new ArrayList<>(List.of(read.replace("/get/", "/nothing/"), read.replace("gold",
         "lead"), read.replace("X-Txn: t1\r\n", ""), read.replace("t1", "a b"), read.replace("X-Txn: t1",
             "X-Txn: t1\r\nX-Txn: t2"), read.replace("X-Plan: gold\r\n", ""), read.replace("units=2",
@@ -57,11 +58,11 @@
   @ParameterizedTest
   @MethodSource("invalidRequests")
   void anInvalidRequestIsRejectedAndTheConnectionStaysOpen(String bytes) throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
       int status = client.send(bytes).readStatus();
       assertTrue(status >= 400 && status < 500, () -> status + " for " + bytes);
-      client.send(Site.readRequest("good"));
-      Peer.Came attempt = site.diskServer.nextRequest();
+      client.send(SchedulerFixture.readRequest("good"));
+      ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
       assertEquals("good", attempt.header("X-Txn"), bytes);
       attempt.respondOk("x");
       assertEquals(200, client.readStatus());
@@ -69,9 +70,11 @@
   }
 
   static List<String> invalidFraming() {
-    String read = Site.readRequest("t1"), write = Site.writeRequest("put", "t1", "k", "body");
-    String hidden = write.replace("\r\n\r\nbody", "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n") + Site
-        .readRequest("hidden");
+    String read = SchedulerFixture.readRequest("t1"), write = SchedulerFixture.writeRequest("put", "t1", "k",
+        "body");
+    String hidden = write.replace("\r\n\r\nbody", "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
+        + SchedulerFixture
+            .readRequest("hidden");
     return List.of(hidden, hidden.replace("Transfer-Encoding: chunked", "Transfer-Encoding: xchunked"), write
         .replace("Content-Length: 4", "Transfer-Encoding: chunked") + "\r\n", write.replace(
             "Content-Length: 4", "Transfer-Encoding: xchunked"), write
@@ -99,12 +102,14 @@
   @ParameterizedTest
   @MethodSource("invalidFraming")
   void invalidFramingClosesTheConnectionAndForwardsNothing(String bytes) throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client(); Site.Client other = site.client()) {
+    try (SchedulerFixture site = new SchedulerFixture();
+        SchedulerFixture.Client client = site.client();
+        SchedulerFixture.Client other = site.client()) {
       client.send(bytes);
       int status = client.readStatus();
       assertTrue(status == 0 || status >= 400, () -> status + " for " + bytes);
       assertEquals("closed", client.readResponse());
-      other.send(Site.readRequest("good"));
+      other.send(SchedulerFixture.readRequest("good"));
       assertEquals("good", site.diskServer.nextRequest().header("X-Txn"));
       site.diskServer.assertNoMoreRequests();
     }
@@ -112,25 +117,25 @@
 
   @Test
   void aChunkedBodyIsForwardedWithAContentLength() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
-      String head = Site.writeRequest("put", "t1", "k", "")
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+      String head = SchedulerFixture.writeRequest("put", "t1", "k", "")
           .replace("Content-Length: 0", "Transfer-Encoding: Chunked");
       for (String piece : (head + "4;x=y\r\nsome\r\n6\r\n bytes\r\n0\r\nX-Last: 1\r\n\r\n").split(
           "(?<=\\G.{7})")) {
         client.send(piece);
       }
-      Peer.Came attempt = site.diskServer.nextRequest();
+      ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
       assertEquals("some bytes", attempt.body());
       assertEquals("10", attempt.header("Content-Length"));
       assertNull(attempt.header("Transfer-Encoding"));
       assertNull(attempt.header("X-Last"));
       attempt.respondOk("stored");
       assertTrue(client.readResponse().endsWith("stored"));
-      client.send(Site.readRequest("t2")
+      client.send(SchedulerFixture.readRequest("t2")
           .replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"));
       site.diskServer.nextRequest().respondOk("empty");
       assertTrue(client.readResponse().endsWith("empty"));
-      client.send(Site.readRequest("t3")
+      client.send(SchedulerFixture.readRequest("t3")
           .replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"));
       assertEquals(400, client.readStatus());
       site.diskServer.assertNoMoreRequests();
@@ -149,14 +154,16 @@
   @ParameterizedTest
   @MethodSource("invalidChunkedBodies")
   void anInvalidOrOversizedChunkedBodyIsNeverForwarded(String body) throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client(); Site.Client other = site.client()) {
-      client.send(Site.writeRequest("put", "t1", "k", "")
+    try (SchedulerFixture site = new SchedulerFixture();
+        SchedulerFixture.Client client = site.client();
+        SchedulerFixture.Client other = site.client()) {
+      client.send(SchedulerFixture.writeRequest("put", "t1", "k", "")
           .replace("Content-Length: 0", "Transfer-Encoding: chunked")
           + body);
       int status = client.readStatus();
       assertTrue(status == 0 || status >= 400, () -> "" + status);
       assertEquals("closed", client.readResponse());
-      other.send(Site.readRequest("good"));
+      other.send(SchedulerFixture.readRequest("good"));
       assertEquals("good", site.diskServer.nextRequest().header("X-Txn"));
       site.diskServer.assertNoMoreRequests();
     }
@@ -164,10 +171,12 @@
 
   @Test
   void aDuplicateOfAnOpenIdIsRejectedWithoutAffectingTheFirst() throws Exception {
-    try (Site site = new Site(); Site.Client first = site.client(); Site.Client second = site.client()) {
-      first.send(Site.readRequest("t1"));
-      Peer.Came attempt = site.diskServer.nextRequest();
-      assertEquals(409, second.send(Site.readRequest("t1")).readStatus());
+    try (SchedulerFixture site = new SchedulerFixture();
+        SchedulerFixture.Client first = site.client();
+        SchedulerFixture.Client second = site.client()) {
+      first.send(SchedulerFixture.readRequest("t1"));
+      ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
+      assertEquals(409, second.send(SchedulerFixture.readRequest("t1")).readStatus());
       attempt.respondOk("mine");
       assertTrue(first.readResponse().endsWith("mine"));
       site.diskServer.assertNoMoreRequests();
@@ -176,16 +185,17 @@
 
   @Test
   void pipelinedRequestsAreServedInOrder() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.readRequest("t1") + Site.readRequest("t2").replace("gold", "lead") + Site.readRequest(
-          "t3"));
-      Peer.Came attempt = site.diskServer.nextRequest();
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+      client.send(SchedulerFixture.readRequest("t1") + SchedulerFixture.readRequest("t2")
+          .replace("gold", "lead") + SchedulerFixture.readRequest(
+              "t3"));
+      ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
       assertEquals("t1", attempt.header("X-Txn"));
       site.diskServer.assertNoMoreRequests();
       attempt.respondOk("one");
       assertTrue(client.readResponse().endsWith("one"));
       assertEquals(400, client.readStatus());
-      Peer.Came third = site.diskServer.nextRequest();
+      ScriptedServer.ReceivedRequest third = site.diskServer.nextRequest();
       third.respondOk("three");
       assertTrue(client.readResponse().endsWith("three"));
     }
@@ -195,12 +205,12 @@
    * refused. */
   @Test
   void pipelinedRequestsBeyondTheQueueLimitAreRefusedInOrder() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
       site.startEcho();
       int requests = 200;
       StringBuilder all = new StringBuilder();
       for (int i = 0; i < requests; i++) {
-        all.append(Site.readRequest("t" + i));
+        all.append(SchedulerFixture.readRequest("t" + i));
       }
       client.send(all.toString());
       int served = 0;
@@ -212,22 +222,23 @@
         served += ok ? 1 : 0;
       }
       assertTrue(served < requests, "the queue must be bounded");
-      client.send(Site.readRequest("after"));
+      client.send(SchedulerFixture.readRequest("after"));
       assertTrue(client.readResponse().endsWith("after"));
     }
   }
 
   @Test
   void aRequestWhoseClientDisconnectedWhileItWaitedIsNotForwarded() throws Exception {
-    try (Site site = new Site(); Site.Client stays = site.client()) {
-      Site.Client leaves = site.client();
-      Peer.Came watch = site.discovery.nextRequest();
-      leaves.send(Site.readRequest("left", 1));
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client stays = site.client()) {
+      SchedulerFixture.Client leaves = site.client();
+      ScriptedServer.ReceivedRequest watch = site.discovery.nextRequest();
+      leaves.send(SchedulerFixture.readRequest("left", 1));
       leaves.socket.shutdownOutput();
       assertEquals("closed", leaves.readResponse());
-      stays.send(Site.readRequest("stays", 1));
-      watch.respond(Site.WATCH_RESPONSE_HEAD + Site.httpChunk(Site.nodeListJson(42, false, Site.nodeEntryJson(
-          "s-1", site.diskServer, 1, "up"))
+      stays.send(SchedulerFixture.readRequest("stays", 1));
+      watch.respond(SchedulerFixture.WATCH_RESPONSE_HEAD + SchedulerFixture.httpChunk(SchedulerFixture
+          .nodeListJson(42, false, SchedulerFixture.nodeEntryJson(
+              "s-1", site.diskServer, 1, "up"))
           + "\n"));
       assertEquals("stays", site.diskServer.nextRequest().header("X-Txn"));
       site.diskServer.assertNoMoreRequests();
@@ -237,8 +248,9 @@
 
   @Test
   void aBodySentInPiecesIsAssembled() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
-      for (String piece : Site.writeRequest("put", "t1", "k", "0123456789").split("(?<=\\G.{40})")) {
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+      for (String piece : SchedulerFixture.writeRequest("put", "t1", "k", "0123456789")
+          .split("(?<=\\G.{40})")) {
         client.send(piece);
       }
       assertEquals("0123456789", site.diskServer.nextRequest().body());
@@ -248,9 +260,10 @@
   /** The error response has a deadline of its own; until then the request ahead of it may still be served. */
   @Test
   void anErrorQueuedBehindAnOpenRequestLeavesItTimeToFinish() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.readRequest("t1") + Site.readRequest("t2").replace("gold", "lead"));
-      Peer.Came attempt = site.diskServer.nextRequest();
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+      client.send(SchedulerFixture.readRequest("t1") + SchedulerFixture.readRequest("t2")
+          .replace("gold", "lead"));
+      ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
       Thread.sleep(600);
       attempt.respondOk("served");
       assertTrue(client.readResponse().endsWith("served"));
@@ -260,13 +273,13 @@
 
   @Test
   void expectContinueIsAnsweredBeforeTheBody() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
-      String write = Site.writeRequest("put", "t1", "k", "body")
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+      String write = SchedulerFixture.writeRequest("put", "t1", "k", "body")
           .replace("\r\n\r\n", "\r\nExpect: 100-continue\r\n\r\n");
       client.send(write.replace("\r\n\r\nbody", "\r\n\r\n"));
-      assertEquals("HTTP/1.1 100 Continue\r\n\r\n", Peer.readHead(client.socket.getInputStream()));
+      assertEquals("HTTP/1.1 100 Continue\r\n\r\n", ScriptedServer.readHead(client.socket.getInputStream()));
       client.send("body");
-      Peer.Came attempt = site.diskServer.nextRequest();
+      ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
       assertEquals("body", attempt.body());
       attempt.respondOk("x");
       assertEquals(200, client.readStatus());
@@ -276,9 +289,9 @@
   @ParameterizedTest
   @ValueSource(strings = {"", "GET /get/7f3a9c21e0b4d655 HT", "half"})
   void anIncompleteRequestTimesOut(String bytes) throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
       client.send(bytes.equals("half")
-          ? Site.writeRequest("put", "t1", "k", "0123456789").replace("789", "")
+          ? SchedulerFixture.writeRequest("put", "t1", "k", "0123456789").replace("789", "")
           : bytes);
       int status = client.readStatus();
       assertTrue(status == 0 || status == 408, () -> "" + status);
@@ -288,8 +301,8 @@
 
   @Test
   void anOversizedContentLengthIsRejectedBeforeTheBody() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.writeRequest("put", "t1", "k", "x")
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+      client.send(SchedulerFixture.writeRequest("put", "t1", "k", "x")
           .replace("Content-Length: 1", "Content-Length: 62914560"));
       try {
         for (int i = 0; i < 60; i++) {
@@ -306,22 +319,22 @@
 
   @Test
   void connectionsWithoutRequestsDoNotBlockOtherClients() throws Exception {
-    List<Site.Client> silentClients = new ArrayList<>();
-    try (Site site = new Site()) {
+    List<SchedulerFixture.Client> silentClients = new ArrayList<>();
+    try (SchedulerFixture site = new SchedulerFixture()) {
       for (int i = 0; i < 300; i++) {
         silentClients.add(site.client());
       }
-      try (Site.Client client = site.client()) {
-        client.send(Site.readRequest("t1"));
+      try (SchedulerFixture.Client client = site.client()) {
+        client.send(SchedulerFixture.readRequest("t1"));
         site.diskServer.nextRequest().respondOk("x");
         assertEquals(200, client.readStatus());
       }
-      for (Site.Client client : silentClients) {
+      for (SchedulerFixture.Client client : silentClients) {
         int status = client.readStatus();
         assertTrue(status == 0 || status == 408);
       }
     } finally {
-      for (Site.Client client : silentClients) {
+      for (SchedulerFixture.Client client : silentClients) {
         client.close();
       }
     }
@@ -329,8 +342,8 @@
 
   @Test
   void aClientThatKeepsSendingAfterAFramingErrorIsClosedDespiteAnOpenRequest() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.readRequest("t1"));
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+      client.send(SchedulerFixture.readRequest("t1"));
       site.diskServer.nextRequest();
       client.send("noise \1\r\n\r\n");
       boolean closed = false;
@@ -348,19 +361,19 @@
   /** A disk server that does not answer holds as many attempts as its window allows. */
   @Test
   void anOverloadRefusalIsPromptAndCarriesRetryAfter() throws Exception {
-    List<Site.Client> waiting = new ArrayList<>();
-    try (Site site = new Site(); Site.Client client = site.client()) {
+    List<SchedulerFixture.Client> waiting = new ArrayList<>();
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
       for (int i = 0; i < 4; i++) {
-        waiting.add(site.client().send(Site.readRequest("out" + i)));
+        waiting.add(site.client().send(SchedulerFixture.readRequest("out" + i)));
         site.diskServer.nextRequest();
       }
-      client.send(Site.readRequest("t1").replace("20000m", "400m"));
+      client.send(SchedulerFixture.readRequest("t1").replace("20000m", "400m"));
       String answer = client.readResponse();
       assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
       assertTrue(answer.matches("(?s).*\r\nRetry-After: [0-2]\\.[0-9]{3}\r\n.*"), answer);
       site.diskServer.assertNoMoreRequests();
     } finally {
-      for (Site.Client client : waiting) {
+      for (SchedulerFixture.Client client : waiting) {
         client.close();
       }
     }
@@ -368,12 +381,14 @@
 
   @Test
   void afterAStopOpenRequestsAreAnsweredAndTheProcessEnds() throws Exception {
-    try (Site site = new Site(); Site.Client open = site.client(); Site.Client idle = site.client()) {
-      open.send(Site.readRequest("t1"));
-      Peer.Came attempt = site.diskServer.nextRequest();
+    try (SchedulerFixture site = new SchedulerFixture();
+        SchedulerFixture.Client open = site.client();
+        SchedulerFixture.Client idle = site.client()) {
+      open.send(SchedulerFixture.readRequest("t1"));
+      ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
       site.node.stop();
-      idle.send(Site.readRequest("t2"));
-      Peer.Came second = site.diskServer.nextRequest();
+      idle.send(SchedulerFixture.readRequest("t2"));
+      ScriptedServer.ReceivedRequest second = site.diskServer.nextRequest();
       attempt.respondOk("x");
       second.respondOk("y");
       assertTrue(open.readResponse().endsWith("x"));
@@ -388,12 +403,14 @@
    * only after half of its remaining time, as a request accepted before the shutdown is. */
   @Test
   void afterAStopARequestWithoutADiskServerIsRefusedPromptly() throws Exception {
-    try (Site site = new Site(); Site.Client before = site.client(); Site.Client after = site.client()) {
-      before.send(Site.readRequest("t1", 2).replace("20000m", "2400m"));
+    try (SchedulerFixture site = new SchedulerFixture();
+        SchedulerFixture.Client before = site.client();
+        SchedulerFixture.Client after = site.client()) {
+      before.send(SchedulerFixture.readRequest("t1", 2).replace("20000m", "2400m"));
       Awaitility.await().until(() -> site.node.openRequests() == 1);
       site.node.stop();
       Awaitility.await().until(() -> site.log.toString().contains("node.stopping"));
-      after.send(Site.readRequest("t2", 2));
+      after.send(SchedulerFixture.readRequest("t2", 2));
       assertEquals(503, after.readStatus());
       assertEquals(0, before.socket.getInputStream().available());
       assertEquals(503, before.readStatus());
--- a/src/test/java/hollyslip/platform/DiscoveryClientTest.java
+++ b/src/test/java/hollyslip/platform/DiscoveryClientTest.java
@@ -18,28 +18,29 @@
 @Timeout(60)
 class DiscoveryClientTest {
   private static String watchResponse(String... lines) {
-    StringBuilder response = new StringBuilder(Site.WATCH_RESPONSE_HEAD);
+    StringBuilder response = new StringBuilder(SchedulerFixture.WATCH_RESPONSE_HEAD);
     for (String line : lines) {
-      response.append(Site.httpChunk(line + "\n"));
+      response.append(SchedulerFixture.httpChunk(line + "\n"));
     }
     return response.toString();
   }
 
-  private static String upUpdate(long version, Peer server, int shard) {
-    return Site.nodeListJson(version, false, Site.nodeEntryJson("s-" + shard, server, shard, "up"));
+  private static String upUpdate(long version, ScriptedServer server, int shard) {
+    return SchedulerFixture.nodeListJson(version, false, SchedulerFixture.nodeEntryJson("s-" + shard, server,
+        shard, "up"));
   }
 
   @Test
   void newWatchContinuesFromTheLastVersion() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
-      Peer.Came first = site.discovery.nextRequest();
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+      ScriptedServer.ReceivedRequest first = site.discovery.nextRequest();
       assertTrue(first.head().startsWith("GET /v1/endpoints?stream=1&index=41 HTTP/1.1\r\n"), first.head());
       first.respond(watchResponse("", upUpdate(43, site.diskServer, 1)));
-      client.send(Site.readRequest("t1", 1));
+      client.send(SchedulerFixture.readRequest("t1", 1));
       site.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
       first.connection().close();
-      Peer.Came second = site.discovery.nextRequest();
+      ScriptedServer.ReceivedRequest second = site.discovery.nextRequest();
       assertTrue(second.head().contains("&index=43 "), second.head());
     }
   }
@@ -47,21 +48,22 @@
   /** Indented JSON, several updates in one chunk, one update in many chunks, and no line ends. */
   @Test
   void updatesAreParsedInAnyJsonFormatAndAnyChunks() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
-      Peer.Came watch = site.discovery.nextRequest();
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+      ScriptedServer.ReceivedRequest watch = site.discovery.nextRequest();
       String indented = upUpdate(42, site.diskServer, 1).replace(",", ",\n  ").replace("{", "{\r\n\t");
-      watch.respond(Site.WATCH_RESPONSE_HEAD);
+      watch.respond(SchedulerFixture.WATCH_RESPONSE_HEAD);
       for (String piece : indented.split("(?<=\\G(?s:.{5}))")) {
-        watch.respond(Site.httpChunk(piece));
+        watch.respond(SchedulerFixture.httpChunk(piece));
       }
-      client.send(Site.readRequest("t1", 1));
+      client.send(SchedulerFixture.readRequest("t1", 1));
       site.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
-      watch.respond(Site.httpChunk(Site.nodeListJson(43, false, Site.nodeEntryJson("s-1", site.diskServer, 1,
-          "removed")) + upUpdate(44,
-              site.diskServer,
-              2)));
-      client.send(Site.readRequest("t2", 2));
+      watch.respond(SchedulerFixture.httpChunk(SchedulerFixture.nodeListJson(43, false, SchedulerFixture
+          .nodeEntryJson("s-1", site.diskServer, 1,
+              "removed")) + upUpdate(44,
+                  site.diskServer,
+                  2)));
+      client.send(SchedulerFixture.readRequest("t2", 2));
       site.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
     }
@@ -70,47 +72,51 @@
   /** Discovery was down: an attempt is not answered, or an answered watch falls silent. */
   @Test
   void silentWatchIsReadUntilTheNextIsAnswered() throws Exception {
-    try (Site site = new Site(new WatchClock(WatchClock.SILENCE_TIMEOUT_US, 3_000_000))) {
-      Peer.Came silent = site.discovery.nextRequest();
-      silent.respond(Site.WATCH_RESPONSE_HEAD);
-      Peer.Came unanswered = site.discovery.nextRequest();
+    try (SchedulerFixture site = new SchedulerFixture(new WatchRetryPolicy(
+        WatchRetryPolicy.SILENCE_TIMEOUT_US, 3_000_000))) {
+      ScriptedServer.ReceivedRequest silent = site.discovery.nextRequest();
+      silent.respond(SchedulerFixture.WATCH_RESPONSE_HEAD);
+      ScriptedServer.ReceivedRequest unanswered = site.discovery.nextRequest();
       unanswered.awaitClosed();
-      silent.respond(Site.httpChunk(upUpdate(42, site.diskServer, 1)));
+      silent.respond(SchedulerFixture.httpChunk(upUpdate(42, site.diskServer, 1)));
       assertServed(site, 1);
-      Peer.Came next = site.discovery.nextRequest();
+      ScriptedServer.ReceivedRequest next = site.discovery.nextRequest();
       next.respond(watchResponse(upUpdate(43, site.diskServer, 2)));
       silent.awaitClosed();
       assertServed(site, 2);
     }
   }
 
-  private static void assertServed(Site site, int shard) throws Exception {
-    try (Site.Client client = site.client()) {
-      client.send(Site.readRequest("t" + shard, shard));
+  private static void assertServed(SchedulerFixture site, int shard) throws Exception {
+    try (SchedulerFixture.Client client = site.client()) {
+      client.send(SchedulerFixture.readRequest("t" + shard, shard));
       site.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
     }
   }
 
   static List<String> invalidResponses() {
-    return List.of(Site.WATCH_RESPONSE_HEAD + Site.httpChunk("no json\n"), Site.WATCH_RESPONSE_HEAD + Site
-        .httpChunk(
-            "{\"seq\":50,\"whole\":true,\"hosts\":[{\"host\":\"s-0\",\"dial\":\"name:80\",\"health\":\"up\"}]}\n"),
-        Site.WATCH_RESPONSE_HEAD + Site.httpChunk("{\"seq\":\"x\"}\n"), Site.WATCH_RESPONSE_HEAD + Site
+    return List.of(SchedulerFixture.WATCH_RESPONSE_HEAD + SchedulerFixture.httpChunk("no json\n"),
+        SchedulerFixture.WATCH_RESPONSE_HEAD + SchedulerFixture
+            .httpChunk(
+                "{\"seq\":50,\"whole\":true,\"hosts\":[{\"host\":\"s-0\",\"dial\":\"name:80\",\"health\":\"up\"}]}\n"),
+        SchedulerFixture.WATCH_RESPONSE_HEAD + SchedulerFixture.httpChunk("{\"seq\":\"x\"}\n"),
+        SchedulerFixture.WATCH_RESPONSE_HEAD + SchedulerFixture
             .httpChunk("[1]\n"),
-        "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", "noise", Site.WATCH_RESPONSE_HEAD + "0\r\n\r\n",
-        Site.WATCH_RESPONSE_HEAD
-            + Site.httpChunk("{\"seq\":50,\"who") + "0\r\n\r\n");
+        "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", "noise", SchedulerFixture.WATCH_RESPONSE_HEAD
+            + "0\r\n\r\n",
+        SchedulerFixture.WATCH_RESPONSE_HEAD
+            + SchedulerFixture.httpChunk("{\"seq\":50,\"who") + "0\r\n\r\n");
   }
 
   @ParameterizedTest
   @MethodSource("invalidResponses")
   void invalidWatchIsReplacedAndTheListStays(String bytes) throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
       site.discovery.nextRequest().respond(bytes);
-      Peer.Came second = site.discovery.nextRequest();
+      ScriptedServer.ReceivedRequest second = site.discovery.nextRequest();
       assertTrue(second.head().contains("&index=41 "), second.head());
-      client.send(Site.readRequest("t1"));
+      client.send(SchedulerFixture.readRequest("t1"));
       site.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
     }
@@ -118,38 +124,44 @@
 
   @Test
   void olderVersionCausesARequestForTheCompleteList() throws Exception {
-    try (Site site = new Site()) {
+    try (SchedulerFixture site = new SchedulerFixture()) {
       site.discovery.nextRequest().respond(watchResponse(upUpdate(7, site.diskServer, 1)));
-      Peer.Came second = site.discovery.nextRequest();
+      ScriptedServer.ReceivedRequest second = site.discovery.nextRequest();
       assertTrue(second.head().startsWith("GET /v1/endpoints?stream=1 HTTP/1.1\r\n"), second.head());
     }
   }
 
   @Test
   void drainingAndUnlistedDiskServersGetNoNewRequests() throws Exception {
-    try (Site site = new Site(); Peer other = new Peer(); Site.Client client = site.client()) {
-      Peer.Came watch = site.discovery.nextRequest();
-      watch.respond(watchResponse(Site.nodeListJson(42, false, Site.nodeEntryJson("s-0", site.diskServer, 0,
-          "draining")), Site.nodeListJson(
+    try (SchedulerFixture site = new SchedulerFixture();
+        ScriptedServer other = new ScriptedServer();
+        SchedulerFixture.Client client = site.client()) {
+      ScriptedServer.ReceivedRequest watch = site.discovery.nextRequest();
+      watch.respond(watchResponse(SchedulerFixture.nodeListJson(42, false, SchedulerFixture.nodeEntryJson(
+          "s-0", site.diskServer, 0,
+          "draining")), SchedulerFixture.nodeListJson(
               43, false,
-              Site.nodeEntryJson("s-9", other, 0, "up"), Site.nodeEntryJson("s-1", site.diskServer, 1,
+              SchedulerFixture.nodeEntryJson("s-9", other, 0, "up"), SchedulerFixture.nodeEntryJson("s-1",
+                  site.diskServer, 1,
                   "up"))));
       // The scheduler holds this request until the list is in use.
-      client.send(Site.readRequest("first", 1));
+      client.send(SchedulerFixture.readRequest("first", 1));
       site.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
       for (int i = 0; i < 10; i++) {
-        client.send(Site.readRequest("t" + i));
+        client.send(SchedulerFixture.readRequest("t" + i));
         other.nextRequest().respondOk("x");
         assertEquals(200, client.readStatus());
       }
-      watch.respond(Site.httpChunk(Site.nodeListJson(44, true, Site.nodeEntryJson("s-2", site.diskServer, 2,
-          "up")) + "\n"));
-      client.send(Site.readRequest("second", 2));
+      watch.respond(SchedulerFixture.httpChunk(SchedulerFixture.nodeListJson(44, true, SchedulerFixture
+          .nodeEntryJson("s-2", site.diskServer, 2,
+              "up")) + "\n"));
+      client.send(SchedulerFixture.readRequest("second", 2));
       site.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
-      client.send(Site.readRequest("gone", 1));
-      watch.respond(Site.httpChunk(Site.nodeListJson(45, false, Site.nodeEntryJson("s-3", other, 1, "up"))
+      client.send(SchedulerFixture.readRequest("gone", 1));
+      watch.respond(SchedulerFixture.httpChunk(SchedulerFixture.nodeListJson(45, false, SchedulerFixture
+          .nodeEntryJson("s-3", other, 1, "up"))
           + "\n"));
       assertEquals("gone", other.nextRequest().header("X-Txn"));
       site.diskServer.assertNoMoreRequests();
@@ -158,9 +170,11 @@
 
   @Test
   void reloadSwitchesToTheNewAddressAndAnInvalidFileChangesNothing() throws Exception {
-    try (Site site = new Site(); Peer moved = new Peer(); Site.Client client = site.client()) {
+    try (SchedulerFixture site = new SchedulerFixture();
+        ScriptedServer moved = new ScriptedServer();
+        SchedulerFixture.Client client = site.client()) {
       site.discovery.nextRequest().respond(watchResponse(upUpdate(42, site.diskServer, 1)));
-      client.send(Site.readRequest("t1", 1));
+      client.send(SchedulerFixture.readRequest("t1", 1));
       site.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
       String valid = Files.readString(site.configFile);
@@ -172,13 +186,13 @@
       site.writeConfig(moved);
       site.node.reload();
       site.node.reload();
-      Peer.Came watch = moved.nextRequest();
+      ScriptedServer.ReceivedRequest watch = moved.nextRequest();
       assertTrue(watch.head().contains("&index=42 "), watch.head());
-      client.send(Site.readRequest("t2", 1));
+      client.send(SchedulerFixture.readRequest("t2", 1));
       site.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
       watch.respond(watchResponse(upUpdate(43, site.diskServer, 2)));
-      client.send(Site.readRequest("t3", 2));
+      client.send(SchedulerFixture.readRequest("t3", 2));
       site.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
       moved.assertNoMoreRequests();
@@ -190,8 +204,8 @@
   @ParameterizedTest
   @ValueSource(ints = {700, 3000})
   void slowDiscoveryIsHeard(int responseDelayMs) throws Exception {
-    try (Site site = new Site(new WatchClock())) {
-      Peer.Came first = site.discovery.nextRequest();
+    try (SchedulerFixture site = new SchedulerFixture(new WatchRetryPolicy())) {
+      ScriptedServer.ReceivedRequest first = site.discovery.nextRequest();
       ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
       timer.schedule(() -> {
         first.respond(watchResponse(upUpdate(42, site.diskServer, 1)));
--- a/src/test/java/hollyslip/platform/DiskServerResponseTest.java
+++ b/src/test/java/hollyslip/platform/DiskServerResponseTest.java
@@ -21,8 +21,8 @@
 
   @Test
   void turnedAwayRequestIsRetriedEvenIfItMustNotRunTwice() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.writeRequest("pay", "t1", null, "x"));
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+      client.send(SchedulerFixture.writeRequest("pay", "t1", null, "x"));
       site.diskServer.nextRequest().respond(TURNED_AWAY);
       site.diskServer.nextRequest().respondOk("done");
       assertTrue(client.readResponse().endsWith("done"));
@@ -48,9 +48,9 @@
   @ParameterizedTest
   @MethodSource("unusableResponses")
   void unusableResponseIsAFailureAndNothingOfItIsPassedOn(String bytes) throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.writeRequest("pay", "t1", null, "x"));
-      Peer.Came request = site.diskServer.nextRequest();
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+      client.send(SchedulerFixture.writeRequest("pay", "t1", null, "x"));
+      ScriptedServer.ReceivedRequest request = site.diskServer.nextRequest();
       request.respond(bytes.replace("<close>", "").replace("<reset>", ""));
       if (bytes.endsWith("<reset>")) {
         request.connection().setSoLinger(true, 0);
@@ -61,8 +61,8 @@
       String answer = client.readResponse();
       assertTrue(answer.startsWith("HTTP/1.1 502 "), answer);
       assertFalse(answer.contains("abc"), answer);
-      client.send(Site.readRequest("t2"));
-      Peer.Came next = site.diskServer.nextRequest();
+      client.send(SchedulerFixture.readRequest("t2"));
+      ScriptedServer.ReceivedRequest next = site.diskServer.nextRequest();
       assertEquals("t2", next.header("X-Txn"), "a request that may have run must not be sent again");
       if (!bytes.startsWith("HTTP/1.1 50")) {
         assertNotSame(request.connection(), next.connection());
@@ -74,8 +74,8 @@
 
   @Test
   void interimResponsesAreSkipped() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.readRequest("t1"));
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+      client.send(SchedulerFixture.readRequest("t1"));
       site.diskServer.nextRequest()
           .respond("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
               + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nreal");
@@ -86,14 +86,14 @@
   /** Disk servers were seen to send several hundred KiB, more than the limit of a request body. */
   @Test
   void largeResponsesArePassedOnCompletely() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
       for (int i = 0; i < 20; i++) {
         String large = ("" + i).repeat(300_000);
-        client.send(Site.readRequest("t" + i));
+        client.send(SchedulerFixture.readRequest("t" + i));
         site.diskServer.nextRequest().respondOk(large);
         assertTrue(client.readResponse().endsWith("\r\n\r\n" + large));
       }
-      client.send(Site.readRequest("last"));
+      client.send(SchedulerFixture.readRequest("last"));
       site.diskServer.nextRequest().respond("HTTP/1.1 200 OK\r\nContent-Length: 4194305\r\n\r\n");
       site.diskServer.nextRequest().respondOk("small");
       assertTrue(client.readResponse().endsWith("small"));
@@ -102,8 +102,8 @@
 
   @Test
   void chunkedResponsesAreReadCompletely() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.readRequest("t1"));
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+      client.send(SchedulerFixture.readRequest("t1"));
       site.diskServer.nextRequest()
           .respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n3\r\ncde\r\n0\r\n\r\n");
       assertTrue(client.readResponse().endsWith("\r\n\r\nabcde"));
@@ -116,17 +116,17 @@
     String duplicate = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy";
     for (String extra : List.of(duplicate, "noise", "HTTP/1.1 2", "\r\n")) {
       for (boolean later : List.of(false, true)) {
-        try (Site site = new Site(); Site.Client client = site.client()) {
-          client.send(Site.readRequest("t1"));
-          Peer.Came request = site.diskServer.nextRequest();
+        try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+          client.send(SchedulerFixture.readRequest("t1"));
+          ScriptedServer.ReceivedRequest request = site.diskServer.nextRequest();
           request.respond("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine" + (later ? "" : extra));
           assertTrue(client.readResponse().endsWith("mine"));
           if (later) {
             request.respond(extra);
           }
           request.awaitClosed();
-          client.send(Site.readRequest("t2"));
-          Peer.Came next = site.diskServer.nextRequest();
+          client.send(SchedulerFixture.readRequest("t2"));
+          ScriptedServer.ReceivedRequest next = site.diskServer.nextRequest();
           assertNotSame(request.connection(), next.connection());
           next.respondOk("next");
           assertTrue(client.readResponse().endsWith("next"));
@@ -138,10 +138,10 @@
   /** A response without a length is complete at an orderly close of the connection, but not at a reset. */
   @Test
   void responseWithoutALengthIsCompleteAtTheEndOfItsConnection() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
       for (String header : List.of("", "Connection: close\r\n")) {
-        client.send(Site.writeRequest("pay", "t" + header.length(), null, "x"));
-        Peer.Came request = site.diskServer.nextRequest();
+        client.send(SchedulerFixture.writeRequest("pay", "t" + header.length(), null, "x"));
+        ScriptedServer.ReceivedRequest request = site.diskServer.nextRequest();
         request.respond("HTTP/1.1 200 OK\r\n" + header + "\r\nall ");
         request.respond("of it");
         request.connection().shutdownOutput();
@@ -153,13 +153,13 @@
 
   @Test
   void connectionsAreReusedForOneRequestAtATime() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
       Set<Socket> seen = new HashSet<>();
       int requests = 0;
       boolean reused = false;
       while (!reused) {
-        client.send(Site.readRequest("t" + requests++));
-        Peer.Came request = site.diskServer.nextRequest();
+        client.send(SchedulerFixture.readRequest("t" + requests++));
+        ScriptedServer.ReceivedRequest request = site.diskServer.nextRequest();
         reused = !seen.add(request.connection());
         request.respondOk("x");
         assertEquals(200, client.readStatus());
@@ -171,18 +171,19 @@
   /** Discovery moves a disk server while a request is in progress at its old address. */
   @Test
   void connectionToAFormerAddressIsNotKept() throws Exception {
-    try (Site site = new Site();
-        Peer moved = new Peer();
-        Site.Client client = site.client();
-        Site.Client other = site
+    try (SchedulerFixture site = new SchedulerFixture();
+        ScriptedServer moved = new ScriptedServer();
+        SchedulerFixture.Client client = site.client();
+        SchedulerFixture.Client other = site
             .client()) {
-      client.send(Site.readRequest("t1"));
-      Peer.Came old = site.diskServer.nextRequest();
+      client.send(SchedulerFixture.readRequest("t1"));
+      ScriptedServer.ReceivedRequest old = site.diskServer.nextRequest();
       site.discovery.nextRequest()
-          .respond(Site.WATCH_RESPONSE_HEAD + Site.httpChunk(Site.nodeListJson(42, false, Site.nodeEntryJson(
-              "s-0", moved, 0, "up"), Site.nodeEntryJson(
-                  "s-1", moved, 1, "up")) + "\n"));
-      other.send(Site.readRequest("in-force", 1));
+          .respond(SchedulerFixture.WATCH_RESPONSE_HEAD + SchedulerFixture.httpChunk(SchedulerFixture
+              .nodeListJson(42, false, SchedulerFixture.nodeEntryJson(
+                  "s-0", moved, 0, "up"), SchedulerFixture.nodeEntryJson(
+                      "s-1", moved, 1, "up")) + "\n"));
+      other.send(SchedulerFixture.readRequest("in-force", 1));
       moved.nextRequest().respondOk("x");
       old.respondOk("late");
       assertTrue(client.readResponse().endsWith("late"));
@@ -192,10 +193,10 @@
 
   @Test
   void connectionClosedByTheDiskServerIsNotUsed() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
       for (int i = 0; i < 20; i++) {
-        client.send(Site.writeRequest("pay", "t" + i, null, "x"));
-        Peer.Came request = site.diskServer.nextRequest();
+        client.send(SchedulerFixture.writeRequest("pay", "t" + i, null, "x"));
+        ScriptedServer.ReceivedRequest request = site.diskServer.nextRequest();
         request.respondOk("x");
         request.connection().shutdownOutput();
         request.awaitClosed();
--- a/src/test/java/hollyslip/platform/DiskServerTraceTest.java
+++ b/src/test/java/hollyslip/platform/DiskServerTraceTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import hollyslip.Choice;
-import hollyslip.HostScheduler.Listed;
+import hollyslip.TokenBorrowingScheduler;
+import hollyslip.HostScheduler.NodeEntry;
 import hollyslip.HostScheduler.NodeList;
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.HostScheduler.Result;
-import hollyslip.WireSettings;
+import hollyslip.JsonSettingsParser;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.util.List;
@@ -18,11 +18,12 @@
 class DiskServerTraceTest {
   @Test
   void lineShowsSchedulerStateAndCountersThatResetAfterwards() throws Exception {
-    Choice scheduler = new Choice(WireSettings.parse(1, new ObjectMapper().readTree(
-        "{\"classes\":[{\"name\":\"c\",\"aim\":1,\"giveUp\":1}],\"policies\":[{\"name\":\"p\"}]}")));
-    scheduler.handle(1_000, new NodeList(true, List.of(new Listed(5, "a", 0, NodeState.ON, 0))), a -> {});
+    TokenBorrowingScheduler scheduler = new TokenBorrowingScheduler(JsonSettingsParser.parse(1,
+        new ObjectMapper().readTree(
+            "{\"classes\":[{\"name\":\"c\",\"aim\":1,\"giveUp\":1}],\"policies\":[{\"name\":\"p\"}]}")));
+    scheduler.handle(1_000, new NodeList(true, List.of(new NodeEntry(5, "a", 0, NodeState.ON, 0))), a -> {});
     ByteArrayOutputStream text = new ByteArrayOutputStream();
-    Trace trace = new Trace(new PrintStream(text, true));
+    DiskServerTrace trace = new DiskServerTrace(new PrintStream(text, true));
     trace.attemptStarted(5);
     trace.attemptStarted(5);
     trace.attemptStarted(5);
--- a/src/test/java/hollyslip/platform/EventLogTest.java
+++ b/src/test/java/hollyslip/platform/EventLogTest.java
@@ -15,7 +15,7 @@
 class EventLogTest {
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
-  private List<String> lines(Log log) throws InterruptedException {
+  private List<String> lines(EventLog log) throws InterruptedException {
     log.flush(10_000);
     return bytes.toString().lines().toList();
   }
@@ -33,7 +33,7 @@
         }
       }
     };
-    try (Log log = new Log(new PrintStream(blocked, true))) {
+    try (EventLog log = new EventLog(new PrintStream(blocked, true))) {
       for (int i = 0; i < 100_000; i++) {
         log.event("event" + i % 100, "n", i);
       }
@@ -42,16 +42,16 @@
 
   @Test
   void floodOfOneNameIsSuppressedAndCountedWithoutAffectingOthers() throws InterruptedException {
-    try (Log log = new Log(new PrintStream(bytes, true))) {
+    try (EventLog log = new EventLog(new PrintStream(bytes, true))) {
       for (int i = 0; i < 1000; i++) {
         log.event("flood", "n", i);
       }
       log.event("other", "n", 1);
-      Thread.sleep(2000 / Log.LINES_PER_SECOND);
+      Thread.sleep(2000 / EventLog.LINES_PER_SECOND);
       log.event("flood", "n", "last");
       List<String> lines = lines(log);
       long floods = lines.stream().filter(l -> l.contains(" flood ")).count();
-      assertTrue(floods >= Log.BURST_LINES && floods <= Log.BURST_LINES + 10, "" + floods);
+      assertTrue(floods >= EventLog.BURST_LINES && floods <= EventLog.BURST_LINES + 10, "" + floods);
       assertTrue(lines.stream().anyMatch(l -> l.contains(" other n=1")));
       assertTrue(lines.get(lines.size() - 1).matches(".* flood n=last left_out=9[0-9]{2}"), lines::toString);
     }
@@ -59,7 +59,7 @@
 
   @Test
   void valueCannotForgeLineOrField() throws InterruptedException {
-    try (Log log = new Log(new PrintStream(bytes, true))) {
+    try (EventLog log = new EventLog(new PrintStream(bytes, true))) {
       log.event("event", "reason", "a\nb c=\"d\"", "id", 7);
       List<String> lines = lines(log);
       assertEquals(1, lines.size());
--- a/src/test/java/hollyslip/platform/FaultSoakTest.java
+++ b/src/test/java/hollyslip/platform/FaultSoakTest.java
@@ -38,12 +38,13 @@
     AtomicBoolean keepRunning = new AtomicBoolean(true), mayConnect = new AtomicBoolean(true);
     List<SoakDiskServer> diskServers = new ArrayList<>();
     try (SoakAudit audit = new SoakAudit(true)) {
-      for (int i = 0; i < ProcessSite.SOAK_SHARDS; i++) {
+      for (int i = 0; i < SchedulerProcessFixture.SOAK_SHARDS; i++) {
         diskServers.add(new SoakDiskServer(audit, random.nextLong()));
       }
-      try (ProcessSite site = new ProcessSite(random.nextBoolean() ? 400 : 150, random.nextInt(3) == 0
-          ? SyscallFaults.environment("FAULT_ACCEPT_EVERY", "" + (2 + random.nextInt(5)))
-          : java.util.Map.of(), diskServers.stream().map(SoakDiskServer::address).toList())) {
+      try (SchedulerProcessFixture site = new SchedulerProcessFixture(random.nextBoolean() ? 400 : 150, random
+          .nextInt(3) == 0
+              ? SyscallFaults.environment("FAULT_ACCEPT_EVERY", "" + (2 + random.nextInt(5)))
+              : java.util.Map.of(), diskServers.stream().map(SoakDiskServer::address).toList())) {
         warmUp(site, audit);
         List<Thread> clients = IntStream.range(0, CLIENTS)
             .mapToObj(i -> new Thread(new SoakClient(site, audit, "c" + i, random.nextLong(),
@@ -54,7 +55,7 @@
         site.signal("TERM");
         Thread.sleep(NEW_CONNECTIONS_MS);
         mayConnect.set(false);
-        boolean ended = site.process.waitFor(ProcessSite.KILL_AFTER_MS - NEW_CONNECTIONS_MS,
+        boolean ended = site.process.waitFor(SchedulerProcessFixture.KILL_AFTER_MS - NEW_CONNECTIONS_MS,
             TimeUnit.MILLISECONDS);
         keepRunning.set(false);
         for (Thread client : clients) {
@@ -77,19 +78,19 @@
   /** Loads the classes of the process, which a test starts without a class archive: its first requests load
    * classes between reading the clock and writing, for longer than the platform may stop a scheduler. Their
    * times are not audited. */
-  private static void warmUp(ProcessSite site, SoakAudit audit) throws Exception {
-    try (Site.Client client = site.client()) {
+  private static void warmUp(SchedulerProcessFixture site, SoakAudit audit) throws Exception {
+    try (SchedulerFixture.Client client = site.client()) {
       for (int i = 0; i < WARM_UP_REQUESTS; i++) {
         String id = "warm" + i;
         audit.sending(id, Integer.MAX_VALUE, true);
-        client.send(Site.readRequest(id, i % ProcessSite.SOAK_SHARDS));
+        client.send(SchedulerFixture.readRequest(id, i % SchedulerProcessFixture.SOAK_SHARDS));
         audit.responseReceived(id, client.readResponse());
       }
     }
   }
 
   /** Lets the process run for a while and stops it at random times. */
-  private static void runWithStops(ProcessSite site, SoakAudit audit, SplittableRandom random)
+  private static void runWithStops(SchedulerProcessFixture site, SoakAudit audit, SplittableRandom random)
       throws Exception {
     long until = SoakAudit.nowMs() + RUN_MS;
     while (SoakAudit.nowMs() < until) {
--- a/src/test/java/hollyslip/platform/LoadReportParserTest.java
+++ b/src/test/java/hollyslip/platform/LoadReportParserTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import hollyslip.WireSettings;
+import hollyslip.JsonSettingsParser;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaders;
 import java.nio.charset.StandardCharsets;
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 class LoadReportParserTest {
-  private static Readings parser(String how, double meter, boolean tellsElsewhere) throws Exception {
-    return new Readings(WireSettings.parse(1, new ObjectMapper().readTree(
+  private static LoadReportParser parser(String how, double meter, boolean tellsElsewhere) throws Exception {
+    return new LoadReportParser(JsonSettingsParser.parse(1, new ObjectMapper().readTree(
         "{\"classes\":[{\"name\":\"c\",\"aim\":1,\"giveUp\":1}],\"policies\":[{\"name\":\"p\"}],"
             + "\"extra\":{\"meter\":" + meter + ",\"tellsElsewhere\":" + tellsElsewhere
             + "},\"stats\":{\"how\":\""
@@ -37,7 +37,7 @@
 
   @Test
   void invalidValuesCountAsAbsent() throws Exception {
-    Readings parser = parser("answers", 1, true);
+    LoadReportParser parser = parser("answers", 1, true);
     for (String invalid : List.of("", "inflight", "inflight=7", "inflight=x,util=0.1", "inflight=-1,util=0.1",
         "inflight=NaN,util=1", "inflight=1e99,util=1", "\u00ff")) {
       assertNull(parser.attemptReport(headers("X-Pressure", invalid)), invalid);
--- a/src/test/java/hollyslip/platform/LostRequestsTest.java
+++ b/src/test/java/hollyslip/platform/LostRequestsTest.java
@@ -43,7 +43,7 @@
   }
 
   private static String read(String id, int waitsMs) {
-    return Site.readRequest(id).replace("20000m", waitsMs + "m");
+    return SchedulerFixture.readRequest(id).replace("20000m", waitsMs + "m");
   }
 
   private static void write(Socket socket, String bytes) throws IOException {
@@ -63,7 +63,8 @@
 
   @Test
   void pipelinedRequestsAreAllAnswered() throws Exception {
-    try (ProcessSite site = new ProcessSite(); Site.Client client = site.client()) {
+    try (SchedulerProcessFixture site = new SchedulerProcessFixture();
+        SchedulerFixture.Client client = site.client()) {
       site.startEcho();
       int requests = 200;
       StringBuilder all = new StringBuilder();
@@ -88,7 +89,8 @@
 
   @Test
   void aRequestQueuedBehindASlowOneIsAnsweredInTime() throws Exception {
-    try (ProcessSite site = new ProcessSite(); Site.Client client = site.client()) {
+    try (SchedulerProcessFixture site = new SchedulerProcessFixture();
+        SchedulerFixture.Client client = site.client()) {
       client.send(read("slow", 15_000).replace("/get/", "/scan/"));
       site.diskServer.nextRequest();
       long start = nowMs();
@@ -129,7 +131,7 @@
    * time. */
   @Test
   void aRequestThatRacesWithAnIdleCloseIsNotReadAndDropped() throws Exception {
-    try (ProcessSite site = new ProcessSite(); Socket client = site.connect()) {
+    try (SchedulerProcessFixture site = new SchedulerProcessFixture(); Socket client = site.connect()) {
       site.startEcho();
       assertEquals(ConnectionEnd.CLOSED, awaitEnd(client, 10_000));
       write(client, read("crossing", 2000));
@@ -142,7 +144,7 @@
   @Test
   void atTheConnectionLimitNewRequestsAreAnsweredOrKnownUnread() throws Exception {
     List<Socket> sockets = new ArrayList<>();
-    try (ProcessSite site = new ProcessSite(200, Map.of())) {
+    try (SchedulerProcessFixture site = new SchedulerProcessFixture(200, Map.of())) {
       site.startEcho();
       for (int round = 0; round < 5; round++) {
         site.signal("STOP");
@@ -196,11 +198,12 @@
 
   @Test
   void acceptErrorsDoNotDelayClients() throws Exception {
-    try (ProcessSite site = new ProcessSite(400, SyscallFaults.environment("FAULT_ACCEPT_EVERY", "3"))) {
+    try (SchedulerProcessFixture site = new SchedulerProcessFixture(400, SyscallFaults.environment(
+        "FAULT_ACCEPT_EVERY", "3"))) {
       site.startEcho();
       for (int i = 0; i < 60; i++) {
         long start = nowMs();
-        try (Site.Client client = site.client()) {
+        try (SchedulerFixture.Client client = site.client()) {
           assertEquals(200, client.send(read("t" + i, 400)).readStatus());
         }
         assertTrue(nowMs() - start < 400 + MAX_LATENESS_MS, "connection " + i + " took ms: " + (nowMs()
@@ -211,7 +214,8 @@
 
   @Test
   void aPartialPipelinedRequestTimesOut() throws Exception {
-    try (ProcessSite site = new ProcessSite(); Site.Client client = site.client()) {
+    try (SchedulerProcessFixture site = new SchedulerProcessFixture();
+        SchedulerFixture.Client client = site.client()) {
       site.startEcho();
       long start = nowMs();
       client.send(read("whole", 2000) + read("part", 2000).substring(0, 30));
@@ -225,12 +229,13 @@
 
   @Test
   void aPartialPipelinedRequestDoesNotDelayShutdown() throws Exception {
-    try (ProcessSite site = new ProcessSite(); Site.Client client = site.client()) {
+    try (SchedulerProcessFixture site = new SchedulerProcessFixture();
+        SchedulerFixture.Client client = site.client()) {
       site.startEcho();
       client.send(read("whole", 2000));
       assertEquals(200, client.readStatus());
       site.signal("TERM");
-      Thread.sleep(ProcessSite.KILL_AFTER_MS - 500);
+      Thread.sleep(SchedulerProcessFixture.KILL_AFTER_MS - 500);
       client.send(read("whole2", 2000) + read("part", 2000).substring(0, 30));
       assertTrue(client.readStatus() > 0);
       assertTrue(site.process.waitFor(500, TimeUnit.MILLISECONDS),
@@ -243,15 +248,17 @@
   @Test
   void aPartlyWrittenAttemptStopsWhenItsClientDisconnects() throws Exception {
     try (ServerSocket disk = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        ProcessSite site = new ProcessSite(400, SyscallFaults.environment("FAULT_WRITE_PORT", "" + disk
-            .getLocalPort(), "FAULT_WRITE_BYTES", "1000", "FAULT_WRITE_PAUSE_MS", "20"), List.of("127.0.0.1:"
-                + disk.getLocalPort()))) {
+        SchedulerProcessFixture site = new SchedulerProcessFixture(400, SyscallFaults.environment(
+            "FAULT_WRITE_PORT", "" + disk
+                .getLocalPort(), "FAULT_WRITE_BYTES", "1000", "FAULT_WRITE_PAUSE_MS", "20"), List.of(
+                    "127.0.0.1:"
+                        + disk.getLocalPort()))) {
       String body = "x".repeat(60_000);
       Socket client = site.connect();
-      write(client, Site.writeRequest("pay", "left", null, body));
+      write(client, SchedulerFixture.writeRequest("pay", "left", null, body));
       try (Socket attempt = disk.accept()) {
         InputStream in = attempt.getInputStream();
-        assertTrue(Peer.readHead(in).contains("left"));
+        assertTrue(ScriptedServer.readHead(in).contains("left"));
         client.close();
         long leftAt = nowMs();
         int receivedBytes = 0;
@@ -282,13 +289,14 @@
   @Test
   void aClientThatDisconnectsDuringAConnectIsNotServed() throws Exception {
     try (ServerSocket disk = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        ProcessSite site = new ProcessSite(400, Map.of(), List.of("127.0.0.1:" + disk.getLocalPort()))) {
+        SchedulerProcessFixture site = new SchedulerProcessFixture(400, Map.of(), List.of("127.0.0.1:" + disk
+            .getLocalPort()))) {
       List<Socket> fill = new ArrayList<>();
       for (int i = 0; i < 2; i++) {
         fill.add(new Socket(disk.getInetAddress(), disk.getLocalPort()));
       }
       Socket client = site.connect();
-      write(client, Site.writeRequest("pay", "left", null, "x"));
+      write(client, SchedulerFixture.writeRequest("pay", "left", null, "x"));
       Thread.sleep(300);
       client.close();
       for (int i = 0; i < 2; i++) {
@@ -307,7 +315,8 @@
 
   @Test
   void theForwardedDeadlineIncludesTimeTheProcessWasSuspended() throws Exception {
-    try (ProcessSite site = new ProcessSite(); Site.Client client = site.client()) {
+    try (SchedulerProcessFixture site = new SchedulerProcessFixture();
+        SchedulerFixture.Client client = site.client()) {
       for (int i = 0; i < 3; i++) {
         client.send(read("warm" + i, 2000));
         site.diskServer.nextRequest().respondOk("x");
@@ -319,7 +328,7 @@
         client.send(unsafeWrite("held" + heldMs, 2000));
         Thread.sleep(heldMs);
         site.signal("CONT");
-        Peer.Came attempt = site.diskServer.nextRequest();
+        ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
         long leftMs = 2000 - (nowMs() - sentAt);
         long forwardedMs = Long.parseLong(attempt.header("X-Remaining").replace("u", "")) / 1000;
         assertTrue(forwardedMs <= leftMs + 150, "held for " + heldMs + " ms: forwarded " + forwardedMs
@@ -334,18 +343,19 @@
    * from when they were sent, both on a kept connection and on one that waits in the accept queue. */
   @Test
   void aRequestThatWaitedUnreadIsAnsweredInTime() throws Exception {
-    try (ProcessSite site = new ProcessSite(); Site.Client kept = site.client()) {
+    try (SchedulerProcessFixture site = new SchedulerProcessFixture();
+        SchedulerFixture.Client kept = site.client()) {
       kept.send(read("warm", 2000));
       site.diskServer.nextRequest().respondOk("x");
       assertEquals(200, kept.readStatus());
       site.signal("STOP");
       long start = nowMs();
       kept.send(unsafeWrite("kept", 1000));
-      try (Site.Client queued = site.client()) {
+      try (SchedulerFixture.Client queued = site.client()) {
         queued.send(unsafeWrite("queued", 1000));
         Thread.sleep(800);
         site.signal("CONT");
-        for (Site.Client client : List.of(kept, queued)) {
+        for (SchedulerFixture.Client client : List.of(kept, queued)) {
           int status = client.readStatus();
           assertTrue(status == 502 || status == 503, "" + status);
           assertTrue(nowMs() - start < 1000 + MAX_LATENESS_MS, "answered after ms: " + (nowMs() - start));
@@ -356,7 +366,7 @@
 
   /** A write that must not be repeated. */
   private static String unsafeWrite(String id, int waitsMs) {
-    return Site.writeRequest("pay", id, null, "x").replace("20000000u", waitsMs + "m");
+    return SchedulerFixture.writeRequest("pay", id, null, "x").replace("20000000u", waitsMs + "m");
   }
 
   /** A disk server responds twice. Its operating system holds the second, small write back until the first is
@@ -364,7 +374,8 @@
    * been in use for a while. The second response must not be taken for the response to the next request. */
   @Test
   void aDelayedSecondResponseIsNotMatchedToTheNextRequest() throws Exception {
-    try (ProcessSite site = new ProcessSite(); Site.Client client = site.client()) {
+    try (SchedulerProcessFixture site = new SchedulerProcessFixture();
+        SchedulerFixture.Client client = site.client()) {
       for (int i = 0; i < 10; i++) {
         for (int k = 0; k < 10; k++) {
           client.send(read("warm" + k, 2000));
@@ -373,7 +384,7 @@
           Thread.sleep(28);
         }
         client.send(read("a" + i, 2000));
-        Peer.Came attempt = site.diskServer.nextRequest();
+        ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
         Thread.sleep(5);
         attempt.respondOk("a" + i);
         attempt.respondOk("second");
--- a/src/test/java/hollyslip/platform/CrossingsTest.java
+++ b/src/test/java/hollyslip/platform/RaceConditionsTest.java
@@ -13,26 +13,26 @@
 /** Race conditions: a request and its client's disconnect, a close and incoming bytes, a shutdown and new
  * connections. The event loop is blocked until both sides of a race have arrived. */
 @Timeout(60)
-class CrossingsTest {
+class RaceConditionsTest {
   /** Seen in a test run in which idle clients use up the descriptors: a request and its client's disconnect
    * waited 2.11 s in the accept queue, both were read at once, and the request was still forwarded. */
   @Test
   void aRequestReadTogetherWithItsClientsDisconnectIsNotForwarded() throws Exception {
-    try (Site site = new Site(); Site.Client stays = site.client()) {
-      List<Site.Client> leavers = new ArrayList<>();
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client stays = site.client()) {
+      List<SchedulerFixture.Client> leavers = new ArrayList<>();
       try (AutoCloseable held = site.blockEventLoop()) {
         for (int i = 0; i < 20; i++) {
-          Site.Client client = site.client();
-          client.send(Site.readRequest("left" + i));
+          SchedulerFixture.Client client = site.client();
+          client.send(SchedulerFixture.readRequest("left" + i));
           client.socket.shutdownOutput();
           leavers.add(client);
         }
       }
-      for (Site.Client client : leavers) {
+      for (SchedulerFixture.Client client : leavers) {
         assertEquals("closed", client.readResponse());
         client.close();
       }
-      stays.send(Site.readRequest("stays"));
+      stays.send(SchedulerFixture.readRequest("stays"));
       assertEquals("stays", site.diskServer.nextRequest().header("X-Txn"));
       site.diskServer.assertNoMoreRequests();
     }
@@ -41,18 +41,18 @@
   /** As above, but with a reset, and on a connection that has already served a request. */
   @Test
   void aRequestReadTogetherWithAResetIsNotForwarded() throws Exception {
-    try (Site site = new Site(); Site.Client stays = site.client()) {
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client stays = site.client()) {
       for (int i = 0; i < 20; i++) {
-        Site.Client client = site.client();
-        client.send(Site.readRequest("served" + i));
+        SchedulerFixture.Client client = site.client();
+        client.send(SchedulerFixture.readRequest("served" + i));
         site.diskServer.nextRequest().respondOk("x");
         assertEquals(200, client.readStatus());
         try (AutoCloseable held = site.blockEventLoop()) {
-          client.send(Site.readRequest("left" + i));
+          client.send(SchedulerFixture.readRequest("left" + i));
           client.reset();
         }
       }
-      stays.send(Site.readRequest("stays"));
+      stays.send(SchedulerFixture.readRequest("stays"));
       assertEquals("stays", site.diskServer.nextRequest().header("X-Txn"));
       site.diskServer.assertNoMoreRequests();
     }
@@ -62,18 +62,20 @@
    * disconnects before it is sent. */
   @Test
   void aRequestThatNeedsANewConnectionIsNotForwardedAfterItsClientDisconnects() throws Exception {
-    try (Site site = new Site(); Site.Client stays = site.client(); Site.Client leaves = site.client()) {
+    try (SchedulerFixture site = new SchedulerFixture();
+        SchedulerFixture.Client stays = site.client();
+        SchedulerFixture.Client leaves = site.client()) {
       // The first request occupies its connection by then, so the next one needs a connection of its own.
-      stays.send(Site.readRequest("first"));
-      Peer.Came first = site.diskServer.nextRequest();
+      stays.send(SchedulerFixture.readRequest("first"));
+      ScriptedServer.ReceivedRequest first = site.diskServer.nextRequest();
       try (AutoCloseable held = site.blockEventLoop()) {
-        leaves.send(Site.readRequest("left"));
+        leaves.send(SchedulerFixture.readRequest("left"));
         leaves.socket.shutdownOutput();
       }
       assertEquals("closed", leaves.readResponse());
       first.respondOk("x");
       assertEquals(200, stays.readStatus());
-      stays.send(Site.readRequest("stays"));
+      stays.send(SchedulerFixture.readRequest("stays"));
       assertEquals("stays", site.diskServer.nextRequest().header("X-Txn"));
       site.diskServer.assertNoMoreRequests();
     }
@@ -82,27 +84,27 @@
   /** A second copy of a response arrives at the same time as the next request for the same connection. */
   @Test
   void unexpectedBytesOnAReusedConnectionAnswerNoRequest() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
       for (String extra : List.of("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy", "HTTP/1.1 2", "\r\n")) {
-        Peer.Came attempt = null;
+        ScriptedServer.ReceivedRequest attempt = null;
         for (boolean reused = false; !reused;) {
-          Peer.Came previous = attempt;
-          client.send(Site.readRequest("t"));
+          ScriptedServer.ReceivedRequest previous = attempt;
+          client.send(SchedulerFixture.readRequest("t"));
           attempt = site.diskServer.nextRequest();
           reused = previous != null && previous.connection() == attempt.connection();
           attempt.respondOk("mine");
           assertTrue(client.readResponse().endsWith("mine"));
           // After this delay the connection has been idle long enough to be reused.
           site.node.loop()
-              .schedule(() -> {}, 2 * DiskServers.MIN_IDLE_BEFORE_REUSE_US,
+              .schedule(() -> {}, 2 * DiskConnectionPool.MIN_IDLE_BEFORE_REUSE_US,
                   java.util.concurrent.TimeUnit.MICROSECONDS)
               .sync();
         }
         try (AutoCloseable held = site.blockEventLoop()) {
           attempt.respond(extra);
-          client.send(Site.readRequest("next"));
+          client.send(SchedulerFixture.readRequest("next"));
         }
-        Peer.Came next = site.diskServer.nextRequest();
+        ScriptedServer.ReceivedRequest next = site.diskServer.nextRequest();
         assertNotSame(attempt.connection(), next.connection());
         next.respondOk("fine");
         assertTrue(client.readResponse().endsWith("fine"));
@@ -113,18 +115,18 @@
   /** Connections that the operating system has accepted by then must be answered, not reset. */
   @Test
   void connectionsInTheAcceptQueueAtShutdownAreAnswered() throws Exception {
-    List<Site.Client> late = new ArrayList<>();
-    try (Site site = new Site(); Site.Client idle = site.client()) {
+    List<SchedulerFixture.Client> late = new ArrayList<>();
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client idle = site.client()) {
       idle.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus();
       try (AutoCloseable held = site.blockEventLoop()) {
         site.node.drainNow();
         for (int i = 0; i < 10; i++) {
-          late.add(site.client().send(Site.readRequest("late" + i)));
+          late.add(site.client().send(SchedulerFixture.readRequest("late" + i)));
         }
         // Races with the close of its idle connection: the client would send it again elsewhere.
-        idle.send(Site.readRequest("crossing"));
+        idle.send(SchedulerFixture.readRequest("crossing"));
       }
-      for (Site.Client client : late) {
+      for (SchedulerFixture.Client client : late) {
         String answer = client.readResponse();
         assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Connection: close"), answer);
         assertEquals("closed", client.readResponse());
@@ -141,8 +143,8 @@
    * SIGTERM. */
   @Test
   void outstandingRequestsAreAnsweredBeforeTheProcessIsKilled() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
-      client.send(Site.writeRequest("pay", "t1", null, "x"));
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+      client.send(SchedulerFixture.writeRequest("pay", "t1", null, "x"));
       site.diskServer.nextRequest();
       site.node.stop();
       assertTrue(site.node.awaitTermination(15_000), "the process must not wait for the client's 20 s");
@@ -154,20 +156,25 @@
    * drains. */
   @Test
   void aRequestProcessedWithADrainUpdateGoesToTheReplacement() throws Exception {
-    try (Site site = new Site(); Peer other = new Peer(); Site.Client client = site.client()) {
-      Peer.Came watch = site.discovery.nextRequest();
-      watch.respond(Site.WATCH_RESPONSE_HEAD);
+    try (SchedulerFixture site = new SchedulerFixture();
+        ScriptedServer other = new ScriptedServer();
+        SchedulerFixture.Client client = site.client()) {
+      ScriptedServer.ReceivedRequest watch = site.discovery.nextRequest();
+      watch.respond(SchedulerFixture.WATCH_RESPONSE_HEAD);
       for (int i = 0; i < 20; i++) {
         String first = "s-" + i, next = "s-" + (i + 1);
-        Peer before = i % 2 == 0 ? site.diskServer : other, after = i % 2 == 0 ? other : site.diskServer;
+        ScriptedServer before = i % 2 == 0 ? site.diskServer : other, after = i % 2 == 0
+            ? other
+            : site.diskServer;
         try (AutoCloseable held = site.blockEventLoop()) {
-          client.send(Site.readRequest("t" + i));
-          watch.respond(Site.httpChunk(Site.nodeListJson(42 + i, false, Site.nodeEntryJson(first, before, 0,
-              "draining"), Site
-                  .nodeEntryJson(
-                      next, after, 0, "up"))));
+          client.send(SchedulerFixture.readRequest("t" + i));
+          watch.respond(SchedulerFixture.httpChunk(SchedulerFixture.nodeListJson(42 + i, false,
+              SchedulerFixture.nodeEntryJson(first, before, 0,
+                  "draining"), SchedulerFixture
+                      .nodeEntryJson(
+                          next, after, 0, "up"))));
         }
-        Peer.Came attempt = after.nextRequest();
+        ScriptedServer.ReceivedRequest attempt = after.nextRequest();
         assertEquals("t" + i, attempt.header("X-Txn"));
         attempt.respondOk("x");
         assertEquals(200, client.readStatus());
@@ -179,11 +186,11 @@
   /** The scheduler shuts down its output first; a request that arrives afterwards must not be forwarded. */
   @Test
   void requestsReadAfterTheConnectionEndedAreNotForwarded() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
       client.send("GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
       assertTrue(client.readStatus() > 0);
       assertEquals("closed", client.readResponse());
-      client.send(Site.readRequest("crossing"));
+      client.send(SchedulerFixture.readRequest("crossing"));
       Awaitility.await().until(() -> site.node.clientConnectionCount() == 0);
       site.diskServer.assertNoMoreRequests();
     }
@@ -192,14 +199,15 @@
   /** Two concurrent requests with the same volume and key must not be mixed up. */
   @Test
   void requestsWithTheSameVolumeAndKeyKeepTheirOwnBodyDeadlineAndResponse() throws Exception {
-    try (Site site = new Site();
-        Site.Client firstClient = site.client();
-        Site.Client secondClient = site.client()) {
+    try (SchedulerFixture site = new SchedulerFixture();
+        SchedulerFixture.Client firstClient = site.client();
+        SchedulerFixture.Client secondClient = site.client()) {
       for (int i = 0; i < 10; i++) {
-        firstClient.send(Site.writeRequest("put", "a" + i, "same", "A" + i).replace("20000000u", "9000000u"));
-        secondClient.send(Site.writeRequest("pay", "b" + i, "same", "B" + i));
+        firstClient.send(SchedulerFixture.writeRequest("put", "a" + i, "same", "A" + i)
+            .replace("20000000u", "9000000u"));
+        secondClient.send(SchedulerFixture.writeRequest("pay", "b" + i, "same", "B" + i));
         for (int k = 0; k < 2; k++) {
-          Peer.Came attempt = site.diskServer.nextRequest();
+          ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
           boolean first = attempt.header("X-Txn").equals("a" + i);
           assertEquals((first ? "A" : "B") + i, attempt.body());
           assertTrue(attempt.head().startsWith(first ? "PUT /put/" : "PUT /pay/"), attempt.head());
--- a/src/test/java/hollyslip/platform/RequestDecoderTest.java
+++ b/src/test/java/hollyslip/platform/RequestDecoderTest.java
@@ -12,15 +12,15 @@
   void aPartialRequestIsReportedFromItsFirstByteUntilItsLast() {
     RequestDecoder decoder = new RequestDecoder();
     EmbeddedChannel channel = new EmbeddedChannel(decoder);
-    String request = Site.writeRequest("put", "t1", "k", "0123456789");
+    String request = SchedulerFixture.writeRequest("put", "t1", "k", "0123456789");
     for (int round = 0; round < 2; round++) {
       assertEquals(false, decoder.hasPartialRequest());
       for (int i = 0; i < request.length(); i++) {
-        channel.writeInbound(Http.latin1Bytes(request.substring(i, i + 1)));
+        channel.writeInbound(HttpSupport.latin1Bytes(request.substring(i, i + 1)));
         assertEquals(i < request.length() - 1, decoder.hasPartialRequest(), "after byte " + i);
       }
     }
-    channel.writeInbound(Http.latin1Bytes(Site.readRequest("t2") + "G"));
+    channel.writeInbound(HttpSupport.latin1Bytes(SchedulerFixture.readRequest("t2") + "G"));
     assertEquals(true, decoder.hasPartialRequest());
     channel.finishAndReleaseAll();
   }
--- a/src/test/java/hollyslip/platform/DeskTest.java
+++ b/src/test/java/hollyslip/platform/RequestDispatcherTest.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import hollyslip.HostScheduler;
 import hollyslip.HostScheduler.Settings;
-import hollyslip.WireSettings;
+import hollyslip.JsonSettingsParser;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -19,13 +19,13 @@
 
 /** Requests still get a response when the decision module has a fault. */
 @Timeout(60)
-class DeskTest {
+class RequestDispatcherTest {
   private static final long REQUEST_TIMEOUT_US = 300_000;
 
   private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = (EventLoop) group.next();
-  private final Clock clock = new Clock();
-  private final Log log = new Log(System.out);
+  private final MonotonicClock clock = new MonotonicClock();
+  private final EventLog log = new EventLog(System.out);
 
   @AfterEach
   void shutDown() {
@@ -36,11 +36,12 @@
   /** Sends one request through the module and returns how it was answered. Fails if the response comes more
    * than half a second after the request's deadline. */
   private String respondTo(HostScheduler module) throws Exception {
-    Settings settings = WireSettings.parse(5, new ObjectMapper().readTree(Site.SETTINGS));
-    DiskServers disks = new DiskServers(loop, clock, log, 10, 1 << 20, 1_000_000, 0);
-    Desk desk = new Desk(module, settings, loop, clock, log, disks, 1 << 20);
+    Settings settings = JsonSettingsParser.parse(5, new ObjectMapper().readTree(SchedulerFixture.SETTINGS));
+    DiskConnectionPool disks = new DiskConnectionPool(loop, clock, log, 10, 1 << 20, 1_000_000, 0);
+    RequestDispatcher desk = new RequestDispatcher(module, settings, loop, clock, log, disks, 1 << 20);
     CompletableFuture<String> response = new CompletableFuture<>();
-    Ask head = new Ask("t1", "GET", "/get/0", "get", "gold", 0, null, REQUEST_TIMEOUT_US, 1, 1, 0, 1, false,
+    RequestHead head = new RequestHead("t1", "GET", "/get/0", "get", "gold", 0, null, REQUEST_TIMEOUT_US, 1,
+        1, 0, 1, false,
         false, 0);
     loop.submit(() -> desk.accept(head, new byte[0], clock.now(), new Exchange.Responder() {
       @Override
--- a/src/test/java/hollyslip/platform/Site.java
+++ b/src/test/java/hollyslip/platform/SchedulerFixture.java
@@ -15,7 +15,7 @@
 
 /** A scheduler in this process between scripted servers: shard 0 at {@link #diskServer}, the node list at
  * {@link #discovery}. */
-final class Site implements AutoCloseable {
+final class SchedulerFixture implements AutoCloseable {
   static final String SETTINGS = """
       {"az":"a","balancers":1,"myNumber":0,"tick":0.002,"classes":[
        {"name":"get","effect":"pure","group":"all","window":5,"aim":10,"giveUp":20,"points":1,"lateValue":0.2},
@@ -29,23 +29,24 @@
 
   private static final int FREE_SOCKETS = 200;
 
-  final Peer diskServer = new Peer(), discovery = new Peer();
+  final ScriptedServer diskServer = new ScriptedServer(), discovery = new ScriptedServer();
   final Path configFile;
-  final Node node;
+  final SchedulerProcess node;
   final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
   /** The scheduler waits for the discovery of a test for as long as the test may take on a busy machine. */
-  Site() throws IOException, InterruptedException {
-    this(new WatchClock(WatchClock.SILENCE_TIMEOUT_US, 20_000_000));
+  SchedulerFixture() throws IOException, InterruptedException {
+    this(new WatchRetryPolicy(WatchRetryPolicy.SILENCE_TIMEOUT_US, 20_000_000));
   }
 
-  Site(WatchClock times) throws IOException, InterruptedException {
+  SchedulerFixture(WatchRetryPolicy times) throws IOException, InterruptedException {
     configFile = Files.createTempFile("platform", ".json");
     writeConfig(discovery);
-    node = new Node(Map.of("PROXY_CONFIG", configFile.toString()), new PrintStream(log, true), times);
+    node = new SchedulerProcess(Map.of("PROXY_CONFIG", configFile.toString()), new PrintStream(log, true),
+        times);
   }
 
-  void writeConfig(Peer discoveryServer) throws IOException {
+  void writeConfig(ScriptedServer discoveryServer) throws IOException {
     // In addition to what other tests of this JVM still hold open, so that the limits do not depend on them.
     int sockets = Bounds.openDescriptors() + FREE_SOCKETS;
     Files.writeString(configFile, "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
@@ -56,7 +57,7 @@
         + SETTINGS + "}");
   }
 
-  static String nodeEntryJson(String host, Peer server, int shard, String health) {
+  static String nodeEntryJson(String host, ScriptedServer server, int shard, String health) {
     return "{\"host\":\"" + host + "\",\"dial\":\"" + server.address()
         + "\",\"site\":\"a\",\"class\":\"m\",\"block\":"
         + shard + ",\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}";
@@ -143,11 +144,11 @@
     String readResponse() throws IOException {
       InputStream in = socket.getInputStream();
       try {
-        String head = Peer.readHead(in);
+        String head = ScriptedServer.readHead(in);
         if (head == null) {
           return "closed";
         }
-        String length = new Peer.Came(socket, head, "").header("Content-Length");
+        String length = new ScriptedServer.ReceivedRequest(socket, head, "").header("Content-Length");
         return head + new String(in.readNBytes(Integer.parseInt(length)), StandardCharsets.ISO_8859_1);
       } catch (java.net.SocketException reset) {
         return "closed";
--- a/src/test/java/hollyslip/platform/ProcessSite.java
+++ b/src/test/java/hollyslip/platform/SchedulerProcessFixture.java
@@ -18,7 +18,7 @@
 
 /** A scheduler in a process of its own, with the flags of the {@code run} line of the deploy file, between
  * scripted servers: shard 0 at {@link #diskServer}, the node list at {@link #discovery}. */
-final class ProcessSite implements AutoCloseable {
+final class SchedulerProcessFixture implements AutoCloseable {
   /** The platform kills the process this long after SIGTERM: 3 s, as the longest deadline here exceeds that,
    * plus 0.7 s. */
   static final long KILL_AFTER_MS = 3_700;
@@ -40,33 +40,35 @@
 
   private static final Pattern STARTED_LINE = Pattern.compile(".* node.started .*listen=\\S*:(\\d+).*");
 
-  final Peer diskServer = new Peer(), discovery = new Peer();
+  final ScriptedServer diskServer = new ScriptedServer(), discovery = new ScriptedServer();
   final List<String> log = new CopyOnWriteArrayList<>();
   final Process process;
   private final Path configFile = Files.createTempFile("scheduler", ".json");
   private final InetSocketAddress address;
 
-  ProcessSite() throws IOException {
+  SchedulerProcessFixture() throws IOException {
     this(400, Map.of());
   }
 
   /** With a limit of {@code sockets} descriptors and additional environment variables. */
-  ProcessSite(int sockets, Map<String, String> environment) throws IOException {
+  SchedulerProcessFixture(int sockets, Map<String, String> environment) throws IOException {
     this(sockets, environment, List.of());
   }
 
   /** With shards at the given addresses, in order, instead of shard 0 at {@link #diskServer}. */
-  ProcessSite(int sockets, Map<String, String> environment, List<String> shards) throws IOException {
+  SchedulerProcessFixture(int sockets, Map<String, String> environment, List<String> shards)
+      throws IOException {
     List<String> addresses = shards.isEmpty() ? List.of(diskServer.address()) : shards;
     String[] entries = new String[addresses.size()];
     for (int i = 0; i < entries.length; i++) {
-      entries[i] = Site.nodeEntryJson("s-" + i, diskServer, i, "up")
+      entries[i] = SchedulerFixture.nodeEntryJson("s-" + i, diskServer, i, "up")
           .replace(diskServer.address(), addresses.get(i));
     }
     Files.writeString(configFile, "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery
         .address()
         + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":"
-        + sockets + "},\"known\":" + Site.nodeListJson(41, true, entries) + ",\"settings\":" + SETTINGS
+        + sockets + "},\"known\":" + SchedulerFixture.nodeListJson(41, true, entries) + ",\"settings\":"
+        + SETTINGS
         + "}");
     ProcessBuilder builder = new ProcessBuilder(command()).redirectErrorStream(true);
     builder.environment().put("PROXY_CONFIG", configFile.toString());
@@ -120,8 +122,8 @@
         .orElseThrow();
   }
 
-  Site.Client client() throws IOException {
-    return new Site.Client(address);
+  SchedulerFixture.Client client() throws IOException {
+    return new SchedulerFixture.Client(address);
   }
 
   /** A plain connection; the test reads the responses itself. */
--- a/src/test/java/hollyslip/platform/SchedulerProcessTest.java
+++ b/src/test/java/hollyslip/platform/SchedulerProcessTest.java
@@ -24,7 +24,7 @@
 
   @Test
   void becomesReadyWhileDiscoveryIsDown() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
       int status = 503;
       while (status == 503) {
         status = client.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus();
@@ -39,16 +39,17 @@
   void responseHeadOfTheWatchCountsAsAnswer() throws Exception {
     CountDownLatch answered = new CountDownLatch(1);
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    try (Peer agent = new Peer()) {
+    try (ScriptedServer agent = new ScriptedServer()) {
       InetSocketAddress address = EndpointUpdate.parseAddress(agent.address(), "agent");
-      DiscoveryClient discovery = new DiscoveryClient((EventLoop) group.next(), new Clock(), new Log(
-          System.out),
-          new WatchClock(), address, 41,
+      DiscoveryClient discovery = new DiscoveryClient((EventLoop) group.next(), new MonotonicClock(),
+          new EventLog(
+              System.out),
+          new WatchRetryPolicy(), address, 41,
           n -> {}, answered::countDown);
       group.submit(discovery::start).sync();
-      Peer.Came watch = agent.nextRequest();
+      ScriptedServer.ReceivedRequest watch = agent.nextRequest();
       assertEquals(1, answered.getCount());
-      watch.respond(Site.WATCH_RESPONSE_HEAD);
+      watch.respond(SchedulerFixture.WATCH_RESPONSE_HEAD);
       assertTrue(answered.await(20, TimeUnit.SECONDS));
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -60,19 +61,21 @@
   void clientsAreServedAfterSigtermUntilShortlyBeforeTheKill() {
     for (long longestDeadlineUs : new long[]{200_000, 1_670_000, 3_000_000, 20_000_000}) {
       long kill = Math.min(longestDeadlineUs, 3_000_000) + 700_000;
-      assertTrue(Node.responseLimitAfterStopUs(longestDeadlineUs) <= kill - 250_000,
+      assertTrue(SchedulerProcess.responseLimitAfterStopUs(longestDeadlineUs) <= kill - 250_000,
           "time to answer before the kill");
-      assertTrue(Node.drainDelayUs(longestDeadlineUs) >= kill - 300_000, "no client is disconnected earlier");
-      assertTrue(Node.drainDelayUs(longestDeadlineUs) < Node.responseLimitAfterStopUs(longestDeadlineUs));
+      assertTrue(SchedulerProcess.drainDelayUs(longestDeadlineUs) >= kill - 300_000,
+          "no client is disconnected earlier");
+      assertTrue(SchedulerProcess.drainDelayUs(longestDeadlineUs) < SchedulerProcess.responseLimitAfterStopUs(
+          longestDeadlineUs));
     }
   }
 
   /** Guards against leaks by requests whose ids, volumes, keys and disk servers are new each time. */
   @Test
   void endedRequestsAndRemovedDiskServersLeaveNothingBehind() throws Exception {
-    try (Site site = new Site(); Site.Client client = site.client()) {
-      Peer.Came watch = site.discovery.nextRequest();
-      watch.respond(Site.WATCH_RESPONSE_HEAD);
+    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+      ScriptedServer.ReceivedRequest watch = site.discovery.nextRequest();
+      watch.respond(SchedulerFixture.WATCH_RESPONSE_HEAD);
       Thread disk = new Thread(() -> {
         try {
           while (true) {
@@ -87,10 +90,12 @@
       int before = 0;
       for (int i = 0; i < REQUESTS; i++) {
         if (i % 20 == 0) {
-          watch.respond(Site.httpChunk(Site.nodeListJson(42 + i, true, Site.nodeEntryJson("s-" + i,
-              site.diskServer, 0, "up")) + "\n"));
+          watch.respond(SchedulerFixture.httpChunk(SchedulerFixture.nodeListJson(42 + i, true,
+              SchedulerFixture.nodeEntryJson("s-" + i,
+                  site.diskServer, 0, "up")) + "\n"));
         }
-        client.send(Site.readRequest("t" + i).replace("00000003b4d60021", String.format("%016x", i)));
+        client.send(SchedulerFixture.readRequest("t" + i)
+            .replace("00000003b4d60021", String.format("%016x", i)));
         assertEquals(200, client.readStatus());
         if (i == REQUESTS / 2) {
           before = descriptors();
@@ -124,7 +129,8 @@
     }
     assertTrue(process.waitFor(60, TimeUnit.SECONDS));
     assertEquals(0, process.exitValue());
-    assertTrue(loaded.stream().anyMatch(l -> l.startsWith("hollyslip.Choice ")), loaded::toString);
+    assertTrue(loaded.stream().anyMatch(l -> l.startsWith("hollyslip.TokenBorrowingScheduler ")),
+        loaded::toString);
     for (String unwanted : new String[]{"io.vertx.", "com.sun.jna.", "ch.qos.", "org.slf4j.", "picocli.",
         "hollyslip.store.", "hollyslip.door.", "hollyslip.admin.", "hollyslip.front.", "hollyslip.gateway.",
         "hollyslip.engine."}) {
--- a/src/test/java/hollyslip/platform/Peer.java
+++ b/src/test/java/hollyslip/platform/ScriptedServer.java
@@ -16,14 +16,14 @@
 
 /** A server on loopback that is scripted by a test: it queues the requests that it receives until the test
  * responds to them, with arbitrary bytes. */
-final class Peer implements AutoCloseable {
+final class ScriptedServer implements AutoCloseable {
   private static final long TIMEOUT_S = 20;
 
   private final ServerSocket listener;
-  private final BlockingQueue<Came> received = new LinkedBlockingQueue<>();
+  private final BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
 
   /** A received request and its connection. */
-  record Came(Socket connection, String head, String body) {
+  record ReceivedRequest(Socket connection, String head, String body) {
     void respond(String bytes) throws IOException {
       connection.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
     }
@@ -53,7 +53,7 @@
     }
   }
 
-  Peer() throws IOException {
+  ScriptedServer() throws IOException {
     listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
     startDaemon(() -> {
       while (true) {
@@ -90,10 +90,10 @@
   private void readRequests(Socket socket) throws IOException {
     InputStream in = socket.getInputStream();
     for (String head = readHead(in); head != null; head = readHead(in)) {
-      Came withoutBody = new Came(socket, head, "");
+      ReceivedRequest withoutBody = new ReceivedRequest(socket, head, "");
       String contentLength = withoutBody.header("Content-Length");
       byte[] body = in.readNBytes(contentLength == null ? 0 : Integer.parseInt(contentLength));
-      received.add(new Came(socket, head, new String(body, StandardCharsets.ISO_8859_1)));
+      received.add(new ReceivedRequest(socket, head, new String(body, StandardCharsets.ISO_8859_1)));
     }
   }
 
@@ -115,8 +115,8 @@
   }
 
   /** Waits for the next request and takes it. */
-  Came nextRequest() throws InterruptedException {
-    Came request = received.poll(TIMEOUT_S, TimeUnit.SECONDS);
+  ReceivedRequest nextRequest() throws InterruptedException {
+    ReceivedRequest request = received.poll(TIMEOUT_S, TimeUnit.SECONDS);
     assertNotNull(request, "no request was received");
     return request;
   }
@@ -134,7 +134,7 @@
     });
   }
 
-  private static void respondWithId(Came request) {
+  private static void respondWithId(ReceivedRequest request) {
     try {
       request.respondOk(request.header("X-Txn"));
     } catch (IOException gone) {
--- a/src/test/java/hollyslip/platform/SoakClient.java
+++ b/src/test/java/hollyslip/platform/SoakClient.java
@@ -19,7 +19,7 @@
 
   private static final int MAX_PIPELINED_REQUESTS = 40;
 
-  private final ProcessSite site;
+  private final SchedulerProcessFixture site;
   private final SoakAudit audit;
   private final SplittableRandom random;
   private final BooleanSupplier keepRunning, mayConnect;
@@ -27,7 +27,8 @@
   private int requestCount;
   private Socket socket;
 
-  SoakClient(ProcessSite site, SoakAudit audit, String name, long seed, BooleanSupplier keepRunning,
+  SoakClient(SchedulerProcessFixture site, SoakAudit audit, String name, long seed,
+      BooleanSupplier keepRunning,
       BooleanSupplier mayConnect) {
     this.site = site;
     this.audit = audit;
@@ -88,14 +89,14 @@
     String id = name + "-" + requestCount++;
     ids.add(id);
     int timeoutMs = 100 + random.nextInt(MAX_TIMEOUT_MS - 100);
-    int shard = random.nextInt(ProcessSite.SOAK_SHARDS);
+    int shard = random.nextInt(SchedulerProcessFixture.SOAK_SHARDS);
     boolean isWrite = random.nextInt(4) == 0;
     audit.sending(id, timeoutMs, !isWrite);
     return isWrite
-        ? Site.writeRequest("pay", id, null, "x".repeat(random.nextInt(3_000)))
+        ? SchedulerFixture.writeRequest("pay", id, null, "x".repeat(random.nextInt(3_000)))
             .replace("20000000u", timeoutMs + "m")
             .replace("shard=0", "shard=" + shard)
-        : Site.readRequest(id, shard).replace("20000m", timeoutMs + "m");
+        : SchedulerFixture.readRequest(id, shard).replace("20000m", timeoutMs + "m");
   }
 
   private void send(String bytes) throws IOException {
@@ -144,11 +145,12 @@
   /** Reads the next response; null if the connection ended before it. */
   private String readResponse() throws IOException {
     try {
-      String head = Peer.readHead(socket.getInputStream());
+      String head = ScriptedServer.readHead(socket.getInputStream());
       if (head == null) {
         return null;
       }
-      int length = Integer.parseInt(new Peer.Came(socket, head, "").header("Content-Length"));
+      int length = Integer.parseInt(new ScriptedServer.ReceivedRequest(socket, head, "").header(
+          "Content-Length"));
       byte[] body = socket.getInputStream().readNBytes(length);
       if (body.length < length) {
         audit.addViolation("incomplete response: " + head);
@@ -212,7 +214,7 @@
   private void sendIncompleteRequest() throws IOException, InterruptedException {
     List<String> ids = new ArrayList<>();
     String completeRequest = random.nextBoolean() ? newRequest(ids) : "";
-    String incompleteRequest = Site.readRequest(name + "-part");
+    String incompleteRequest = SchedulerFixture.readRequest(name + "-part");
     sendAndAwaitResponses(ids, completeRequest
         + incompleteRequest.substring(0, 1 + random.nextInt(incompleteRequest.length() - 1)));
     if (socket == null) {
--- a/src/test/java/hollyslip/platform/SoakDiskServer.java
+++ b/src/test/java/hollyslip/platform/SoakDiskServer.java
@@ -59,11 +59,12 @@
       while (open) {
         int first = in.read();
         long firstByteAt = SoakAudit.nowMs();
-        String rest = first < 0 ? null : Peer.readHead(in);
+        String rest = first < 0 ? null : ScriptedServer.readHead(in);
         if (rest == null) {
           return;
         }
-        Peer.Came request = new Peer.Came(socket, (char) first + rest, "");
+        ScriptedServer.ReceivedRequest request = new ScriptedServer.ReceivedRequest(socket, (char) first
+            + rest, "");
         String contentLength = request.header("Content-Length");
         int bodyLength = contentLength == null ? 0 : Integer.parseInt(contentLength);
         if (in.readNBytes(bodyLength).length < bodyLength) {
@@ -75,7 +76,8 @@
   }
 
   /** Responds to a request; returns whether the connection stays open. */
-  private boolean respond(Peer.Came request, long firstByteAt, SplittableRandom random) throws IOException,
+  private boolean respond(ScriptedServer.ReceivedRequest request, long firstByteAt, SplittableRandom random)
+      throws IOException,
       InterruptedException {
     String id = request.header("X-Txn");
     int percentile = random.nextInt(100);
--- a/src/test/java/hollyslip/platform/WatchRetryPolicyTest.java
+++ b/src/test/java/hollyslip/platform/WatchRetryPolicyTest.java
@@ -10,7 +10,7 @@
  * clock that is polled every 50 ms, as {@link DiscoveryClient} does, with the worst case that may follow. */
 class WatchRetryPolicyTest {
   private static final long TICK_US = 50_000, DELIVERED_AFTER_US = 6_000_000, MARGIN_US = 2_000_000;
-  private final WatchClock policy = new WatchClock();
+  private final WatchRetryPolicy policy = new WatchRetryPolicy();
   private long now;
 
   /** Advances the clock to the next time at which a watch is opened. */
@@ -62,7 +62,7 @@
   void silenceAfterTheResponseHeadCountsFromTheHead() {
     answerAttempt();
     long silentSince = now;
-    assertTrue(advanceUntilOpened(true) - silentSince <= WatchClock.SILENCE_TIMEOUT_US + TICK_US);
+    assertTrue(advanceUntilOpened(true) - silentSince <= WatchRetryPolicy.SILENCE_TIMEOUT_US + TICK_US);
   }
 
   @Test
@@ -90,7 +90,7 @@
         opened++;
       }
     }
-    assertTrue(opened >= 10_000_000 / WatchClock.MAX_RETRY_DELAY_US && opened <= 60, "" + opened);
+    assertTrue(opened >= 10_000_000 / WatchRetryPolicy.MAX_RETRY_DELAY_US && opened <= 60, "" + opened);
   }
 
   @Test
--- a/src/test/java/hollyslip/recovery/EpochElectionTest.java
+++ b/src/test/java/hollyslip/recovery/EpochElectionTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hollyslip.recovery.Succession.Holder;
-import hollyslip.recovery.Succession.Known;
-import hollyslip.recovery.Succession.Step;
-import hollyslip.recovery.Succession.Verdict;
+import hollyslip.recovery.EpochElection.Holder;
+import hollyslip.recovery.EpochElection.NodeView;
+import hollyslip.recovery.EpochElection.Decision;
+import hollyslip.recovery.EpochElection.Action;
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.ForAll;
@@ -16,41 +16,41 @@
 import org.junit.jupiter.api.Test;
 
 class EpochElectionTest {
-  private static Known reported(long epoch, int open) {
-    return new Known(new Holder(epoch, 77), open);
+  private static NodeView reported(long epoch, int open) {
+    return new NodeView(new Holder(epoch, 77), open);
   }
 
   @Test
   void startTakesAnEpochAboveAllKnownOnes() {
-    assertEquals(1, Succession.decideAtStart(0, List.of()).epoch());
-    assertEquals(4, Succession.decideAtStart(3, List.of()).epoch());
-    assertEquals(9, Succession.decideAtStart(0, List.of(reported(8, 0), reported(5, 0))).epoch(),
+    assertEquals(1, EpochElection.decideAtStart(0, List.of()).epoch());
+    assertEquals(4, EpochElection.decideAtStart(3, List.of()).epoch());
+    assertEquals(9, EpochElection.decideAtStart(0, List.of(reported(8, 0), reported(5, 0))).epoch(),
         "lost state directory");
-    assertEquals(9, Succession.decideAtStart(6, List.of(reported(8, 0))).epoch(),
+    assertEquals(9, EpochElection.decideAtStart(6, List.of(reported(8, 0))).epoch(),
         "restored from an older copy");
-    assertEquals(9, Succession.decideAtStart(8, List.of(reported(8, 2))).epoch(),
+    assertEquals(9, EpochElection.decideAtStart(8, List.of(reported(8, 2))).epoch(),
         "connections left by the last process");
   }
 
   @Test
   void livingGatewayIsDistinguishedFromALostStateDirectory() {
-    Step decision = Succession.decideAtStart(0, List.of(reported(8, 0), reported(8, 2)));
-    assertEquals(Verdict.YIELD, decision.action());
+    Decision decision = EpochElection.decideAtStart(0, List.of(reported(8, 0), reported(8, 2)));
+    assertEquals(Action.YIELD, decision.action());
     assertEquals(8, decision.other().epoch());
-    assertEquals(Verdict.YIELD, Succession.decideAtStart(7, List.of(reported(8, 1))).action());
-    assertEquals(9, Succession.decideForcedTakeover(0, List.of(reported(8, 2))).epoch());
+    assertEquals(Action.YIELD, EpochElection.decideAtStart(7, List.of(reported(8, 1))).action());
+    assertEquals(9, EpochElection.decideForcedTakeover(0, List.of(reported(8, 2))).epoch());
   }
 
   @Test
   void oneOfTwoContinuesInService() {
     Holder mine = new Holder(5, 10);
-    assertEquals(Verdict.GO_ON, Succession.decideInService(mine, new Known(mine, 3)).action());
-    assertEquals(Verdict.GO_ON, Succession.decideInService(mine, reported(4, 3)).action());
-    assertEquals(Verdict.YIELD, Succession.decideInService(mine, reported(6, 1)).action());
-    assertEquals(7, Succession.decideInService(mine, reported(6, 0)).epoch(), "the other holder is gone");
+    assertEquals(Action.GO_ON, EpochElection.decideInService(mine, new NodeView(mine, 3)).action());
+    assertEquals(Action.GO_ON, EpochElection.decideInService(mine, reported(4, 3)).action());
+    assertEquals(Action.YIELD, EpochElection.decideInService(mine, reported(6, 1)).action());
+    assertEquals(7, EpochElection.decideInService(mine, reported(6, 0)).epoch(), "the other holder is gone");
     Holder other = new Holder(5, 11);
-    assertEquals(Verdict.YIELD, Succession.decideInService(mine, new Known(other, 1)).action());
-    assertEquals(6, Succession.decideInService(other, new Known(mine, 1)).epoch());
+    assertEquals(Action.YIELD, EpochElection.decideInService(mine, new NodeView(other, 1)).action());
+    assertEquals(6, EpochElection.decideInService(other, new NodeView(mine, 1)).epoch());
   }
 
   /** Two gateways that started at the same time, each first at other nodes, reconnect repeatedly in any
@@ -84,9 +84,9 @@
       }
       int other = 1 - gateway;
       int open = !stopped[other] && newest[node].equals(holders[other]) ? 1 : 0;
-      Step decision = Succession.decideInService(holders[gateway], new Known(newest[node], open));
-      stopped[gateway] = decision.action() == Verdict.YIELD;
-      if (decision.action() == Verdict.TAKE) {
+      Decision decision = EpochElection.decideInService(holders[gateway], new NodeView(newest[node], open));
+      stopped[gateway] = decision.action() == Action.YIELD;
+      if (decision.action() == Action.TAKE) {
         assertTrue(decision.epoch() > holders[gateway].epoch());
         holders[gateway] = new Holder(decision.epoch(), holders[gateway].instance());
       }
--- a/src/test/java/hollyslip/recovery/RecoveryTest.java
+++ b/src/test/java/hollyslip/recovery/RecoveryTest.java
@@ -99,19 +99,19 @@
   void epochsGrowAndAreNeverGuessed(@TempDir Path dir) throws Exception {
     Path directory = dir.resolve("state");
     Path file = directory.resolve("epoch");
-    try (Epoch epoch = new Epoch(directory)) {
+    try (EpochStore epoch = new EpochStore(directory)) {
       assertEquals(0, epoch.last());
       epoch.advanceTo(1);
       epoch.advanceTo(9);
       assertThrows(IllegalArgumentException.class, () -> epoch.advanceTo(9));
-      IOException e = assertThrows(IOException.class, () -> new Epoch(directory));
+      IOException e = assertThrows(IOException.class, () -> new EpochStore(directory));
       assertTrue(e.getMessage().contains("uses this state folder"), e.getMessage());
     }
-    try (Epoch epoch = new Epoch(directory)) {
+    try (EpochStore epoch = new EpochStore(directory)) {
       assertEquals(9, epoch.last());
     }
     Files.writeString(file, "rubbish");
-    IOException e = assertThrows(IOException.class, () -> new Epoch(directory));
+    IOException e = assertThrows(IOException.class, () -> new EpochStore(directory));
     assertTrue(e.getMessage().contains("epoch: not a number: 'rubbish'"));
     assertEquals("rubbish", Files.readString(file));
   }
--- a/src/test/java/hollyslip/volume/VolumeTest.java
+++ b/src/test/java/hollyslip/volume/VolumeTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hollyslip.volume.Splitter.ShardRange;
+import hollyslip.volume.ExtentSplitter.ShardRange;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -22,12 +22,12 @@
 
   @Test
   void requestIsSplitAtExtents() {
-    Splitter splitter = new Splitter(1 << 20);
+    ExtentSplitter splitter = new ExtentSplitter(1 << 20);
     assertEquals(List.of(new ShardRange(2, 512, 0, 1024)), splitter.split(VOLUME, 512, 1024));
     assertEquals(List.of(new ShardRange(2, 3584, 0, 512), new ShardRange(5, 8192, 512, 4096), new ShardRange(
         2, 4096, 4608,
         512)), splitter.split(VOLUME, 3584, 5120));
-    assertEquals(List.of(2, 5), Splitter.shards(VOLUME));
+    assertEquals(List.of(2, 5), ExtentSplitter.shards(VOLUME));
     assertThrows(IllegalArgumentException.class, () -> splitter.split(VOLUME, 10 * 1024 - 512, 1024));
   }
 
@@ -35,9 +35,9 @@
   void adjacentRangesOnOneShardAreJoinedUpToTheLimit() {
     Volume adjacent = new Volume(1, "v", "t", "p", 1, 8192, 4096, List.of(new Volume.Extent(2, 0),
         new Volume.Extent(2, 4096)));
-    assertEquals(List.of(new ShardRange(2, 2048, 0, 4096)), new Splitter(1 << 20).split(adjacent, 2048,
+    assertEquals(List.of(new ShardRange(2, 2048, 0, 4096)), new ExtentSplitter(1 << 20).split(adjacent, 2048,
         4096));
-    assertEquals(2, new Splitter(2048).split(adjacent, 2048, 4096).size());
+    assertEquals(2, new ExtentSplitter(2048).split(adjacent, 2048, 4096).size());
   }
 
   /** The shard ranges cover the request once and in order, and each byte lies where its extent says. */
@@ -47,7 +47,7 @@
     long offset = from * 512L;
     long length = Math.min(blocks * 512L, VOLUME.bytes() - offset);
     long done = 0;
-    for (ShardRange range : new Splitter(1024).split(VOLUME, offset, length)) {
+    for (ShardRange range : new ExtentSplitter(1024).split(VOLUME, offset, length)) {
       assertEquals(done, range.requestOffset());
       Volume.Extent extent = VOLUME.extents().get((int) ((offset + done) / 4096));
       assertEquals(extent.shard(), range.shard());
@@ -60,17 +60,19 @@
 
   @Test
   void classAndUnitsDependOnOperationAndSize() {
-    List<Classifier.Row> rules = new ArrayList<>(List.of(new Classifier.Row("small", Set.of(IoKind.READ),
-        8192), new Classifier.Row("bulk", Set.of(IoKind.READ), Long.MAX_VALUE), new Classifier.Row("change",
+    List<RequestClassifier.Rule> rules = new ArrayList<>(List.of(new RequestClassifier.Rule("small", Set.of(
+        IoKind.READ),
+        8192), new RequestClassifier.Rule("bulk", Set.of(IoKind.READ), Long.MAX_VALUE),
+        new RequestClassifier.Rule("change",
             Set.of(IoKind.WRITE, IoKind.FLUSH, IoKind.DISCARD, IoKind.WRITE_ZEROES), Long.MAX_VALUE)));
-    Classifier classifier = new Classifier(rules, 4096, 4);
+    RequestClassifier classifier = new RequestClassifier(rules, 4096, 4);
     assertEquals("small", classifier.className(IoKind.READ, 8192));
     assertEquals("bulk", classifier.className(IoKind.READ, 8193));
     assertEquals(3, classifier.units(IoKind.WRITE, 8193));
     assertEquals(4, classifier.units(IoKind.READ, 1 << 20));
     assertEquals(1, classifier.units(IoKind.DISCARD, 1 << 20));
     rules.remove(1);
-    assertThrows(IllegalArgumentException.class, () -> new Classifier(rules, 4096, 4));
+    assertThrows(IllegalArgumentException.class, () -> new RequestClassifier(rules, 4096, 4));
   }
 
   @Test
