--- a/src/test/java/hollyslip/ModuleSizeTest.java
+++ b/src/test/java/hollyslip/ModuleSizeTest.java
@@ -13,12 +13,8 @@
 
   @Test
   void hasAtMost1000LinesOfCode() throws Exception {
-    long lines = Files.readAllLines(MODULE)
-        .stream()
-        .map(String::strip)
-        .filter(l -> !l.isEmpty())
-        .filter(l -> !l.startsWith("*") && !l.startsWith("/*") && !l.startsWith("//"))
-        .count();
+    String code = Files.readString(MODULE).replaceAll("(?s)/\\*.*?\\*/", "");
+    long lines = code.lines().filter(l -> !l.isBlank() && !l.strip().startsWith("//")).count();
     assertTrue(lines > 0 && lines <= 1000, "lines of code: " + lines);
   }
 
