--- a/src/main/java/hollyslip/HostScheduler.java
+++ b/src/main/java/hollyslip/HostScheduler.java
@@ -50,7 +50,7 @@
    * @param dedupWindowUs
    *          how long repeats of a keyed request are dropped
    * @param lateWorth
-   *          part of the worth that remains after the aim
+   *          fraction of the worth that remains after the aim
    * @param inOrder
    *          requests with the same key run one at a time, in order of arrival */
   record RequestClass(String name, Effect effect, DedupScope dedupScope, long dedupWindowUs, long aimUs,
@@ -87,8 +87,8 @@
     }
   }
 
-  /** The parameters of the service rules. {@code coldFrom}: part of its capacity that a node which has just
-   * started can be given. {@code budgetWindowUs} 0: retries are not limited. */
+  /** The parameters of the service rules. {@code coldFrom}: fraction of its capacity that a node which has
+   * just started can be given. {@code budgetWindowUs} 0: retries are not limited. */
   record Rules(long answerSlackUs, long drainGraceUs, double coldFrom, long coldUs, double fallMultiple,
       long fallUs, long orderSettleUs, double budgetShare, double budgetFree, long budgetWindowUs,
       long askWithinUs) {
@@ -194,9 +194,9 @@
   /** A request for the node list failed, or the subscription to it was lost. */
   record NodeListFailed() implements Event {}
 
-  /** A request arrived. {@code shard} -1: a new object, which any node may store. {@code hosts} 0: unknown.
-   * {@code clientRetry}: the client has sent it before, or it was accepted a while ago, so that it adds
-   * nothing to the retry budget. */
+  /** A request arrived. {@code shard} -1: a new object, which any node may store. {@code hosts}: number of
+   * hosts that receive the volume's requests, 0: unknown. {@code clientRetry}: the client has sent it before,
+   * or it was accepted a while ago, so that it adds nothing to the retry budget. */
   record Request(long id, String className, String plan, Long key, long volume, double units, int shard,
       int hosts, long remainingUs, boolean clientRetry) implements Event {
     public Request {
@@ -209,11 +209,11 @@
   /** A timer expired. */
   record TimerFired(long id) implements Event {}
 
-  /** An attempt ended. {@code requestEnded}: its request has its final answer. {@code metered}: 1 + percent
-   * of the plan's rate, 0 if not metered. {@code report} may be null. */
+  /** An attempt ended. {@code requestEnded}: its request has its final answer. {@code volumeUse}: 1 + the
+   * volume's use in percent of the plan's rate, 0 if not metered. {@code report} may be null. */
   record AttemptEnded(long request, int attempt, long node, Result result, boolean requestEnded,
       long latencyUs,
-      int metered, double servedElsewhere, List<Double> report) implements Event {
+      int volumeUse, double servedElsewhere, List<Double> report) implements Event {
     public AttemptEnded {
       requirePresent(result, "outcome.result");
     }
@@ -267,7 +267,7 @@
     }
   }
 
-  /** Final answer: the request was not served, and a retry by the client does no harm.
+  /** Final answer: the request was not served, and the client may safely retry it.
    *
    * @param retryAfterUs
    *          advised delay of the retry; 0: no advice */
--- a/src/main/java/hollyslip/NodeSnapshot.java
+++ b/src/main/java/hollyslip/NodeSnapshot.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A read-only view of what the scheduler knows of one node, to be traced beside what its connections see.
+/** A read-only view of the scheduler's state of one node, traced beside what was measured on its connections.
  *
  * @param inFlight
  *          attempts in flight that count against the window
@@ -13,13 +13,13 @@
  * @param expectedLatencyUs
  *          expected latency of a request sent now
  * @param unresponsive
- *          the last attempts had no answer */
+ *          an attempt had no answer, and none has arrived since */
 public record NodeSnapshot(long node, HostScheduler.NodeState state, int inFlight, int queued, double window,
     double expectedLatencyUs, boolean unresponsive, boolean cold) {
 
   /** One for each node that the scheduler knows, by node number. */
-  public static List<NodeSnapshot> of(TokenBorrowingScheduler choice) {
-    return choice.nodes.values()
+  public static List<NodeSnapshot> of(TokenBorrowingScheduler scheduler) {
+    return scheduler.nodes.values()
         .stream()
         .map(n -> new NodeSnapshot(n.id, n.state, n.countedInFlight, n.queued, n.window,
             n.expectedLatency(), n.unresponsive, n.isCold()))
--- a/src/main/java/hollyslip/RetryBudget.java
+++ b/src/main/java/hollyslip/RetryBudget.java
@@ -3,9 +3,9 @@
 import hollyslip.HostScheduler.Rules;
 
 /** Limits attempts beyond each request's first (rule 6). In any time span there are at most the free ones
- * plus a share of the requests taken in it, so that the rule also holds for the sum over hosts or lanes. With
- * a sliding window in each it would not, as the requests that justified an attempt may have left the window.
- * Drawback: fewer attempts at once, and none at all with less than one free. */
+ * plus a share of the requests accepted in it, so that the rule also holds for the sum over hosts or lanes.
+ * With a sliding window in each it would not, as the requests that justified an attempt may have left the
+ * window. Drawback: fewer attempts at once, and none at all with less than one free. */
 final class RetryBudget {
   private final Rules rules;
   private double available;
@@ -15,8 +15,8 @@
     available = rules.budgetFree();
   }
 
-  /** Adds the share of further attempts that these requests allow. */
-  void requestsTaken(int requests) {
+  /** Adds the further attempts that newly accepted requests allow. */
+  void requestsAccepted(int requests) {
     available = Math.min(rules.budgetFree(), available + requests * rules.budgetShare());
   }
 
--- a/src/main/java/hollyslip/SimulatorAdapter.java
+++ b/src/main/java/hollyslip/SimulatorAdapter.java
@@ -56,18 +56,18 @@
   /** Serves until the input ends and returns the exit status. */
   static int serve(Function<HostScheduler.Settings, HostScheduler> factory, InputStream in, OutputStream out,
       PrintStream err) throws IOException {
-    SimulatorAdapter host = new SimulatorAdapter(factory, out);
+    SimulatorAdapter adapter = new SimulatorAdapter(factory, out);
     try (BufferedReader reader = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8),
         1 << 16)) {
       for (String line = reader.readLine(); line != null; line = reader.readLine()) {
-        host.lineNumber++;
+        adapter.lineNumber++;
         if (!line.isBlank()) {
-          host.handleLine(line);
+          adapter.handleLine(line);
         }
       }
       return 0;
     } catch (InvalidInputException e) {
-      err.println("line " + host.lineNumber + ": expected " + e.getMessage());
+      err.println("line " + adapter.lineNumber + ": expected " + e.getMessage());
       return 1;
     }
   }
@@ -198,7 +198,8 @@
     };
     return new HostScheduler.NodeEntry(number(entry, "server"), entry.path("regionPart").asText(""), entry
         .path(
-            "cluster").asInt(-1), state, isPresent(entry, "born") ? micros(entry.get("born")) : 0);
+            "cluster")
+        .asInt(-1), state, isPresent(entry, "born") ? micros(entry.get("born")) : 0);
   }
 
   private static HostScheduler.Result result(String code) {
--- a/src/main/java/hollyslip/TokenBorrowingScheduler.java
+++ b/src/main/java/hollyslip/TokenBorrowingScheduler.java
@@ -7,8 +7,8 @@
  * Its events and actions are declared in {@link HostScheduler}; read that first.
  *
  * <p>
- * Each request waits in the queue of its {@link VolumeQueue} at its {@link SchedulerProcess}. Each period, a
- * node's token rate is divided among the active volumes (initial allocation), unused tokens are lent
+ * Each request waits in the {@link VolumeQueue} of its volume at its {@link Node}. Each period, a node's
+ * token rate is divided among the active volumes (initial allocation), unused tokens are lent
  * (redistribution) and reclaimed (re-compensation). Queued requests are sent as the node's window has room:
  * the most valuable first, and among equals the one whose volume has had tokens for the longest time. */
 public final class TokenBorrowingScheduler implements HostScheduler {
@@ -34,18 +34,18 @@
 
   /** The latency estimate of a node decays toward the baseline over this many mean gaps between this host's
    * requests to it, within these bounds in microseconds. A host that contributes much of the node's queue
-   * tries again soon, one host of a hundred only now and then, so that together they do not fill the queue by
-   * trying. */
+   * sends to it again soon, one host of a hundred only now and then, so that together they do not fill the
+   * queue with requests that test it. */
   static final double DECAY_GAPS = 6, MIN_DECAY_US = 250_000, MAX_DECAY_US = 2_000_000;
 
   /** Factors by which an answer of any node that is faster or slower than the baseline latency moves it; in
    * balance, a quarter of the answers are faster. */
   static final double BASELINE_DECREASE = 0.97, BASELINE_INCREASE = 1.01;
 
-  /** Upper bound, in shortest aims, on the latency that a missing answer, a full queue or an answer adds to
-   * the estimate; high enough to hold back requests that are due. Without it, a stall of seconds would hold
-   * requests back for seconds more, until so large an estimate had decayed. Drawback: a host forgets a longer
-   * queue sooner. */
+  /** Upper bound, in shortest aims, on the latency that the estimate takes from a missing answer, a full
+   * queue or an answer; high enough to hold back requests that are due. Without it, a stall of seconds would
+   * hold requests back for seconds more, until so large an estimate had decayed. Drawback: a host forgets a
+   * longer queue sooner. */
   static final double LATENCY_CAP_AIMS = 2;
 
   /** When an attempt that may be repeated times out. The latest time is {@link #LATE_TIMEOUT_AIMS} of the
@@ -95,7 +95,7 @@
   private final Map<String, Plan> plans = new HashMap<>();
   /** All nodes, and those with queued requests: the cost of an event must not grow with the node count. */
   final Map<Long, Node> nodes = new TreeMap<>(), nodesWithQueuedRequests = new TreeMap<>();
-  private final Map<Long, PendingRequest> pendings = new LinkedHashMap<>();
+  private final Map<Long, PendingRequest> pendingRequests = new LinkedHashMap<>();
   private final Map<Long, TokenBucket> limits = new HashMap<>(), reserves = new HashMap<>();
   private final Map<Long, KeyQueue> keyQueues = new HashMap<>();
   /** Volumes with a plan of their own, and removed volumes that are forgotten with their last request. */
@@ -240,7 +240,7 @@
       groupWeight = newGroup == 0 ? newWeight : newGroupWeight;
     }
 
-    /** Share of the tokens that the weights imply, comparable with that of volumes in other groups. */
+    /** Weight that determines the volume's share of the tokens, comparable across groups. */
     double nominalWeight() {
       return group == 0 ? weight : weight * groupWeight;
     }
@@ -623,12 +623,14 @@
       acceptRequest(request);
     } else if (event instanceof AttemptEnded ended) {
       attemptEnded(ended);
-    } else if (event instanceof RequestAbandoned abandoned && pendings.containsKey(abandoned.request())) {
-      finish(pendings.get(abandoned.request()));
-    } else if (event instanceof DeadlineShortened shortened && pendings.containsKey(shortened.request())) {
-      shortenDeadline(pendings.get(shortened.request()), shortened.answerBy());
-    } else if (event instanceof ResponseStarted started && pendings.containsKey(started.request())) {
-      pendings.get(started.request()).streaming = true;
+    } else if (event instanceof RequestAbandoned abandoned && pendingRequests.containsKey(abandoned
+        .request())) {
+      finish(pendingRequests.get(abandoned.request()));
+    } else if (event instanceof DeadlineShortened shortened && pendingRequests.containsKey(shortened
+        .request())) {
+      shortenDeadline(pendingRequests.get(shortened.request()), shortened.answerBy());
+    } else if (event instanceof ResponseStarted started && pendingRequests.containsKey(started.request())) {
+      pendingRequests.get(started.request()).streaming = true;
     } else if (event instanceof VolumeChanged changed) {
       applyVolumeChange(changed);
     } else if (event instanceof VolumeRemoved removed) {
@@ -667,7 +669,7 @@
     reserves.computeIfPresent(change.volume(),
         (k, reserve) -> reserve.reconfigure(plan.reserve() / change.hosts(),
             reserveDepth(plan, change.hosts()), now));
-    for (PendingRequest pending : pendings.values()) {
+    for (PendingRequest pending : pendingRequests.values()) {
       if (pending.request.volume() == change.volume()) {
         pending.plan = plan;
         pending.limit = limits.get(change.volume());
@@ -685,7 +687,7 @@
 
   /** Drops the state of a removed volume and settles its loans, once none of its requests is left. */
   private void forgetVolume(long volume) {
-    if (pendings.values().stream().anyMatch(pending -> pending.request.volume() == volume)) {
+    if (pendingRequests.values().stream().anyMatch(pending -> pending.request.volume() == volume)) {
       return;
     }
     removedVolumes.remove(volume);
@@ -733,7 +735,7 @@
     if (now >= nextSweepAt) {
       nextSweepAt = now + IDLE_EXPIRY_US / 4;
       Set<Long> busy = new HashSet<>();
-      pendings.values().forEach(pending -> busy.add(pending.request.volume()));
+      pendingRequests.values().forEach(pending -> busy.add(pending.request.volume()));
       List.of(limits, reserves)
           .forEach(m -> m.entrySet().removeIf(e -> !busy.contains(e.getKey()) && e.getValue().isFull(now)));
       nodes.values()
@@ -785,7 +787,7 @@
   }
 
   private void acceptRequest(Request request) {
-    retryBudget.requestsTaken(request.clientRetry() ? 0 : 1);
+    retryBudget.requestsAccepted(request.clientRetry() ? 0 : 1);
     RequestClass requestClass = classes.get(request.className());
     VolumeChanged ownTerms = volumeTerms.get(request.volume());
     Plan plan = ownTerms != null ? ownTerms.plan() : plans.get(request.plan());
@@ -810,7 +812,7 @@
     // ended early to free its client's connection; otherwise all clients stay away until the process is gone.
     // Drawback: refuses requests that might have been sent within their aim.
     pending.answerBy = stopping ? Math.min(pending.answerBy, now + (long) baselineLatency) : pending.answerBy;
-    pendings.put(request.id(), pending);
+    pendingRequests.put(request.id(), pending);
     byAnswerTime.add(pending);
     if (pending.requestClass.inOrder() && request.key() != null) {
       pending.keyQueue = keyQueues.computeIfAbsent(request.key(), k -> new KeyQueue());
@@ -961,8 +963,8 @@
         * (isLate(node, pending) ? pending.requestClass.lateWorth() : 1);
   }
 
-  /** Whether a request is worth its place in the node's queue, which hosts share without seeing each other.
-   * The longer the wait, the more a unit must be worth, up to the shortest aim; a request whose client cannot
+  /** Whether a request is worth queueing at the node, whose queue hosts share without seeing each other. The
+   * longer the wait, the more a unit must be worth, up to the shortest aim; a request whose client cannot
    * wait so long is never sent. */
   private boolean isWorthSending(Node node, PendingRequest pending) {
     double wait = node.expectedLatency();
@@ -1022,7 +1024,7 @@
   }
 
   private void attemptEnded(AttemptEnded ended) {
-    PendingRequest pending = pendings.get(ended.request());
+    PendingRequest pending = pendingRequests.get(ended.request());
     if (pending == null || pending.inFlightAttempts == 0) {
       return;
     }
@@ -1116,7 +1118,7 @@
     if (pending.inFlightAttempts > 0) {
       return;
     }
-    pendings.remove(pending.request.id());
+    pendingRequests.remove(pending.request.id());
     if (removedVolumes.contains(pending.request.volume())) {
       forgetVolume(pending.request.volume());
     }
--- a/src/main/java/hollyslip/TokenBucket.java
+++ b/src/main/java/hollyslip/TokenBucket.java
@@ -1,8 +1,8 @@
 package hollyslip;
 
-/** A token bucket: a host's part of a volume's limit (rule 7), of its reserve, or of what a cold node can
+/** A token bucket: a host's share of a volume's limit (rule 7), of its reserve, or of what a cold node can
  * always serve. A limit starts empty at each launch: a restarted host does not know what it has spent and
- * would otherwise exceed its part. Drawback: less is sent in the first seconds after a launch. Times are in
+ * would otherwise exceed its share. Drawback: less is sent in the first seconds after a launch. Times are in
  * microseconds. */
 final class TokenBucket {
   private double depth, rate, level;
--- a/src/main/java/hollyslip/platform/AdaptiveIdleTimeout.java
+++ b/src/main/java/hollyslip/platform/AdaptiveIdleTimeout.java
@@ -2,7 +2,7 @@
 
 /** How long a connection may have been idle to be reused, us. Guards against peers and middleboxes that drop
  * idle connections earlier than the settings say: a request that must not run twice would be lost with the
- * connection. Cost: more new connections while such breaks continue. No I/O, no clock. */
+ * connection. Drawback: more new connections while such breaks continue. No I/O, no clock. */
 final class AdaptiveIdleTimeout {
   /** After a break, the timeout becomes this fraction of the idle time that preceded it; after a response on
    * a reused connection, it grows by this factor. */
@@ -22,7 +22,7 @@
     return timeoutUs;
   }
 
-  /** A connection that had been idle for that long turned out to be closed. */
+  /** A connection that had been idle for this long turned out to be closed. */
   void recordStale(long idleUs) {
     timeoutUs = Math.min(timeoutUs, Math.max(minUs, (long) (DECREASE_FACTOR * idleUs)));
   }
--- a/src/main/java/hollyslip/platform/Call.java
+++ b/src/main/java/hollyslip/platform/Call.java
@@ -10,7 +10,7 @@
 final class Call {
   /** Receives the result; headers and body are null if there was no response. */
   interface Listener {
-    void onEnd(Result result, long tookUs, HttpHeaders headers, byte[] body);
+    void onEnd(Result result, long latencyUs, HttpHeaders headers, byte[] body);
   }
 
   /** Whether the request may still be sent. Evaluated last, just before its first byte is written, as the
--- a/src/main/java/hollyslip/platform/ClientConnection.java
+++ b/src/main/java/hollyslip/platform/ClientConnection.java
@@ -179,7 +179,7 @@
   /** Queues a request or an error, to be answered in order. */
   private void enqueue(InboundRequest item) {
     InboundRequest accepted = item;
-    if (item.isRequest() && !reserveQueueSlot(item)) {
+    if (item.isRequest() && !tryReserveQueueSlot(item)) {
       manager.log()
           .event("request.too-many-at-once", "id", item.head().transactionId(), "client", channel
               .remoteAddress());
@@ -196,10 +196,10 @@
     }
   }
 
-  /** Reserves a place in the queue for a request; returns whether there was one. */
-  private boolean reserveQueueSlot(InboundRequest item) {
+  /** Reserves a queue slot and buffer space for a request; returns false if there is no room. */
+  private boolean tryReserveQueueSlot(InboundRequest item) {
     return queued.size() < MAX_QUEUED_REQUESTS && manager.dispatcher()
-        .reserveBuffer(QUEUED_REQUEST_OVERHEAD_BYTES + item.body().length);
+        .tryReserveBuffer(QUEUED_REQUEST_OVERHEAD_BYTES + item.body().length);
   }
 
   private InboundRequest dequeue() {
@@ -241,7 +241,7 @@
         writeResponse(item.errorStatus(), EMPTY_BODY, 0, item.closeAfterResponse());
       } else if (manager.draining() || state == State.ENDING) {
         writeResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, EMPTY_BODY, 0, item.closeAfterResponse());
-      } else if (manager.dispatcher().isOpen(item.head().transactionId())) {
+      } else if (manager.dispatcher().isTransactionOpen(item.head().transactionId())) {
         writeResponse(HttpResponseStatus.CONFLICT, EMPTY_BODY, 0, item.closeAfterResponse());
       } else {
         current = manager.dispatcher()
@@ -262,9 +262,9 @@
       this.closeAfterResponse = closeAfterResponse;
     }
 
-    private void respond(HttpResponseStatus status, byte[] body, long retryInUs) {
+    private void respond(HttpResponseStatus status, byte[] body, long retryAfterUs) {
       current = null;
-      writeResponse(status, body, retryInUs, closeAfterResponse);
+      writeResponse(status, body, retryAfterUs, closeAfterResponse);
     }
 
     @Override
@@ -273,8 +273,8 @@
     }
 
     @Override
-    public void refuse(long retryInUs) {
-      respond(HttpResponseStatus.SERVICE_UNAVAILABLE, EMPTY_BODY, retryInUs);
+    public void refuse(long retryAfterUs) {
+      respond(HttpResponseStatus.SERVICE_UNAVAILABLE, EMPTY_BODY, retryAfterUs);
     }
 
     @Override
@@ -292,14 +292,14 @@
    *
    * @param closeAfterResponse
    *          whether the client asked to close the connection after it */
-  private void writeResponse(HttpResponseStatus status, byte[] body, long retryInUs,
+  private void writeResponse(HttpResponseStatus status, byte[] body, long retryAfterUs,
       boolean closeAfterResponse) {
     if (state == State.OPEN && (closeAfterResponse || manager.draining())) {
       state = State.ENDING;
     }
     // All requests read so far are answered before the connection is closed.
     boolean last = state != State.OPEN && queued.isEmpty();
-    ByteBuf head = HttpSupport.responseHead(status, body.length, retryInUs, last);
+    ByteBuf head = HttpSupport.responseHead(status, body.length, retryAfterUs, last);
     writeStartedAt = manager.now();
     channel.writeAndFlush(body.length == 0
         ? head
--- a/src/main/java/hollyslip/platform/ClientConnectionManager.java
+++ b/src/main/java/hollyslip/platform/ClientConnectionManager.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Accepts and manages client connections: limits their number, enforces timeouts for incomplete requests and
- * unread responses, and evicts idle connections when places run out. */
+ * unread responses, and evicts idle connections as the limit comes near. */
 final class ClientConnectionManager {
   /** A request must be complete this long after its first byte or, for the first request of a connection,
    * after the connection was accepted, us: the platform settles the outcome at 3 s. The drawback is that
@@ -50,8 +50,9 @@
 
   private static final long SWEEP_INTERVAL_MS = 100;
 
-  /** Connections count as crowded when at most one in this many places is free. */
-  private static final int CROWDED_DIVISOR = 8;
+  /** The connection limit counts as nearly reached when at most one in this many connections is still
+   * free. */
+  private static final int NEARLY_FULL_DIVISOR = 8;
 
   private final EventLoop loop;
   private final MonotonicClock clock;
@@ -240,11 +241,12 @@
   }
 
   /** Closes idle connections beyond {@link #maxIdleConnections}: first those that never sent anything, at
-   * once if crowded, then the longest idle of the others, after {@link #MIN_IDLE_BEFORE_EVICTION_US}. While
-   * no place is free, new connections wait in the operating system's accept queue. This guards the places
-   * against clients that open hundreds of connections and send nothing, and against clients that send one
-   * request and keep the connection; the places on their own side are just as few. The drawback is that an
-   * ordinary client whose kept connection was closed, or that is slow to send, has to reconnect. */
+   * once if the limit is nearly reached, then the longest idle of the others, after
+   * {@link #MIN_IDLE_BEFORE_EVICTION_US}. At the limit, new connections wait in the operating system's accept
+   * queue. This protects the limit from clients that open hundreds of connections and send nothing, and from
+   * clients that send one request and keep the connection, although their own side can open just as few. The
+   * drawback is that an ordinary client whose persistent connection was closed, or that is slow to send, has
+   * to reconnect. */
   private void evictIdleConnections(long now) {
     int idleCount = 0;
     for (ClientConnection c : openConnections) {
@@ -252,9 +254,9 @@
     }
     int excess = Math.max(idleCount - maxIdleConnections, 0);
     if (excess > 0) {
-      boolean crowded = openConnections.size() >= maxConnections - maxConnections / CROWDED_DIVISOR;
+      boolean nearlyFull = openConnections.size() >= maxConnections - maxConnections / NEARLY_FULL_DIVISOR;
       openConnections.stream()
-          .filter(c -> c.idleSince() >= 0 && (crowded && c.isUnused() || now - c
+          .filter(c -> c.idleSince() >= 0 && (nearlyFull && c.isUnused() || now - c
               .idleSince() >= MIN_IDLE_BEFORE_EVICTION_US))
           .sorted(Comparator.comparing((ClientConnection c) -> !c.isUnused())
               .thenComparingLong(ClientConnection::idleSince))
--- a/src/main/java/hollyslip/platform/DiskConnection.java
+++ b/src/main/java/hollyslip/platform/DiskConnection.java
@@ -65,7 +65,7 @@
     return !closed && call == null && channel.isActive();
   }
 
-  /** Writes a call's request; the call is told its result. */
+  /** Writes a call's request; the call ends with its result. */
   void start(Call newCall) {
     long now = pool.now();
     call = newCall;
@@ -113,7 +113,7 @@
   }
 
   private void releaseBody() {
-    pool.releaseBytes(responseBody.readableBytes());
+    pool.releaseBuffer(responseBody.readableBytes());
     responseBody.release();
     responseBody = Unpooled.EMPTY_BUFFER;
   }
@@ -150,8 +150,7 @@
     }
     responseHead = response;
     // Without a length, the response ends at an orderly close of the connection. A reset does not complete
-    // it:
-    // exceptionCaught is called first then.
+    // it, as exceptionCaught is called first.
     selfDelimited = transferCoded || response.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
     // The buffer starts small and grows as data arrives: an announced length alone must not take memory.
     responseBody = Unpooled.buffer((int) Math.max(64, Math.min(length, 8 * Bounds.MAX_REQUEST_BODY_BYTES)),
@@ -163,7 +162,7 @@
       failInvalidResponse("body");
     } else if (responseHead != null) {
       int received = content.content().readableBytes();
-      if (responseBody.readableBytes() + received > Bounds.MAX_RESPONSE_BODY_BYTES || !pool.tryReserveBytes(
+      if (responseBody.readableBytes() + received > Bounds.MAX_RESPONSE_BODY_BYTES || !pool.tryReserveBuffer(
           received)) {
         failInvalidResponse("no buffer space for " + (responseBody.readableBytes() + received) + " bytes");
       } else {
--- a/src/main/java/hollyslip/platform/DiskConnectionPool.java
+++ b/src/main/java/hollyslip/platform/DiskConnectionPool.java
@@ -22,7 +22,7 @@
   /** How long a connection must stay silent after a response before it is reused, us. A duplicate response
    * that arrives late would be taken for the response to the next request, and each later response for its
    * predecessor's. A sender without TCP_NODELAY delays a small write until the previous one is acknowledged,
-   * which Linux does within 40 ms where round trips are shorter. Cost: a few more connections. */
+   * which Linux does within 40 ms where round trips are shorter. Drawback: a few more connections. */
   static final long MIN_IDLE_BEFORE_REUSE_US = 60_000;
 
   /** A reused connection that breaks within this time of its request being written, us, is taken to have been
@@ -87,7 +87,7 @@
     return connections.size() + connecting;
   }
 
-  /** Starts a call; its listener may be told the result before this returns. */
+  /** Starts a call; its listener may be called before this returns. */
   void start(Call call) {
     call.server.activeCalls++;
     long now = now();
@@ -130,7 +130,7 @@
 
   /** Sends a call's request on a new connection, unless the connection took too long or the request may no
    * longer be sent. */
-  private void sendIfWanted(DiskConnection connection, Call call) {
+  private void sendIfAllowed(DiskConnection connection, Call call) {
     long now = now();
     if (now - call.startedAt < connectTimeoutUs && now < call.timeoutAt && call.sendCheck.maySend()) {
       connection.start(call);
@@ -229,7 +229,7 @@
     if (call.ended()) {
       onIdle(connection);
     } else {
-      sendIfWanted(connection, call);
+      sendIfAllowed(connection, call);
     }
   }
 
@@ -283,7 +283,7 @@
   }
 
   /** Reserves buffer space for more bytes of a response; returns false if there is too little. */
-  boolean tryReserveBytes(int bytes) {
+  boolean tryReserveBuffer(int bytes) {
     if (bufferedBytes + bytes > maxBufferedBytes) {
       return false;
     }
@@ -291,7 +291,7 @@
     return true;
   }
 
-  void releaseBytes(int bytes) {
+  void releaseBuffer(int bytes) {
     bufferedBytes -= bytes;
   }
 
--- a/src/main/java/hollyslip/platform/DiskServer.java
+++ b/src/main/java/hollyslip/platform/DiskServer.java
@@ -19,8 +19,8 @@
   /** Calls that have not ended. */
   int activeCalls;
 
-  DiskServer(String host, long number) {
+  DiskServer(String host, long nodeId) {
     this.host = host;
-    this.nodeId = number;
+    this.nodeId = nodeId;
   }
 }
--- a/src/main/java/hollyslip/platform/DiskServerTrace.java
+++ b/src/main/java/hollyslip/platform/DiskServerTrace.java
@@ -18,7 +18,7 @@
   /** Counts of attempts at one disk server since its last line. */
   private static final class Counters {
     int started, answered;
-    long totalTimeUs;
+    long totalLatencyUs;
     final Map<Result, Integer> results = new EnumMap<>(Result.class);
   }
 
@@ -30,32 +30,33 @@
     countersByServer.computeIfAbsent(server, k -> new Counters()).started++;
   }
 
-  void attemptEnded(long server, Result result, long tookUs) {
+  void attemptEnded(long server, Result result, long latencyUs) {
     Counters counters = countersByServer.computeIfAbsent(server, k -> new Counters());
     counters.results.merge(result, 1, Integer::sum);
     if (result == Result.OK) {
       counters.answered++;
-      counters.totalTimeUs += tookUs;
+      counters.totalLatencyUs += latencyUs;
     }
   }
 
   /** Writes the lines and resets the counters. */
   void writeLines(TokenBorrowingScheduler scheduler, Map<Long, DiskServer> servers) {
-    for (NodeSnapshot belief : NodeSnapshot.of(scheduler)) {
-      DiskServer server = servers.get(belief.node());
-      Counters counters = countersByServer.getOrDefault(belief.node(), new Counters());
+    for (NodeSnapshot snapshot : NodeSnapshot.of(scheduler)) {
+      DiskServer server = servers.get(snapshot.node());
+      Counters counters = countersByServer.getOrDefault(snapshot.node(), new Counters());
       out.printf(Locale.ROOT,
           "trace %s %s out %d of %.1f held %d expects %.1f ms%s%s | calls %d idle %d started %d answered %d mean %.1f ms %s%n",
-          server == null ? "?" : server.host, belief.state(), belief.inFlight(), belief.window(), belief
+          server == null ? "?" : server.host, snapshot.state(), snapshot.inFlight(), snapshot.window(),
+          snapshot
               .queued(),
-          belief.expectedLatencyUs() / 1e3,
-          belief.unresponsive() ? " silent" : "", belief.cold() ? " cold" : "", server == null
+          snapshot.expectedLatencyUs() / 1e3,
+          snapshot.unresponsive() ? " silent" : "", snapshot.cold() ? " cold" : "", server == null
               ? 0
               : server.activeCalls,
           server == null ? 0 : server.idleConnections.size(), counters.started, counters.answered,
           counters.answered == 0
               ? 0
-              : counters.totalTimeUs / 1e3 / counters.answered, counters.results);
+              : counters.totalLatencyUs / 1e3 / counters.answered, counters.results);
     }
     countersByServer.clear();
   }
--- a/src/main/java/hollyslip/platform/EventLog.java
+++ b/src/main/java/hollyslip/platform/EventLog.java
@@ -11,7 +11,7 @@
 /** Structured log on standard output, one line per event: Unix time in ms, the event's name and
  * {@code key=value} fields. A separate thread writes the lines, so that a reader that stops reading never
  * blocks the event loop; lines that do not fit into its queue are dropped and counted. Each event name is
- * limited to {@link #LINES_PER_SECOND}, with bursts of {@link #BURST_LINES}; the next line of that name tells
+ * limited to {@link #LINES_PER_SECOND}, with bursts of {@link #BURST_LINES}; the next line of that name says
  * how many were suppressed. Thread-safe. */
 final class EventLog implements AutoCloseable {
   /** Sustained rate of one event name in lines per second, and its burst size. */
@@ -126,7 +126,7 @@
     };
   }
 
-  /** Logs an unexpected exception with the place that threw it. */
+  /** Logs an unexpected exception with the stack frame that threw it. */
   void fault(String name, RuntimeException e) {
     StackTraceElement[] trace = e.getStackTrace();
     event(name, "fault", e, "at", trace.length > 0 ? trace[0] : "");
--- a/src/main/java/hollyslip/platform/Exchange.java
+++ b/src/main/java/hollyslip/platform/Exchange.java
@@ -8,9 +8,9 @@
      *          body of the disk server's response */
     void serve(byte[] body);
 
-    /** @param retryInUs
+    /** @param retryAfterUs
      *          delay to advise in Retry-After, us; 0: no advice */
-    void refuse(long retryInUs);
+    void refuse(long retryAfterUs);
 
     void fail();
 
@@ -21,9 +21,9 @@
 
   final RequestHead head;
   final byte[] body;
-  /** Id by which the decision module knows this request. */
+  /** Id by which the scheduler knows this request. */
   final long requestId;
-  /** Time of acceptance, us on the module's clock. */
+  /** Time of acceptance, us on the scheduler's clock. */
   final long acceptedAt;
   private long deadline;
   private final Responder responder;
@@ -41,7 +41,7 @@
     this.responder = responder;
   }
 
-  /** Latest time for the response, us on the module's clock: when the client gives up, or earlier if a
+  /** Latest time for the response, us on the scheduler's clock: when the client gives up, or earlier if a
    * request queued behind it on the same connection is due before that. */
   long deadline() {
     return deadline;
@@ -56,8 +56,8 @@
     return completed;
   }
 
-  /** Reads all pending input from the client, then tells whether the request is still open. */
-  boolean isStillWanted() {
+  /** Reads all pending input from the client, then returns whether the request is still open. */
+  boolean isStillOpen() {
     if (!completed) {
       responder.readPending();
     }
@@ -75,10 +75,10 @@
     }
   }
 
-  void refuse(long retryInUs) {
+  void refuse(long retryAfterUs) {
     if (!completed) {
       completed = true;
-      responder.refuse(retryInUs);
+      responder.refuse(retryAfterUs);
     }
   }
 
--- a/src/main/java/hollyslip/platform/HttpSupport.java
+++ b/src/main/java/hollyslip/platform/HttpSupport.java
@@ -29,8 +29,8 @@
   }
 
   /** Reads pending input of a connection without waiting for the next event loop iteration. Handlers are
-   * called with the bytes before this returns, but learn of the connection's end only later;
-   * {@link Channel#isActive} tells of it at once. Must not be called from within a read of the same
+   * called with the bytes before this returns, but are notified of the connection's end only later;
+   * {@link Channel#isActive} reflects it at once. Must not be called from within a read of the same
    * connection. */
   static void readPending(Channel channel) {
     if (channel.isActive()) {
@@ -45,11 +45,11 @@
 
   /** Encodes the head of a response to a client.
    *
-   * @param retryInUs
+   * @param retryAfterUs
    *          delay to advise in Retry-After, us; 0: no advice
    * @param close
    *          whether the connection is closed after the response */
-  static ByteBuf responseHead(HttpResponseStatus status, int length, long retryInUs, boolean close) {
+  static ByteBuf responseHead(HttpResponseStatus status, int length, long retryAfterUs, boolean close) {
     StringBuilder head = new StringBuilder(96).append("HTTP/1.1 ")
         .append(status.code())
         .append(' ')
@@ -57,9 +57,9 @@
         .append("\r\nContent-Length: ")
         .append(length)
         .append("\r\n");
-    if (retryInUs > 0) {
+    if (retryAfterUs > 0) {
       head.append("Retry-After: ")
-          .append(String.format(Locale.ROOT, "%.3f", Math.max(0.001, retryInUs / 1e6)))
+          .append(String.format(Locale.ROOT, "%.3f", Math.max(0.001, retryAfterUs / 1e6)))
           .append("\r\n");
     }
     if (close) {
--- a/src/main/java/hollyslip/platform/InboundRequest.java
+++ b/src/main/java/hollyslip/platform/InboundRequest.java
@@ -2,8 +2,8 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** One item that a client is owed a response for, in order of arrival: a complete request, or input that is
- * answered with an error.
+/** One item of a client connection's queue, which is answered in order of arrival: a complete request, or
+ * input that is answered with an error.
  *
  * @param head
  *          null for an error
--- a/src/main/java/hollyslip/platform/LoadReportParser.java
+++ b/src/main/java/hollyslip/platform/LoadReportParser.java
@@ -18,7 +18,7 @@
     this.settings = settings;
   }
 
-  /** 1 + the volume's use in percent of its plan's rate; 0 if absent. */
+  /** 1 + the volume's use in percent of the plan's rate; 0 if absent. */
   int volumeUse(HttpHeaders headers) {
     String text = headers == null || settings.store().meterUs() <= 0 ? null : headers.get("X-Volume-Use");
     return text != null && text.matches("[0-9]{1,9}") ? Integer.parseInt(text) : 0;
--- a/src/main/java/hollyslip/platform/RequestAssembler.java
+++ b/src/main/java/hollyslip/platform/RequestAssembler.java
@@ -39,7 +39,7 @@
     this.channel = channel;
   }
 
-  /** Starts a request from its head. {@code first} tells that no earlier response is pending on the
+  /** Starts a request from its head. {@code first} means that no earlier response is pending on the
    * connection, so that a 100 Continue may be written. */
   void startRequest(HttpRequest request, boolean first) throws FramingException {
     reset();
--- a/src/main/java/hollyslip/platform/RequestDispatcher.java
+++ b/src/main/java/hollyslip/platform/RequestDispatcher.java
@@ -20,22 +20,23 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Owns the decision module and the open requests. Passes events to the module in order and executes the
- * actions it returns. Maps external ids to numeric ids for the module and drops each mapping together with
- * the request or disk server it stands for. */
+/** Owns the scheduler and the open requests. Passes events to the scheduler in order and executes the actions
+ * it returns. Maps external ids to numeric ids for the scheduler and drops each mapping together with the
+ * request or disk server it stands for. */
 final class RequestDispatcher {
-  /** Delay before the module is called again after it threw, us: its timer may have been lost. */
+  /** Delay before the scheduler is called again after it threw an exception, us: its timer may have been
+   * lost. */
   private static final long FAULT_RETRY_DELAY_US = 10_000;
 
-  /** Time reserved for a response to get from the module to the client, us: the process may be descheduled
+  /** Time reserved for a response to get from the scheduler to the client, us: the process may be suspended
    * for tens of ms. At most a tenth of the client's waiting time is reserved. */
   private static final long RESPONSE_MARGIN_US = 30_000;
 
   /** A request that is still unanswered this long after its deadline is failed here, us: a fault in the
-   * module may have lost it. */
+   * scheduler may have lost it. */
   private static final long OVERDUE_GRACE_US = 100_000;
 
-  private final HostScheduler module;
+  private final HostScheduler scheduler;
   private final Settings settings;
   private final EventLoop loop;
   private final MonotonicClock clock;
@@ -56,10 +57,10 @@
   private long lastRequestId, lastNodeId, bufferedBytes;
   private long shutdownDeadline = Long.MAX_VALUE;
 
-  RequestDispatcher(HostScheduler module, Settings settings, EventLoop loop, MonotonicClock clock,
+  RequestDispatcher(HostScheduler scheduler, Settings settings, EventLoop loop, MonotonicClock clock,
       EventLog log, DiskConnectionPool diskPool,
       long maxBufferedBytes) {
-    this.module = module;
+    this.scheduler = scheduler;
     this.settings = settings;
     this.loop = loop;
     this.clock = clock;
@@ -70,7 +71,7 @@
   }
 
   /** Whether this id belongs to a request that is still open. */
-  boolean isOpen(String transactionId) {
+  boolean isTransactionOpen(String transactionId) {
     return byTransactionId.containsKey(transactionId);
   }
 
@@ -79,8 +80,8 @@
     return bufferedBytes + length <= maxBufferedBytes;
   }
 
-  /** Reserves buffer space for a queued request, if available; returns whether it did. */
-  boolean reserveBuffer(int length) {
+  /** Reserves buffer space for a queued request; returns false if there is too little. */
+  boolean tryReserveBuffer(int length) {
     if (!hasBufferSpace(length)) {
       return false;
     }
@@ -88,7 +89,7 @@
     return true;
   }
 
-  /** Releases space reserved by {@link #reserveBuffer}. */
+  /** Releases buffer space reserved by {@link #tryReserveBuffer}. */
   void releaseBuffer(int length) {
     bufferedBytes -= length;
   }
@@ -98,8 +99,8 @@
     return byRequestId.size();
   }
 
-  void trace(DiskServerTrace to) {
-    trace = to;
+  void setTrace(DiskServerTrace newTrace) {
+    trace = newTrace;
   }
 
   Map<Long, DiskServer> serversByNodeId() {
@@ -127,7 +128,7 @@
     bufferedBytes += body.length;
     post(new HostScheduler.Request(exchange.requestId, head.className(), head.plan(), head.objectKey(), head
         .volumePlanId(), head
-            .units(), head.shard(), head.hosts(), exchange.deadline() - clock.now(), head.resent()));
+            .units(), head.shard(), head.hosts(), exchange.deadline() - clock.now(), head.clientRetry()));
     return exchange;
   }
 
@@ -187,7 +188,7 @@
   private void updateServer(DiskServer server, EndpointUpdate.Entry entry, long now) {
     if (entry.startedAtMs() != server.startedAtMs) {
       server.startedAtMs = entry.startedAtMs();
-      // Converted only once per start: the module takes a different time for a new start.
+      // Converted only once per start: the scheduler takes a different time for a new start.
       server.startedAtUs = entry.startedAtMs() > 0
           ? Math.max(1, clock.fromWallClock(entry.startedAtMs()))
           : 0;
@@ -218,9 +219,9 @@
     }
   }
 
-  /** Queues an event for the module. Queued events are handled in order after the sockets of this event loop
-   * iteration have been read: the module's actions never run in the middle of a read, and a client that sent
-   * a request and disconnected in the same iteration is known to be gone. */
+  /** Queues an event for the scheduler. Queued events are handled in order after the sockets of this event
+   * loop iteration have been read: the scheduler's actions never run in the middle of a read, and a client
+   * that sent a request and disconnected in the same iteration is known to be gone. */
   private void post(Event event) {
     pendingEvents.add(event);
     if (!handlingScheduled) {
@@ -233,7 +234,7 @@
     handlingScheduled = false;
     for (Event event = pendingEvents.poll(); event != null; event = pendingEvents.poll()) {
       try {
-        module.handle(clock.now(), event, this::execute);
+        scheduler.handle(clock.now(), event, this::execute);
       } catch (RuntimeException fault) {
         log.fault("module.fault", fault);
         scheduleTimer(clock.now() + FAULT_RETRY_DELAY_US, 0);
@@ -290,14 +291,14 @@
     }
     exchange.attemptsOutstanding++;
     long latest = Math.min(exchange.deadline(), shutdownDeadline);
-    long giveUpAt = send.timeoutAt() > 0 ? Math.min(send.timeoutAt(), latest) : latest;
+    long timeoutAt = send.timeoutAt() > 0 ? Math.min(send.timeoutAt(), latest) : latest;
     long startedAtUs = server.startedAtUs;
-    Call call = new Call(server, now, giveUpAt, waitUs -> encodeAttempt(exchange, server, waitUs),
-        () -> exchange.isStillWanted() && clock
+    Call call = new Call(server, now, timeoutAt, waitUs -> encodeAttempt(exchange, server, waitUs),
+        () -> exchange.isStillOpen() && clock
             .now() <= send.startBy() && server.startedAtUs == startedAtUs && acceptsAttempts(server), (result,
-                tookUs, headers, body) -> attemptEnded(
+                latencyUs, headers, body) -> attemptEnded(
                     exchange,
-                    attempt, server, result, tookUs,
+                    attempt, server, result, latencyUs,
                     headers,
                     body));
     callsByRequest.computeIfAbsent(exchange.requestId, k -> new HashMap<>()).put(attempt, call);
@@ -313,7 +314,7 @@
     return server.state == NodeState.ON;
   }
 
-  private void attemptEnded(Exchange exchange, int attempt, DiskServer server, Result result, long tookUs,
+  private void attemptEnded(Exchange exchange, int attempt, DiskServer server, Result result, long latencyUs,
       HttpHeaders headers, byte[] body) {
     exchange.attemptsOutstanding--;
     Map<Integer, Call> callsOfRequest = callsByRequest.get(exchange.requestId);
@@ -322,7 +323,7 @@
       callsByRequest.remove(exchange.requestId);
     }
     if (trace != null) {
-      trace.attemptEnded(server.nodeId, result, tookUs);
+      trace.attemptEnded(server.nodeId, result, latencyUs);
     }
     if (result == Result.OK) {
       if (clock.now() > exchange.deadline() && !exchange.completed()) {
@@ -333,17 +334,17 @@
       log.event("attempt.ended", "id", exchange.head.transactionId(), "attempt", attempt, "server",
           server.host, "result", result,
           "took_ms",
-          tookUs / 1000);
+          latencyUs / 1000);
     }
     post(new HostScheduler.AttemptEnded(exchange.requestId, attempt, server.nodeId, result, exchange
         .completed(),
-        tookUs, reportParser
+        latencyUs, reportParser
             .volumeUse(headers), reportParser.servedElsewhere(headers), reportParser.attemptReport(headers)));
     removeIfDone(exchange);
     removeIfGone(server);
   }
 
-  /** Fails requests that the module has not answered in time. Must be called periodically. */
+  /** Fails requests that the scheduler has not answered in time. Must be called periodically. */
   void failOverdueRequests() {
     long now = clock.now();
     for (Exchange exchange : List.copyOf(byRequestId.values())) {
@@ -397,8 +398,9 @@
                 + " HTTP/1.1\r\nHost: " + HttpSupport.authority(server.address) + "\r\n\r\n"),
         () -> server.state != NodeState.GONE, (
             result,
-            tookUs, headers, body) -> {
-          post(new HostScheduler.ProbeEnded(nodeId, result, tookUs, reportParser.probeReport(headers, body)));
+            latencyUs, headers, body) -> {
+          post(new HostScheduler.ProbeEnded(nodeId, result, latencyUs, reportParser.probeReport(headers,
+              body)));
           removeIfGone(server);
         }));
   }
--- a/src/main/java/hollyslip/platform/RequestHead.java
+++ b/src/main/java/hollyslip/platform/RequestHead.java
@@ -22,15 +22,15 @@
  * @param remainingUs
  *          how long the client waits for the response, counted from when it sent the request, us
  * @param volumePlanId
- *          id of this volume on this plan for the decision module, where a volume has a single plan
+ *          id of this volume on this plan for the scheduler, to which a volume has a single plan
  * @param shard
  *          -1 for a new object
  * @param bodyLength
- *          bytes, or {@link #CHUNKED} if the chunked body itself tells its length */
+ *          bytes, or {@link #CHUNKED} if only the chunked body determines its length */
 record RequestHead(String transactionId, String method, String uri, String className, String plan,
     long objectKey,
     String idempotencyKey, long remainingUs, long volumePlanId, double units, int shard, int hosts,
-    boolean resent,
+    boolean clientRetry,
     boolean write, int bodyLength) {
 
   static final int CHUNKED = -1;
@@ -112,7 +112,7 @@
       if (hosts < 1) {
         throw rejected("hosts");
       }
-      String resent = optionalHeader(headers, "X-Resent");
+      String clientRetry = optionalHeader(headers, "X-Resent");
       int planIndex = findPlan(headers);
       return new RequestHead(parseTransactionId(headers), method.name(), request.uri(), requestClass.name(),
           settings
@@ -123,7 +123,7 @@
           idempotencyKey, parseRemaining(requiredHeader(headers, "X-Remaining"), requestClass), volumePlanId(
               parseHex(io.get("volume"), "volume"), planIndex),
           units, shard,
-          hosts, "1".equals(resent), requestClass.write(), length);
+          hosts, "1".equals(clientRetry), requestClass.write(), length);
     }
 
     private int findPlan(HttpHeaders headers) throws RequestRejectedException {
--- a/src/main/java/hollyslip/platform/SchedulerProcess.java
+++ b/src/main/java/hollyslip/platform/SchedulerProcess.java
@@ -36,7 +36,7 @@
 
   /** How long before that time idle client connections are closed and responses close theirs, us. Until then
    * clients are served on their persistent connections, as they have no other way to reach this process.
-   * Cost: requests that arrive in the last moments are refused. */
+   * Drawback: requests that arrive in the last moments are refused. */
   private static final long DRAIN_LEAD_US = 50_000;
 
   /** How long the process waits at its end for the last log lines to be written, ms. */
@@ -49,9 +49,9 @@
   private final EventLoop loop;
   private final MonotonicClock clock = new MonotonicClock();
   private final CountDownLatch terminated = new CountDownLatch(1);
-  private final DiskConnectionPool diskConnections;
-  private final RequestDispatcher desk;
-  private final ClientConnectionManager front;
+  private final DiskConnectionPool diskPool;
+  private final RequestDispatcher dispatcher;
+  private final ClientConnectionManager connectionManager;
   private final DiscoveryClient discovery;
   private final InetSocketAddress listenAddress;
   private InetSocketAddress discoveryAddress;
@@ -75,33 +75,36 @@
     loop = (EventLoop) group.next();
     Bounds bounds = Bounds.of(configuration.maxDescriptors(), Bounds.openDescriptors(), configuration
         .memoryMb());
-    diskConnections = new DiskConnectionPool(loop, clock, log, bounds.disks(), bounds.bytes(), configuration
+    diskPool = new DiskConnectionPool(loop, clock, log, bounds.disks(), bounds.bytes(), configuration
         .settings()
         .allowed()
         .connectTimeoutUs(), configuration.diskIdleTimeoutUs());
     TokenBorrowingScheduler scheduler = new TokenBorrowingScheduler(configuration.settings());
-    desk = new RequestDispatcher(scheduler, configuration.settings(), loop, clock, log, diskConnections,
+    dispatcher = new RequestDispatcher(scheduler, configuration.settings(), loop, clock, log, diskPool,
         bounds.bytes());
-    front = new ClientConnectionManager(loop, clock, log, desk, new RequestHead.Parser(configuration
-        .settings(), configuration
-            .shardCount()), bounds);
+    connectionManager = new ClientConnectionManager(loop, clock, log, dispatcher, new RequestHead.Parser(
+        configuration
+            .settings(), configuration
+                .shardCount()), bounds);
     long version = configuration.knownEndpoints() == null ? -1 : configuration.knownEndpoints().version();
     discovery = new DiscoveryClient(loop, clock, log, watchRetryPolicy, discoveryAddress, version,
         this::onEndpointUpdate, this::markReady);
     loop.submit(() -> {
       if (configuration.knownEndpoints() != null) {
         EndpointUpdate known = configuration.knownEndpoints();
-        desk.updateServers(new EndpointUpdate(known.version(), true, known.entries()));
+        dispatcher.updateServers(new EndpointUpdate(known.version(), true, known.entries()));
       }
       discovery.start();
     }).sync();
-    listenAddress = (InetSocketAddress) front.listen(group, configuration.listenAddress()).localAddress();
+    listenAddress = (InetSocketAddress) connectionManager.listen(group, configuration.listenAddress())
+        .localAddress();
     loop.schedule(this::markReady, DISCOVERY_WAIT_MS, TimeUnit.MILLISECONDS);
-    loop.scheduleAtFixedRate(log.guarded(diskConnections::closeAllExpired), 1, 1, TimeUnit.SECONDS);
+    loop.scheduleAtFixedRate(log.guarded(diskPool::closeAllExpired), 1, 1, TimeUnit.SECONDS);
     if (environment.containsKey("HOLLYSLIP_TRACE")) {
       DiskServerTrace trace = new DiskServerTrace(out);
-      loop.execute(() -> desk.trace(trace));
-      loop.scheduleAtFixedRate(log.guarded(() -> trace.writeLines(scheduler, desk.serversByNodeId())), 1, 1,
+      loop.execute(() -> dispatcher.setTrace(trace));
+      loop.scheduleAtFixedRate(log.guarded(() -> trace.writeLines(scheduler, dispatcher.serversByNodeId())),
+          1, 1,
           TimeUnit.SECONDS);
     }
     log.event("node.started", "name", configuration.name(), "listen", listenAddress, "bounds", bounds);
@@ -120,24 +123,24 @@
     for (String name : List.of("TERM", "INT", "HUP")) {
       Signal.handle(new Signal(name), s -> {
         received.add(s.getName());
-        SchedulerProcess node = started.get();
-        if (node != null) {
-          node.onSignal(s.getName());
+        SchedulerProcess process = started.get();
+        if (process != null) {
+          process.onSignal(s.getName());
         }
       });
     }
-    SchedulerProcess node;
+    SchedulerProcess process;
     try {
-      node = new SchedulerProcess(System.getenv(), System.out);
+      process = new SchedulerProcess(System.getenv(), System.out);
     } catch (IOException | RuntimeException e) {
       System.err.println("configuration: " + e.getMessage());
       System.exit(2);
       return;
     }
-    started.set(node);
-    List.copyOf(received).forEach(node::onSignal);
-    node.terminated.await();
-    node.log.flush(LOG_FLUSH_TIMEOUT_MS);
+    started.set(process);
+    List.copyOf(received).forEach(process::onSignal);
+    process.terminated.await();
+    process.log.flush(LOG_FLUSH_TIMEOUT_MS);
     System.exit(0);
   }
 
@@ -161,22 +164,22 @@
 
   /** Number of requests that have not ended. */
   int openRequests() {
-    return desk.openRequestCount();
+    return dispatcher.openRequestCount();
   }
 
   /** Number of disk servers that are listed or have calls. */
   int diskServerCount() {
-    return desk.serverCount();
+    return dispatcher.serverCount();
   }
 
   private void onEndpointUpdate(EndpointUpdate update) {
-    desk.updateServers(update);
+    dispatcher.updateServers(update);
     markReady();
   }
 
   private void markReady() {
-    if (!front.ready() && !stopping) {
-      front.setReady();
+    if (!connectionManager.ready() && !stopping) {
+      connectionManager.setReady();
       log.event("node.ready", "name", configuration.name());
     }
   }
@@ -218,8 +221,8 @@
           .max()
           .orElseThrow();
       long responseLimitUs = responseLimitAfterStopUs(longestDeadlineUs);
-      log.event("node.stopping", "open", desk.openRequestCount());
-      desk.beginShutdown(clock.now() + responseLimitUs);
+      log.event("node.stopping", "open", dispatcher.openRequestCount());
+      dispatcher.beginShutdown(clock.now() + responseLimitUs);
       loop.schedule(this::drain, drainDelayUs(longestDeadlineUs), TimeUnit.MICROSECONDS);
     });
   }
@@ -242,17 +245,17 @@
 
   /** Number of open client connections. */
   int clientConnectionCount() {
-    return front.connectionCount();
+    return connectionManager.connectionCount();
   }
 
   private void drain() {
-    front.drain();
+    connectionManager.drain();
     loop.scheduleAtFixedRate(log.guarded(this::terminateIfDrained), 0, 10, TimeUnit.MILLISECONDS);
   }
 
   private void terminateIfDrained() {
-    if (front.closeIfDrained()) {
-      log.event("node.ended", "open", desk.openRequestCount());
+    if (connectionManager.closeIfDrained()) {
+      log.event("node.ended", "open", dispatcher.openRequestCount());
       terminated.countDown();
     }
   }
--- a/src/main/java/hollyslip/platform/StrictResponseDecoder.java
+++ b/src/main/java/hollyslip/platform/StrictResponseDecoder.java
@@ -13,8 +13,8 @@
 final class StrictResponseDecoder extends HttpResponseDecoder {
   private static final byte[] STATUS_LINE_START = "HTTP/1.1 ".getBytes(StandardCharsets.US_ASCII);
 
-  private final HttpHeadValidator headCheck = new HttpHeadValidator();
-  private boolean expectsHead = true;
+  private final HttpHeadValidator headValidator = new HttpHeadValidator();
+  private boolean awaitingHead = true;
 
   StrictResponseDecoder() {
     super(HttpSupport.strictDecoderConfig());
@@ -22,16 +22,16 @@
 
   @Override
   protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-    if (expectsHead) {
+    if (awaitingHead) {
       checkStatusLineStart(in);
-      if (!in.isReadable() || headCheck.completeHeadLength(in) < 0) {
+      if (!in.isReadable() || headValidator.completeHeadLength(in) < 0) {
         return;
       }
-      expectsHead = false;
+      awaitingHead = false;
     }
-    int before = out.size();
+    int decodedBefore = out.size();
     super.decode(ctx, in, out);
-    expectsHead = out.size() > before && out.get(out.size() - 1) instanceof LastHttpContent;
+    awaitingHead = out.size() > decodedBefore && out.get(out.size() - 1) instanceof LastHttpContent;
   }
 
   /** Rejects other protocols at their first bytes, instead of waiting for the end of a head. */
--- a/src/main/java/hollyslip/platform/TrainingRun.java
+++ b/src/main/java/hollyslip/platform/TrainingRun.java
@@ -47,14 +47,15 @@
       configuration.set("known", json.readTree(endpointList(1, address)));
       configuration.set("settings", json.readTree(SETTINGS));
       Files.writeString(file, configuration.toString());
-      SchedulerProcess node = new SchedulerProcess(Map.of("PROXY_CONFIG", file.toString()), new PrintStream(
-          OutputStream
-              .nullOutputStream()));
-      sendRequests(node.listenAddress());
-      node.reload();
-      node.stop();
-      node.awaitTermination(5000);
-      node.close();
+      SchedulerProcess process = new SchedulerProcess(Map.of("PROXY_CONFIG", file.toString()),
+          new PrintStream(
+              OutputStream
+                  .nullOutputStream()));
+      sendRequests(process.listenAddress());
+      process.reload();
+      process.stop();
+      process.awaitTermination(5000);
+      process.close();
     } finally {
       Files.delete(file);
     }
--- a/src/main/java/hollyslip/platform/WatchRetryPolicy.java
+++ b/src/main/java/hollyslip/platform/WatchRetryPolicy.java
@@ -6,8 +6,8 @@
  * an attempt must be answered within {@link #RESPONSE_TIMEOUT_US}, and the next attempt follows a failure
  * after a delay. */
 final class WatchRetryPolicy {
-  /** Discovery sends an empty line at least every 2 s; 1.5 times that counts as silence. Cost: a process that
-   * was stalled for a second opens a watch needlessly. */
+  /** Discovery sends an empty line at least every 2 s; 1.5 times that counts as silence. Drawback: a process
+   * that was stalled for a second opens a watch needlessly. */
   static final long SILENCE_TIMEOUT_US = 3_000_000;
 
   /** Limit for connecting and receiving the response head: the discovery agent is on this machine and
--- a/src/test/java/hollyslip/RulesTest.java
+++ b/src/test/java/hollyslip/RulesTest.java
@@ -206,7 +206,7 @@
     for (int step = 0; step < 4_000; step++) {
       int index = step / 500 % 2 == 0 ? 0 : random.nextInt(2);
       if (random.nextInt(3) > 0) {
-        budgets[index].requestsTaken(1);
+        budgets[index].requestsAccepted(1);
         history.add(new int[]{1, 0});
       } else if (budgets[index].allowsRetry()) {
         budgets[index].retriesMade(1);
