--- a/src/main/java/hollyslip/HostScheduler.java
+++ b/src/main/java/hollyslip/HostScheduler.java
@@ -54,8 +54,7 @@
    * @param inOrder
    *          requests with the same key run one at a time, in order of arrival */
   record RequestClass(String name, Effect effect, DedupScope dedupScope, long dedupWindowUs, long aimUs,
-      long deadlineUs,
-      double worth, double lateWorth, boolean inOrder, boolean write) {
+      long deadlineUs, double worth, double lateWorth, boolean inOrder, boolean write) {
     public RequestClass {
       requirePresent(name, "class.name");
       requirePresent(effect, "class.effect");
@@ -212,8 +211,7 @@
   /** An attempt ended. {@code requestEnded}: its request has its final answer. {@code volumeUse}: 1 + the
    * volume's use in percent of the plan's rate, 0 if not metered. {@code report} may be null. */
   record AttemptEnded(long request, int attempt, long node, Result result, boolean requestEnded,
-      long latencyUs,
-      int volumeUse, double servedElsewhere, List<Double> report) implements Event {
+      long latencyUs, int volumeUse, double servedElsewhere, List<Double> report) implements Event {
     public AttemptEnded {
       requirePresent(result, "outcome.result");
     }
--- a/src/main/java/hollyslip/platform/Configuration.java
+++ b/src/main/java/hollyslip/platform/Configuration.java
@@ -21,9 +21,8 @@
  * @param shardCount
  *          number of shards; 0: unknown */
 record Configuration(String name, InetSocketAddress listenAddress, InetSocketAddress discoveryAddress,
-    int memoryMb,
-    int maxDescriptors, EndpointUpdate knownEndpoints, Settings settings, long diskIdleTimeoutUs,
-    int shardCount) {
+    int memoryMb, int maxDescriptors, EndpointUpdate knownEndpoints, Settings settings,
+    long diskIdleTimeoutUs, int shardCount) {
 
   private static final ObjectMapper MAPPER = new ObjectMapper().enable(
       DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
@@ -56,20 +55,14 @@
     }
     JsonNode limits = json.path("limits");
     EndpointUpdate known = json.hasNonNull("known") ? EndpointUpdate.parse(json.get("known")) : null;
-    return new Configuration(requiredText(json, "name", env, "PROXY_NAME"), EndpointUpdate.parseAddress(
-        requiredText(json, "listen", env,
-            "PROXY_LISTEN"), "listen"), EndpointUpdate.parseAddress(requiredText(json, "discovery", env,
-                "PROXY_DISCOVERY"),
-                "discovery"), limits.path("memory_mb").asInt(DEFAULT_MEMORY_MB), limits.path("sockets")
-                    .asInt(DEFAULT_MAX_DESCRIPTORS),
-        known, JsonSettingsParser.parse(parseSeed(json.path("seed").asText("0")), settings), Math.round(
-            settings
-                .path(
-                    "policyLimits")
-                .path("idleClose")
-                .asDouble() * 1e6), settings.path("extra")
-                    .path("nShards")
-                    .asInt());
+    return new Configuration(requiredText(json, "name", env, "PROXY_NAME"),
+        EndpointUpdate.parseAddress(requiredText(json, "listen", env, "PROXY_LISTEN"), "listen"),
+        EndpointUpdate.parseAddress(requiredText(json, "discovery", env, "PROXY_DISCOVERY"), "discovery"),
+        limits.path("memory_mb").asInt(DEFAULT_MEMORY_MB),
+        limits.path("sockets").asInt(DEFAULT_MAX_DESCRIPTORS), known,
+        JsonSettingsParser.parse(parseSeed(json.path("seed").asText("0")), settings),
+        Math.round(settings.path("policyLimits").path("idleClose").asDouble() * 1e6),
+        settings.path("extra").path("nShards").asInt());
   }
 
   private static String requiredText(JsonNode json, String field, Map<String, String> env, String variable) {
--- a/src/main/java/hollyslip/platform/DiscoveryClient.java
+++ b/src/main/java/hollyslip/platform/DiscoveryClient.java
@@ -52,8 +52,8 @@
    *          called when a watch is answered and a list is known: changes since that version follow
    *          immediately, and nothing follows if nothing has changed */
   DiscoveryClient(EventLoop loop, MonotonicClock clock, EventLog log, WatchRetryPolicy retryPolicy,
-      InetSocketAddress address,
-      long version, Consumer<EndpointUpdate> updateListener, Runnable answeredListener) {
+      InetSocketAddress address, long version, Consumer<EndpointUpdate> updateListener,
+      Runnable answeredListener) {
     this.loop = loop;
     this.clock = clock;
     this.log = log;
--- a/src/main/java/hollyslip/platform/DiskConnectionPool.java
+++ b/src/main/java/hollyslip/platform/DiskConnectionPool.java
@@ -55,9 +55,7 @@
    * @param diskIdleTimeoutUs
    *          disk servers close connections that were idle for this long; 0: never */
   DiskConnectionPool(EventLoop loop, MonotonicClock clock, EventLog log, int maxConnections,
-      long maxBufferedBytes,
-      long connectTimeoutUs,
-      long diskIdleTimeoutUs) {
+      long maxBufferedBytes, long connectTimeoutUs, long diskIdleTimeoutUs) {
     this.loop = loop;
     this.clock = clock;
     this.log = log;
--- a/src/main/java/hollyslip/platform/InboundRequest.java
+++ b/src/main/java/hollyslip/platform/InboundRequest.java
@@ -18,8 +18,7 @@
  * @param closeAfterResponse
  *          whether the client asked to close the connection after the response */
 record InboundRequest(RequestHead head, byte[] body, long receivedAt, long respondBy,
-    HttpResponseStatus errorStatus,
-    boolean closeAfterResponse) {
+    HttpResponseStatus errorStatus, boolean closeAfterResponse) {
   private static final byte[] EMPTY_BODY = {};
 
   static InboundRequest rejected(HttpResponseStatus status, long respondBy, boolean closeAfterResponse) {
--- a/src/main/java/hollyslip/platform/LoadReportParser.java
+++ b/src/main/java/hollyslip/platform/LoadReportParser.java
@@ -28,8 +28,7 @@
   double servedElsewhere(HttpHeaders headers) {
     String text = headers == null || !settings.store().reportsServedElsewhere()
         ? null
-        : headers.get(
-            "X-Served-Elsewhere");
+        : headers.get("X-Served-Elsewhere");
     return text != null && text.matches("[0-9]{1,12}") ? Long.parseLong(text) : 0;
   }
 
@@ -37,8 +36,7 @@
   List<Double> attemptReport(HttpHeaders headers) {
     return headers == null || settings.reportSource() != ReportSource.ANSWERS
         ? null
-        : parseFields(headers.get(
-            "X-Pressure"));
+        : parseFields(headers.get("X-Pressure"));
   }
 
   /** Load report in the response to a probe: in its header or, from the report's own path, in its body; null
--- a/src/main/java/hollyslip/platform/RequestAssembler.java
+++ b/src/main/java/hollyslip/platform/RequestAssembler.java
@@ -95,8 +95,7 @@
     }
     InboundRequest complete = errorStatus != null
         ? InboundRequest.rejected(errorStatus, receivedAt
-            + ClientConnectionManager.ERROR_RESPONSE_DEADLINE_US,
-            closeAfterResponse)
+            + ClientConnectionManager.ERROR_RESPONSE_DEADLINE_US, closeAfterResponse)
         : completeRequest(receivedAt);
     reset();
     return complete;
--- a/src/main/java/hollyslip/platform/RequestDispatcher.java
+++ b/src/main/java/hollyslip/platform/RequestDispatcher.java
@@ -58,8 +58,7 @@
   private long shutdownDeadline = Long.MAX_VALUE;
 
   RequestDispatcher(HostScheduler scheduler, Settings settings, EventLoop loop, MonotonicClock clock,
-      EventLog log, DiskConnectionPool diskPool,
-      long maxBufferedBytes) {
+      EventLog log, DiskConnectionPool diskPool, long maxBufferedBytes) {
     this.scheduler = scheduler;
     this.settings = settings;
     this.loop = loop;
@@ -126,9 +125,9 @@
     byTransactionId.put(head.transactionId(), exchange);
     byRequestId.put(exchange.requestId, exchange);
     bufferedBytes += body.length;
-    post(new HostScheduler.Request(exchange.requestId, head.className(), head.plan(), head.objectKey(), head
-        .volumePlanId(), head
-            .units(), head.shard(), head.hosts(), exchange.deadline() - clock.now(), head.clientRetry()));
+    post(new HostScheduler.Request(exchange.requestId, head.className(), head.plan(), head.objectKey(),
+        head.volumePlanId(), head.units(), head.shard(), head.hosts(), exchange.deadline() - clock.now(),
+        head.clientRetry()));
     return exchange;
   }
 
@@ -178,8 +177,7 @@
       serversByHost.values()
           .stream()
           .filter(server -> !listedHosts.contains(server.host))
-          .forEach(server -> changeState(server, NodeState.GONE,
-              now));
+          .forEach(server -> changeState(server, NodeState.GONE, now));
     }
     post(new HostScheduler.NodeList(update.complete(), listed));
     List.copyOf(serversByHost.values()).forEach(this::removeIfGone);
@@ -285,8 +283,8 @@
     long now = clock.now();
     DiskServer server = serversByNodeId.get(send.node());
     if (server == null || exchange.completed() || attempt >= settings.allowed().maxAttempts()) {
-      post(new HostScheduler.AttemptEnded(exchange.requestId, attempt, send.node(), Result.MOOT, exchange
-          .completed(), 0, 0, 0, null));
+      post(new HostScheduler.AttemptEnded(exchange.requestId, attempt, send.node(), Result.MOOT,
+          exchange.completed(), 0, 0, 0, null));
       return;
     }
     exchange.attemptsOutstanding++;
@@ -294,13 +292,10 @@
     long timeoutAt = send.timeoutAt() > 0 ? Math.min(send.timeoutAt(), latest) : latest;
     long startedAtUs = server.startedAtUs;
     Call call = new Call(server, now, timeoutAt, waitUs -> encodeAttempt(exchange, server, waitUs),
-        () -> exchange.isStillOpen() && clock
-            .now() <= send.startBy() && server.startedAtUs == startedAtUs && acceptsAttempts(server), (result,
-                latencyUs, headers, body) -> attemptEnded(
-                    exchange,
-                    attempt, server, result, latencyUs,
-                    headers,
-                    body));
+        () -> exchange.isStillOpen() && clock.now() <= send.startBy() && server.startedAtUs == startedAtUs
+            && acceptsAttempts(server),
+        (result, latencyUs, headers, body) -> attemptEnded(exchange, attempt, server, result, latencyUs,
+            headers, body));
     callsByRequest.computeIfAbsent(exchange.requestId, k -> new HashMap<>()).put(attempt, call);
     if (trace != null) {
       trace.attemptStarted(server.nodeId);
@@ -332,14 +327,11 @@
       exchange.serve(body);
     } else {
       log.event("attempt.ended", "id", exchange.head.transactionId(), "attempt", attempt, "server",
-          server.host, "result", result,
-          "took_ms",
-          latencyUs / 1000);
+          server.host, "result", result, "took_ms", latencyUs / 1000);
     }
-    post(new HostScheduler.AttemptEnded(exchange.requestId, attempt, server.nodeId, result, exchange
-        .completed(),
-        latencyUs, reportParser
-            .volumeUse(headers), reportParser.servedElsewhere(headers), reportParser.attemptReport(headers)));
+    post(new HostScheduler.AttemptEnded(exchange.requestId, attempt, server.nodeId, result,
+        exchange.completed(), latencyUs, reportParser.volumeUse(headers),
+        reportParser.servedElsewhere(headers), reportParser.attemptReport(headers)));
     removeIfDone(exchange);
     removeIfGone(server);
   }
@@ -362,10 +354,8 @@
     if (!exchange.completed()) {
       long now = clock.now();
       log.event(event, "id", exchange.head.transactionId(), "class", exchange.head.className(), "waited_ms",
-          (now - exchange.acceptedAt) / 1000,
-          "left_ms",
-          (exchange.deadline() - now) / 1000, "attempts", exchange.attempts, "out",
-          exchange.attemptsOutstanding);
+          (now - exchange.acceptedAt) / 1000, "left_ms", (exchange.deadline() - now) / 1000, "attempts",
+          exchange.attempts, "out", exchange.attemptsOutstanding);
     }
   }
 
@@ -391,16 +381,12 @@
     long now = clock.now();
     boolean reports = settings.reportSource() != HostScheduler.ReportSource.NONE;
     String path = reports ? "/status/load" : "/health";
-    diskPool.start(new Call(server, now, now + settings.allowed().connectTimeoutUs(), waitUs -> HttpSupport
-        .latin1Bytes(
-            "GET "
-                + path
-                + " HTTP/1.1\r\nHost: " + HttpSupport.authority(server.address) + "\r\n\r\n"),
-        () -> server.state != NodeState.GONE, (
-            result,
-            latencyUs, headers, body) -> {
-          post(new HostScheduler.ProbeEnded(nodeId, result, latencyUs, reportParser.probeReport(headers,
-              body)));
+    diskPool.start(new Call(server, now, now + settings.allowed().connectTimeoutUs(),
+        waitUs -> HttpSupport.latin1Bytes("GET " + path + " HTTP/1.1\r\nHost: "
+            + HttpSupport.authority(server.address) + "\r\n\r\n"),
+        () -> server.state != NodeState.GONE, (result, latencyUs, headers, body) -> {
+          post(new HostScheduler.ProbeEnded(nodeId, result, latencyUs,
+              reportParser.probeReport(headers, body)));
           removeIfGone(server);
         }));
   }
--- a/src/main/java/hollyslip/platform/RequestHead.java
+++ b/src/main/java/hollyslip/platform/RequestHead.java
@@ -28,21 +28,18 @@
  * @param bodyLength
  *          bytes, or {@link #CHUNKED} if only the chunked body determines its length */
 record RequestHead(String transactionId, String method, String uri, String className, String plan,
-    long objectKey,
-    String idempotencyKey, long remainingUs, long volumePlanId, double units, int shard, int hosts,
-    boolean clientRetry,
-    boolean write, int bodyLength) {
+    long objectKey, String idempotencyKey, long remainingUs, long volumePlanId, double units, int shard,
+    int hosts, boolean clientRetry, boolean write, int bodyLength) {
 
   static final int CHUNKED = -1;
 
   /** Maximum length of an idempotency key, characters. */
   private static final int MAX_IDEMPOTENCY_KEY_LENGTH = 256;
 
-  private static final Pattern CONTENT_LENGTH = Pattern.compile("[0-9]{1,18}"), TRANSACTION_ID = Pattern
-      .compile(
-          "[0-9A-Za-z_-]{1,64}"), DECIMAL = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,9})?"), INTEGER = Pattern
-              .compile(
-                  "-?[0-9]{1,8}"), HEX_64 = Pattern.compile("[0-9a-fA-F]{16}");
+  private static final Pattern CONTENT_LENGTH = Pattern.compile("[0-9]{1,18}"),
+      TRANSACTION_ID = Pattern.compile("[0-9A-Za-z_-]{1,64}"),
+      DECIMAL = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,9})?"), INTEGER = Pattern.compile("-?[0-9]{1,8}"),
+      HEX_64 = Pattern.compile("[0-9a-fA-F]{16}");
 
   /** Thrown when a request head is invalid, with the status to respond with. */
   static final class RequestRejectedException extends Exception {
@@ -94,9 +91,9 @@
         throw rejected("body of a read");
       }
       String idempotencyKey = optionalHeader(headers, "Idempotency-Key");
-      if (requestClass.effect() == hollyslip.HostScheduler.Effect.KEYED && (idempotencyKey == null
-          || idempotencyKey
-              .isEmpty()) || idempotencyKey != null && idempotencyKey.length() > MAX_IDEMPOTENCY_KEY_LENGTH) {
+      if (requestClass.effect() == hollyslip.HostScheduler.Effect.KEYED
+          && (idempotencyKey == null || idempotencyKey.isEmpty())
+          || idempotencyKey != null && idempotencyKey.length() > MAX_IDEMPOTENCY_KEY_LENGTH) {
         throw rejected("Idempotency-Key");
       }
       Map<String, String> io = parsePairs(requiredHeader(headers, "X-IO"));
@@ -115,15 +112,10 @@
       String clientRetry = optionalHeader(headers, "X-Resent");
       int planIndex = findPlan(headers);
       return new RequestHead(parseTransactionId(headers), method.name(), request.uri(), requestClass.name(),
-          settings
-              .plans()
-              .get(planIndex)
-              .name(), parseHex(path
-                  .substring(lastSlash + 1), "key"),
-          idempotencyKey, parseRemaining(requiredHeader(headers, "X-Remaining"), requestClass), volumePlanId(
-              parseHex(io.get("volume"), "volume"), planIndex),
-          units, shard,
-          hosts, "1".equals(clientRetry), requestClass.write(), length);
+          settings.plans().get(planIndex).name(), parseHex(path.substring(lastSlash + 1), "key"),
+          idempotencyKey, parseRemaining(requiredHeader(headers, "X-Remaining"), requestClass),
+          volumePlanId(parseHex(io.get("volume"), "volume"), planIndex), units, shard, hosts,
+          "1".equals(clientRetry), requestClass.write(), length);
     }
 
     private int findPlan(HttpHeaders headers) throws RequestRejectedException {
--- a/src/main/java/hollyslip/recovery/EpochElection.java
+++ b/src/main/java/hollyslip/recovery/EpochElection.java
@@ -74,8 +74,6 @@
       return new Decision(Action.GO_ON, mine.epoch, other);
     }
     boolean wins = report.openConnections == 0 || other.epoch == mine.epoch && mine.instance > other.instance;
-    return wins
-        ? new Decision(Action.TAKE, other.epoch + 1, other)
-        : new Decision(Action.YIELD, 0, other);
+    return wins ? new Decision(Action.TAKE, other.epoch + 1, other) : new Decision(Action.YIELD, 0, other);
   }
 }
