--- a/src/main/java/hollyslip/JsonSettingsParser.java
+++ b/src/main/java/hollyslip/JsonSettingsParser.java
@@ -34,28 +34,28 @@
     JsonNode extra = json.path("extra");
     List<String> fields = new ArrayList<>();
     json.path("stats").path("names").forEach(f -> fields.add(reportField(f.asText())));
-    return new Settings(seed, json.path("myNumber").asInt(), json.path("balancers").asInt(1), json.path(
-        "az").asText(""), Math.max(1, micros(json.path("tick"))), json.path("discovery")
-            .asText()
-            .equals("on_request"), classes, plans, new Rules(micros(rules.path("graceToAnswer")), micros(rules
-                .path("drainGrace")), rules.path("coldFrom").asDouble(1), micros(rules.path("cold")), rules
-                    .path("fallMultiple")
-                    .asDouble(), micros(rules.path("fall")), micros(rules.path("settleAfterDoubt")), rules
-                        .path("furtherRatio")
-                        .asDouble(), rules.path("budgetFree").asDouble(), micros(rules.path("resendSpan")),
-                micros(rules.path("askWithin"))),
-        new Allowed(limits.path("maxAttempts").asInt(1), limits.path("probes").asBoolean(), limits.path(
-            "cancel").asBoolean(), limits.path("secondCopies").asBoolean(), limits.path("retryAfter")
-                .asBoolean(), micros(limits.path("maxRetryAfter")), micros(limits.path("dialTimeout"))),
-        new Store(extra.path("unitMean").asDouble(1), extra.path("mostUnits").asInt(1), extra.path(
-            "coldBears").asDouble(), extra.path("fairWorth").asDouble(), extra.path("idleWorth").asDouble(),
-            micros(extra.path("meter")), extra.path("tellsElsewhere").asBoolean()), switch (json.path("stats")
-                .path("how")
-                .asText()) {
-              case "answers" -> ReportSource.ANSWERS;
-              case "probe" -> ReportSource.PROBE;
-              default -> ReportSource.NONE;
-            }, fields);
+    return new Settings(seed, json.path("myNumber").asInt(), json.path("balancers").asInt(1),
+        json.path("az").asText(""), Math.max(1, micros(json.path("tick"))),
+        json.path("discovery").asText().equals("on_request"), classes, plans,
+        new Rules(micros(rules.path("graceToAnswer")), micros(rules.path("drainGrace")),
+            rules.path("coldFrom").asDouble(1), micros(rules.path("cold")),
+            rules.path("fallMultiple").asDouble(), micros(rules.path("fall")),
+            micros(rules.path("settleAfterDoubt")), rules.path("furtherRatio").asDouble(),
+            rules.path("budgetFree").asDouble(), micros(rules.path("resendSpan")),
+            micros(rules.path("askWithin"))),
+        new Allowed(limits.path("maxAttempts").asInt(1), limits.path("probes").asBoolean(),
+            limits.path("cancel").asBoolean(), limits.path("secondCopies").asBoolean(),
+            limits.path("retryAfter").asBoolean(), micros(limits.path("maxRetryAfter")),
+            micros(limits.path("dialTimeout"))),
+        new Store(extra.path("unitMean").asDouble(1), extra.path("mostUnits").asInt(1),
+            extra.path("coldBears").asDouble(), extra.path("fairWorth").asDouble(),
+            extra.path("idleWorth").asDouble(), micros(extra.path("meter")),
+            extra.path("tellsElsewhere").asBoolean()),
+        switch (json.path("stats").path("how").asText()) {
+          case "answers" -> ReportSource.ANSWERS;
+          case "probe" -> ReportSource.PROBE;
+          default -> ReportSource.NONE;
+        }, fields);
   }
 
   private static RequestClass requestClass(JsonNode json, JsonNode write) {
@@ -67,15 +67,16 @@
       case "all" -> DedupScope.ALL;
       case "zone" -> DedupScope.ZONE;
       default -> DedupScope.CELL;
-    }, micros(json.path("window")), micros(json.path("aim")), micros(json.path("giveUp")), json.path("points")
-        .asDouble(), json.path("lateValue").asDouble(), json.path("byArrival").asBoolean(), write
-            .asBoolean());
+    }, micros(json.path("window")), micros(json.path("aim")), micros(json.path("giveUp")),
+        json.path("points").asDouble(), json.path("lateValue").asDouble(), json.path("byArrival").asBoolean(),
+        write.asBoolean());
   }
 
   private static Plan plan(JsonNode json) {
-    return new Plan(require(json, "name").asText(), json.path("nominal").asDouble(), json.path("guaranteed")
-        .asDouble(), json.path("proportion").asDouble(1), json.path("price").asDouble(1), json.path("cap")
-            .asDouble(), json.path("capDepth").asDouble(), json.path("limitSlack").asDouble());
+    return new Plan(require(json, "name").asText(), json.path("nominal").asDouble(),
+        json.path("guaranteed").asDouble(), json.path("proportion").asDouble(1),
+        json.path("price").asDouble(1), json.path("cap").asDouble(), json.path("capDepth").asDouble(),
+        json.path("limitSlack").asDouble());
   }
 
   private static String reportField(String name) {
--- a/src/main/java/hollyslip/platform/ClientConnection.java
+++ b/src/main/java/hollyslip/platform/ClientConnection.java
@@ -366,8 +366,7 @@
       manager.log()
           .event("client.closed", "client", channel.remoteAddress(), "reason", closeReason, "state", state,
               "open", current == null ? "none" : current.head.transactionId(), "waiting", queued.size(),
-              "partial", decoder
-                  .hasPartialRequest(), "dropped", discardedBytes);
+              "partial", decoder.hasPartialRequest(), "dropped", discardedBytes);
     }
   }
 
--- a/src/main/java/hollyslip/platform/EndpointUpdate.java
+++ b/src/main/java/hollyslip/platform/EndpointUpdate.java
@@ -56,10 +56,8 @@
     InetSocketAddress address = state == NodeState.GONE && !json.hasNonNull("dial")
         ? null
         : parseAddress(json.path("dial").asText(""), "list.dial");
-    return new Entry(host, address, json.path("site").asText(""), json.path("block").asInt(-1), state, json
-        .path(
-            "born_ms")
-        .asLong());
+    return new Entry(host, address, json.path("site").asText(""), json.path("block").asInt(-1), state,
+        json.path("born_ms").asLong());
   }
 
   /** Parses a numeric address and port, so that no name is ever resolved.
--- a/src/main/java/hollyslip/platform/SchedulerProcess.java
+++ b/src/main/java/hollyslip/platform/SchedulerProcess.java
@@ -64,8 +64,7 @@
   }
 
   SchedulerProcess(Map<String, String> environment, PrintStream out, WatchRetryPolicy watchRetryPolicy)
-      throws IOException,
-      InterruptedException {
+      throws IOException, InterruptedException {
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     this.environment = environment;
     log = new EventLog(out);
@@ -73,19 +72,15 @@
     discoveryAddress = configuration.discoveryAddress();
     group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop"), NioIoHandler.newFactory());
     loop = (EventLoop) group.next();
-    Bounds bounds = Bounds.of(configuration.maxDescriptors(), Bounds.openDescriptors(), configuration
-        .memoryMb());
-    diskPool = new DiskConnectionPool(loop, clock, log, bounds.disks(), bounds.bytes(), configuration
-        .settings()
-        .allowed()
-        .connectTimeoutUs(), configuration.diskIdleTimeoutUs());
+    Bounds bounds = Bounds.of(configuration.maxDescriptors(), Bounds.openDescriptors(),
+        configuration.memoryMb());
+    diskPool = new DiskConnectionPool(loop, clock, log, bounds.disks(), bounds.bytes(),
+        configuration.settings().allowed().connectTimeoutUs(), configuration.diskIdleTimeoutUs());
     TokenBorrowingScheduler scheduler = new TokenBorrowingScheduler(configuration.settings());
     dispatcher = new RequestDispatcher(scheduler, configuration.settings(), loop, clock, log, diskPool,
         bounds.bytes());
-    connectionManager = new ClientConnectionManager(loop, clock, log, dispatcher, new RequestHead.Parser(
-        configuration
-            .settings(), configuration
-                .shardCount()), bounds);
+    connectionManager = new ClientConnectionManager(loop, clock, log, dispatcher,
+        new RequestHead.Parser(configuration.settings(), configuration.shardCount()), bounds);
     long version = configuration.knownEndpoints() == null ? -1 : configuration.knownEndpoints().version();
     discovery = new DiscoveryClient(loop, clock, log, watchRetryPolicy, discoveryAddress, version,
         this::onEndpointUpdate, this::markReady);
