--- a/src/main/java/hollyslip/platform/InboundRequest.java
+++ b/src/main/java/hollyslip/platform/InboundRequest.java
@@ -2,8 +2,8 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** One item that a client is owed a response for, in order of arrival: a complete request, or input that is
- * answered with an error.
+/** One item of a client connection's queue, which is answered in order of arrival: a complete request, or
+ * input that is answered with an error.
  *
  * @param head
  *          null for an error
@@ -18,8 +18,7 @@
  * @param closeAfterResponse
  *          whether the client asked to close the connection after the response */
 record InboundRequest(RequestHead head, byte[] body, long receivedAt, long respondBy,
-    HttpResponseStatus errorStatus,
-    boolean closeAfterResponse) {
+    HttpResponseStatus errorStatus, boolean closeAfterResponse) {
   private static final byte[] EMPTY_BODY = {};
 
   static InboundRequest rejected(HttpResponseStatus status, long respondBy, boolean closeAfterResponse) {
