--- a/src/main/java/hollyslip/NodeSnapshot.java
+++ b/src/main/java/hollyslip/NodeSnapshot.java
@@ -21,7 +21,7 @@
   public static List<NodeSnapshot> of(TokenBorrowingScheduler scheduler) {
     return scheduler.nodes.values()
         .stream()
-        .map(n -> new NodeSnapshot(n.id, n.state, n.windowUse, n.queued, n.window,
+        .map(n -> new NodeSnapshot(n.id, n.state, n.countedInFlight, n.queued, n.window,
             n.expectedLatency(), n.unresponsive, n.isCold()))
         .toList();
   }
--- a/src/main/java/hollyslip/TokenBorrowingScheduler.java
+++ b/src/main/java/hollyslip/TokenBorrowingScheduler.java
@@ -15,7 +15,8 @@
   /** Allocation period, in microseconds: the 100 ms of the specification. */
   static final long ALLOCATION_PERIOD_US = 100_000;
 
-  /** Initial and maximum window of a node, in requests: a few, and the maximum of the specification. */
+  /** Initial and maximum window of a node, in requests: a few to begin with, and the maximum that the design
+   * specifies. */
   static final double INITIAL_WINDOW = 4, MAX_WINDOW = 32;
 
   /** The window widens while latency is below the first multiple of the baseline and narrows above the
@@ -32,16 +33,19 @@
   static final double NARROW_FACTOR = 0.85;
 
   /** The latency estimate of a node decays toward the baseline over this many mean gaps between this host's
-   * requests to it, within these bounds in microseconds. A host that makes up much of the node's queue tries
-   * again soon, one of a hundred only now and then, so that together they do not fill it by trying. */
+   * requests to it, within these bounds in microseconds. A host that contributes much of the node's queue
+   * sends to it again soon, one host of a hundred only now and then, so that together they do not fill the
+   * queue with requests that test it. */
   static final double DECAY_GAPS = 6, MIN_DECAY_US = 250_000, MAX_DECAY_US = 2_000_000;
 
-  /** Factors by which a faster or slower answer of any node moves the baseline; in balance 1/4 are faster. */
+  /** Factors by which an answer of any node that is faster or slower than the baseline latency moves it; in
+   * balance, a quarter of the answers are faster. */
   static final double BASELINE_DECREASE = 0.97, BASELINE_INCREASE = 1.01;
 
-  /** Upper bound, in shortest aims, on the latency recorded for a missing answer, a full queue or an answer;
-   * high enough to hold back requests that are due. Guards against a stall of seconds that holds requests
-   * back for seconds more, until the estimate has decayed. Drawback: a longer queue is forgotten sooner. */
+  /** Upper bound, in shortest aims, on the latency that the estimate takes from a missing answer, a full
+   * queue or an answer; high enough to hold back requests that are due. Without it, a stall of seconds would
+   * hold requests back for seconds more, until so large an estimate had decayed. Drawback: a host forgets a
+   * longer queue sooner. */
   static final double LATENCY_CAP_AIMS = 2;
 
   /** When an attempt that may be repeated times out. The latest time is {@link #LATE_TIMEOUT_AIMS} of the
@@ -58,34 +62,40 @@
   /** Baseline latency before the first answer, in microseconds: that of a disk request. */
   static final double INITIAL_LATENCY_US = 40_000;
 
-  /** Bucket depth in requests of mean size, as in the paper; fraction of an idle record kept each period. */
-  static final double BUCKET_DEPTH = 3, RECORD_DECAY = 0.98;
+  /** Depth of a bucket in requests of mean size, as in the paper, and the fraction of an idle volume's record
+   * that is kept each period. */
+  static final double BUCKET_DEPTH_REQUESTS = 3, RECORD_DECAY = 0.98;
 
-  /** Time without requests after which a node's volume is forgotten, us; longer than load surges last. */
+  /** Time without requests after which a volume is forgotten at a node, in microseconds; longer than load
+   * surges last. */
   static final long IDLE_EXPIRY_US = 60_000_000;
 
-  /** Fraction of the client's time after which a request that was never sent is ended, if its aim's length
-   * has not passed before. The rest is left for a retry. Drawback: some could have been served late. */
+  /** Fraction of the client's remaining time after which a request that was never sent is ended, unless the
+   * length of its aim has passed before. The rest is left to the client for a retry. Drawback: a request that
+   * could have been served late is not served. */
   static final double MAX_QUEUED_FRACTION = 0.5;
 
-  /** Delays in microseconds: before a retry after an immediate failure, a few service times; before a blocked
-   * request is examined again; before the node list is requested again, which is itself load. */
+  /** Delays in microseconds: before the retry of an attempt that failed at once, a few service times; before
+   * a queued request that a check holds back is examined again; before the node list is requested again,
+   * which is itself load. */
   static final long RETRY_DELAY_US = 30_000, BLOCKED_POLL_US = 10_000, NODE_LIST_RETRY_US = 500_000;
 
   /** Consecutive refused connections that indicate a node that is down, rather than out of connections. */
   static final int DOWN_AFTER_FAILURES = 2;
 
-  /** Safety margin on the deduplication window of a keyed class, us; longer than a message is in transit. */
+  /** Safety margin on the deduplication window of a keyed class, in microseconds; longer than a message is in
+   * transit. */
   static final long DEDUP_WINDOW_MARGIN_US = 20_000;
 
   private final Settings settings;
   private final Map<String, RequestClass> classes = new HashMap<>();
-  /** Longest remaining time of any request by class; what a request lacks of it passed before arrival. */
+  /** Longest remaining time of any request so far, by class; the difference to it is time that has passed
+   * before arrival. */
   private final Map<String, Long> maxRemainingUs = new HashMap<>();
   private final Map<String, Plan> plans = new HashMap<>();
   /** All nodes, and those with queued requests: the cost of an event must not grow with the node count. */
-  final Map<Long, Node> nodes = new TreeMap<>(), backloggedNodes = new TreeMap<>();
-  private final Map<Long, PendingRequest> requests = new LinkedHashMap<>();
+  final Map<Long, Node> nodes = new TreeMap<>(), nodesWithQueuedRequests = new TreeMap<>();
+  private final Map<Long, PendingRequest> pendingRequests = new LinkedHashMap<>();
   private final Map<Long, TokenBucket> limits = new HashMap<>(), reserves = new HashMap<>();
   private final Map<Long, KeyQueue> keyQueues = new HashMap<>();
   /** Volumes with a plan of their own, and removed volumes that are forgotten with their last request. */
@@ -99,8 +109,9 @@
   private final double shortestAimUs, maxWorth;
   private Consumer<Action> actionSink;
   private double maxValue;
-  private double baselineUs = INITIAL_LATENCY_US;
-  /** Moving average, over all nodes, of missing answers that were merely lost: the next one came soon. */
+  private double baselineLatency = INITIAL_LATENCY_US;
+  /** Share of missing answers, of any node, that were merely lost, as the node's next answer came soon; a
+   * moving average. */
   private double lostAnswerRatio;
   private long now, nextSequence, periodEnd, nextSweepAt;
   private long firstEventAt = Long.MIN_VALUE, timerAt = Long.MAX_VALUE, listRetryAt = Long.MAX_VALUE;
@@ -202,7 +213,8 @@
     final double bucketDepth;
     double weight, groupWeight;
     long group;
-    /** By what equivalent requests have in common, then by aim: a selection examines only a few of them. */
+    /** By what equivalent requests have in common, then by aim, so that a selection examines only a few of
+     * them. */
     final Map<QueueKey, TreeMap<AimKey, PendingRequest>> queues = new LinkedHashMap<>();
     long filledAt, lastRequestAt, decayedPeriods;
     /** Whether the volume has had an allocation at this node. */
@@ -210,8 +222,9 @@
     /** Tokens in the bucket, their rate per microsecond, units requested in the current period, and the
      * record (equation 8): tokens that this volume has lent, or owes if negative. */
     double tokens, rate, requestedUnits, record;
-    /** The paper's p (share of the tokens) and alpha (allocation), equations 1 and 2; u (utilisation), d
-     * (demand), net tokens lent and DF (distribution factor), equations 3 to 8; and the previous alpha. */
+    /** The paper's quantities: p (share of the tokens) and alpha (allocation), equations 1 and 2; u
+     * (utilisation), d (demand), tokens lent on balance and DF (distribution factor), equations 3 to 8; and
+     * alpha of the previous allocation. */
     double tokenShare, utilisation, demand, allocation, lent, distributionFactor, lastAllocation;
 
     VolumeQueue(double weight, double bucketDepth, long now) {
@@ -256,21 +269,24 @@
     final String zone;
     final int cell;
     final Map<Long, VolumeQueue> volumes = new LinkedHashMap<>();
-    /** Volumes with queued requests, and with requests in this period: costs depend on these alone. */
-    final Set<VolumeQueue> backloggedVolumes = new LinkedHashSet<>(), activeVolumes = new LinkedHashSet<>();
+    /** Volumes with queued requests, and volumes with requests in this period: costs depend on these, not on
+     * all volumes ever seen. */
+    final Set<VolumeQueue> volumesWithQueuedRequests = new LinkedHashSet<>(),
+        activeVolumes = new LinkedHashSet<>();
     long periodCount;
     NodeState state = NodeState.GONE;
     /** Start time as this host assumes it, and as last listed; the first may be later. */
     long startedAt, listedStartedAt;
     double window = INITIAL_WINDOW;
-    /** Budget of this host while the node is cold: half of the safe units at once, half over fallUs. */
+    /** What this host may send while the node is cold: half of the safe units at once, half over the window
+     * of the rule. */
     TokenBucket coldBudget;
-    double estimateUs = baselineUs, meanRequestGap = MAX_DECAY_US;
+    double latencyEstimate = baselineLatency, meanRequestGap = MAX_DECAY_US;
     /** Expected latency at the start of the present selection, the same for all its candidates. */
     double selectionLatency;
     boolean unresponsive;
-    int windowUse, queued, connectFailures;
-    long narrowedAt, answeredSentAt, estimatedAt, lastSampleAt, lastRequestAt;
+    int countedInFlight, queued, connectFailures;
+    long narrowedAt, lastAnsweredSentAt, estimatedAt, lastSampleAt, lastRequestAt;
     /** Requests with an attempt in flight to this node, oldest first. */
     final LinkedHashSet<PendingRequest> inFlight = new LinkedHashSet<>();
 
@@ -286,7 +302,7 @@
       double half = settings.store().coldUnits() / 2;
       coldBudget = new TokenBucket(half * 1e6 / Math.max(1, settings.rules().fallUs()), half, 0, now);
       window = INITIAL_WINDOW;
-      estimateUs = baselineUs;
+      latencyEstimate = baselineLatency;
       connectFailures = 0;
     }
 
@@ -294,9 +310,10 @@
       return startedAt > 0 && now < startedAt + settings.rules().coldUs();
     }
 
-    /** While the node is cold, admits only first attempts still in time, and of these the fraction of its
-     * capacity that rule 4 grants at its age when the request arrived. A random draw per request decides:
-     * hosts need not agree, a restart gains nothing; the budget keeps each host within what is safe. */
+    /** While the node is cold, admits only first attempts that are still in time, and of these the fraction
+     * that the rules grant of its capacity at its age when the request arrived (rule 4). A random draw for
+     * each request decides, so that hosts need not agree and a restart gains nothing; the budget keeps a host
+     * alone within what is always safe. */
     boolean admits(PendingRequest pending) {
       if (!isCold()) {
         return true;
@@ -316,10 +333,10 @@
     /** Latency of a request sent now: the last estimate, decayed toward the baseline, or the time that an
      * attempt has been in flight, if longer, while nothing sent later was answered. */
     double expectedLatency() {
-      double decayed = baselineUs + (estimateUs - baselineUs)
+      double decayed = baselineLatency + (latencyEstimate - baselineLatency)
           * Math.exp((double) (estimatedAt - now) / decayUs());
       for (PendingRequest pending : inFlight) {
-        if (pending.sentAt > answeredSentAt && !pending.overdue) {
+        if (pending.sentAt > lastAnsweredSentAt && !pending.overdue) {
           return Math.max(decayed, now - pending.sentAt);
         }
       }
@@ -330,19 +347,21 @@
       return Math.max(MIN_DECAY_US, Math.min(MAX_DECAY_US, DECAY_GAPS * meanRequestGap));
     }
 
-    /** Weighs a sample the more, the older the previous is; after seconds it nearly replaces the estimate. */
+    /** Weighs a sample the more, the older the previous one is: for a host that sends once in seconds it
+     * nearly replaces the estimate. */
     void recordLatency(double sample) {
       double decayed = expectedLatency();
-      estimateUs = decayed + Math.max(MIN_LATENCY_GAIN, 1 - Math.exp((double) (lastSampleAt - now)
-          / decayUs()))
-          * (sample - decayed);
+      latencyEstimate = decayed
+          + Math.max(MIN_LATENCY_GAIN, 1 - Math.exp((double) (lastSampleAt - now) / decayUs())) * (sample
+              - decayed);
       estimatedAt = now;
       lastSampleAt = now;
     }
 
-    /** Raises the estimate after no answer, no connection or a full queue, until the next answer. */
+    /** Raises the estimate when there was no answer, no connection or a full queue: the wait is long, and the
+     * next answer tells how long. */
     void assumeLatency(double latency) {
-      estimateUs = Math.max(expectedLatency(), latency);
+      latencyEstimate = Math.max(expectedLatency(), latency);
       estimatedAt = now;
       lastSampleAt = now - IDLE_EXPIRY_US;
       narrowWindow(0.5);
@@ -350,11 +369,13 @@
 
     void recordNoAnswer() {
       unresponsive = true;
-      assumeLatency(baselineUs + (1 - lostAnswerRatio) * (LATENCY_CAP_AIMS * shortestAimUs - baselineUs));
+      assumeLatency(baselineLatency + (1 - lostAnswerRatio)
+          * (LATENCY_CAP_AIMS * shortestAimUs - baselineLatency));
     }
 
-    /** Learns from what follows missing answers, on any node, whether they indicate long queues and dead
-     * nodes or are merely lost, which holds nothing back. Drawback: a dead node is tried more often. */
+    /** Learns from what followed a missing answer, on any node, whether missing answers indicate long queues
+     * and dead nodes, or merely lost answers, which hold nothing back. Drawback: a dead node is tried more
+     * often. */
     void endSilence(boolean answerLost) {
       unresponsive = false;
       lostAnswerRatio += LOST_ANSWER_GAIN * ((answerLost ? 1 : 0) - lostAnswerRatio);
@@ -367,30 +388,33 @@
         endSilence(latencyUs < shortestAimUs / 2);
       }
       recordLatency(Math.min(latencyUs, LATENCY_CAP_AIMS * shortestAimUs));
-      baselineUs *= latencyUs < baselineUs ? BASELINE_DECREASE : BASELINE_INCREASE;
+      baselineLatency *= latencyUs < baselineLatency ? BASELINE_DECREASE : BASELINE_INCREASE;
       if (connectFailures >= DOWN_AFTER_FAILURES) {
         resetForRestart(now);
       }
       connectFailures = 0;
-      double reference = Math.max(baselineUs, LATENCY_NOISE * shortestAimUs);
-      if (estimateUs < WIDEN_BELOW * reference) {
-        boolean full = windowUse + 1 >= (estimateUs < LATENCY_NOISE * shortestAimUs ? (int) window : window);
+      double reference = Math.max(baselineLatency, LATENCY_NOISE * shortestAimUs);
+      if (latencyEstimate < WIDEN_BELOW * reference) {
+        boolean full = countedInFlight + 1 >= (latencyEstimate < LATENCY_NOISE * shortestAimUs
+            ? (int) window
+            : window);
         window = Math.min(MAX_WINDOW, full ? window + 1 / window : window);
-      } else if (estimateUs > NARROW_ABOVE * reference) {
+      } else if (latencyEstimate > NARROW_ABOVE * reference) {
         narrowWindow(NARROW_FACTOR);
       }
     }
 
     void narrowWindow(double factor) {
-      if (now - narrowedAt >= estimateUs) {
+      if (now - narrowedAt >= latencyEstimate) {
         window = Math.max(1, window * factor);
         narrowedAt = now;
       }
     }
 
-    /** Stops counting far overdue attempts against the window: lost answers and giant requests would fill it
-     * at a working node. Raises the estimate if nothing sent later was answered, as the node may hang.
-     * Drawback: a node that serves the last request first gets more than its window, up to the maximum. */
+    /** Stops counting attempts that are far overdue against the window. Lost answers and giant requests would
+     * otherwise fill the window of a working node; where nothing sent later was answered, the node may hang,
+     * and the estimate is raised. Drawback: a node that serves the last request first gets more than its
+     * window, up to the maximum. */
     void excludeOverdue() {
       for (PendingRequest pending : inFlight) {
         if (now - pending.sentAt < LATENCY_CAP_AIMS * shortestAimUs) {
@@ -398,8 +422,8 @@
         }
         if (!pending.overdue) {
           pending.overdue = true;
-          windowUse--;
-          if (pending.sentAt > answeredSentAt) {
+          countedInFlight--;
+          if (pending.sentAt > lastAnsweredSentAt) {
             recordNoAnswer();
           } else {
             endSilence(true);
@@ -411,7 +435,8 @@
     VolumeQueue volumeQueue(PendingRequest pending) {
       VolumeQueue volume = volumes.get(pending.request.volume());
       if (volume == null) {
-        volume = new VolumeQueue(pending.plan.weight(), BUCKET_DEPTH * settings.store().meanUnits(), now);
+        volume = new VolumeQueue(pending.plan.weight(), BUCKET_DEPTH_REQUESTS * settings.store().meanUnits(),
+            now);
         volumes.put(pending.request.volume(), volume);
         VolumeChanged terms = volumeTerms.get(pending.request.volume());
         if (terms != null) {
@@ -447,10 +472,10 @@
           pending.attempts > 0, pending.charged);
       pending.volumeQueue.queues.computeIfAbsent(pending.queueKey, k -> new TreeMap<>(BY_AIM))
           .put(pending.aimKey, pending);
-      backloggedVolumes.add(pending.volumeQueue);
+      volumesWithQueuedRequests.add(pending.volumeQueue);
       pending.node = this;
       if (queued++ == 0) {
-        backloggedNodes.put(id, this);
+        nodesWithQueuedRequests.put(id, this);
       }
     }
 
@@ -458,13 +483,13 @@
       TreeMap<AimKey, PendingRequest> queue = pending.volumeQueue.queues.get(pending.queueKey);
       if (queue != null && queue.remove(pending.aimKey) != null) {
         if (--queued == 0) {
-          backloggedNodes.remove(id);
+          nodesWithQueuedRequests.remove(id);
         }
         if (queue.isEmpty()) {
           pending.volumeQueue.queues.remove(pending.queueKey);
         }
         if (pending.volumeQueue.queues.isEmpty()) {
-          backloggedVolumes.remove(pending.volumeQueue);
+          volumesWithQueuedRequests.remove(pending.volumeQueue);
         }
       }
     }
@@ -472,7 +497,7 @@
     /** Allocates one period: the three steps of the paper, then the rates of the buckets. */
     void allocateTokens() {
       excludeOverdue();
-      activeVolumes.addAll(backloggedVolumes);
+      activeVolumes.addAll(volumesWithQueuedRequests);
       List<VolumeQueue> active = List.copyOf(activeVolumes);
       activeVolumes.clear();
       for (VolumeQueue volume : active) {
@@ -497,7 +522,8 @@
   }
 
   /** Equations 1 and 2: divides the period's tokens by weight, over groups and then over the active volumes
-   * of each, so that an idle volume's tokens go to its group. Demand is what was requested in the period. */
+   * of each, so that what an idle volume leaves goes to its group. Demand is what was requested in the
+   * period. */
   static void initialAllocation(List<VolumeQueue> active, double tokens) {
     double weightSum = 0;
     Map<Long, Double> weightByGroup = new HashMap<>();
@@ -519,7 +545,9 @@
     for (VolumeQueue volume : active) {
       volume.utilisation = !volume.allocatedBefore
           ? 1
-          : volume.lastAllocation > 0 ? volume.demand / volume.lastAllocation : Math.max(1, volume.demand);
+          : volume.lastAllocation > 0
+              ? volume.demand / volume.lastAllocation
+              : Math.max(1, volume.demand);
       volume.lent = Math.max(0, volume.allocation - volume.demand);
       volume.distributionFactor = volume.utilisation > 1
           ? volume.utilisation + volume.utilisation * volume.tokenShare
@@ -535,7 +563,8 @@
     }
   }
 
-  /** Equations 9 to 20: borrowers return tokens to lenders, at most what they owed before redistribution. */
+  /** Equations 9 to 20: borrowers return tokens to lenders, at most what they owed before this period's
+   * redistribution. */
   static void recompensation(List<VolumeQueue> active) {
     double reclaimFactor = 0, factorSum = 0;
     for (VolumeQueue volume : active) {
@@ -594,12 +623,14 @@
       acceptRequest(request);
     } else if (event instanceof AttemptEnded ended) {
       attemptEnded(ended);
-    } else if (event instanceof RequestAbandoned abandoned && requests.containsKey(abandoned.request())) {
-      finish(requests.get(abandoned.request()));
-    } else if (event instanceof DeadlineShortened shortened && requests.containsKey(shortened.request())) {
-      shortenDeadline(requests.get(shortened.request()), shortened.answerBy());
-    } else if (event instanceof ResponseStarted started && requests.containsKey(started.request())) {
-      requests.get(started.request()).streaming = true;
+    } else if (event instanceof RequestAbandoned abandoned && pendingRequests.containsKey(abandoned
+        .request())) {
+      finish(pendingRequests.get(abandoned.request()));
+    } else if (event instanceof DeadlineShortened shortened && pendingRequests.containsKey(shortened
+        .request())) {
+      shortenDeadline(pendingRequests.get(shortened.request()), shortened.answerBy());
+    } else if (event instanceof ResponseStarted started && pendingRequests.containsKey(started.request())) {
+      pendingRequests.get(started.request()).streaming = true;
     } else if (event instanceof VolumeChanged changed) {
       applyVolumeChange(changed);
     } else if (event instanceof VolumeRemoved removed) {
@@ -638,7 +669,7 @@
     reserves.computeIfPresent(change.volume(),
         (k, reserve) -> reserve.reconfigure(plan.reserve() / change.hosts(),
             reserveDepth(plan, change.hosts()), now));
-    for (PendingRequest pending : requests.values()) {
+    for (PendingRequest pending : pendingRequests.values()) {
       if (pending.request.volume() == change.volume()) {
         pending.plan = plan;
         pending.limit = limits.get(change.volume());
@@ -656,7 +687,7 @@
 
   /** Drops the state of a removed volume and settles its loans, once none of its requests is left. */
   private void forgetVolume(long volume) {
-    if (requests.values().stream().anyMatch(pending -> pending.request.volume() == volume)) {
+    if (pendingRequests.values().stream().anyMatch(pending -> pending.request.volume() == volume)) {
       return;
     }
     removedVolumes.remove(volume);
@@ -676,7 +707,8 @@
     return plan.reserve() / hosts + settings.store().maxUnits();
   }
 
-  /** Ends every event: gives due answers, ends the period, dispatches and sets the timer for what is next. */
+  /** Ends every event: gives the answers that are due, ends the period, dispatches, and sets the timer for
+   * the earliest of what comes next. */
   private void runDueWork() {
     while (!byAnswerTime.isEmpty() && byAnswerTime.first().answerBy - settings.tickUs() <= now) {
       PendingRequest pending = byAnswerTime.pollFirst();
@@ -694,7 +726,7 @@
       expireIdleVolumes();
     }
     recheckNeeded = false;
-    List.copyOf(backloggedNodes.values()).forEach(this::dispatch);
+    List.copyOf(nodesWithQueuedRequests.values()).forEach(this::dispatch);
     armTimer();
   }
 
@@ -703,7 +735,7 @@
     if (now >= nextSweepAt) {
       nextSweepAt = now + IDLE_EXPIRY_US / 4;
       Set<Long> busy = new HashSet<>();
-      requests.values().forEach(pending -> busy.add(pending.request.volume()));
+      pendingRequests.values().forEach(pending -> busy.add(pending.request.volume()));
       List.of(limits, reserves)
           .forEach(m -> m.entrySet().removeIf(e -> !busy.contains(e.getKey()) && e.getValue().isFull(now)));
       nodes.values()
@@ -741,7 +773,9 @@
       }
       if (node.state != NodeState.ON && node.queued > 0) {
         List<PendingRequest> moved = new ArrayList<>();
-        node.volumes.values().forEach(v -> v.queues.values().forEach(q -> moved.addAll(q.values())));
+        node.volumes.values()
+            .forEach(volume -> volume.queues.values()
+                .forEach(queue -> moved.addAll(queue.values())));
         moved.forEach(node::dequeue);
         moved.forEach(pending -> unplaced.put(pending.sequence, pending));
       }
@@ -755,13 +789,15 @@
   private void acceptRequest(Request request) {
     retryBudget.requestsAccepted(request.clientRetry() ? 0 : 1);
     RequestClass requestClass = classes.get(request.className());
-    VolumeChanged terms = volumeTerms.get(request.volume());
-    Plan plan = terms != null ? terms.plan() : plans.get(request.plan());
+    VolumeChanged ownTerms = volumeTerms.get(request.volume());
+    Plan plan = ownTerms != null ? ownTerms.plan() : plans.get(request.plan());
     if (requestClass == null || plan == null || request.remainingUs() <= 0) {
       actionSink.accept(new Refuse(request.id(), 0));
       return;
     }
-    int hosts = terms != null ? terms.hosts() : request.hosts() > 0 ? request.hosts() : settings.hosts();
+    int hosts = ownTerms != null
+        ? ownTerms.hosts()
+        : request.hosts() > 0 ? request.hosts() : settings.hosts();
     TokenBucket limit = plan.limit() <= 0
         ? null
         : limits.computeIfAbsent(request.volume(),
@@ -775,8 +811,8 @@
     // Clients open no new connections to a process that is stopping. A request that cannot be sent soon is
     // ended early to free its client's connection; otherwise all clients stay away until the process is gone.
     // Drawback: refuses requests that might have been sent within their aim.
-    pending.answerBy = stopping ? Math.min(pending.answerBy, now + (long) baselineUs) : pending.answerBy;
-    requests.put(request.id(), pending);
+    pending.answerBy = stopping ? Math.min(pending.answerBy, now + (long) baselineLatency) : pending.answerBy;
+    pendingRequests.put(request.id(), pending);
     byAnswerTime.add(pending);
     if (pending.requestClass.inOrder() && request.key() != null) {
       pending.keyQueue = keyQueues.computeIfAbsent(request.key(), k -> new KeyQueue());
@@ -817,15 +853,16 @@
     }
   }
 
-  /** Expected time to serve one more request, us; cold nodes last. Random, so that hosts spread out. */
+  /** Expected time to serve one more request, in microseconds; cold nodes come last. Chance keeps the hosts
+   * from all choosing one node. */
   private double placementCost(Node node) {
-    double time = (node.windowUse + node.queued + 1) * node.expectedLatency() / node.window;
+    double time = (node.countedInFlight + node.queued + 1) * node.expectedLatency() / node.window;
     return (node.isCold() ? time + 1e8 : time) * (1 + random.nextDouble());
   }
 
   /** Sends while the window has room and the most valuable request is worth the wait. */
   private void dispatch(Node node) {
-    while (node.state == NodeState.ON && node.queued > 0 && node.windowUse < (int) node.window
+    while (node.state == NodeState.ON && node.queued > 0 && node.countedInFlight < (int) node.window
         && node.inFlight.size() < MAX_WINDOW) {
       PendingRequest pending = selectNext(node);
       if (pending == null || !isWorthSending(node, pending)) {
@@ -841,7 +878,7 @@
     VolumeQueue bestVolume = null;
     double bestValue = 0;
     node.selectionLatency = node.expectedLatency();
-    for (VolumeQueue volume : node.backloggedVolumes) {
+    for (VolumeQueue volume : node.volumesWithQueuedRequests) {
       volume.refill(now);
       for (Map.Entry<QueueKey, TreeMap<AimKey, PendingRequest>> entry : volume.queues.entrySet()) {
         PendingRequest pending = firstSendable(node, entry.getKey(), entry.getValue());
@@ -858,7 +895,8 @@
     return best;
   }
 
-  /** The first of equivalent requests, by aim, that may be sent; first those in time, if worth more. */
+  /** Returns the first of equivalent requests, by aim, that may be sent; those still in time come first if
+   * they are worth more. */
   private PendingRequest firstSendable(Node node, QueueKey key, TreeMap<AimKey, PendingRequest> queue) {
     PendingRequest first = queue.firstEntry().getValue();
     if (key.retry && !retryBudget.allowsRetry() || first.limit != null && !key.charged
@@ -887,19 +925,22 @@
 
   /** Order among requests of equal value per unit: those whose volume has the tokens come first, by the time
    * since which it has them; the others by weight; within a volume by aim; then by arrival. */
-  private boolean precedes(VolumeQueue volumeA, PendingRequest a, VolumeQueue volumeB, PendingRequest b) {
+  private boolean precedes(VolumeQueue volumeA, PendingRequest pendingA, VolumeQueue volumeB,
+      PendingRequest pendingB) {
     if (volumeA == volumeB) {
-      return a.aimAt != b.aimAt ? a.aimAt < b.aimAt : a.sequence < b.sequence;
+      return pendingA.aimAt != pendingB.aimAt
+          ? pendingA.aimAt < pendingB.aimAt
+          : pendingA.sequence < pendingB.sequence;
     }
-    double availableA = volumeA.tokensAvailableAt(a.request.units()),
-        availableB = volumeB.tokensAvailableAt(b.request.units());
+    double availableA = volumeA.tokensAvailableAt(pendingA.request.units()),
+        availableB = volumeB.tokensAvailableAt(pendingB.request.units());
     if (availableA <= now != availableB <= now) {
       return availableA <= now;
     }
     if (availableA > now && volumeA.groupWeight != volumeB.groupWeight) {
       return volumeA.groupWeight > volumeB.groupWeight;
     }
-    return availableA != availableB ? availableA < availableB : a.sequence < b.sequence;
+    return availableA != availableB ? availableA < availableB : pendingA.sequence < pendingB.sequence;
   }
 
   /** Whether the answer can no longer arrive within the aim. */
@@ -907,9 +948,10 @@
     return pending.aimAt < now + (long) (node.selectionLatency + sizeLatency(pending));
   }
 
-  /** Latency of a request beyond that of one of mean size, which does not indicate a queue. */
+  /** Latency of a request beyond that of one of mean size: a large request that takes longer does not
+   * indicate a queue. */
   private double sizeLatency(PendingRequest pending) {
-    return baselineUs * (pending.request.units() / settings.store().meanUnits() - 1);
+    return baselineLatency * (pending.request.units() / settings.store().meanUnits() - 1);
   }
 
   /** Value of one unit of a request if it is sent now, relative to the highest possible value. */
@@ -921,12 +963,13 @@
         * (isLate(node, pending) ? pending.requestClass.lateWorth() : 1);
   }
 
-  /** Whether a request is worth queueing at the node, whose queue hosts share blindly: the longer the wait,
-   * up to the shortest aim, the more a unit must be worth. Never, if the client cannot wait so long. */
+  /** Whether a request is worth queueing at the node, whose queue hosts share without seeing each other. The
+   * longer the wait, the more a unit must be worth, up to the shortest aim; a request whose client cannot
+   * wait so long is never sent. */
   private boolean isWorthSending(Node node, PendingRequest pending) {
     double wait = node.expectedLatency();
-    return wait <= baselineUs + valuePerUnit(node, pending)
-        * Math.max(0, shortestAimUs - baselineUs) && now + wait < pending.deadline;
+    return wait <= baselineLatency + valuePerUnit(node, pending)
+        * Math.max(0, shortestAimUs - baselineLatency) && now + wait < pending.deadline;
   }
 
   /** Whether the order of its key, the rules on retries and a cold node allow this request to be sent now. */
@@ -960,7 +1003,7 @@
     pending.inFlightAttempts++;
     pending.sentAt = now;
     pending.overdue = false;
-    node.windowUse++;
+    node.countedInFlight++;
     node.inFlight.add(pending);
     if (node.isCold()) {
       node.coldBudget.add(-pending.request.units());
@@ -981,7 +1024,7 @@
   }
 
   private void attemptEnded(AttemptEnded ended) {
-    PendingRequest pending = requests.get(ended.request());
+    PendingRequest pending = pendingRequests.get(ended.request());
     if (pending == null || pending.inFlightAttempts == 0) {
       return;
     }
@@ -989,8 +1032,8 @@
     pending.inFlightAttempts--;
     if (node != null) {
       node.inFlight.remove(pending);
-      node.windowUse -= pending.overdue ? 0 : 1;
-      node.answeredSentAt = Math.max(node.answeredSentAt, ended.result() == Result.OK
+      node.countedInFlight -= pending.overdue ? 0 : 1;
+      node.lastAnsweredSentAt = Math.max(node.lastAnsweredSentAt, ended.result() == Result.OK
           ? pending.sentAt
           : Long.MIN_VALUE);
       updateNodeHealth(node, pending, ended);
@@ -1017,7 +1060,8 @@
   }
 
   /** A broken connection, or a single refused one, does not indicate a queue: treated as one, it blocked a
-   * node that answers in ms for most of a second. Drawback: one more attempt to a process that is gone. */
+   * node that answers in milliseconds for most of a second. Drawback: one more attempt goes to a process that
+   * is gone. */
   private void updateNodeHealth(Node node, PendingRequest pending, AttemptEnded ended) {
     node.connectFailures += ended.result() == Result.CONNECT_FAILED ? 1 : 0;
     if (ended.result() == Result.OK) {
@@ -1025,7 +1069,8 @@
     } else if (ended.result() == Result.FULL || ended.result() == Result.CONNECT_FAILED
         && node.connectFailures >= DOWN_AFTER_FAILURES) {
       node.assumeLatency(LATENCY_CAP_AIMS * shortestAimUs);
-    } else if (ended.result() == Result.TIMEOUT && pending.sentAt > node.answeredSentAt && !pending.overdue) {
+    } else if (ended.result() == Result.TIMEOUT && pending.sentAt > node.lastAnsweredSentAt
+        && !pending.overdue) {
       node.recordNoAnswer();
     }
   }
@@ -1067,12 +1112,13 @@
     forgetIfEnded(pending);
   }
 
-  /** Drops a finished request once its last attempt has ended; then the next of its key may be sent. */
+  /** Drops a finished request once its last attempt has ended; the next request with its key may then be
+   * sent. */
   private void forgetIfEnded(PendingRequest pending) {
     if (pending.inFlightAttempts > 0) {
       return;
     }
-    requests.remove(pending.request.id());
+    pendingRequests.remove(pending.request.id());
     if (removedVolumes.contains(pending.request.volume())) {
       forgetVolume(pending.request.volume());
     }
--- a/src/test/java/hollyslip/QueuedRequestTest.java
+++ b/src/test/java/hollyslip/QueuedRequestTest.java
@@ -119,7 +119,7 @@
           + sizeOfMapField(scheduler, "reserves"));
     }
     assertTrue(largest < 6_000, "" + largest);
-    assertTrue(sizeOfMapField(scheduler, "requests") < 100);
+    assertTrue(sizeOfMapField(scheduler, "pendingRequests") < 100);
   }
 
   private static int sizeOfMapField(TokenBorrowingScheduler scheduler, String field)
