--- a/src/main/java/hollyslip/node/NbdConnection.java
+++ b/src/main/java/hollyslip/node/NbdConnection.java
@@ -21,7 +21,7 @@
 
 /** One connection to a node: commands go out in one stream, pipelined, replies come back in any order by
  * cookie. All state is guarded by the connection's monitor, which is held only for copies in memory. */
-final class NbdConnection implements NbdReplies.Sink {
+final class NbdConnection implements NbdReplyParser.Sink {
   private static final int IN_BYTES = 256 * 1024;
   private static final int BURST = 64;
   private static final long BURST_BYTES = 1 << 20;
@@ -92,7 +92,7 @@
   private final ByteBuffer headers = ByteBuffer.allocateDirect((BURST + 1) * HEADER);
   private final ByteBuffer staging = ByteBuffer.allocateDirect(STAGING);
   private final long[] load = new long[Nbd.Load.values().length];
-  private NbdReplies replies;
+  private NbdReplyParser replies;
   private boolean negotiated, ready, writing, closed, probing, opened;
   private long probeNs, heardNs;
   /** A newer fence stands at the node: nothing of this connection runs there any more. */
@@ -435,7 +435,7 @@
         close("fenced by another connection's negotiation");
       }
       return !fencedOff;
-    } catch (NbdHandshake.Refused | NbdReplies.Broken e) {
+    } catch (NbdHandshake.Refused | NbdReplyParser.Broken e) {
       close(e.getMessage());
       return false;
     }
@@ -456,7 +456,7 @@
     if (done) {
       boolean tells = handshake.loadContext() >= 0;
       synchronized (this) {
-        replies = new NbdReplies(handshake.structured(), this);
+        replies = new NbdReplyParser(handshake.structured(), this);
         negotiated = true;
         ready = true;
         if (tells) {
--- a/src/main/java/hollyslip/node/NbdReplies.java
+++ b/src/main/java/hollyslip/node/NbdReplyParser.java
@@ -6,7 +6,7 @@
 /** Reads the server's side of NBD's transmission phase, free of I/O. Data goes straight to where the sink
  * says; nothing longer than what was asked for is accepted. Source: doc/proto.md, "Simple reply message",
  * "Structured reply chunk message" and "Structured reply types". */
-final class NbdReplies {
+final class NbdReplyParser {
   /** Where replies go. */
   interface Sink {
     /** Bytes of data that a reply to this cookie may bring in all; negative: nothing waits for it. */
@@ -44,7 +44,7 @@
   private int error;
   private String message = "";
 
-  NbdReplies(boolean structured, Sink sink) {
+  NbdReplyParser(boolean structured, Sink sink) {
     this.structured = structured;
     this.sink = sink;
   }
--- a/src/test/java/hollyslip/node/NbdParsersTest.java
+++ b/src/test/java/hollyslip/node/NbdParsersTest.java
@@ -19,7 +19,7 @@
 
 /** The client's side of NBD on bytes of any kind. */
 class NbdParsersTest {
-  private static final class Heard implements NbdReplies.Sink {
+  private static final class Heard implements NbdReplyParser.Sink {
     final List<String> events = new ArrayList<>();
     int data;
 
@@ -72,9 +72,9 @@
     return ByteBuffer.allocate(8 + length).putLong(offset).array();
   }
 
-  private static Heard feed(ByteBuffer... all) throws NbdReplies.Broken {
+  private static Heard feed(ByteBuffer... all) throws NbdReplyParser.Broken {
     Heard heard = new Heard();
-    NbdReplies replies = new NbdReplies(true, heard);
+    NbdReplyParser replies = new NbdReplyParser(true, heard);
     ByteBuffer joined = ByteBuffer.allocate(100_000);
     for (ByteBuffer b : all) {
       joined.put(b);
@@ -110,7 +110,7 @@
                 .allocate(16)
                 .putInt(5), ByteBuffer.allocate(16).putInt(Nbd.SIMPLE_REPLY).putInt(0).putLong(7).flip())) {
       bad.rewind();
-      assertThrows(NbdReplies.Broken.class, () -> feed(bad));
+      assertThrows(NbdReplyParser.Broken.class, () -> feed(bad));
     }
   }
 
@@ -120,9 +120,9 @@
         ? ByteBuffer.wrap(bytes).putInt(0, Nbd.STRUCTURED_REPLY).putLong(8, 7).putInt(16, bytes[16] & 0x7f)
         : ByteBuffer.wrap(bytes);
     try {
-      new NbdReplies(true, new Heard()).feed(in);
+      new NbdReplyParser(true, new Heard()).feed(in);
       assertTrue(in.remaining() <= 20 + Nbd.MOST_OPTION);
-    } catch (NbdReplies.Broken e) {
+    } catch (NbdReplyParser.Broken e) {
       assertFalse(e.getMessage().isEmpty());
     }
   }
