--- a/src/main/java/hollyslip/front/sftp/SftpServer.java
+++ b/src/main/java/hollyslip/front/sftp/SftpServer.java
@@ -34,8 +34,8 @@
             @Override
             protected void initChannel(Channel c) {
               c.pipeline()
-                  .addLast(new LengthFieldBasedFrameDecoder(Packets.MOST_PACKET, 0, 4, 0, 4),
-                      new LengthFieldPrepender(4), new Session(engine));
+                  .addLast(new LengthFieldBasedFrameDecoder(SftpPackets.MAX_PACKET_BYTES, 0, 4, 0, 4),
+                      new LengthFieldPrepender(4), new SftpSession(engine));
             }
           })
           .bind(UnixDomainSocketAddress.of(path))
--- a/src/main/java/hollyslip/front/sys/Linux.java
+++ b/src/main/java/hollyslip/front/sys/Linux.java
@@ -17,7 +17,7 @@
  * are {@link IOException}s that name the call. Layouts are those of 64-bit Linux (recvmsg(2), cmsg(3)). */
 public final class Linux {
   /** Descriptors that one message may bring: VHOST_MEMORY_BASELINE_NREGIONS is 8. */
-  public static final int MOST_FDS = 8;
+  public static final int MAX_FDS = 8;
 
   public static final short POLLIN = 1, POLLERR = 8, POLLHUP = 16, POLLNVAL = 32;
 
@@ -91,7 +91,7 @@
     return result;
   }
 
-  private static Memory address(Path path) throws IOException {
+  private static Memory socketAddress(Path path) throws IOException {
     byte[] name = path.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
     if (name.length >= SUN_PATH) {
       throw new IOException("socket path longer than " + (SUN_PATH - 1) + " bytes: " + path);
@@ -107,14 +107,14 @@
    * somebody listens is not: taking it would cut that process off from its clients without a word. */
   public static int listen(Path path) throws IOException {
     if (Files.exists(path, LinkOption.NOFOLLOW_LINKS)) {
-      if (listened(path)) {
+      if (isListening(path)) {
         throw new IOException("another process listens at " + path);
       }
       Files.delete(path);
     }
     int fd = check(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0), "socket");
     try {
-      Memory a = address(path);
+      Memory a = socketAddress(path);
       check(bind(fd, a, (int) a.size()), "bind " + path);
       check(listen(fd, 16), "listen");
       return fd;
@@ -124,7 +124,7 @@
     }
   }
 
-  private static boolean listened(Path path) {
+  private static boolean isListening(Path path) {
     try {
       closeAll(connect(path));
       return true;
@@ -142,7 +142,7 @@
   public static int connect(Path path) throws IOException {
     int fd = check(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0), "socket");
     try {
-      Memory a = address(path);
+      Memory a = socketAddress(path);
       check(connect(fd, a, (int) a.size()), "connect " + path);
       return fd;
     } catch (IOException e) {
@@ -157,11 +157,11 @@
   /** Reads up to {@code length} bytes without waiting; descriptors that come along are owned by the
    * caller. */
   public static Received receive(int fd, Memory into, int at, int length) throws IOException {
-    Memory control = new Memory(16 + 4 * 2 * MOST_FDS);
+    Memory control = new Memory(16 + 4 * 2 * MAX_FDS);
     Memory iov = new Memory(16);
     iov.setPointer(0, into.share(at));
     iov.setLong(8, length);
-    Memory m = message(iov, control, control.size());
+    Memory m = messageHeader(iov, control, control.size());
     long n = recvmsg(fd, m, MSG_DONTWAIT | MSG_CMSG_CLOEXEC);
     int error = n < 0 ? Native.getLastError() : 0;
     Reference.reachabilityFence(iov);
@@ -198,7 +198,7 @@
         control.setInt(12, SCM_RIGHTS);
         control.write(16, fds, 0, fds.length);
       }
-      long n = sendmsg(fd, message(iov, control, control == null ? 0 : control.size()), MSG_NOSIGNAL);
+      long n = sendmsg(fd, messageHeader(iov, control, control == null ? 0 : control.size()), MSG_NOSIGNAL);
       int error = n < 0 ? Native.getLastError() : 0;
       Reference.reachabilityFence(control);
       if (n < 0 && error != EINTR) {
@@ -212,20 +212,20 @@
    *
    * @throws IOException
    *           they cannot */
-  public static void sendNow(int fd, byte[] bytes) throws IOException {
+  public static void sendWithoutBlocking(int fd, byte[] bytes) throws IOException {
     Memory data = new Memory(bytes.length);
     data.write(0, bytes, 0, bytes.length);
     Memory iov = new Memory(16);
     iov.setPointer(0, data);
     iov.setLong(8, bytes.length);
-    long n = sendmsg(fd, message(iov, null, 0), MSG_NOSIGNAL | MSG_DONTWAIT);
+    long n = sendmsg(fd, messageHeader(iov, null, 0), MSG_NOSIGNAL | MSG_DONTWAIT);
     Reference.reachabilityFence(iov);
     if (n < bytes.length) {
       throw new IOException("sendmsg: " + n + " of " + bytes.length);
     }
   }
 
-  private static Memory message(Memory iov, Pointer control, long controlLength) {
+  private static Memory messageHeader(Memory iov, Pointer control, long controlLength) {
     Memory m = new Memory(56);
     m.clear();
     m.setPointer(16, iov);
@@ -250,24 +250,24 @@
   }
 
   /** Makes reads and writes of a descriptor return at once. */
-  public static void nonBlocking(int fd) throws IOException {
+  public static void setNonBlocking(int fd) throws IOException {
     int flags = check(fcntl(fd, F_GETFL, 0), "fcntl");
     check(fcntl(fd, F_SETFL, flags | O_NONBLOCK), "fcntl");
   }
 
   /** Eight bytes for eventfds, one a thread. */
-  private static final ThreadLocal<Memory> COUNTER = ThreadLocal.withInitial(() -> new Memory(8));
+  private static final ThreadLocal<Memory> EVENTFD_VALUE = ThreadLocal.withInitial(() -> new Memory(8));
 
   /** Adds one to an eventfd. A counter that is full is as good: its reader has much to wake for. */
   public static void signal(int fd) {
-    Memory one = COUNTER.get();
+    Memory one = EVENTFD_VALUE.get();
     one.setLong(0, 1);
     write(fd, one, 8);
   }
 
   /** Takes what an eventfd has counted. */
   public static void drain(int fd) {
-    read(fd, COUNTER.get(), 8);
+    read(fd, EVENTFD_VALUE.get(), 8);
   }
 
   /** A memory file of so many bytes. */
@@ -298,7 +298,7 @@
    * end) stay taken until the next garbage collection. */
   public static final class Mapping {
     /** Longest view, bytes. */
-    public static final int MOST_VIEW = 1 << 30;
+    public static final int MAX_VIEW_BYTES = 1 << 30;
 
     private static final Cleaner CLEANER = Cleaner.create();
 
@@ -311,23 +311,23 @@
     private Mapping(Pointer base, long length) {
       this.base = base;
       this.length = length;
-      windows = new ByteBuffer[(int) Math.max(1, (length + MOST_VIEW - 1) / MOST_VIEW)];
-      Runnable gone = new Unused(base, length, new AtomicInteger(windows.length));
+      windows = new ByteBuffer[(int) Math.max(1, (length + MAX_VIEW_BYTES - 1) / MAX_VIEW_BYTES)];
+      Runnable gone = new AddressReleaser(base, length, new AtomicInteger(windows.length));
       for (int i = 0; i < windows.length; i++) {
-        long from = (long) i * MOST_VIEW;
+        long from = (long) i * MAX_VIEW_BYTES;
         windows[i] = base.getByteBuffer(from, Math.min(length - from, Integer.MAX_VALUE));
         CLEANER.register(windows[i], gone);
       }
     }
 
-    /** A view of a part of at most {@link #MOST_VIEW} bytes. After {@link #unmap} it reads as zeros, and what
-     * is written to it reaches nobody. */
+    /** A view of a part of at most {@link #MAX_VIEW_BYTES} bytes. After {@link #unmap} it reads as zeros, and
+     * what is written to it reaches nobody. */
     public ByteBuffer view(long at, long size) {
-      if (at < 0 || size < 0 || at > length - size || size > MOST_VIEW) {
+      if (at < 0 || size < 0 || at > length - size || size > MAX_VIEW_BYTES) {
         throw new IndexOutOfBoundsException(at + "+" + size + " of " + length);
       }
-      int window = (int) Math.min(at / MOST_VIEW, windows.length - 1);
-      return windows[window].slice((int) (at - (long) window * MOST_VIEW), (int) size);
+      int window = (int) Math.min(at / MAX_VIEW_BYTES, windows.length - 1);
+      return windows[window].slice((int) (at - (long) window * MAX_VIEW_BYTES), (int) size);
     }
 
     /** Copies {@code size} bytes to the start of a buffer, without a view of its own. */
@@ -335,8 +335,8 @@
       if (at < 0 || size < 0 || at > length - size) {
         throw new IndexOutOfBoundsException(at + "+" + size + " of " + length);
       }
-      int window = (int) Math.min(at / MOST_VIEW, windows.length - 1);
-      to.put(0, windows[window], (int) (at - (long) window * MOST_VIEW), size);
+      int window = (int) Math.min(at / MAX_VIEW_BYTES, windows.length - 1);
+      to.put(0, windows[window], (int) (at - (long) window * MAX_VIEW_BYTES), size);
     }
 
     /** Ends it; again does nothing. Where the kernel has no room for empty memory the shared one stays until
@@ -345,26 +345,28 @@
       if (mapped) {
         mapped = false;
         mmap(base, length, PROT_RW, MAP_PRIVATE | MAP_FIXED | MAP_ANONYMOUS | MAP_NORESERVE, -1, 0);
-        MAPPINGS.decrementAndGet();
+        MAPPING_COUNT.decrementAndGet();
       }
     }
 
     /** Gives the addresses back when the last window is unreachable. */
-    private record Unused(Pointer base, long length, AtomicInteger windows) implements Runnable {
+    private record AddressReleaser(Pointer base, long length, AtomicInteger remainingWindows)
+        implements
+          Runnable {
       @Override
       public void run() {
-        if (windows.decrementAndGet() == 0) {
+        if (remainingWindows.decrementAndGet() == 0) {
           munmap(base, length);
         }
       }
     }
   }
 
-  private static final AtomicInteger MAPPINGS = new AtomicInteger();
+  private static final AtomicInteger MAPPING_COUNT = new AtomicInteger();
 
   /** Mappings not yet ended: for tests that look for leaks. */
   public static int mappings() {
-    return MAPPINGS.get();
+    return MAPPING_COUNT.get();
   }
 
   /** Maps a part of a file; {@code offset} must be a multiple of the page size. */
@@ -373,13 +375,13 @@
     if (Pointer.nativeValue(p) == -1) {
       throw new IOException("mmap: error " + Native.getLastError());
     }
-    MAPPINGS.incrementAndGet();
+    MAPPING_COUNT.incrementAndGet();
     return new Mapping(p, length);
   }
 
   /** A set of descriptors to wait for input on. */
   public static final class Poll {
-    private Memory set = new Memory(8 * 64);
+    private Memory pollFds = new Memory(8 * 64);
     private int count;
 
     public void clear() {
@@ -387,28 +389,28 @@
     }
 
     public void add(int fd) {
-      if (8L * (count + 1) > set.size()) {
-        Memory larger = new Memory(set.size() * 2);
-        byte[] old = set.getByteArray(0, (int) set.size());
+      if (8L * (count + 1) > pollFds.size()) {
+        Memory larger = new Memory(pollFds.size() * 2);
+        byte[] old = pollFds.getByteArray(0, (int) pollFds.size());
         larger.write(0, old, 0, old.length);
-        set = larger;
+        pollFds = larger;
       }
-      set.setInt(8L * count, fd);
-      set.setInt(8L * count + 4, POLLIN);
+      pollFds.setInt(8L * count, fd);
+      pollFds.setInt(8L * count + 4, POLLIN);
       count++;
     }
 
     /** Waits for any, up to so many ms (-1: for ever). */
     public void await(int ms) {
       for (int i = 0; i < count; i++) {
-        set.setShort(8L * i + 6, (short) 0);
+        pollFds.setShort(8L * i + 6, (short) 0);
       }
-      poll(set, count, ms);
+      poll(pollFds, count, ms);
     }
 
     /** Events of the descriptor added as number {@code i}. */
     public short events(int i) {
-      return set.getShort(8L * i + 6);
+      return pollFds.getShort(8L * i + 6);
     }
   }
 
@@ -451,7 +453,7 @@
 
   /** User number of the process at the other end of a Unix socket, as of its connect (unix(7),
    * SO_PEERCRED). */
-  public static long peerUser(int fd) throws IOException {
+  public static long peerUserId(int fd) throws IOException {
     Memory credentials = new Memory(12);
     Memory length = new Memory(4);
     length.setInt(0, 12);
--- a/src/main/java/hollyslip/front/vhost/Acceptor.java
+++ b/src/main/java/hollyslip/front/vhost/Acceptor.java
@@ -12,21 +12,21 @@
 /** Takes the connections of all listening sockets of a gateway on one thread, however many there are. */
 public final class Acceptor implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Acceptor.class);
-  private static final int WAKE = 0;
+  private static final int WAKE_UP_TAG = 0;
 
-  private record Listener(int socket, IntConsumer taken) {}
+  private record Listener(int socket, IntConsumer onAccept) {}
 
   private final Linux.Epoll epoll;
-  private final int wake;
-  private final AtomicInteger tags = new AtomicInteger();
+  private final int wakeUpFd;
+  private final AtomicInteger lastTag = new AtomicInteger();
   private final Map<Integer, Listener> listeners = new ConcurrentHashMap<>();
   private final Thread thread;
   private volatile boolean closing;
 
   public Acceptor() throws IOException {
     epoll = new Linux.Epoll();
-    wake = Linux.eventfd();
-    epoll.add(wake, WAKE);
+    wakeUpFd = Linux.eventfd();
+    epoll.add(wakeUpFd, WAKE_UP_TAG);
     thread = new Thread(this::run, "vhost-accept");
     thread.setDaemon(true);
     thread.start();
@@ -35,7 +35,7 @@
   /** Hands every connection of a listening socket, which must not block, to {@code taken}; a number for
    * {@link #remove}. */
   int add(int socket, IntConsumer taken) throws IOException {
-    int tag = tags.incrementAndGet();
+    int tag = lastTag.incrementAndGet();
     listeners.put(tag, new Listener(socket, taken));
     try {
       epoll.add(socket, tag);
@@ -62,15 +62,15 @@
       for (int tag : epoll.await()) {
         Listener l = listeners.get(tag);
         if (l != null) {
-          take(tag, l);
+          accept(tag, l);
         }
       }
     }
     epoll.close();
-    Linux.closeAll(wake);
+    Linux.closeAll(wakeUpFd);
   }
 
-  private void take(int tag, Listener l) {
+  private void accept(int tag, Listener l) {
     int fd = -1;
     try {
       synchronized (l) {
@@ -79,16 +79,16 @@
       }
     } catch (IOException e) {
       LOG.atWarn().addKeyValue("why", e.getMessage()).log("vhost.accept");
-      pause();
+      pauseAfterFailure();
     }
     if (fd >= 0) {
-      l.taken.accept(fd);
+      l.onAccept.accept(fd);
     }
   }
 
   /** Guards against a spin while the process has no descriptors left: the connection stays ready. Harm:
    * others wait as long. */
-  private static void pause() {
+  private static void pauseAfterFailure() {
     try {
       Thread.sleep(10);
     } catch (InterruptedException e) {
@@ -99,7 +99,7 @@
   @Override
   public void close() {
     closing = true;
-    Linux.signal(wake);
+    Linux.signal(wakeUpFd);
     try {
       thread.join(1_000);
     } catch (InterruptedException e) {
--- a/src/main/java/hollyslip/front/vhost/BlockRequest.java
+++ b/src/main/java/hollyslip/front/vhost/BlockRequest.java
@@ -17,81 +17,82 @@
  *          where status and, if agreed, time to come back go
  * @param status
  *          for a request without a kind
- * @param id
+ * @param deviceIdRequested
  *          whether it asks for the device's name, which goes to {@code data} */
 record BlockRequest(IoKind kind, long offset, long length, List<ByteBuffer> data, ByteBuffer tail,
-    byte status, boolean id) {
+    byte status, boolean deviceIdRequested) {
   static final byte OK = 0, IOERR = 1, UNSUPP = 2;
 
   /** Status of ours, see docs/ring-front.md: refused, again is harmless. */
   static final byte REFUSED = (byte) 0x80;
 
   /** Bytes of the tail where the refused status is agreed: status, three reserved, le32 time in ms. */
-  static final int LONG_TAIL = 8;
+  static final int EXTENDED_TAIL_BYTES = 8;
 
-  static final int ID_BYTES = 20;
+  static final int DEVICE_ID_BYTES = 20;
 
   private static final int IN = 0, OUT = 1, FLUSH = 4, GET_ID = 8, DISCARD = 11, WRITE_ZEROES = 13;
-  private static final int HEADER = 16, SEGMENT = 16;
+  private static final int HEADER_BYTES = 16, SEGMENT_BYTES = 16;
 
-  /** Reads a chain; {@code tailBytes} is 1 or {@link #LONG_TAIL}. */
+  /** Reads a chain; {@code tailBytes} is 1 or {@link #EXTENDED_TAIL_BYTES}. */
   static BlockRequest read(Virtqueue.Chain chain, Volume volume, int tailBytes) {
     List<ByteBuffer> in = chain.readable;
     List<ByteBuffer> out = chain.writable;
-    ByteBuffer h = take(in, HEADER, "request header: not 16 readable bytes");
+    ByteBuffer h = takeFront(in, HEADER_BYTES, "request header: not 16 readable bytes");
     int type = h.getInt(0);
     long sector = h.getLong(8);
     ByteBuffer tail = tail(out, tailBytes);
-    long readable = size(in);
-    long writable = size(out);
+    long readable = totalBytes(in);
+    long writable = totalBytes(out);
     return switch (type) {
-      case IN -> whole(IoKind.READ, sector, writable, out, tail, volume);
-      case OUT -> whole(IoKind.WRITE, sector, readable, in, tail, volume);
+      case IN -> rangeRequest(IoKind.READ, sector, writable, out, tail, volume);
+      case OUT -> rangeRequest(IoKind.WRITE, sector, readable, in, tail, volume);
       case FLUSH -> new BlockRequest(IoKind.FLUSH, 0, 0, List.of(), tail, OK, false);
-      case GET_ID -> new BlockRequest(null, 0, 0, out, tail, writable >= ID_BYTES ? OK : IOERR, true);
-      case DISCARD -> segment(IoKind.DISCARD, in, tail, volume);
-      case WRITE_ZEROES -> segment(IoKind.WRITE_ZEROES, in, tail, volume);
-      default -> refuse(tail, UNSUPP);
+      case GET_ID -> new BlockRequest(null, 0, 0, out, tail, writable >= DEVICE_ID_BYTES ? OK : IOERR, true);
+      case DISCARD -> segmentRequest(IoKind.DISCARD, in, tail, volume);
+      case WRITE_ZEROES -> segmentRequest(IoKind.WRITE_ZEROES, in, tail, volume);
+      default -> rejected(tail, UNSUPP);
     };
   }
 
-  private static BlockRequest refuse(ByteBuffer tail, byte status) {
+  private static BlockRequest rejected(ByteBuffer tail, byte status) {
     return new BlockRequest(null, 0, 0, List.of(), tail, status, false);
   }
 
-  private static BlockRequest whole(IoKind kind, long sector, long length, List<ByteBuffer> data,
+  private static BlockRequest rangeRequest(IoKind kind, long sector, long length, List<ByteBuffer> data,
       ByteBuffer tail, Volume volume) {
     boolean fits = sector >= 0 && sector <= Long.MAX_VALUE / Volume.BLOCK_BYTES && volume.containsRange(sector
         * Volume.BLOCK_BYTES, length);
     return fits
         ? new BlockRequest(kind, sector * Volume.BLOCK_BYTES, length, data, tail, OK, false)
-        : refuse(tail, IOERR);
+        : rejected(tail, IOERR);
   }
 
   /** One segment, as the configuration's max_discard_seg and max_write_zeroes_seg say (5.2.6.1). */
-  private static BlockRequest segment(IoKind kind, List<ByteBuffer> in, ByteBuffer tail, Volume volume) {
-    if (size(in) != SEGMENT) {
-      return refuse(tail, size(in) > SEGMENT ? UNSUPP : IOERR);
+  private static BlockRequest segmentRequest(IoKind kind, List<ByteBuffer> in, ByteBuffer tail,
+      Volume volume) {
+    if (totalBytes(in) != SEGMENT_BYTES) {
+      return rejected(tail, totalBytes(in) > SEGMENT_BYTES ? UNSUPP : IOERR);
     }
-    ByteBuffer s = take(in, SEGMENT, "segment");
+    ByteBuffer s = takeFront(in, SEGMENT_BYTES, "segment");
     int flags = s.getInt(12);
     if ((flags & (kind == IoKind.DISCARD ? ~0 : ~1)) != 0) {
-      return refuse(tail, UNSUPP);
+      return rejected(tail, UNSUPP);
     }
     long length = Integer.toUnsignedLong(s.getInt(8)) * Volume.BLOCK_BYTES;
-    return whole(kind, s.getLong(0), length, List.of(), tail, volume);
+    return rangeRequest(kind, s.getLong(0), length, List.of(), tail, volume);
   }
 
   /** Cuts so many bytes off the front of a row of buffers: a view where they lie in one, which must be read
    * once only, else a copy. */
-  private static ByteBuffer take(List<ByteBuffer> row, int n, String field) {
+  private static ByteBuffer takeFront(List<ByteBuffer> row, int n, String field) {
     if (!row.isEmpty() && row.get(0).remaining() == n) {
       return row.remove(0);
     }
     byte[] bytes = new byte[n];
     int got = 0;
     while (got < n) {
-      Violation.check(!row.isEmpty(), field);
+      ProtocolViolationException.check(!row.isEmpty(), field);
       ByteBuffer b = row.get(0);
       int k = Math.min(n - got, b.remaining());
       b.get(b.position(), bytes, got, k);
@@ -106,9 +107,9 @@
   }
 
   private static ByteBuffer tail(List<ByteBuffer> out, int n) {
-    Violation.check(!out.isEmpty(), "request status: no writable byte");
+    ProtocolViolationException.check(!out.isEmpty(), "request status: no writable byte");
     ByteBuffer last = out.remove(out.size() - 1);
-    Violation.check(last.remaining() >= n, "request status: too short, bytes needed: ", n);
+    ProtocolViolationException.check(last.remaining() >= n, "request status: too short, bytes needed: ", n);
     if (last.remaining() == n) {
       return last;
     }
@@ -116,7 +117,7 @@
     return last.slice(last.remaining() - n, n).order(ByteOrder.LITTLE_ENDIAN);
   }
 
-  private static long size(List<ByteBuffer> row) {
+  private static long totalBytes(List<ByteBuffer> row) {
     long n = 0;
     for (ByteBuffer b : row) {
       n += b.remaining();
@@ -125,11 +126,12 @@
   }
 
   /** Puts a name into the data buffers, padded with zeros. */
-  void name(String name) {
-    byte[] bytes = java.util.Arrays.copyOf(name.getBytes(java.nio.charset.StandardCharsets.UTF_8), ID_BYTES);
+  void writeDeviceId(String name) {
+    byte[] bytes = java.util.Arrays.copyOf(name.getBytes(java.nio.charset.StandardCharsets.UTF_8),
+        DEVICE_ID_BYTES);
     int at = 0;
     for (ByteBuffer b : new ArrayList<>(data)) {
-      int n = Math.min(b.remaining(), ID_BYTES - at);
+      int n = Math.min(b.remaining(), DEVICE_ID_BYTES - at);
       b.put(b.position(), bytes, at, n);
       at += n;
     }
--- a/src/main/java/hollyslip/front/vhost/Device.java
+++ b/src/main/java/hollyslip/front/vhost/Device.java
@@ -17,40 +17,40 @@
  * specification leaves to trust is checked; whatever the client does wrong stops this device and no other.
  *
  * <p>
- * Its life is here: {@link #turn} looks for work and sleeps, {@link #close} ends it. What the socket says is
- * in {@link Messages}, what the rings bring in {@link Requests}. */
+ * Its life is here: {@link #runTurn} looks for work and sleeps, {@link #close} ends it. What the socket says
+ * is in {@link VhostUserConnection}, what the rings bring in {@link RequestProcessor}. */
 final class Device implements Runnable {
   private static final Logger LOG = LoggerFactory.getLogger(Device.class);
 
   private final RequestIntake engine;
-  private final long user;
+  private final long userId;
   private final int socket;
-  private final int wake;
-  private final Runnable ended;
-  private final Messages messages;
-  private final Requests requests;
+  private final int wakeUpFd;
+  private final Runnable closeListener;
+  private final VhostUserConnection connection;
+  private final RequestProcessor requests;
   private final Linux.Poll poll = new Linux.Poll();
-  private final Runnable roomListener = this::wake;
-  private final AdaptiveSpinner spin = new AdaptiveSpinner();
-  private final BooleanSupplier work;
+  private final Runnable capacityListener = this::wakeUp;
+  private final AdaptiveSpinner spinner = new AdaptiveSpinner();
+  private final BooleanSupplier workAvailable;
   private volatile Volume volume;
-  private volatile boolean grown;
+  private volatile boolean configChanged;
   private volatile boolean retired;
   private volatile boolean sleeping;
-  private volatile boolean over;
+  private volatile boolean stopRequested;
   private boolean wakeClosed;
-  private int quiet;
+  private int turnsSincePoll;
 
   Device(RequestIntake engine, Volume volume, int socket, long user, Runnable ended) throws IOException {
     this.engine = engine;
-    this.user = user;
+    this.userId = user;
     this.volume = volume;
     this.socket = socket;
-    this.ended = ended;
-    wake = Linux.eventfd();
-    messages = new Messages(socket, () -> this.volume);
-    requests = new Requests(engine, messages, () -> this.volume, this::wake);
-    work = () -> requests.answersWait() || requests.anyMore();
+    this.closeListener = ended;
+    wakeUpFd = Linux.eventfd();
+    connection = new VhostUserConnection(socket, () -> this.volume);
+    requests = new RequestProcessor(engine, connection, () -> this.volume, this::wakeUp);
+    workAvailable = () -> requests.hasAnswers() || requests.hasMoreRequests();
   }
 
   /** Ends the device since its volume is gone; from another thread. */
@@ -60,24 +60,24 @@
   }
 
   /** User number of the client. */
-  long user() {
-    return user;
+  long userId() {
+    return userId;
   }
 
   /** The volume has another size. From any thread. */
-  void resized(Volume next) {
+  void resize(Volume next) {
     volume = next;
-    grown = true;
+    configChanged = true;
     signal();
   }
 
   /** Ends the device from another thread. */
   void stop() {
-    over = true;
+    stopRequested = true;
     signal();
   }
 
-  private void wake() {
+  private void wakeUp() {
     if (sleeping) {
       sleeping = false;
       signal();
@@ -87,23 +87,23 @@
   /** Answers may come when the device is gone and its descriptor's number means something else. */
   private synchronized void signal() {
     if (!wakeClosed) {
-      Linux.signal(wake);
+      Linux.signal(wakeUpFd);
     }
   }
 
-  private synchronized void closeWake() {
+  private synchronized void closeWakeUp() {
     wakeClosed = true;
-    Linux.closeAll(wake);
+    Linux.closeAll(wakeUpFd);
   }
 
   @Override
   public void run() {
-    engine.addCapacityListener(roomListener);
+    engine.addCapacityListener(capacityListener);
     String why = "memory region: cut short while in use";
     try {
       why = serve();
     } catch (InternalError e) {
-      line(LOG.atWarn()).addKeyValue("field", why).log("device.stopped");
+      addVolume(LOG.atWarn()).addKeyValue("field", why).log("device.stopped");
     }
     ClientMemory.hasNoPendingFault();
     close(why);
@@ -115,102 +115,105 @@
    * while that is being caught. */
   private String serve() {
     try {
-      while (!over) {
-        turn();
+      while (!stopRequested) {
+        runTurn();
       }
       if (retired) {
-        requests.lastTurn();
+        requests.refuseRemaining();
         return "the volume is removed";
       }
       return "the gateway ends";
-    } catch (Violation e) {
-      line(LOG.atWarn()).addKeyValue("field", e.getMessage()).log("device.stopped");
+    } catch (ProtocolViolationException e) {
+      addVolume(LOG.atWarn()).addKeyValue("field", e.getMessage()).log("device.stopped");
       return e.getMessage();
-    } catch (Messages.Closed e) {
+    } catch (VhostUserConnection.DisconnectedException e) {
       return "the client left";
     } catch (IOException | RuntimeException e) {
-      line(LOG.atWarn()).addKeyValue("why", e.toString()).log("device.stopped");
+      addVolume(LOG.atWarn()).addKeyValue("why", e.toString()).log("device.stopped");
       return e.toString();
     }
   }
 
-  private void turn() throws IOException {
-    boolean worked = requests.give();
-    if (grown) {
-      grown = false;
-      messages.tellGrown();
+  private void runTurn() throws IOException {
+    boolean worked = requests.deliverAnswers();
+    if (configChanged) {
+      configChanged = false;
+      connection.notifyConfigChanged();
     }
-    for (Ring r : messages.rings()) {
-      worked |= r.queue != null && requests.take(r);
+    for (Ring r : connection.rings()) {
+      worked |= r.queue != null && requests.takeRequests(r);
     }
     if (worked) {
-      looksAt(0);
+      pollDescriptors(0);
       return;
     }
-    boolean seen = spin.spinUntil(Long.MAX_VALUE, work);
-    settle();
+    boolean seen = spinner.spinUntil(Long.MAX_VALUE, workAvailable);
+    checkNoPendingFault();
     if (seen) {
       return;
     }
     sleeping = true;
-    boolean more = requests.roomNow() | requests.anyMoreOrKick() | requests.answersWait() | over | grown;
-    settle();
-    looksAt(more ? 0 : -1);
+    boolean more = requests.offerBlocked() | requests.hasMoreRequestsOrEnableKicks() | requests.hasAnswers()
+        | stopRequested | configChanged;
+    checkNoPendingFault();
+    pollDescriptors(more ? 0 : -1);
     sleeping = false;
   }
 
   /** What was looked at may be gone, and anything seen for that reason. The JVM would tell only once this
    * thread calls into it: when a sleep that has no end is over, or never, where one look sees work and the
    * next does not. Harm: some tens of ns after each look in vain. */
-  private static void settle() {
-    Violation.check(ClientMemory.hasNoPendingFault(), "memory region: cut short while in use");
+  private static void checkNoPendingFault() {
+    ProtocolViolationException.check(ClientMemory.hasNoPendingFault(),
+        "memory region: cut short while in use");
   }
 
   /** Waits for kicks, letters and messages. While there is work, the socket is looked at now and then. */
-  private void looksAt(int ms) throws IOException {
-    if (ms == 0 && ++quiet % 64 != 0 && !messages.rings().isEmpty() && messages.draining() == null) {
+  private void pollDescriptors(int ms) throws IOException {
+    if (ms == 0 && ++turnsSincePoll % 64 != 0 && !connection.rings().isEmpty() && connection
+        .drainingRing() == null) {
       return;
     }
     poll.clear();
-    poll.add(wake);
-    if (messages.draining() == null) {
+    poll.add(wakeUpFd);
+    if (connection.drainingRing() == null) {
       poll.add(socket);
     }
-    int first = messages.draining() == null ? 2 : 1;
+    int first = connection.drainingRing() == null ? 2 : 1;
     List<Ring> kicked = new ArrayList<>();
-    for (Ring r : messages.rings()) {
-      if (r.kick >= 0) {
-        poll.add(r.kick);
+    for (Ring r : connection.rings()) {
+      if (r.kickFd >= 0) {
+        poll.add(r.kickFd);
         kicked.add(r);
       }
     }
     poll.await(ms);
     if (poll.events(0) != 0) {
-      Linux.drain(wake);
+      Linux.drain(wakeUpFd);
     }
     for (int i = 0; i < kicked.size(); i++) {
       if (poll.events(first + i) != 0) {
-        Linux.drain(kicked.get(i).kick);
-        messages.start(kicked.get(i));
+        Linux.drain(kicked.get(i).kickFd);
+        connection.start(kicked.get(i));
       }
     }
-    if (messages.draining() == null && poll.events(1) != 0) {
-      messages.receive();
+    if (connection.drainingRing() == null && poll.events(1) != 0) {
+      connection.receive();
     }
   }
 
   /** Departs what is in flight and closes all. */
   private void close(String why) {
-    engine.removeCapacityListener(roomListener);
-    over = true;
-    int left = requests.depart();
-    messages.close();
-    line(LOG.atInfo()).addKeyValue("inflight", left).addKeyValue("why", why).log("device.closed");
-    closeWake();
-    ended.run();
+    engine.removeCapacityListener(capacityListener);
+    stopRequested = true;
+    int left = requests.abandonAll();
+    connection.close();
+    addVolume(LOG.atInfo()).addKeyValue("inflight", left).addKeyValue("why", why).log("device.closed");
+    closeWakeUp();
+    closeListener.run();
   }
 
-  private LoggingEventBuilder line(LoggingEventBuilder to) {
+  private LoggingEventBuilder addVolume(LoggingEventBuilder to) {
     return to.addKeyValue("volume", volume.name()).addKeyValue("tenant", volume.tenant());
   }
 }
--- a/src/main/java/hollyslip/front/vhost/GuestMemory.java
+++ b/src/main/java/hollyslip/front/vhost/GuestMemory.java
@@ -13,10 +13,10 @@
 /** The client's memory as it has shared it: an immutable row of regions. A region is unmapped when neither a
  * table nor a request holds it any more, so nothing can write to memory that is gone. */
 final class GuestMemory {
-  static final GuestMemory NONE = new GuestMemory(List.of());
+  static final GuestMemory EMPTY = new GuestMemory(List.of());
 
   /** Unmapping a large region takes the kernel a while; no thread that serves waits for it. */
-  private static final ExecutorService REAPER = Executors.newSingleThreadExecutor(r -> {
+  private static final ExecutorService UNMAPPER = Executors.newSingleThreadExecutor(r -> {
     Thread t = new Thread(r, "unmapper");
     t.setDaemon(true);
     return t;
@@ -24,34 +24,34 @@
 
   /** One region, by the addresses of the message "memory region description". */
   static final class Region {
-    final long guest, size, user;
-    private final long shift;
+    final long guestAddress, size, userAddress;
+    private final long mappingOffset;
     private final Linux.Mapping mapping;
-    private final AtomicInteger holders = new AtomicInteger(1);
+    private final AtomicInteger referenceCount = new AtomicInteger(1);
 
     private Region(long guest, long size, long user, long offset, Linux.Mapping mapping) {
-      this.guest = guest;
+      this.guestAddress = guest;
       this.size = size;
-      this.user = user;
-      this.shift = offset;
+      this.userAddress = user;
+      this.mappingOffset = offset;
       this.mapping = mapping;
     }
 
     ByteBuffer view(long at, int length) {
-      return mapping.view(shift + at, length).order(ByteOrder.LITTLE_ENDIAN);
+      return mapping.view(mappingOffset + at, length).order(ByteOrder.LITTLE_ENDIAN);
     }
 
     void copy(long at, ByteBuffer to, int length) {
-      mapping.copy(shift + at, to, length);
+      mapping.copy(mappingOffset + at, to, length);
     }
 
-    void hold() {
-      holders.incrementAndGet();
+    void retain() {
+      referenceCount.incrementAndGet();
     }
 
     void release() {
-      if (holders.decrementAndGet() == 0) {
-        REAPER.execute(mapping::unmap);
+      if (referenceCount.decrementAndGet() == 0) {
+        UNMAPPER.execute(mapping::unmap);
       }
     }
   }
@@ -65,22 +65,26 @@
   /** Maps a region of a file that the client sent. A file that is shorter than the region is turned down: a
    * touch behind its end would be a SIGBUS. The descriptor stays the caller's. */
   static Region map(long guest, long size, long user, long offset, int fd) {
-    Violation.check(size > 0 && offset >= 0 && offset <= Long.MAX_VALUE - size, "memory region: size " + size
-        + " at offset " + offset);
-    Violation.check(guest >= 0 && guest <= Long.MAX_VALUE - size && user >= 0 && user <= Long.MAX_VALUE
-        - size, "memory region: address out of range");
+    ProtocolViolationException.check(size > 0 && offset >= 0 && offset <= Long.MAX_VALUE - size,
+        "memory region: size " + size
+            + " at offset " + offset);
+    ProtocolViolationException.check(guest >= 0 && guest <= Long.MAX_VALUE - size && user >= 0
+        && user <= Long.MAX_VALUE
+            - size, "memory region: address out of range");
     try {
-      Violation.check(Linux.size(fd) >= offset + size, "memory region: file shorter than offset + size");
+      ProtocolViolationException.check(Linux.size(fd) >= offset + size,
+          "memory region: file shorter than offset + size");
       return new Region(guest, size, user, offset, Linux.map(fd, 0, offset + size));
     } catch (IOException e) {
-      throw new Violation("memory region: " + e.getMessage());
+      throw new ProtocolViolationException("memory region: " + e.getMessage());
     }
   }
 
   /** The table with one more region. */
-  GuestMemory with(Region added) {
+  GuestMemory withRegion(Region added) {
     for (Region r : regions) {
-      Violation.check(added.guest + added.size <= r.guest || r.guest + r.size <= added.guest,
+      ProtocolViolationException.check(added.guestAddress + added.size <= r.guestAddress || r.guestAddress
+          + r.size <= added.guestAddress,
           "memory region: overlaps another");
     }
     List<Region> next = new ArrayList<>(regions);
@@ -89,37 +93,38 @@
   }
 
   /** The table without a region; the caller releases it. */
-  GuestMemory without(Region gone) {
+  GuestMemory withoutRegion(Region gone) {
     return new GuestMemory(regions.stream().filter(r -> r != gone).toList());
   }
 
   /** A view of memory by the client's own addresses: where rings lie. */
-  ByteBuffer byUser(long address, int length, String field) {
+  ByteBuffer viewAtUserAddress(long address, int length, String field) {
     for (Region r : regions) {
-      if (address >= r.user && address - r.user <= r.size - length) {
-        return r.view(address - r.user, length);
+      if (address >= r.userAddress && address - r.userAddress <= r.size - length) {
+        return r.view(address - r.userAddress, length);
       }
     }
-    throw new Violation(field + ": outside shared memory");
+    throw new ProtocolViolationException(field + ": outside shared memory");
   }
 
   /** Copies a range of guest memory, which must lie in one region, to the start of {@code to}. */
-  void copy(long address, ByteBuffer to, int length) {
-    Region r = find(address);
-    long at = address - r.guest;
-    Violation.check(length <= r.size - at, "indirect descriptor.addr: a table in two regions");
+  void copyFromGuestAddress(long address, ByteBuffer to, int length) {
+    Region r = findByGuestAddress(address);
+    long at = address - r.guestAddress;
+    ProtocolViolationException.check(length <= r.size - at,
+        "indirect descriptor.addr: a table in two regions");
     r.copy(at, to, length);
   }
 
   /** Adds views of a range of guest memory to {@code to} and the regions touched to {@code held}; a range may
    * go on in the next region. */
-  void byGuest(long address, long length, List<ByteBuffer> to, List<Region> held) {
+  void addViewsAtGuestAddress(long address, long length, List<ByteBuffer> to, List<Region> held) {
     long at = address;
     long left = length;
     while (left > 0) {
-      Region r = find(at);
-      int n = (int) Math.min(Math.min(left, Linux.Mapping.MOST_VIEW), r.size - (at - r.guest));
-      to.add(r.view(at - r.guest, n));
+      Region r = findByGuestAddress(at);
+      int n = (int) Math.min(Math.min(left, Linux.Mapping.MAX_VIEW_BYTES), r.size - (at - r.guestAddress));
+      to.add(r.view(at - r.guestAddress, n));
       if (!held.contains(r)) {
         held.add(r);
       }
@@ -128,13 +133,14 @@
     }
   }
 
-  private Region find(long address) {
+  private Region findByGuestAddress(long address) {
     for (Region r : regions) {
-      if (address >= r.guest && address - r.guest < r.size) {
+      if (address >= r.guestAddress && address - r.guestAddress < r.size) {
         return r;
       }
     }
-    throw new Violation("descriptor.addr: " + Long.toHexString(address) + " is outside shared memory");
+    throw new ProtocolViolationException("descriptor.addr: " + Long.toHexString(address)
+        + " is outside shared memory");
   }
 
   void releaseAll() {
--- a/src/main/java/hollyslip/front/vhost/VhostServer.java
+++ b/src/main/java/hollyslip/front/vhost/VhostServer.java
@@ -18,7 +18,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(VhostServer.class);
 
   /** Clients of one volume at a time. */
-  private static final int MOST_DEVICES = 64;
+  private static final int MAX_DEVICES = 64;
 
   /** Anybody who may open the socket. */
   public static final LongPredicate ANYBODY = user -> true;
@@ -27,49 +27,50 @@
   private final Acceptor acceptor;
   private final Path path;
   private final String volume;
-  private final int tag;
+  private final int acceptorTag;
   private final Set<Device> devices = ConcurrentHashMap.newKeySet();
-  private volatile LongPredicate members;
+  private volatile LongPredicate allowedUsers;
   private volatile boolean closing;
 
   /** @param path
    *          of the socket; a file left there is replaced
-   * @param members
+   * @param allowedUsers
    *          which users may connect */
-  public VhostServer(RequestIntake engine, Acceptor acceptor, String volume, Path path, LongPredicate members)
+  public VhostServer(RequestIntake engine, Acceptor acceptor, String volume, Path path,
+      LongPredicate allowedUsers)
       throws IOException {
     this.engine = engine;
     this.acceptor = acceptor;
     this.volume = volume;
     this.path = path;
-    this.members = members;
+    this.allowedUsers = allowedUsers;
     int socket = Linux.listen(path);
     try {
-      Linux.nonBlocking(socket);
-      tag = acceptor.add(socket, this::taken);
+      Linux.setNonBlocking(socket);
+      acceptorTag = acceptor.add(socket, this::handleConnection);
     } catch (IOException e) {
       Linux.closeAll(socket);
       throw e;
     }
   }
 
-  private void taken(int fd) {
+  private void handleConnection(int fd) {
     Volume v = engine.volumes().get(volume);
     try {
-      long user = Linux.peerUser(fd);
-      if (closing || v == null || devices.size() >= MOST_DEVICES || !members.test(user)) {
+      long user = Linux.peerUserId(fd);
+      if (closing || v == null || devices.size() >= MAX_DEVICES || !allowedUsers.test(user)) {
         Linux.closeAll(fd);
         LOG.atWarn().addKeyValue("volume", volume).addKeyValue("user", user).log("device.refused");
         return;
       }
-      open(v, fd, user);
+      openDevice(v, fd, user);
     } catch (IOException e) {
       Linux.closeAll(fd);
       LOG.atWarn().addKeyValue("volume", volume).addKeyValue("why", e.getMessage()).log("vhost.accept");
     }
   }
 
-  private void open(Volume v, int fd, long user) throws IOException {
+  private void openDevice(Volume v, int fd, long user) throws IOException {
     Device[] self = new Device[1];
     self[0] = new Device(engine, v, fd, user, () -> devices.remove(self[0]));
     devices.add(self[0]);
@@ -81,20 +82,20 @@
         .addKeyValue("tenant", v.tenant())
         .addKeyValue("user", user)
         .log("device.opened");
-    if (!members.test(user)) {
+    if (!allowedUsers.test(user)) {
       self[0].stop();
     }
   }
 
   /** Which users may connect from now on; devices of others end. */
-  public void members(LongPredicate next) {
-    members = next;
-    devices.stream().filter(d -> !next.test(d.user())).forEach(Device::stop);
+  public void setAllowedUsers(LongPredicate next) {
+    allowedUsers = next;
+    devices.stream().filter(d -> !next.test(d.userId())).forEach(Device::stop);
   }
 
   /** The volume has another size: clients that listen for it are told. */
-  public void resized(Volume v) {
-    devices.forEach(d -> d.resized(v));
+  public void resize(Volume v) {
+    devices.forEach(d -> d.resize(v));
   }
 
   /** Where it listens. */
@@ -103,23 +104,23 @@
   }
 
   /** Devices that have not ended. */
-  public int devices() {
+  public int deviceCount() {
     return devices.size();
   }
 
   /** Takes no more connections and ends the devices. Answers must have been given before. */
   public void close() {
-    end(Device::stop);
+    shutDown(Device::stop);
   }
 
   /** As {@link #close}, when the volume is gone: what clients have put into their rings is refused. */
   public void retire() {
-    end(Device::retire);
+    shutDown(Device::retire);
   }
 
-  private void end(Consumer<Device> how) {
+  private void shutDown(Consumer<Device> how) {
     closing = true;
-    acceptor.remove(tag);
+    acceptor.remove(acceptorTag);
     try {
       Files.deleteIfExists(path);
     } catch (IOException e) {
--- a/src/main/java/hollyslip/front/vhost/Wire.java
+++ b/src/main/java/hollyslip/front/vhost/Wire.java
@@ -17,10 +17,10 @@
   /** A message of the back-end: "Back-end message types". */
   public static final int BACKEND_CONFIG_CHANGE = 2;
 
-  public static final int VERSION = 1, REPLY = 4, NEED_REPLY = 8;
+  public static final int FLAG_VERSION = 1, REPLY = 4, NEED_REPLY = 8;
   public static final int HEADER = 12;
   /** Longest payload that is read, bytes: a memory table of eight regions is 264, a config message 268. */
-  public static final int MOST_PAYLOAD = 512;
+  public static final int MAX_PAYLOAD_BYTES = 512;
 
   public static final long F_INDIRECT = 1L << 28, F_EVENT_IDX = 1L << 29, F_PROTOCOL = 1L << 30;
   public static final long F_VERSION_1 = 1L << 32;
@@ -30,9 +30,10 @@
    * a status of their own and the time to come back; see docs/ring-front.md. */
   public static final long BLK_REFUSED = 1L << 60;
 
-  public static final long P_MQ = 1, P_REPLY_ACK = 1L << 3, P_BACKEND_REQ = 1L << 5, P_CONFIG = 1L << 9,
-      P_INFLIGHT = 1L << 12;
-  public static final long P_MEM_SLOTS = 1L << 15;
+  public static final long PROTOCOL_F_MQ = 1, PROTOCOL_F_REPLY_ACK = 1L << 3,
+      PROTOCOL_F_BACKEND_REQ = 1L << 5, PROTOCOL_F_CONFIG = 1L << 9,
+      PROTOCOL_F_INFLIGHT_SHMFD = 1L << 12;
+  public static final long PROTOCOL_F_CONFIGURE_MEM_SLOTS = 1L << 15;
 
   /** A message as it stood on the socket; {@code payload} is little-endian, as on all machines we serve. */
   public record Message(int request, int flags, ByteBuffer payload) {}
@@ -41,17 +42,18 @@
 
   /** Takes one whole message off the front of {@code in}; null: it is not whole yet.
    *
-   * @throws Violation
+   * @throws ProtocolViolationException
    *           a version or a size that no message has */
-  static Message read(ByteBuffer in) {
+  static Message decode(ByteBuffer in) {
     if (in.remaining() < HEADER) {
       return null;
     }
     int p = in.position();
     int flags = in.getInt(p + 4);
     int size = in.getInt(p + 8);
-    Violation.check((flags & 3) == VERSION, "message.flags: version " + (flags & 3));
-    Violation.check(size >= 0 && size <= MOST_PAYLOAD, "message.size: " + Integer.toUnsignedString(size));
+    ProtocolViolationException.check((flags & 3) == FLAG_VERSION, "message.flags: version " + (flags & 3));
+    ProtocolViolationException.check(size >= 0 && size <= MAX_PAYLOAD_BYTES, "message.size: " + Integer
+        .toUnsignedString(size));
     if (in.remaining() < HEADER + size) {
       return null;
     }
@@ -66,7 +68,7 @@
     return ByteBuffer.allocate(HEADER + payload.length)
         .order(ByteOrder.LITTLE_ENDIAN)
         .putInt(request)
-        .putInt(VERSION | flags)
+        .putInt(FLAG_VERSION | flags)
         .putInt(payload.length)
         .put(payload)
         .array();
--- a/src/main/java/hollyslip/gateway/Gateway.java
+++ b/src/main/java/hollyslip/gateway/Gateway.java
@@ -16,7 +16,7 @@
 import hollyslip.front.vhost.VhostServer;
 import hollyslip.node.NodePool;
 import hollyslip.node.NodeSurvey;
-import hollyslip.node.Serials;
+import hollyslip.node.ConnectionSerials;
 import hollyslip.recovery.EpochStore;
 import hollyslip.recovery.EpochElection;
 import hollyslip.recovery.EpochElection.Holder;
@@ -48,32 +48,32 @@
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
 
   /** Longest command that nodes take: the NBD protocol's limit without a block size constraint is 32 MiB. */
-  private static final long MOST_COMMAND = 32 << 20;
+  private static final long MAX_COMMAND_BYTES = 32 << 20;
 
   /** Requests that a lane can number before the next one's numbers begin; a cookie has 12 bits more. */
-  private static final long LANE_REQUESTS = 1L << 44;
+  private static final long REQUEST_IDS_PER_LANE = 1L << 44;
 
   /** Between the seeds of two lanes, so that those of neighbouring gateways do not meet. */
-  private static final long LANE_SEEDS = 1L << 32;
+  private static final long LANE_SEED_STEP = 1L << 32;
 
   private final Deployment deployment;
   private final EngineLanes lanes;
   private final Membership membership;
   private final List<NodePool> pools = new ArrayList<>();
-  private final List<VhostServer> fronts = new ArrayList<>();
+  private final List<VhostServer> vhostServers = new ArrayList<>();
   private final SftpServer sftp;
   private final Acceptor acceptor;
-  private final HostedVolumes hosted;
+  private final HostedVolumes hostedVolumes;
   private final Control control;
   private final AdminServer admin;
-  private final EpochStore epoch;
+  private final EpochStore epochStore;
   private final CompletableFuture<Void> superseded = new CompletableFuture<>();
   private volatile Holder holder;
   private CompletableFuture<Void> stopping;
-  private volatile List<Deployment.Node> nodes;
+  private volatile List<Deployment.Node> currentNodes;
 
   /** Ids of hosted tenants and volumes begin here; those of the settings' volumes are below. */
-  private static final long FIRST_ID = 1 << 20;
+  private static final long FIRST_HOSTED_ID = 1 << 20;
 
   /** Builds and starts it; when this returns the sockets of all volumes listen, those of the settings and of
    * the store, or it was logged of a volume of the store why its one does not. */
@@ -89,36 +89,37 @@
    *           among others: another gateway of this name lives, or uses the state folder */
   public Gateway(Deployment deployment, boolean takeOver) throws IOException {
     this.deployment = deployment;
-    nodes = deployment.nodes();
+    currentNodes = deployment.nodes();
     Deployment.Process p = deployment.gateway();
-    epoch = new EpochStore(p.stateDir());
-    holder = begin(takeOver);
-    lanes = new EngineLanes(engines(), deployment.byName(), this::terms);
+    epochStore = new EpochStore(p.stateDir());
+    holder = takeEpoch(takeOver);
+    lanes = new EngineLanes(createEngines(), deployment.byName(), this::settingsTerms);
     membership = new Membership(deployment.rules().coldUs(), lanes::updateNodes);
-    Serials serials = new Serials();
+    ConnectionSerials serials = new ConnectionSerials();
     for (int i = 0; i < p.cores(); i++) {
       NodePool pool = new NodePool(lanes.lane(i), new NodePool.Limits(p.name(), holder, p.connections(), p
           .perConnection(), deployment.allowed().connectTimeoutUs(), deployment.rules().orderSettleUs()),
-          serials, deployment.module().reportFields(), new News(), p.ioThreads());
-      pool.addresses(addresses(deployment));
+          serials, deployment.module().reportFields(), new MembershipUpdater(), p.ioThreads());
+      pool.updateAddresses(nodeAddresses(deployment));
       lanes.lane(i).start(pool);
       pools.add(pool);
     }
     lanes.start();
-    membership.replaceAll(listed(deployment));
+    membership.replaceAll(nodeEntries(deployment));
     Files.createDirectories(p.socketDir());
     acceptor = new Acceptor();
     for (Volume v : deployment.volumes()) {
-      fronts.add(new VhostServer(lanes, acceptor, v.name(), socket(v.name()), VhostServer.ANYBODY));
+      vhostServers.add(new VhostServer(lanes, acceptor, v.name(), socket(v.name()), VhostServer.ANYBODY));
     }
     sftp = p.sftp() ? new SftpServer(lanes, p.socketDir().resolve("sftp.sock")) : null;
-    hosted = p.hosting() == null
+    hostedVolumes = p.hosting() == null
         ? null
-        : new HostedVolumes(lanes, acceptor, p.socketDir(), p.hosts(), this::nodeState, this::nodeViews);
-    control = hosted == null
+        : new HostedVolumes(lanes, acceptor, p.socketDir(), p.hosts(), this::setNodeState, this::nodeViews);
+    control = hostedVolumes == null
         ? null
-        : new Control(new Folder(p.stateDir().resolve("store")), shards(deployment), FIRST_ID, p.hosts(),
-            hosted, System::currentTimeMillis);
+        : new Control(new Folder(p.stateDir().resolve("store")), createShards(deployment), FIRST_HOSTED_ID, p
+            .hosts(),
+            hostedVolumes, System::currentTimeMillis);
     admin = control == null ? null : admin(p);
     if (control != null) {
       control.start().join();
@@ -132,7 +133,7 @@
   }
 
   /** The lanes' engines: each a module with its own random source, and its part of what may be held. */
-  private List<Engine> engines() {
+  private List<Engine> createEngines() {
     Deployment.Process p = deployment.gateway();
     RequestClassifier classifier = new RequestClassifier(deployment.rows(), p.unitBytes(), deployment.store()
         .maxUnits());
@@ -144,22 +145,25 @@
       HostScheduler.Rules part = new HostScheduler.Rules(r.answerSlackUs(), r.drainGraceUs(), r.coldFrom(), r
           .coldUs(), r.fallMultiple(), r.fallUs(), r.orderSettleUs(), r.budgetShare(), r.budgetFree() / p
               .cores(), r.budgetWindowUs(), r.askWithinUs());
-      HostScheduler.Settings own = new HostScheduler.Settings(m.seed() + i * LANE_SEEDS, m.index(), m.hosts(),
+      HostScheduler.Settings own = new HostScheduler.Settings(m.seed() + i * LANE_SEED_STEP, m.index(), m
+          .hosts(),
           m
               .zone(), m.tickUs(), m.listOnRequest(), m.classes(), m.plans(), part, m.allowed(), m
                   .store(), m
                       .reportSource(), m.reportFields());
-      engines.add(new Engine(new Engine.Config(own, classifier, new ExtentSplitter(MOST_COMMAND), Math.max(1,
-          p
-              .mostRequests() / p.cores()), Math.max(1, p.mostBytes() / p.cores()), i * LANE_REQUESTS), Map
-                  .of(),
+      engines.add(new Engine(new Engine.Config(own, classifier, new ExtentSplitter(MAX_COMMAND_BYTES), Math
+          .max(1,
+              p
+                  .mostRequests() / p.cores()), Math.max(1, p.mostBytes() / p.cores()), i
+                      * REQUEST_IDS_PER_LANE), Map
+                          .of(),
           new TokenBorrowingScheduler(own)));
     }
     return engines;
   }
 
   /** Terms of a volume of the settings, for a lane that takes it over: its plan, and no group. */
-  private VolumeChanged terms(Volume v) {
+  private VolumeChanged settingsTerms(Volume v) {
     HostScheduler.Plan plan = deployment.plans()
         .stream()
         .filter(each -> each.name().equals(v.plan()))
@@ -169,19 +173,20 @@
   }
 
   /** Takes an epoch above all that our record and the nodes know. */
-  private Holder begin(boolean takeOver) throws IOException {
+  private Holder takeEpoch(boolean takeOver) throws IOException {
     String name = deployment.gateway().name();
-    long recorded = epoch.last();
-    Map<String, EpochElection.NodeView> known = NodeSurvey.ask(addresses(deployment), name, deployment
-        .allowed()
-        .connectTimeoutUs());
+    long recorded = epochStore.last();
+    Map<String, EpochElection.NodeView> known = NodeSurvey.queryHolders(nodeAddresses(deployment), name,
+        deployment
+            .allowed()
+            .connectTimeoutUs());
     EpochElection.Decision step = takeOver
         ? EpochElection.decideForcedTakeover(recorded, known.values())
         : EpochElection.decideAtStart(recorded, known.values());
     if (step.action() == EpochElection.Action.YIELD) {
-      epoch.close();
+      epochStore.close();
       throw new IOException("another gateway named " + name + " lives, with epoch " + step.other().epoch()
-          + " (ours on disk: " + recorded + "): nodes that say so are " + names(known, step.other())
+          + " (ours on disk: " + recorded + "): nodes that say so are " + nodeNames(known, step.other())
           + "; stop it, or start with --take-over if it is gone");
     }
     if (recorded < step.other().epoch()) {
@@ -192,11 +197,11 @@
           .addKeyValue("taken", step.epoch())
           .log("gateway.epoch.behind");
     }
-    epoch.advanceTo(step.epoch());
+    epochStore.advanceTo(step.epoch());
     return new Holder(step.epoch(), new SecureRandom().nextLong(Long.MAX_VALUE));
   }
 
-  private static List<String> names(Map<String, EpochElection.NodeView> known, Holder other) {
+  private static List<String> nodeNames(Map<String, EpochElection.NodeView> known, Holder other) {
     return known.entrySet()
         .stream()
         .filter(e -> e.getValue().holder().equals(other))
@@ -206,7 +211,7 @@
   }
 
   /** A node says that another one holds our name; engine's thread. */
-  private void told(long node, EpochElection.NodeView known) {
+  private void handleSuperseded(long node, EpochElection.NodeView known) {
     EpochElection.Decision step = EpochElection.decideInService(holder, known);
     if (step.action() == EpochElection.Action.GO_ON || superseded.isDone()) {
       return;
@@ -230,7 +235,7 @@
       if (e == null) {
         for (int i = 0; i < pools.size(); i++) {
           NodePool pool = pools.get(i);
-          lanes.lane(i).execute(() -> pool.holder(next));
+          lanes.lane(i).execute(() -> pool.changeHolder(next));
         }
       } else {
         LOG.atError().setCause(e).log("gateway.epoch");
@@ -241,7 +246,7 @@
 
   private void record(long taken) {
     try {
-      epoch.advanceTo(taken);
+      epochStore.advanceTo(taken);
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
@@ -264,7 +269,7 @@
   }
 
   /** Shards as the settings state them; what volumes of the settings have of them is taken. */
-  private static List<Shard> shards(Deployment d) {
+  private static List<Shard> createShards(Deployment d) {
     Map<Integer, List<Shard.Range>> taken = new HashMap<>();
     for (Volume v : d.volumes()) {
       v.extents()
@@ -279,12 +284,12 @@
         .toList();
   }
 
-  private void nodeState(String name, NodeState state) {
-    for (Deployment.Node n : nodes) {
+  private void setNodeState(String name, NodeState state) {
+    for (Deployment.Node n : currentNodes) {
       if (n.name().equals(name)) {
         List<NodeEntry> before = membership.list();
         membership.setState(n.id(), state);
-        logChanges(before);
+        logNodeChanges(before);
       }
     }
   }
@@ -293,7 +298,7 @@
     Map<Long, NodeEntry> listed = new HashMap<>();
     membership.list().forEach(l -> listed.put(l.node(), l));
     Map<String, Carrier.NodeView> views = new TreeMap<>();
-    for (Deployment.Node n : nodes) {
+    for (Deployment.Node n : currentNodes) {
       NodeEntry l = listed.get(n.id());
       views.put(n.name(), new Carrier.NodeView(n.id(), n.shard(), n.zone(), l == null
           ? n.state()
@@ -302,7 +307,7 @@
     return views;
   }
 
-  private static List<NodePool.Address> addresses(Deployment d) {
+  private static List<NodePool.Address> nodeAddresses(Deployment d) {
     return d.nodes()
         .stream()
         .map(n -> new NodePool.Address(n.id(), n.name(), new InetSocketAddress(n.host(), n.port()), "shard-"
@@ -310,14 +315,14 @@
         .toList();
   }
 
-  private static List<NodeEntry> listed(Deployment d) {
+  private static List<NodeEntry> nodeEntries(Deployment d) {
     return d.nodes().stream().map(Deployment.Node::listed).toList();
   }
 
   /** News of starts go through the membership to the module. */
-  private final class News implements NodePool.News {
+  private final class MembershipUpdater implements NodePool.NodeEventListener {
     @Override
-    public boolean started(long node, long boot, long ageUs) {
+    public boolean onNodeStarted(long node, long boot, long ageUs) {
       boolean fresh = membership.recordStart(node, boot, ageUs, Engine.monotonicMicros());
       if (fresh) {
         LOG.atInfo().addKeyValue("node", node).addKeyValue("age_ms", ageUs / 1_000).log("node.started");
@@ -326,17 +331,17 @@
     }
 
     @Override
-    public void superseded(long node, EpochElection.NodeView known) {
-      told(node, known);
+    public void onSuperseded(long node, EpochElection.NodeView known) {
+      handleSuperseded(node, known);
     }
 
     @Override
-    public void wanted() {
+    public void onNodeListRequested() {
       membership.republish();
     }
   }
 
-  private void logChanges(List<NodeEntry> before) {
+  private void logNodeChanges(List<NodeEntry> before) {
     List<NodeEntry> now = membership.list();
     for (NodeEntry l : now) {
       NodeEntry old = before.stream().filter(b -> b.node() == l.node()).findFirst().orElse(null);
@@ -359,20 +364,20 @@
 
   /** Takes on another node list; the rest of the settings stays as it was. */
   public void nodes(Deployment next) {
-    List<NodePool.Address> addresses = addresses(next);
+    List<NodePool.Address> addresses = nodeAddresses(next);
     for (int i = 0; i < pools.size(); i++) {
       NodePool pool = pools.get(i);
-      lanes.lane(i).execute(() -> pool.addresses(addresses));
+      lanes.lane(i).execute(() -> pool.updateAddresses(addresses));
     }
     List<NodeEntry> before = membership.list();
-    nodes = next.nodes();
-    membership.replaceAll(listed(next));
+    currentNodes = next.nodes();
+    membership.replaceAll(nodeEntries(next));
     if (control != null) {
       // The administrators' word stands against the settings'.
       control.read(r -> List.copyOf(r.nodes()))
-          .thenAccept(all -> all.forEach(n -> nodeState(n.node(), n.state())));
+          .thenAccept(all -> all.forEach(n -> setNodeState(n.node(), n.state())));
     }
-    logChanges(before);
+    logNodeChanges(before);
     LOG.atInfo().addKeyValue("nodes", next.nodes().size()).log("nodes.replaced");
   }
 
@@ -383,7 +388,7 @@
 
   /** Socket of a hosted volume. */
   public Path socket(String tenant, String volume) {
-    return hosted.socket(tenant, volume);
+    return hostedVolumes.socketPath(tenant, volume);
   }
 
   /** Who records and decides on hosted tenants; null: none are hosted. */
@@ -398,7 +403,10 @@
 
   /** Clients attached to a volume. */
   public int devices(String volume) {
-    return fronts.stream().filter(f -> f.path().equals(socket(volume))).mapToInt(VhostServer::devices).sum();
+    return vhostServers.stream()
+        .filter(f -> f.path().equals(socket(volume)))
+        .mapToInt(VhostServer::deviceCount)
+        .sum();
   }
 
   /** Where its requests go. */
@@ -413,25 +421,25 @@
   /** Takes no more, answers everything, then closes the sockets; complete when all is answered. */
   public synchronized CompletableFuture<Void> stop() {
     if (stopping == null) {
-      stopping = end();
+      stopping = stopAll();
     }
     return stopping;
   }
 
-  private CompletableFuture<Void> end() {
+  private CompletableFuture<Void> stopAll() {
     return lanes.stop().whenComplete((done, error) -> {
       if (admin != null) {
         admin.close();
         control.close();
-        hosted.close();
+        hostedVolumes.close();
       }
-      fronts.forEach(VhostServer::close);
+      vhostServers.forEach(VhostServer::close);
       acceptor.close();
       if (sftp != null) {
         sftp.close();
       }
       try {
-        epoch.close();
+        epochStore.close();
       } catch (IOException e) {
         LOG.atWarn().setCause(e).log("gateway.stop");
       }
--- a/src/main/java/hollyslip/gateway/HostedVolumes.java
+++ b/src/main/java/hollyslip/gateway/HostedVolumes.java
@@ -29,16 +29,16 @@
 final class HostedVolumes implements Carrier {
   private static final Logger LOG = LoggerFactory.getLogger(HostedVolumes.class);
 
-  private final EngineLanes engine;
+  private final EngineLanes lanes;
   private final Acceptor acceptor;
-  private final Path sockets;
+  private final Path socketDir;
   private final int hosts;
-  private final BiConsumer<String, NodeState> nodeState;
+  private final BiConsumer<String, NodeState> nodeStateSetter;
   private final Supplier<Map<String, NodeView>> nodes;
-  private final Map<Long, VhostServer> fronts = new ConcurrentHashMap<>();
+  private final Map<Long, VhostServer> servers = new ConcurrentHashMap<>();
   /** Sockets are made and removed here, in the order of the engine's word: files may be slow, and the
    * engine's thread must not wait for them. */
-  private final ExecutorService opener = Executors.newSingleThreadExecutor(r -> {
+  private final ExecutorService socketExecutor = Executors.newSingleThreadExecutor(r -> {
     Thread t = new Thread(r, "sockets");
     t.setDaemon(true);
     return t;
@@ -46,54 +46,58 @@
 
   HostedVolumes(EngineLanes engine, Acceptor acceptor, Path sockets, int hosts,
       BiConsumer<String, NodeState> nodeState, Supplier<Map<String, NodeView>> nodes) {
-    this.engine = engine;
+    this.lanes = engine;
     this.acceptor = acceptor;
-    this.sockets = sockets;
+    this.socketDir = sockets;
     this.hosts = hosts;
-    this.nodeState = nodeState;
+    this.nodeStateSetter = nodeState;
     this.nodes = nodes;
   }
 
-  private static String name(HostedVolume v, Tenant t) {
+  private static String qualifiedName(HostedVolume v, Tenant t) {
     return t.name() + "/" + v.name();
   }
 
   /** Socket of a volume. */
-  Path socket(String tenant, String volume) {
-    return sockets.resolve(tenant).resolve(volume + ".sock");
+  Path socketPath(String tenant, String volume) {
+    return socketDir.resolve(tenant).resolve(volume + ".sock");
   }
 
-  private Volume volume(HostedVolume v, Tenant t) {
-    return new Volume(v.id(), name(v, t), t.name(), v.plan(), hosts, v.bytes(), v.extentBytes(), v.extents());
+  private Volume toVolume(HostedVolume v, Tenant t) {
+    return new Volume(v.id(), qualifiedName(v, t), t.name(), v.plan(), hosts, v.bytes(), v.extentBytes(), v
+        .extents());
   }
 
-  private static LongPredicate members(Tenant t) {
+  private static LongPredicate memberPredicate(Tenant t) {
     Set<Long> users = Set.copyOf(t.members().values());
     return users::contains;
   }
 
   @Override
   public CompletableFuture<Void> serve(HostedVolume v, Tenant t, VolumeChanged terms) {
-    Volume volume = volume(v, t);
-    return engine.serve(volume, terms).thenRunAsync(() -> {
-      VhostServer front = fronts.get(v.id());
+    Volume volume = toVolume(v, t);
+    return lanes.serve(volume, terms).thenRunAsync(() -> {
+      VhostServer front = servers.get(v.id());
       if (front == null) {
-        open(v, t);
+        openServer(v, t);
       } else {
-        front.members(members(t));
-        front.resized(volume);
+        front.setAllowedUsers(memberPredicate(t));
+        front.resize(volume);
       }
-    }, opener);
+    }, socketExecutor);
   }
 
-  private void open(HostedVolume v, Tenant t) {
+  private void openServer(HostedVolume v, Tenant t) {
     try {
-      Path path = socket(t.name(), v.name());
+      Path path = socketPath(t.name(), v.name());
       Files.createDirectories(path.getParent());
-      fronts.put(v.id(), new VhostServer(engine, acceptor, name(v, t), path, members(t)));
+      servers.put(v.id(), new VhostServer(lanes, acceptor, qualifiedName(v, t), path, memberPredicate(t)));
       // Anybody may knock: who is no member is turned away by the user number that the kernel tells.
       Files.setPosixFilePermissions(path, PosixFilePermissions.fromString("rw-rw-rw-"));
-      LOG.atInfo().addKeyValue("volume", name(v, t)).addKeyValue("tenant", t.name()).log("volume.served");
+      LOG.atInfo()
+          .addKeyValue("volume", qualifiedName(v, t))
+          .addKeyValue("tenant", t.name())
+          .log("volume.served");
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
@@ -101,18 +105,21 @@
 
   @Override
   public CompletableFuture<Void> drain(HostedVolume v, Tenant t) {
-    return engine.drain(volume(v, t)).thenRunAsync(() -> {
-      VhostServer front = fronts.remove(v.id());
+    return lanes.drain(toVolume(v, t)).thenRunAsync(() -> {
+      VhostServer front = servers.remove(v.id());
       if (front != null) {
         front.retire();
       }
-      LOG.atInfo().addKeyValue("volume", name(v, t)).addKeyValue("tenant", t.name()).log("volume.gone");
-    }, opener);
+      LOG.atInfo()
+          .addKeyValue("volume", qualifiedName(v, t))
+          .addKeyValue("tenant", t.name())
+          .log("volume.gone");
+    }, socketExecutor);
   }
 
   @Override
   public void node(String name, NodeState state) {
-    nodeState.accept(name, state);
+    nodeStateSetter.accept(name, state);
   }
 
   @Override
@@ -121,7 +128,7 @@
   }
 
   void close() {
-    opener.shutdown();
-    fronts.values().forEach(VhostServer::close);
+    socketExecutor.shutdown();
+    servers.values().forEach(VhostServer::close);
   }
 }
--- a/src/main/java/hollyslip/node/Fence.java
+++ b/src/main/java/hollyslip/node/Fence.java
@@ -11,7 +11,7 @@
  * {@code hollyslip:fence/CLIENT/EPOCH/INSTANCE/SERIAL/LIVE}. Once a node has answered the negotiation that
  * carries it, no command has an effect there any more that came over a connection of the same client with an
  * earlier epoch, or from the same holder with a smaller serial that is not named in LIVE. A connection that
- * is not the newest holder's itself is told so by the node's word on the client, {@link #known}.
+ * is not the newest holder's itself is told so by the node's word on the client, {@link #parseHolderReply}.
  *
  * @param client
  *          name of the gateway instance, without a slash
@@ -19,27 +19,27 @@
  *          which of its starts
  * @param serial
  *          grows with each connection it makes to the node
- * @param live
+ * @param liveSerials
  *          serials of its other connections that go on */
-public record Fence(String client, Holder holder, long serial, Set<Long> live) {
+public record Fence(String client, Holder holder, long serial, Set<Long> liveSerials) {
   public Fence {
     if (client.isEmpty() || client.contains("/")) {
       throw new IllegalArgumentException("client: must be a name without a slash, not '" + client + "'");
     }
-    live = new TreeSet<>(live);
+    liveSerials = new TreeSet<>(liveSerials);
   }
 
   /** The context's name. */
-  public String text() {
+  public String contextName() {
     List<String> names = new ArrayList<>();
-    live.forEach(s -> names.add(Long.toString(s)));
+    liveSerials.forEach(s -> names.add(Long.toString(s)));
     return Nbd.CONTEXT_FENCE + client + "/" + holder.epoch() + "/" + holder.instance() + "/" + serial + "/"
         + String.join(",", names);
   }
 
   /** Reads the name of a context; null if it is none of these. */
   public static Fence parse(String text) {
-    String[] parts = parts(text, Nbd.CONTEXT_FENCE, 5);
+    String[] parts = splitName(text, Nbd.CONTEXT_FENCE, 5);
     if (parts == null) {
       return null;
     }
@@ -55,19 +55,20 @@
   }
 
   /** Name of the context that asks who holds a client's name. */
-  public static String question(String client) {
+  public static String holderQueryName(String client) {
     return Nbd.CONTEXT_EPOCH + client;
   }
 
   /** Name of the context that answers it. */
   public static String answer(String client, NodeView known) {
-    return question(client) + "/" + known.holder().epoch() + "/" + known.holder().instance() + "/" + known
-        .openConnections();
+    return holderQueryName(client) + "/" + known.holder().epoch() + "/" + known.holder().instance() + "/"
+        + known
+            .openConnections();
   }
 
   /** Reads the name of a context that answers; null if it is none of these, or of another client. */
-  public static NodeView known(String text, String client) {
-    String[] parts = parts(text, Nbd.CONTEXT_EPOCH, 4);
+  public static NodeView parseHolderReply(String text, String client) {
+    String[] parts = splitName(text, Nbd.CONTEXT_EPOCH, 4);
     if (parts == null || !parts[0].equals(client)) {
       return null;
     }
@@ -78,7 +79,7 @@
     }
   }
 
-  private static String[] parts(String text, String start, int count) {
+  private static String[] splitName(String text, String start, int count) {
     String[] parts = text.startsWith(start) ? text.substring(start.length()).split("/", -1) : null;
     return parts == null || parts.length != count ? null : parts;
   }
@@ -92,7 +93,7 @@
     if (!other.client.equals(client) || other.holder.epoch() > holder.epoch()) {
       return false;
     }
-    return !other.holder.equals(holder) || other.serial < serial && !live.contains(other.serial);
+    return !other.holder.equals(holder) || other.serial < serial && !liveSerials.contains(other.serial);
   }
 
   /** Which of two fences of one client stands, this one being there before. */
--- a/src/main/java/hollyslip/node/Nbd.java
+++ b/src/main/java/hollyslip/node/Nbd.java
@@ -37,7 +37,7 @@
   public static final String CONTEXT_LOAD = "hollyslip:load";
   /** Context of ours: who connects and which of its connections still live; see {@link Fence}. */
   public static final String CONTEXT_FENCE = "hollyslip:fence/";
-  /** Context of ours: who holds a client's name; see {@link Fence#known}. */
+  /** Context of ours: who holds a client's name; see {@link Fence#parseHolderReply}. */
   public static final String CONTEXT_EPOCH = "hollyslip:epoch/";
   /** Bytes whose status is one figure of {@link #CONTEXT_LOAD}. */
   public static final int LOAD_STEP = 512;
@@ -49,7 +49,7 @@
   public static final int MOST_OPTION = 64 * 1024;
 
   /** Figures of {@link #CONTEXT_LOAD}, in order; each unsigned 32 bits. */
-  public enum Load {
+  public enum LoadMetric {
     /** Drawn anew at each start of the node. */
     BOOT,
     /** Since that start, ms; stays at the most it can hold. */
--- a/src/main/java/hollyslip/node/NbdConnection.java
+++ b/src/main/java/hollyslip/node/NbdConnection.java
@@ -22,49 +22,49 @@
 /** One connection to a node: commands go out in one stream, pipelined, replies come back in any order by
  * cookie. All state is guarded by the connection's monitor, which is held only for copies in memory. */
 final class NbdConnection implements NbdReplyParser.Sink {
-  private static final int IN_BYTES = 256 * 1024;
-  private static final int BURST = 64;
-  private static final long BURST_BYTES = 1 << 20;
-  private static final int HEADER = 28;
+  private static final int INPUT_BUFFER_BYTES = 256 * 1024;
+  private static final int MAX_BURST_COMMANDS = 64;
+  private static final long MAX_BURST_BYTES = 1 << 20;
+  private static final int REQUEST_HEADER_BYTES = 28;
   private static final long LOAD_COOKIE = -1;
 
   /** Who hears of what happens; calls come from any thread, never with the monitor held twice. */
-  interface Owner {
+  interface Listener {
     /** The negotiation is over; {@code load} are the node's figures, empty if it tells none. */
-    void ready(NbdConnection connection, long[] load);
+    void onReady(NbdConnection connection, long[] load);
 
-    void ended(Attempt attempt, Result result);
+    void onAttemptEnded(Attempt attempt, Result result);
 
-    void resolved(Attempt attempt);
+    void onAttemptResolved(Attempt attempt);
 
-    void probed(NbdConnection connection, Result result, long tookUs, long[] load);
+    void onProbeEnded(NbdConnection connection, Result result, long tookUs, long[] load);
 
     /** The node does not count this connection as the newest holder's: nothing of it runs there. */
-    void superseded(NbdConnection connection, NodeView known);
+    void onSuperseded(NbdConnection connection, NodeView known);
 
     /** It is over: {@code waiting} never left, {@code sent} may run, {@code silent} are those of which the
      * engine has already heard. */
-    void closed(NbdConnection connection, String why, List<Attempt> waiting, List<Attempt> sent,
+    void onClosed(NbdConnection connection, String why, List<Attempt> waiting, List<Attempt> sent,
         List<Attempt> silent);
   }
 
   /** Bytes of writes that are sent from one buffer; more, and larger ones, get their own. */
-  private static final int STAGING = 256 << 10;
+  private static final int STAGING_BYTES = 256 << 10;
 
   private enum Stage {
     QUEUED, SENDING, SENT
   }
 
-  private final class Slot {
+  private final class Command {
     final Attempt attempt;
     final long cookie;
     final List<ByteBuffer> data;
     Stage stage = Stage.QUEUED;
-    boolean detached;
-    long received;
+    boolean withdrawn;
+    long receivedBytes;
     long sentNs;
 
-    Slot(Attempt attempt, long cookie) {
+    Command(Attempt attempt, long cookie) {
       this.attempt = attempt;
       this.cookie = cookie;
       data = attempt.kind() == IoKind.READ || attempt.kind() == IoKind.WRITE ? attempt.data() : List.of();
@@ -77,41 +77,42 @@
 
   final Fence fence;
   final long node;
-  private final Owner owner;
+  private final Listener listener;
   private final AsynchronousSocketChannel channel;
   private final NbdHandshake handshake;
-  private final ArrayDeque<Slot> queue = new ArrayDeque<>();
-  private final Long2ObjectHashMap<Slot> flight = new Long2ObjectHashMap<>();
-  /** Of {@link #flight}, how many are given up. */
-  private int detached;
+  private final ArrayDeque<Command> queue = new ArrayDeque<>();
+  private final Long2ObjectHashMap<Command> inFlight = new Long2ObjectHashMap<>();
+  /** Of {@link #inFlight}, how many are given up. */
+  private int withdrawnCount;
   /** Queued or out; written under the monitor. */
-  private volatile int size;
+  private volatile int pendingCount;
   /** Whether the pool has it among those with something to send; the pool's thread. */
-  boolean dirty;
-  private final ByteBuffer in = ByteBuffer.allocateDirect(IN_BYTES);
-  private final ByteBuffer headers = ByteBuffer.allocateDirect((BURST + 1) * HEADER);
-  private final ByteBuffer staging = ByteBuffer.allocateDirect(STAGING);
-  private final long[] load = new long[Nbd.Load.values().length];
-  private NbdReplyParser replies;
-  private boolean negotiated, ready, writing, closed, probing, opened;
-  private long probeNs, heardNs;
+  boolean flushScheduled;
+  private final ByteBuffer input = ByteBuffer.allocateDirect(INPUT_BUFFER_BYTES);
+  private final ByteBuffer headers = ByteBuffer.allocateDirect((MAX_BURST_COMMANDS + 1)
+      * REQUEST_HEADER_BYTES);
+  private final ByteBuffer staging = ByteBuffer.allocateDirect(STAGING_BYTES);
+  private final long[] loadValues = new long[Nbd.LoadMetric.values().length];
+  private NbdReplyParser replyParser;
+  private boolean negotiated, ready, writeInProgress, closed, probePending, readyReported;
+  private long probeSentNs, lastReceivedNs;
   /** A newer fence stands at the node: nothing of this connection runs there any more. */
   private boolean fencedOff;
-  private List<Slot> burst = List.of();
-  private ByteBuffer[] gather;
+  private List<Command> burst = List.of();
+  private ByteBuffer[] gatherBuffers;
 
-  NbdConnection(AsynchronousChannelGroup group, long node, String export, Fence fence, Owner owner)
+  NbdConnection(AsynchronousChannelGroup group, long node, String export, Fence fence, Listener owner)
       throws IOException {
     this.fence = fence;
     this.node = node;
-    this.owner = owner;
+    this.listener = owner;
     handshake = new NbdHandshake(export, fence);
     channel = AsynchronousSocketChannel.open(group);
     channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
   }
 
   void connect(SocketAddress address) {
-    channel.connect(address, null, new Handler<Void, Void>() {
+    channel.connect(address, null, new ChannelHandler<Void, Void>() {
       @Override
       public void completed(Void done, Void none) {
         read();
@@ -124,10 +125,10 @@
     if (closed) {
       return false;
     }
-    Slot slot = new Slot(attempt, attempt.requestId() << 12 | attempt.number() & 0xfff);
+    Command slot = new Command(attempt, attempt.requestId() << 12 | attempt.number() & 0xfff);
     attempt.handle = slot;
     queue.add(slot);
-    size++;
+    pendingCount++;
     return true;
   }
 
@@ -135,10 +136,10 @@
   void flush() {
     boolean go;
     synchronized (this) {
-      go = ready && !writing && !closed && (!queue.isEmpty() || probing && probeNs == 0);
+      go = ready && !writeInProgress && !closed && (!queue.isEmpty() || probePending && probeSentNs == 0);
       if (go) {
-        writing = true;
-        gather();
+        writeInProgress = true;
+        gatherBuffers();
       }
     }
     if (go) {
@@ -146,56 +147,56 @@
     }
   }
 
-  /** Asks for the node's load; answered by {@link Owner#probed}. */
+  /** Asks for the node's load; answered by {@link Listener#onProbeEnded}. */
   synchronized boolean probe() {
-    if (closed || !ready || probing || handshake.loadContext() < 0) {
+    if (closed || !ready || probePending || handshake.loadContextId() < 0) {
       return false;
     }
-    probing = true;
-    probeNs = 0;
+    probePending = true;
+    probeSentNs = 0;
     return true;
   }
 
   /** Gives an attempt up: nothing touches its data after this call. A write that is being sent goes on from
    * its copy: others' requests are on this connection too. */
   synchronized WithdrawResult withdraw(Attempt attempt) {
-    Slot slot = (Slot) attempt.handle;
-    if (slot.detached || closed) {
+    Command slot = (Command) attempt.handle;
+    if (slot.withdrawn || closed) {
       return WithdrawResult.ENDED;
     }
     if (slot.stage == Stage.QUEUED) {
-      size -= queue.remove(slot) ? 1 : 0;
+      pendingCount -= queue.remove(slot) ? 1 : 0;
       return WithdrawResult.NEVER_SENT;
     }
-    if (flight.get(slot.cookie) != slot) {
+    if (inFlight.get(slot.cookie) != slot) {
       return WithdrawResult.ENDED;
     }
-    slot.detached = true;
-    detached++;
+    slot.withdrawn = true;
+    withdrawnCount++;
     return WithdrawResult.MAY_RUN;
   }
 
   /** Gives back what has not left yet. */
-  synchronized List<Attempt> takeBack() {
+  synchronized List<Attempt> removeQueued() {
     List<Attempt> waiting = queue.stream().map(s -> s.attempt).toList();
     queue.clear();
-    size -= waiting.size();
+    pendingCount -= waiting.size();
     return waiting;
   }
 
   /** Attempts queued or out whose end is still to be told. */
-  synchronized int live() {
-    return size - detached;
+  synchronized int activeCount() {
+    return pendingCount - withdrawnCount;
   }
 
   /** Attempts queued or out, given up or not. */
-  int size() {
-    return size;
+  int pendingCount() {
+    return pendingCount;
   }
 
   /** The connection to which an attempt was given; null: none was. */
-  static NbdConnection carrier(Attempt attempt) {
-    return attempt.handle instanceof Slot s ? s.connection() : null;
+  static NbdConnection connectionOf(Attempt attempt) {
+    return attempt.handle instanceof Command s ? s.connection() : null;
   }
 
   synchronized boolean isOpen() {
@@ -203,13 +204,13 @@
   }
 
   /** Whether it has been silent for so long while something given up was out. */
-  synchronized boolean silentFor(long ns) {
-    if (detached == 0) {
+  synchronized boolean isSilentFor(long ns) {
+    if (withdrawnCount == 0) {
       return false;
     }
     long from = System.nanoTime();
-    for (Slot s : flight.values()) {
-      if (s.detached && from - Math.max(s.sentNs, heardNs) > ns) {
+    for (Command s : inFlight.values()) {
+      if (s.withdrawn && from - Math.max(s.sentNs, lastReceivedNs) > ns) {
         return true;
       }
     }
@@ -220,8 +221,8 @@
     return ready && !closed;
   }
 
-  boolean fenced() {
-    return handshake.fenced();
+  boolean supportsFence() {
+    return handshake.supportsFence();
   }
 
   /** Whether it ended since the node runs nothing of it any more. */
@@ -229,22 +230,22 @@
     return fencedOff;
   }
 
-  boolean multi() {
-    return handshake.has(Nbd.CAN_MULTI_CONN);
+  boolean allowsMultipleConnections() {
+    return handshake.hasFlag(Nbd.CAN_MULTI_CONN);
   }
 
   /** Says goodbye where that can be done at once, then closes. */
-  void leave(String why) {
+  void disconnect(String why) {
     boolean idle;
     synchronized (this) {
-      idle = ready && !writing && !closed;
-      writing |= idle;
+      idle = ready && !writeInProgress && !closed;
+      writeInProgress |= idle;
     }
     if (!idle) {
       close(why);
       return;
     }
-    ByteBuffer bye = ByteBuffer.allocate(HEADER)
+    ByteBuffer bye = ByteBuffer.allocate(REQUEST_HEADER_BYTES)
         .putInt(Nbd.REQUEST)
         .putShort((short) 0)
         .putShort((short) Nbd.CMD_DISC)
@@ -252,7 +253,7 @@
         .putLong(0)
         .putInt(0)
         .flip();
-    channel.write(bye, null, new Handler<Integer, Void>() {
+    channel.write(bye, null, new ChannelHandler<Integer, Void>() {
       @Override
       public void completed(Integer n, Void none) {
         close(why);
@@ -275,18 +276,18 @@
         why = why + " (" + e.getMessage() + ")";
       }
       queue.forEach(s -> waiting.add(s.attempt));
-      flight.values().forEach(s -> (s.detached ? silent : sent).add(s.attempt));
-      flight.clear();
+      inFlight.values().forEach(s -> (s.withdrawn ? silent : sent).add(s.attempt));
+      inFlight.clear();
       queue.clear();
-      size = 0;
-      detached = 0;
+      pendingCount = 0;
+      withdrawnCount = 0;
     }
-    owner.closed(this, why, waiting, sent, silent);
+    listener.onClosed(this, why, waiting, sent, silent);
   }
 
   // Out.
 
-  private void gather() {
+  private void gatherBuffers() {
     List<ByteBuffer> out = new ArrayList<>();
     burst = new ArrayList<>();
     headers.clear();
@@ -294,34 +295,35 @@
     long bytes = 0;
     int from = 0;
     long at = System.nanoTime();
-    if (probing && probeNs == 0) {
-      probeNs = at;
-      header(0, Nbd.CMD_BLOCK_STATUS, LOAD_COOKIE, 0, load.length * Nbd.LOAD_STEP);
+    if (probePending && probeSentNs == 0) {
+      probeSentNs = at;
+      putRequestHeader(0, Nbd.CMD_BLOCK_STATUS, LOAD_COOKIE, 0, loadValues.length * Nbd.LOAD_STEP);
     }
-    while (!queue.isEmpty() && burst.size() < BURST && bytes < BURST_BYTES) {
-      Slot s = queue.poll();
+    while (!queue.isEmpty() && burst.size() < MAX_BURST_COMMANDS && bytes < MAX_BURST_BYTES) {
+      Command s = queue.poll();
       s.stage = Stage.SENDING;
       s.sentNs = at;
-      flight.put(s.cookie, s);
+      inFlight.put(s.cookie, s);
       burst.add(s);
-      header(0, command(s.attempt.kind()), s.cookie, s.attempt.offset(), (int) s.attempt.length());
+      putRequestHeader(0, commandType(s.attempt.kind()), s.cookie, s.attempt.offset(), (int) s.attempt
+          .length());
       if (s.attempt.kind() == IoKind.WRITE) {
         out.add(headers.slice(from, headers.position() - from));
         from = headers.position();
-        out.add(staged(s));
+        out.add(stageWrite(s));
         bytes += s.attempt.length();
       }
     }
     if (headers.position() > from) {
       out.add(headers.slice(from, headers.position() - from));
     }
-    gather = out.toArray(new ByteBuffer[0]);
+    gatherBuffers = out.toArray(new ByteBuffer[0]);
   }
 
   /** A copy of what a write brings. Sent from the client's memory itself, memory that is cut short would end
    * this connection, which others use; and what is not there must not be what a write before left here. Harm:
    * a copy a write. */
-  private ByteBuffer staged(Slot s) {
+  private ByteBuffer stageWrite(Command s) {
     int length = (int) s.attempt.length();
     ByteBuffer to = staging.remaining() >= length
         ? staging.slice(staging.position(), length)
@@ -343,7 +345,7 @@
     return to;
   }
 
-  private void header(int commandFlags, int command, long cookie, long offset, int length) {
+  private void putRequestHeader(int commandFlags, int command, long cookie, long offset, int length) {
     headers.putInt(Nbd.REQUEST)
         .putShort((short) commandFlags)
         .putShort((short) command)
@@ -352,7 +354,7 @@
         .putInt(length);
   }
 
-  private static int command(IoKind kind) {
+  private static int commandType(IoKind kind) {
     return switch (kind) {
       case READ -> Nbd.CMD_READ;
       case WRITE -> Nbd.CMD_WRITE;
@@ -364,31 +366,31 @@
 
   private void write() {
     int from = 0;
-    while (from < gather.length && !gather[from].hasRemaining()) {
+    while (from < gatherBuffers.length && !gatherBuffers[from].hasRemaining()) {
       from++;
     }
-    channel.write(gather, from, gather.length - from, 0, TimeUnit.MILLISECONDS, null,
-        new Handler<Long, Void>() {
+    channel.write(gatherBuffers, from, gatherBuffers.length - from, 0, TimeUnit.MILLISECONDS, null,
+        new ChannelHandler<Long, Void>() {
           @Override
           public void completed(Long n, Void none) {
-            written();
+            handleWritten();
           }
         });
   }
 
-  private void written() {
+  private void handleWritten() {
     boolean more;
     synchronized (this) {
       if (closed) {
         return;
       }
       more = false;
-      for (ByteBuffer b : gather) {
+      for (ByteBuffer b : gatherBuffers) {
         more |= b.hasRemaining();
       }
       if (!more) {
         burst.forEach(s -> s.stage = Stage.SENT);
-        writing = false;
+        writeInProgress = false;
       }
     }
     if (more) {
@@ -401,110 +403,110 @@
   // In.
 
   private void read() {
-    channel.read(in, null, new Handler<Integer, Void>() {
+    channel.read(input, null, new ChannelHandler<Integer, Void>() {
       @Override
       public void completed(Integer n, Void none) {
         if (n < 0) {
           close("the node closed the connection");
           return;
         }
-        if (received()) {
+        if (processInput()) {
           read();
         }
       }
     });
   }
 
-  private boolean received() {
+  private boolean processInput() {
     try {
       synchronized (this) {
         if (closed) {
           return false;
         }
-        heardNs = System.nanoTime();
-        in.flip();
+        lastReceivedNs = System.nanoTime();
+        input.flip();
         if (negotiated) {
-          replies.feed(in);
+          replyParser.feed(input);
         }
       }
       if (!negotiated) {
         negotiate();
       }
-      in.compact();
+      input.compact();
       if (fencedOff) {
         close("fenced by another connection's negotiation");
       }
       return !fencedOff;
-    } catch (NbdHandshake.Refused | NbdReplyParser.Broken e) {
+    } catch (NbdHandshake.NegotiationException | NbdReplyParser.MalformedReplyException e) {
       close(e.getMessage());
       return false;
     }
   }
 
-  private void negotiate() throws NbdHandshake.Refused {
-    boolean done = handshake.feed(in);
-    ByteBuffer out = handshake.out();
+  private void negotiate() throws NbdHandshake.NegotiationException {
+    boolean done = handshake.feed(input);
+    ByteBuffer out = handshake.takeOutput();
     if (out.hasRemaining()) {
-      sendAll(out);
+      sendNegotiation(out);
     }
-    NodeView known = done ? handshake.known() : null;
+    NodeView known = done ? handshake.holderView() : null;
     if (known != null && !known.holder().equals(fence.holder())) {
       close("superseded by epoch " + known.holder().epoch());
-      owner.superseded(this, known);
+      listener.onSuperseded(this, known);
       return;
     }
     if (done) {
-      boolean tells = handshake.loadContext() >= 0;
+      boolean tells = handshake.loadContextId() >= 0;
       synchronized (this) {
-        replies = new NbdReplyParser(handshake.structured(), this);
+        replyParser = new NbdReplyParser(handshake.structuredReplies(), this);
         negotiated = true;
         ready = true;
         if (tells) {
-          probing = true;
-          probeNs = 0;
-          writing = true;
-          gather();
+          probePending = true;
+          probeSentNs = 0;
+          writeInProgress = true;
+          gatherBuffers();
         }
       }
       if (tells) {
         write();
       } else {
-        owner.ready(this, new long[0]);
+        listener.onReady(this, new long[0]);
       }
     }
   }
 
   /** Negotiation alone: one small message at a time. */
-  private void sendAll(ByteBuffer out) {
-    channel.write(out, null, new Handler<Integer, Void>() {
+  private void sendNegotiation(ByteBuffer out) {
+    channel.write(out, null, new ChannelHandler<Integer, Void>() {
       @Override
       public void completed(Integer n, Void none) {
         if (out.hasRemaining()) {
-          sendAll(out);
+          sendNegotiation(out);
         }
       }
     });
   }
 
   @Override
-  public long expects(long cookie) {
+  public long expectedBytes(long cookie) {
     if (cookie == LOAD_COOKIE) {
-      return probing ? 0 : -1;
+      return probePending ? 0 : -1;
     }
-    Slot s = flight.get(cookie);
+    Command s = inFlight.get(cookie);
     return s == null ? -1 : s.attempt.kind() == IoKind.READ ? s.attempt.length() : 0;
   }
 
   @Override
-  public long offset(long cookie) {
-    return flight.get(cookie).attempt.offset();
+  public long requestOffset(long cookie) {
+    return inFlight.get(cookie).attempt.offset();
   }
 
   @Override
-  public void data(long cookie, long at, ByteBuffer from, int length) {
-    Slot s = flight.get(cookie);
-    s.received += length;
-    if (s.detached) {
+  public void onData(long cookie, long at, ByteBuffer from, int length) {
+    Command s = inFlight.get(cookie);
+    s.receivedBytes += length;
+    if (s.withdrawn) {
       from.position(from.position() + length);
       return;
     }
@@ -527,66 +529,67 @@
   }
 
   @Override
-  public void hole(long cookie, long at, long length) {
+  public void onHole(long cookie, long at, long length) {
     ByteBuffer zeros = ByteBuffer.allocate((int) Math.min(length, 64 * 1024));
     for (long done = 0; done < length;) {
       zeros.clear();
       int n = (int) Math.min(zeros.capacity(), length - done);
-      data(cookie, at + done, zeros, n);
+      onData(cookie, at + done, zeros, n);
       done += n;
     }
   }
 
   @Override
-  public void status(long cookie, int context, int index, int value) {
-    if (cookie == LOAD_COOKIE && context == handshake.loadContext() && index < load.length) {
-      load[index] = Integer.toUnsignedLong(value);
+  public void onBlockStatus(long cookie, int context, int index, int value) {
+    if (cookie == LOAD_COOKIE && context == handshake.loadContextId() && index < loadValues.length) {
+      loadValues[index] = Integer.toUnsignedLong(value);
     }
   }
 
   @Override
-  public void done(long cookie, int error, String message) {
+  public void onDone(long cookie, int error, String message) {
     if (cookie == LOAD_COOKIE) {
-      probing = false;
-      boolean first = !opened;
-      opened = true;
+      probePending = false;
+      boolean first = !readyReported;
+      readyReported = true;
       if (first) {
-        owner.ready(this, load.clone());
+        listener.onReady(this, loadValues.clone());
       } else {
-        owner.probed(this, error == 0 ? Result.OK : Result.ERROR, (System.nanoTime() - probeNs) / 1_000, load
-            .clone());
+        listener.onProbeEnded(this, error == 0 ? Result.OK : Result.ERROR, (System.nanoTime() - probeSentNs)
+            / 1_000, loadValues
+                .clone());
       }
       return;
     }
-    Slot s = flight.remove(cookie);
-    size--;
-    detached -= s.detached ? 1 : 0;
-    if (error == Nbd.EPERM && handshake.loadContext() >= 0 && message.equals(Nbd.MESSAGE_FENCED)) {
+    Command s = inFlight.remove(cookie);
+    pendingCount--;
+    withdrawnCount -= s.withdrawn ? 1 : 0;
+    if (error == Nbd.EPERM && handshake.loadContextId() >= 0 && message.equals(Nbd.MESSAGE_FENCED)) {
       fencedOff = true;
-      if (s.detached) {
-        owner.resolved(s.attempt);
+      if (s.withdrawn) {
+        listener.onAttemptResolved(s.attempt);
       } else {
-        owner.ended(s.attempt, Result.CONNECT_FAILED);
+        listener.onAttemptEnded(s.attempt, Result.CONNECT_FAILED);
       }
-    } else if (s.detached) {
-      owner.resolved(s.attempt);
-    } else if (error == 0 && s.attempt.kind() == IoKind.READ && s.received < s.attempt.length()) {
-      owner.ended(s.attempt, Result.ERROR);
+    } else if (s.withdrawn) {
+      listener.onAttemptResolved(s.attempt);
+    } else if (error == 0 && s.attempt.kind() == IoKind.READ && s.receivedBytes < s.attempt.length()) {
+      listener.onAttemptEnded(s.attempt, Result.ERROR);
     } else {
-      owner.ended(s.attempt, error == 0
+      listener.onAttemptEnded(s.attempt, error == 0
           ? Result.OK
-          : turnedAway(error, message) ? Result.FULL : Result.ERROR);
+          : rejectedUnprocessed(error, message) ? Result.FULL : Result.ERROR);
     }
   }
 
   /** Only a node that speaks our contexts is believed that it never looked at a command. */
-  private boolean turnedAway(int error, String message) {
-    return handshake.loadContext() >= 0 && (error == Nbd.ESHUTDOWN || error == Nbd.ENOMEM && message.equals(
+  private boolean rejectedUnprocessed(int error, String message) {
+    return handshake.loadContextId() >= 0 && (error == Nbd.ESHUTDOWN || error == Nbd.ENOMEM && message.equals(
         Nbd.MESSAGE_FULL));
   }
 
   /** A failed operation of the channel ends the connection, whatever it was. */
-  private abstract class Handler<V, A> implements CompletionHandler<V, A> {
+  private abstract class ChannelHandler<V, A> implements CompletionHandler<V, A> {
     @Override
     public void failed(Throwable e, A attachment) {
       close(e.getClass().getSimpleName() + (e.getMessage() == null ? "" : ": " + e.getMessage()));
--- a/src/main/java/hollyslip/node/NbdDirect.java
+++ b/src/main/java/hollyslip/node/NbdDirect.java
@@ -20,25 +20,25 @@
   private final AsynchronousChannelGroup group;
   private final NbdConnection connection;
   private final CountDownLatch ready = new CountDownLatch(1);
-  private final BiConsumer<Long, Boolean> done;
-  private long next;
+  private final BiConsumer<Long, Boolean> completionListener;
+  private long lastRequestId;
 
   /** @param done
    *          hears the number of each request and whether it was served, from any thread */
   public NbdDirect(InetSocketAddress at, String export, BiConsumer<Long, Boolean> done) throws IOException,
       InterruptedException {
-    this.done = done;
+    this.completionListener = done;
     group = AsynchronousChannelGroup.withFixedThreadPool(1, Executors.defaultThreadFactory());
     connection = new NbdConnection(group, 0, export, new Fence("direct", new Holder(1, 1), 1, Set.of()),
-        new Hears());
+        new ConnectionListener());
     connection.connect(at);
     ready.await();
   }
 
   /** Asks for a read into {@code into}; its number. It leaves with the next {@link #flush}. */
   public long read(long offset, ByteBuffer into) {
-    connection.add(Attempt.detached(++next, IoKind.READ, 0, offset, List.of(into)));
-    return next;
+    connection.add(Attempt.detached(++lastRequestId, IoKind.READ, 0, offset, List.of(into)));
+    return lastRequestId;
   }
 
   public void flush() {
@@ -51,30 +51,30 @@
     group.shutdown();
   }
 
-  private final class Hears implements NbdConnection.Owner {
+  private final class ConnectionListener implements NbdConnection.Listener {
     @Override
-    public void ready(NbdConnection c, long[] load) {
+    public void onReady(NbdConnection c, long[] load) {
       ready.countDown();
     }
 
     @Override
-    public void ended(Attempt attempt, Result result) {
-      done.accept(attempt.requestId(), result == Result.OK);
+    public void onAttemptEnded(Attempt attempt, Result result) {
+      completionListener.accept(attempt.requestId(), result == Result.OK);
     }
 
     @Override
-    public void resolved(Attempt attempt) {}
+    public void onAttemptResolved(Attempt attempt) {}
 
     @Override
-    public void superseded(NbdConnection c, NodeView known) {
+    public void onSuperseded(NbdConnection c, NodeView known) {
       ready.countDown();
     }
 
     @Override
-    public void probed(NbdConnection c, Result result, long tookUs, long[] load) {}
+    public void onProbeEnded(NbdConnection c, Result result, long tookUs, long[] load) {}
 
     @Override
-    public void closed(NbdConnection c, String why, List<Attempt> waiting, List<Attempt> sent,
+    public void onClosed(NbdConnection c, String why, List<Attempt> waiting, List<Attempt> sent,
         List<Attempt> silent) {
       ready.countDown();
     }
--- a/src/main/java/hollyslip/node/NbdHandshake.java
+++ b/src/main/java/hollyslip/node/NbdHandshake.java
@@ -15,7 +15,7 @@
 
   /** Whether contexts are set and the export opened, or contexts listed and the connection given up. */
   private enum Purpose {
-    SERVE, ASK
+    TRANSMISSION, QUERY
   }
 
   private final String export;
@@ -23,17 +23,17 @@
   private final List<String> contexts;
   private final Purpose purpose;
   private State state = State.GREETING;
-  private ByteBuffer out = ByteBuffer.allocate(0);
-  private boolean structured;
-  private int loadContext = -1;
-  private boolean fenced;
-  private NodeView known;
-  private long size = -1;
-  private int flags;
+  private ByteBuffer pendingOutput = ByteBuffer.allocate(0);
+  private boolean structuredReplies;
+  private int loadContextId = -1;
+  private boolean supportsFence;
+  private NodeView holderView;
+  private long exportSize = -1;
+  private int transmissionFlags;
 
   /** What was not what the protocol allows. */
-  static final class Refused extends Exception {
-    Refused(String what) {
+  static final class NegotiationException extends Exception {
+    NegotiationException(String what) {
       super(what);
     }
   }
@@ -47,163 +47,165 @@
 
   /** One that ends ready for commands, with the fence standing. */
   NbdHandshake(String export, Fence fence) {
-    this(export, fence.client(), List.of(Nbd.CONTEXT_LOAD, fence.text(), Fence.question(fence.client())),
-        Purpose.SERVE);
+    this(export, fence.client(), List.of(Nbd.CONTEXT_LOAD, fence.contextName(), Fence.holderQueryName(fence
+        .client())),
+        Purpose.TRANSMISSION);
   }
 
   /** One that only asks who holds a client's name, without an effect, and says goodbye. */
-  static NbdHandshake asking(String export, String client) {
-    return new NbdHandshake(export, client, List.of(Fence.question(client)), Purpose.ASK);
+  static NbdHandshake forHolderQuery(String export, String client) {
+    return new NbdHandshake(export, client, List.of(Fence.holderQueryName(client)), Purpose.QUERY);
   }
 
   /** Reads what is whole in {@code in} and leaves the rest; whether the negotiation is over. */
-  boolean feed(ByteBuffer in) throws Refused {
-    while (state != State.DONE && step(in)) {
+  boolean feed(ByteBuffer in) throws NegotiationException {
+    while (state != State.DONE && processMessage(in)) {
       // the next one
     }
     return state == State.DONE;
   }
 
   /** Bytes to be sent now. */
-  ByteBuffer out() {
-    ByteBuffer b = out;
-    out = ByteBuffer.allocate(0);
+  ByteBuffer takeOutput() {
+    ByteBuffer b = pendingOutput;
+    pendingOutput = ByteBuffer.allocate(0);
     return b;
   }
 
-  boolean structured() {
-    return structured;
+  boolean structuredReplies() {
+    return structuredReplies;
   }
 
   /** Id of the load context, -1: the node has none. */
-  int loadContext() {
-    return loadContext;
+  int loadContextId() {
+    return loadContextId;
   }
 
   /** Whether the node holds to {@link Fence}. */
-  boolean fenced() {
-    return fenced;
+  boolean supportsFence() {
+    return supportsFence;
   }
 
   /** Who holds the client's name there, null: the node does not say. */
-  NodeView known() {
-    return known;
+  NodeView holderView() {
+    return holderView;
   }
 
-  long size() {
-    return size;
+  long exportSize() {
+    return exportSize;
   }
 
-  boolean has(int flag) {
-    return (flags & flag) != 0;
+  boolean hasFlag(int flag) {
+    return (transmissionFlags & flag) != 0;
   }
 
-  private boolean step(ByteBuffer in) throws Refused {
+  private boolean processMessage(ByteBuffer in) throws NegotiationException {
     if (state == State.GREETING) {
-      return greeting(in);
+      return processGreeting(in);
     }
     if (in.remaining() < 20) {
       return false;
     }
     int at = in.position();
     if (in.getLong(at) != Nbd.OPTION_REPLY) {
-      throw new Refused("option reply: wrong magic");
+      throw new NegotiationException("option reply: wrong magic");
     }
     int option = in.getInt(at + 8);
     int type = in.getInt(at + 12);
     int length = in.getInt(at + 16);
     if (length < 0 || length > Nbd.MOST_OPTION) {
-      throw new Refused("option reply: length " + Integer.toUnsignedString(length));
+      throw new NegotiationException("option reply: length " + Integer.toUnsignedString(length));
     }
     if (in.remaining() < 20 + length) {
       return false;
     }
     ByteBuffer data = in.slice(at + 20, length);
     in.position(at + 20 + length);
-    reply(option, type, data);
+    processOptionReply(option, type, data);
     return true;
   }
 
-  private boolean greeting(ByteBuffer in) throws Refused {
+  private boolean processGreeting(ByteBuffer in) throws NegotiationException {
     if (in.remaining() < 18) {
       return false;
     }
     if (in.getLong() != Nbd.MAGIC || in.getLong() != Nbd.IHAVEOPT) {
-      throw new Refused("greeting: not an NBD server of the newstyle");
+      throw new NegotiationException("greeting: not an NBD server of the newstyle");
     }
     int offered = Short.toUnsignedInt(in.getShort());
     if ((offered & Nbd.FLAG_FIXED_NEWSTYLE) == 0) {
-      throw new Refused("greeting: flag FIXED_NEWSTYLE is not set");
+      throw new NegotiationException("greeting: flag FIXED_NEWSTYLE is not set");
     }
     ByteBuffer b = ByteBuffer.allocate(4 + 16);
     b.putInt(offered & (Nbd.FLAG_FIXED_NEWSTYLE | Nbd.FLAG_NO_ZEROES));
-    option(b, Nbd.OPT_STRUCTURED_REPLY, new byte[0]);
-    out = b.flip();
+    putOption(b, Nbd.OPT_STRUCTURED_REPLY, new byte[0]);
+    pendingOutput = b.flip();
     state = State.STRUCTURED;
     return true;
   }
 
-  private void reply(int option, int type, ByteBuffer data) throws Refused {
+  private void processOptionReply(int option, int type, ByteBuffer data) throws NegotiationException {
     switch (state) {
       case STRUCTURED -> {
-        expect(option, Nbd.OPT_STRUCTURED_REPLY);
-        structured = type == Nbd.REP_ACK;
-        if (structured) {
+        requireOption(option, Nbd.OPT_STRUCTURED_REPLY);
+        structuredReplies = type == Nbd.REP_ACK;
+        if (structuredReplies) {
           sendContexts();
         } else {
-          open();
+          finishOptions();
         }
       }
       case CONTEXTS -> {
-        expect(option, contextOption());
+        requireOption(option, contextOption());
         if (type == Nbd.REP_META_CONTEXT) {
-          context(data);
+          processContext(data);
         } else {
-          open();
+          finishOptions();
         }
       }
-      case GO -> { expect(option, Nbd.OPT_GO); go(type, data); }
-      default -> throw new Refused("option reply: not asked for");
+      case GO -> { requireOption(option, Nbd.OPT_GO); processGoReply(type, data); }
+      default -> throw new NegotiationException("option reply: not asked for");
     }
   }
 
-  private static void expect(int got, int wanted) throws Refused {
+  private static void requireOption(int got, int wanted) throws NegotiationException {
     if (got != wanted) {
-      throw new Refused("option reply: of option " + got + ", not " + wanted);
+      throw new NegotiationException("option reply: of option " + got + ", not " + wanted);
     }
   }
 
-  private void context(ByteBuffer data) throws Refused {
+  private void processContext(ByteBuffer data) throws NegotiationException {
     if (data.remaining() < 4) {
-      throw new Refused("context: too short");
+      throw new NegotiationException("context: too short");
     }
     int id = data.getInt();
     String name = StandardCharsets.UTF_8.decode(data).toString();
     if (name.equals(Nbd.CONTEXT_LOAD)) {
-      loadContext = id;
+      loadContextId = id;
     } else if (name.startsWith(Nbd.CONTEXT_FENCE)) {
-      fenced = true;
-    } else if (Fence.known(name, client) != null) {
-      known = Fence.known(name, client);
+      supportsFence = true;
+    } else if (Fence.parseHolderReply(name, client) != null) {
+      holderView = Fence.parseHolderReply(name, client);
     }
   }
 
-  private void go(int type, ByteBuffer data) throws Refused {
+  private void processGoReply(int type, ByteBuffer data) throws NegotiationException {
     if (type == Nbd.REP_INFO && data.remaining() >= 2) {
       if (data.getShort() == Nbd.INFO_EXPORT) {
         if (data.remaining() != 10) {
-          throw new Refused("info: export of " + data.remaining() + " bytes");
+          throw new NegotiationException("info: export of " + data.remaining() + " bytes");
         }
-        size = data.getLong();
-        flags = Short.toUnsignedInt(data.getShort());
+        exportSize = data.getLong();
+        transmissionFlags = Short.toUnsignedInt(data.getShort());
       }
     } else if (type == Nbd.REP_ACK) {
-      if (size < 0) {
-        throw new Refused("go: no size of the export");
+      if (exportSize < 0) {
+        throw new NegotiationException("go: no size of the export");
       }
       state = State.DONE;
     } else {
-      throw new Refused("export " + export + ": refused, " + StandardCharsets.UTF_8.decode(data));
+      throw new NegotiationException("export " + export + ": refused, " + StandardCharsets.UTF_8.decode(
+          data));
     }
   }
 
@@ -217,20 +219,20 @@
       byte[] bytes = c.getBytes(StandardCharsets.US_ASCII);
       d.putInt(bytes.length).put(bytes);
     }
-    send(contextOption(), d.array());
+    sendOption(contextOption(), d.array());
     state = State.CONTEXTS;
   }
 
   private int contextOption() {
-    return purpose == Purpose.SERVE ? Nbd.OPT_SET_META_CONTEXT : Nbd.OPT_LIST_META_CONTEXT;
+    return purpose == Purpose.TRANSMISSION ? Nbd.OPT_SET_META_CONTEXT : Nbd.OPT_LIST_META_CONTEXT;
   }
 
   /** After the contexts: the export, or goodbye. */
-  private void open() {
-    if (purpose == Purpose.SERVE) {
+  private void finishOptions() {
+    if (purpose == Purpose.TRANSMISSION) {
       sendGo();
     } else {
-      send(Nbd.OPT_ABORT, new byte[0]);
+      sendOption(Nbd.OPT_ABORT, new byte[0]);
       state = State.DONE;
     }
   }
@@ -239,17 +241,17 @@
     byte[] name = export.getBytes(StandardCharsets.UTF_8);
     ByteBuffer d = ByteBuffer.allocate(6 + name.length);
     d.putInt(name.length).put(name).putShort((short) 0);
-    send(Nbd.OPT_GO, d.array());
+    sendOption(Nbd.OPT_GO, d.array());
     state = State.GO;
   }
 
-  private void send(int option, byte[] data) {
+  private void sendOption(int option, byte[] data) {
     ByteBuffer b = ByteBuffer.allocate(16 + data.length);
-    option(b, option, data);
-    out = b.flip();
+    putOption(b, option, data);
+    pendingOutput = b.flip();
   }
 
-  private static void option(ByteBuffer b, int option, byte[] data) {
+  private static void putOption(ByteBuffer b, int option, byte[] data) {
     b.putLong(Nbd.IHAVEOPT).putInt(option).putInt(data.length).put(data);
   }
 }
--- a/src/main/java/hollyslip/node/NodePool.java
+++ b/src/main/java/hollyslip/node/NodePool.java
@@ -22,11 +22,11 @@
 
 /** The nodes as the engine reaches them: a few connections each, made when they are needed, and what is left
  * of those that ended. All state belongs to the engine's thread; connections tell it by letters. */
-public final class NodePool implements NodeTransport, NbdConnection.Owner {
+public final class NodePool implements NodeTransport, NbdConnection.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(NodePool.class);
 
   /** How a node is reached: its export is named after its shard. */
-  public record Address(long node, String name, InetSocketAddress at, String export) {}
+  public record Address(long node, String name, InetSocketAddress socketAddress, String export) {}
 
   /** What binds the pool.
    *
@@ -34,38 +34,39 @@
    *          name of this gateway instance, for {@link Fence}
    * @param holder
    *          which of its starts
-   * @param mostConnections
+   * @param maxConnections
    *          connections to one node at most
-   * @param mostOut
+   * @param maxInFlight
    *          attempts on one connection at most
    * @param connectTimeoutUs
    *          a connection not ready after this has failed, us
    * @param settleUs
    *          how long a node without fences may still run what a dead connection brought, us */
-  public record Limits(String client, Holder holder, int mostConnections, int mostOut, long connectTimeoutUs,
+  public record Limits(String client, Holder holder, int maxConnections, int maxInFlight,
+      long connectTimeoutUs,
       long settleUs) {}
 
   /** Hears that a node was found to have started: {@code ageUs} ago, told apart by {@code boot}. */
-  public interface News {
+  public interface NodeEventListener {
     /** Whether this start was not known before. */
-    boolean started(long node, long boot, long ageUs);
+    boolean onNodeStarted(long node, long boot, long ageUs);
 
     /** A node counts another one as the newest holder of our name. */
-    void superseded(long node, NodeView known);
+    void onSuperseded(long node, NodeView known);
 
     /** The module asks for the list. */
-    void wanted();
+    void onNodeListRequested();
   }
 
   private final Engine engine;
   private final Limits limits;
-  private final Serials serials;
-  private final News news;
+  private final ConnectionSerials serials;
+  private final NodeEventListener nodeEventListener;
   private final List<String> reportFields;
   private final AsynchronousChannelGroup group;
   private final Long2ObjectHashMap<Target> targets = new Long2ObjectHashMap<>();
   /** Those with something to send, at the end of the engine's turn. */
-  private final List<NbdConnection> dirty = new ArrayList<>();
+  private final List<NbdConnection> connectionsToFlush = new ArrayList<>();
   private Holder holder;
   private boolean closing;
 
@@ -74,19 +75,20 @@
     Address address;
     final List<NbdConnection> connections = new ArrayList<>();
     /** Changes of dead connections that may still run there, by serial of the connection. */
-    final Map<Long, List<Attempt>> doubts = new LinkedHashMap<>();
+    final Map<Long, List<Attempt>> unresolvedChanges = new LinkedHashMap<>();
     boolean listed = true;
   }
 
   /** @param serials
    *          shared by all pools of a process */
-  public NodePool(Engine engine, Limits limits, Serials serials, List<String> reportFields, News news,
+  public NodePool(Engine engine, Limits limits, ConnectionSerials serials, List<String> reportFields,
+      NodeEventListener news,
       int threads) throws IOException {
     this.serials = serials;
     this.engine = engine;
     this.limits = limits;
     holder = limits.holder();
-    this.news = news;
+    this.nodeEventListener = news;
     this.reportFields = List.copyOf(reportFields);
     group = AsynchronousChannelGroup.withFixedThreadPool(threads, r -> {
       Thread t = Executors.defaultThreadFactory().newThread(r);
@@ -98,7 +100,7 @@
 
   /** Where nodes are from now on; on the engine's thread or before its start. A node no longer named keeps
    * its connections until they end. */
-  public void addresses(List<Address> all) {
+  public void updateAddresses(List<Address> all) {
     Set<Long> named = new TreeSet<>();
     for (Address a : all) {
       targets.computeIfAbsent(a.node(), k -> new Target()).address = a;
@@ -107,7 +109,7 @@
     targets.forEach((node, t) -> {
       t.listed = named.contains(node);
       if (!t.listed) {
-        settle(t);
+        resolveAfterSettleTime(t);
       }
     });
   }
@@ -119,13 +121,13 @@
       engine.attemptEnded(attempt, Result.CONNECT_FAILED, null);
       return;
     }
-    NbdConnection c = choose(t);
+    NbdConnection c = chooseConnection(t);
     if (c == null) {
       engine.attemptEnded(attempt, Result.FULL, null);
     } else if (c.add(attempt)) {
-      if (!c.dirty) {
-        c.dirty = true;
-        dirty.add(c);
+      if (!c.flushScheduled) {
+        c.flushScheduled = true;
+        connectionsToFlush.add(c);
       }
     } else {
       engine.attemptEnded(attempt, Result.CONNECT_FAILED, null);
@@ -136,29 +138,30 @@
    * connection that is silent on something given up is passed over while there may be others: it guards
    * against one that is stuck in the middle of a reply. Harm: a node that is merely slow is connected to more
    * than once. */
-  private NbdConnection choose(Target t) {
+  private NbdConnection chooseConnection(Target t) {
     NbdConnection best = null;
     int least = Integer.MAX_VALUE;
     for (NbdConnection c : t.connections) {
-      int size = c.size();
-      boolean stuck = c.silentFor(limits.connectTimeoutUs() * 1_000);
-      if (stuck && c.live() == 0) {
+      int size = c.pendingCount();
+      boolean stuck = c.isSilentFor(limits.connectTimeoutUs() * 1_000);
+      if (stuck && c.activeCount() == 0) {
         c.close("silent, and all on it given up");
       } else if (size < least && !stuck) {
         best = c;
         least = size;
       }
     }
-    boolean crowded = best == null || best.isReady() && least >= limits.mostOut() / 2 && best.multi();
-    if (crowded && t.connections.size() < limits.mostConnections()) {
-      NbdConnection fresh = open(t);
+    boolean crowded = best == null || best.isReady() && least >= limits.maxInFlight() / 2 && best
+        .allowsMultipleConnections();
+    if (crowded && t.connections.size() < limits.maxConnections()) {
+      NbdConnection fresh = openConnection(t);
       best = best == null ? fresh : best;
     }
-    return best == null || best.size() >= limits.mostOut() ? null : best;
+    return best == null || best.pendingCount() >= limits.maxInFlight() ? null : best;
   }
 
-  private NbdConnection open(Target t) {
-    Fence fence = serials.next(t.address.node(), limits.client(), holder);
+  private NbdConnection openConnection(Target t) {
+    Fence fence = serials.nextFence(t.address.node(), limits.client(), holder);
     try {
       NbdConnection c = new NbdConnection(group, t.address.node(), t.address.export(), fence, this);
       t.connections.add(c);
@@ -167,10 +170,10 @@
           c.close("not ready in time");
         }
       });
-      c.connect(t.address.at());
+      c.connect(t.address.socketAddress());
       return c;
     } catch (IOException e) {
-      serials.over(t.address.node(), fence.serial());
+      serials.markClosed(t.address.node(), fence.serial());
       LOG.atWarn()
           .addKeyValue("node", t.address.name())
           .addKeyValue("why", e.getMessage())
@@ -181,7 +184,7 @@
 
   @Override
   public WithdrawResult withdraw(Attempt attempt) {
-    NbdConnection c = NbdConnection.carrier(attempt);
+    NbdConnection c = NbdConnection.connectionOf(attempt);
     return c == null ? WithdrawResult.ENDED : c.withdraw(attempt);
   }
 
@@ -190,7 +193,7 @@
   @Override
   public void fence(Attempt attempt) {
     Target t = targets.get(attempt.node());
-    NbdConnection c = NbdConnection.carrier(attempt);
+    NbdConnection c = NbdConnection.connectionOf(attempt);
     if (c != null && c.isOpen()) {
       LOG.atInfo()
           .addKeyValue("node", t.address.name())
@@ -198,8 +201,8 @@
           .addKeyValue("request", attempt.requestId())
           .log("node.fenced");
       c.close("fenced: a newer write waits");
-    } else if (t != null && !t.doubts.isEmpty()) {
-      reopen(t);
+    } else if (t != null && !t.unresolvedChanges.isEmpty()) {
+      openFencingConnection(t);
     }
   }
 
@@ -208,8 +211,8 @@
     Target t = targets.get(node);
     for (NbdConnection c : t == null ? List.<NbdConnection>of() : t.connections) {
       if (c.probe()) {
-        c.dirty = true;
-        dirty.add(c);
+        c.flushScheduled = true;
+        connectionsToFlush.add(c);
         return;
       }
     }
@@ -218,47 +221,48 @@
 
   @Override
   public void flush() {
-    for (int i = 0; i < dirty.size(); i++) {
-      dirty.get(i).dirty = false;
-      dirty.get(i).flush();
+    for (int i = 0; i < connectionsToFlush.size(); i++) {
+      connectionsToFlush.get(i).flushScheduled = false;
+      connectionsToFlush.get(i).flush();
     }
-    dirty.clear();
+    connectionsToFlush.clear();
   }
 
   @Override
   public void watchNodeList() {
-    news.wanted();
+    nodeEventListener.onNodeListRequested();
   }
 
   @Override
   public void close() {
     closing = true;
-    targets.values().forEach(t -> List.copyOf(t.connections).forEach(c -> c.leave("the gateway ends")));
+    targets.values().forEach(t -> List.copyOf(t.connections).forEach(c -> c.disconnect("the gateway ends")));
     group.shutdown();
   }
 
   // Letters of the connections.
 
   @Override
-  public void ready(NbdConnection c, long[] load) {
-    engine.execute(() -> opened(c, load));
+  public void onReady(NbdConnection c, long[] load) {
+    engine.execute(() -> handleReady(c, load));
   }
 
-  private void opened(NbdConnection c, long[] load) {
+  private void handleReady(NbdConnection c, long[] load) {
     Target t = targets.get(c.node);
     LOG.atDebug()
         .addKeyValue("node", t.address.name())
         .addKeyValue("connection", c.fence.serial())
         .log("node.connected");
-    boolean fresh = load.length > 0 && news.started(c.node, load[Nbd.Load.BOOT.ordinal()],
-        load[Nbd.Load.AGE_MS.ordinal()] * 1_000);
+    boolean fresh = load.length > 0 && nodeEventListener.onNodeStarted(c.node, load[Nbd.LoadMetric.BOOT
+        .ordinal()],
+        load[Nbd.LoadMetric.AGE_MS.ordinal()] * 1_000);
     if (fresh) {
       // What waited was sent by the module to the process before: it decides anew for a cold one.
-      c.takeBack().forEach(a -> ended(a, Result.MOOT));
+      c.removeQueued().forEach(a -> onAttemptEnded(a, Result.MOOT));
     }
-    if (c.fenced()) {
-      t.doubts.entrySet().removeIf(e -> {
-        boolean dead = e.getKey() < c.fence.serial() && !c.fence.live().contains(e.getKey());
+    if (c.supportsFence()) {
+      t.unresolvedChanges.entrySet().removeIf(e -> {
+        boolean dead = e.getKey() < c.fence.serial() && !c.fence.liveSerials().contains(e.getKey());
         if (dead) {
           e.getValue().forEach(engine::attemptResolved);
         }
@@ -270,38 +274,38 @@
 
   /** Goes on as another holder of the name, on the engine's thread: connections of the one before end, as its
    * fences no longer count. */
-  public void holder(Holder next) {
+  public void changeHolder(Holder next) {
     holder = next;
     targets.values().forEach(t -> List.copyOf(t.connections).forEach(c -> c.close("a newer epoch is taken")));
   }
 
   @Override
-  public void superseded(NbdConnection c, NodeView known) {
+  public void onSuperseded(NbdConnection c, NodeView known) {
     engine.execute(() -> {
       if (c.fence.holder().equals(holder)) {
-        news.superseded(c.node, known);
+        nodeEventListener.onSuperseded(c.node, known);
       }
     });
   }
 
   @Override
-  public void ended(Attempt attempt, Result result) {
+  public void onAttemptEnded(Attempt attempt, Result result) {
     engine.attemptEnded(attempt, result, null);
   }
 
   @Override
-  public void resolved(Attempt attempt) {
+  public void onAttemptResolved(Attempt attempt) {
     engine.attemptResolved(attempt);
   }
 
   @Override
-  public void probed(NbdConnection c, Result result, long tookUs, long[] load) {
+  public void onProbeEnded(NbdConnection c, Result result, long tookUs, long[] load) {
     List<Double> report = new ArrayList<>();
     for (String field : reportFields) {
       report.add(switch (field) {
-        case "inflight" -> (double) load[Nbd.Load.INFLIGHT.ordinal()];
-        case "queue" -> (double) load[Nbd.Load.QUEUE.ordinal()];
-        case "latency_ms" -> load[Nbd.Load.LATENCY_US.ordinal()] / 1e3;
+        case "inflight" -> (double) load[Nbd.LoadMetric.INFLIGHT.ordinal()];
+        case "queue" -> (double) load[Nbd.LoadMetric.QUEUE.ordinal()];
+        case "latency_ms" -> load[Nbd.LoadMetric.LATENCY_US.ordinal()] / 1e3;
         default -> 0.0;
       });
     }
@@ -309,16 +313,16 @@
   }
 
   @Override
-  public void closed(NbdConnection c, String why, List<Attempt> waiting, List<Attempt> sent,
+  public void onClosed(NbdConnection c, String why, List<Attempt> waiting, List<Attempt> sent,
       List<Attempt> silent) {
-    engine.execute(() -> lost(c, why, waiting, sent, silent));
+    engine.execute(() -> handleClosed(c, why, waiting, sent, silent));
   }
 
-  private void lost(NbdConnection c, String why, List<Attempt> waiting, List<Attempt> sent,
+  private void handleClosed(NbdConnection c, String why, List<Attempt> waiting, List<Attempt> sent,
       List<Attempt> silent) {
     Target t = targets.get(c.node);
     t.connections.remove(c);
-    serials.over(c.node, c.fence.serial());
+    serials.markClosed(c.node, c.fence.serial());
     if (!closing) {
       LOG.atInfo()
           .addKeyValue("node", t.address.name())
@@ -330,28 +334,28 @@
     }
     if (c.fencedOff() && t.listed && !closing) {
       // The next negotiation tells who holds our name.
-      open(t);
+      openConnection(t);
     }
-    waiting.forEach(a -> ended(a, Result.CONNECT_FAILED));
+    waiting.forEach(a -> onAttemptEnded(a, Result.CONNECT_FAILED));
     List<Attempt> doubt = new ArrayList<>();
     for (Attempt a : sent) {
-      ended(a, Result.RESET);
+      onAttemptEnded(a, Result.RESET);
       doubt.add(a);
     }
     doubt.addAll(silent);
     doubt.removeIf(a -> !a.kind().modifiesData());
     if (doubt.isEmpty() || closing) {
-      if (!t.doubts.isEmpty()) {
-        engine.schedule(limits.connectTimeoutUs(), () -> reopen(t));
+      if (!t.unresolvedChanges.isEmpty()) {
+        engine.schedule(limits.connectTimeoutUs(), () -> openFencingConnection(t));
       }
       return;
     }
-    t.doubts.put(c.fence.serial(), doubt);
-    if (c.fenced()) {
-      reopen(t);
+    t.unresolvedChanges.put(c.fence.serial(), doubt);
+    if (c.supportsFence()) {
+      openFencingConnection(t);
     } else {
       engine.schedule(limits.settleUs(), () -> {
-        if (t.doubts.remove(c.fence.serial(), doubt)) {
+        if (t.unresolvedChanges.remove(c.fence.serial(), doubt)) {
           doubt.forEach(engine::attemptResolved);
         }
       });
@@ -362,23 +366,23 @@
    * counts as over after the settle time. Guards against blocks that stay locked because a node never comes
    * back. Harm: a node listed again within that time is trusted to have been fenced by the negotiation before
    * its first command. */
-  private void settle(Target t) {
+  private void resolveAfterSettleTime(Target t) {
     engine.schedule(limits.settleUs(), () -> {
       if (!t.listed) {
-        t.doubts.values().forEach(d -> d.forEach(engine::attemptResolved));
-        t.doubts.clear();
+        t.unresolvedChanges.values().forEach(d -> d.forEach(engine::attemptResolved));
+        t.unresolvedChanges.clear();
       }
     });
   }
 
   /** A connection made for its fence: newer writes may be waiting. */
-  private void reopen(Target t) {
-    long newest = t.doubts.keySet().stream().mapToLong(s -> s).max().orElse(0);
+  private void openFencingConnection(Target t) {
+    long newest = t.unresolvedChanges.keySet().stream().mapToLong(s -> s).max().orElse(0);
     boolean underWay = t.connections.stream().anyMatch(c -> c.fence.serial() > newest);
     if (!t.listed) {
-      settle(t);
-    } else if (!underWay && !closing && !t.doubts.isEmpty()) {
-      open(t);
+      resolveAfterSettleTime(t);
+    } else if (!underWay && !closing && !t.unresolvedChanges.isEmpty()) {
+      openConnection(t);
     }
   }
 }
--- a/src/main/java/hollyslip/node/NodeSurvey.java
+++ b/src/main/java/hollyslip/node/NodeSurvey.java
@@ -30,7 +30,8 @@
    *
    * @param timeoutUs
    *          for all of them together, us */
-  public static Map<String, NodeView> ask(Collection<NodePool.Address> nodes, String client, long timeoutUs)
+  public static Map<String, NodeView> queryHolders(Collection<NodePool.Address> nodes, String client,
+      long timeoutUs)
       throws IOException {
     AsynchronousChannelGroup group = AsynchronousChannelGroup.withFixedThreadPool(1, r -> {
       Thread t = Executors.defaultThreadFactory().newThread(r);
@@ -39,14 +40,14 @@
       return t;
     });
     try {
-      List<Question> asked = new ArrayList<>();
+      List<NodeQuery> asked = new ArrayList<>();
       for (NodePool.Address a : nodes) {
-        asked.add(new Question(group, a, client));
+        asked.add(new NodeQuery(group, a, client));
       }
       Map<String, NodeView> known = new HashMap<>();
       long end = System.nanoTime() + timeoutUs * 1_000;
-      for (Question q : asked) {
-        NodeView k = q.within(end - System.nanoTime());
+      for (NodeQuery q : asked) {
+        NodeView k = q.awaitResult(end - System.nanoTime());
         if (k != null) {
           known.put(q.node, k);
         }
@@ -58,18 +59,18 @@
   }
 
   /** One node's. */
-  private static final class Question implements CompletionHandler<Integer, ByteBuffer> {
+  private static final class NodeQuery implements CompletionHandler<Integer, ByteBuffer> {
     private final String node;
     private final AsynchronousSocketChannel channel;
     private final NbdHandshake handshake;
-    private final ByteBuffer in = ByteBuffer.allocate(Nbd.MOST_OPTION + 64);
-    private final CompletableFuture<NodeView> answer = new CompletableFuture<>();
+    private final ByteBuffer input = ByteBuffer.allocate(Nbd.MOST_OPTION + 64);
+    private final CompletableFuture<NodeView> holderView = new CompletableFuture<>();
 
-    Question(AsynchronousChannelGroup group, NodePool.Address node, String client) throws IOException {
+    NodeQuery(AsynchronousChannelGroup group, NodePool.Address node, String client) throws IOException {
       this.node = node.name();
-      handshake = NbdHandshake.asking(node.export(), client);
+      handshake = NbdHandshake.forHolderQuery(node.export(), client);
       channel = AsynchronousSocketChannel.open(group);
-      connect(node.at());
+      connect(node.socketAddress());
     }
 
     private void connect(InetSocketAddress at) {
@@ -77,17 +78,17 @@
         channel.connect(at, null, new CompletionHandler<Void, Void>() {
           @Override
           public void completed(Void done, Void none) {
-            channel.read(in, in, Question.this);
+            channel.read(input, input, NodeQuery.this);
           }
 
           @Override
           public void failed(Throwable e, Void none) {
-            answer.completeExceptionally(e);
+            holderView.completeExceptionally(e);
           }
         });
       } catch (RuntimeException e) {
         // An address that did not resolve is thrown here and not told to the handler.
-        answer.completeExceptionally(e);
+        holderView.completeExceptionally(e);
       }
     }
 
@@ -95,45 +96,45 @@
     @Override
     public void completed(Integer n, ByteBuffer buffer) {
       if (n < 0) {
-        answer.completeExceptionally(new IOException("the node closed the connection"));
-      } else if (buffer != in) {
-        goOn(buffer);
+        holderView.completeExceptionally(new IOException("the node closed the connection"));
+      } else if (buffer != input) {
+        writeOrRead(buffer);
       } else {
-        read();
+        processInput();
       }
     }
 
-    private void read() {
+    private void processInput() {
       try {
-        in.flip();
-        boolean done = handshake.feed(in);
-        in.compact();
-        ByteBuffer out = handshake.out();
+        input.flip();
+        boolean done = handshake.feed(input);
+        input.compact();
+        ByteBuffer out = handshake.takeOutput();
         if (done) {
-          answer.complete(handshake.known());
+          holderView.complete(handshake.holderView());
         }
-        goOn(out);
-      } catch (NbdHandshake.Refused e) {
-        answer.completeExceptionally(e);
+        writeOrRead(out);
+      } catch (NbdHandshake.NegotiationException e) {
+        holderView.completeExceptionally(e);
       }
     }
 
-    private void goOn(ByteBuffer out) {
+    private void writeOrRead(ByteBuffer out) {
       if (out.hasRemaining()) {
         channel.write(out, out, this);
-      } else if (!answer.isDone()) {
-        channel.read(in, in, this);
+      } else if (!holderView.isDone()) {
+        channel.read(input, input, this);
       }
     }
 
     @Override
     public void failed(Throwable e, ByteBuffer buffer) {
-      answer.completeExceptionally(e);
+      holderView.completeExceptionally(e);
     }
 
-    private NodeView within(long ns) {
+    private NodeView awaitResult(long ns) {
       try {
-        return answer.get(Math.max(0, ns), TimeUnit.NANOSECONDS);
+        return holderView.get(Math.max(0, ns), TimeUnit.NANOSECONDS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         return null;
--- a/src/test/java/hollyslip/node/NbdParsersTest.java
+++ b/src/test/java/hollyslip/node/NbdParsersTest.java
@@ -24,35 +24,35 @@
     int data;
 
     @Override
-    public long expects(long cookie) {
+    public long expectedBytes(long cookie) {
       return cookie == 7 ? 1_024 : cookie == 8 ? 0 : -1;
     }
 
     @Override
-    public long offset(long cookie) {
+    public long requestOffset(long cookie) {
       return 4_096;
     }
 
     @Override
-    public void data(long cookie, long at, ByteBuffer in, int length) {
+    public void onData(long cookie, long at, ByteBuffer in, int length) {
       assertTrue(at >= 0 && at + length <= 1_024, at + "+" + length);
       in.position(in.position() + length);
       data += length;
     }
 
     @Override
-    public void hole(long cookie, long at, long length) {
+    public void onHole(long cookie, long at, long length) {
       assertTrue(at >= 0 && length > 0 && at + length <= 1_024);
       data += (int) length;
     }
 
     @Override
-    public void status(long cookie, int context, int index, int value) {
+    public void onBlockStatus(long cookie, int context, int index, int value) {
       events.add("status " + index + "=" + value);
     }
 
     @Override
-    public void done(long cookie, int error, String message) {
+    public void onDone(long cookie, int error, String message) {
       events.add(cookie + " " + error + message);
     }
   }
@@ -72,7 +72,7 @@
     return ByteBuffer.allocate(8 + length).putLong(offset).array();
   }
 
-  private static Heard feed(ByteBuffer... all) throws NbdReplyParser.Broken {
+  private static Heard feed(ByteBuffer... all) throws NbdReplyParser.MalformedReplyException {
     Heard heard = new Heard();
     NbdReplyParser replies = new NbdReplyParser(true, heard);
     ByteBuffer joined = ByteBuffer.allocate(100_000);
@@ -110,7 +110,7 @@
                 .allocate(16)
                 .putInt(5), ByteBuffer.allocate(16).putInt(Nbd.SIMPLE_REPLY).putInt(0).putLong(7).flip())) {
       bad.rewind();
-      assertThrows(NbdReplyParser.Broken.class, () -> feed(bad));
+      assertThrows(NbdReplyParser.MalformedReplyException.class, () -> feed(bad));
     }
   }
 
@@ -122,7 +122,7 @@
     try {
       new NbdReplyParser(true, new Heard()).feed(in);
       assertTrue(in.remaining() <= 20 + Nbd.MOST_OPTION);
-    } catch (NbdReplyParser.Broken e) {
+    } catch (NbdReplyParser.MalformedReplyException e) {
       assertFalse(e.getMessage().isEmpty());
     }
   }
@@ -141,7 +141,7 @@
     in.put(bytes).flip();
     try {
       h.feed(in);
-    } catch (NbdHandshake.Refused e) {
+    } catch (NbdHandshake.NegotiationException e) {
       assertFalse(e.getMessage().isEmpty());
     }
   }
@@ -150,7 +150,7 @@
   void fencesKillEarlierProcessesAndClosedConnections() {
     Holder holder = new Holder(3, 7);
     Fence f = new Fence("gw", holder, 9, Set.of(5L));
-    assertEquals(f, Fence.parse(f.text()));
+    assertEquals(f, Fence.parse(f.contextName()));
     assertTrue(f.kills(new Fence("gw", new Holder(2, 7), 50, Set.of())));
     assertTrue(f.kills(new Fence("gw", holder, 8, Set.of())));
     assertFalse(f.kills(new Fence("gw", holder, 5, Set.of())));
@@ -161,9 +161,9 @@
     assertTrue(f.kills(twin), "another process with the same epoch");
     assertEquals(f, f.orNewer(twin), "who came first stands");
     NodeView known = new NodeView(holder, 2);
-    assertEquals(known, Fence.known(Fence.answer("gw", known), "gw"));
-    assertNull(Fence.known(Fence.answer("gw", known), "other"));
-    assertNull(Fence.known("hollyslip:epoch/gw/x/1/0", "gw"));
+    assertEquals(known, Fence.parseHolderReply(Fence.answer("gw", known), "gw"));
+    assertNull(Fence.parseHolderReply(Fence.answer("gw", known), "other"));
+    assertNull(Fence.parseHolderReply("hollyslip:epoch/gw/x/1/0", "gw"));
     for (String bad : List.of("", "hollyslip:fence/", "hollyslip:fence/a/b/c/d/", "hollyslip:fence/a/1/2",
         "x")) {
       assertNull(Fence.parse(bad));
