--- a/src/main/java/hollyslip/node/Fence.java
+++ b/src/main/java/hollyslip/node/Fence.java
@@ -7,66 +7,69 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** What a connection says of itself and of its siblings:
+/** Identifies a connection and the live connections of the same client:
  * {@code hollyslip:fence/CLIENT/EPOCH/INSTANCE/SERIAL/LIVE}. Once a node has answered the negotiation that
- * carries it, no command has an effect there any more that came over a connection of the same client with an
- * earlier epoch, or from the same holder with a smaller serial that is not named in LIVE. A connection that
- * is not the newest holder's itself is told so by the node's word on the client, {@link #parseHolderReply}.
+ * carries it, no command takes effect there any more that arrived over a connection of the same client with
+ * an earlier epoch, or over one of the same holder with a smaller serial that is not listed in LIVE. A
+ * connection that does not belong to the newest holder learns this from the node's view of the client,
+ * {@link #parseHolderReply}.
  *
  * @param client
  *          name of the gateway instance, without a slash
  * @param holder
- *          which of its starts
+ *          start of the gateway that made the connection
  * @param serial
  *          grows with each connection it makes to the node
  * @param liveSerials
- *          serials of its other connections that go on */
+ *          serials of its other connections that stay alive */
 public record Fence(String client, Holder holder, long serial, Set<Long> liveSerials) {
   public Fence {
     if (client.isEmpty() || client.contains("/")) {
-      throw new IllegalArgumentException("client: must be a name without a slash, not '" + client + "'");
+      throw new IllegalArgumentException("client: must be a non-empty name without a slash, not '" + client
+          + "'");
     }
     liveSerials = new TreeSet<>(liveSerials);
   }
 
-  /** The context's name. */
+  /** Name of the metadata context. */
   public String contextName() {
-    List<String> names = new ArrayList<>();
-    liveSerials.forEach(s -> names.add(Long.toString(s)));
+    List<String> serials = new ArrayList<>();
+    liveSerials.forEach(liveSerial -> serials.add(Long.toString(liveSerial)));
     return Nbd.CONTEXT_FENCE + client + "/" + holder.epoch() + "/" + holder.instance() + "/" + serial + "/"
-        + String.join(",", names);
+        + String.join(",", serials);
   }
 
-  /** Reads the name of a context; null if it is none of these. */
+  /** Parses the name of a context; returns null if it is not a fence. */
   public static Fence parse(String text) {
     String[] parts = splitName(text, Nbd.CONTEXT_FENCE, 5);
     if (parts == null) {
       return null;
     }
     try {
-      Set<Long> live = new TreeSet<>();
-      for (String s : parts[4].isEmpty() ? new String[0] : parts[4].split(",")) {
-        live.add(Long.parseLong(s));
+      Set<Long> serials = new TreeSet<>();
+      for (String liveSerial : parts[4].isEmpty() ? new String[0] : parts[4].split(",")) {
+        serials.add(Long.parseLong(liveSerial));
       }
-      return new Fence(parts[0], holder(parts), Long.parseLong(parts[3]), live);
+      return new Fence(parts[0], holder(parts), Long.parseLong(parts[3]), serials);
     } catch (IllegalArgumentException e) {
       return null;
     }
   }
 
-  /** Name of the context that asks who holds a client's name. */
+  /** Name of the context that queries the holder of a client's name. */
   public static String holderQueryName(String client) {
     return Nbd.CONTEXT_EPOCH + client;
   }
 
-  /** Name of the context that answers it. */
+  /** Name of the context that answers this query. */
   public static String answer(String client, NodeView known) {
     return holderQueryName(client) + "/" + known.holder().epoch() + "/" + known.holder().instance() + "/"
         + known
             .openConnections();
   }
 
-  /** Reads the name of a context that answers; null if it is none of these, or of another client. */
+  /** Parses the name of a context that answers the query; returns null if it is none or is for another
+   * client. */
   public static NodeView parseHolderReply(String text, String client) {
     String[] parts = splitName(text, Nbd.CONTEXT_EPOCH, 4);
     if (parts == null || !parts[0].equals(client)) {
@@ -79,8 +82,8 @@
     }
   }
 
-  private static String[] splitName(String text, String start, int count) {
-    String[] parts = text.startsWith(start) ? text.substring(start.length()).split("/", -1) : null;
+  private static String[] splitName(String text, String prefix, int count) {
+    String[] parts = text.startsWith(prefix) ? text.substring(prefix.length()).split("/", -1) : null;
     return parts == null || parts.length != count ? null : parts;
   }
 
@@ -88,7 +91,7 @@
     return new Holder(Long.parseLong(parts[1]), Long.parseLong(parts[2]));
   }
 
-  /** Whether a connection of the client is dead once this fence stands. */
+  /** Returns whether a connection with the given fence is dead once this fence is in force. */
   public boolean kills(Fence other) {
     if (!other.client.equals(client) || other.holder.epoch() > holder.epoch()) {
       return false;
@@ -96,7 +99,7 @@
     return !other.holder.equals(holder) || other.serial < serial && !liveSerials.contains(other.serial);
   }
 
-  /** Which of two fences of one client stands, this one being there before. */
+  /** Returns which of two fences of one client is in force, where this one was there first. */
   public Fence orNewer(Fence next) {
     boolean newer = next.holder.epoch() > holder.epoch() || next.holder.equals(holder)
         && next.serial > serial;
--- a/src/main/java/hollyslip/node/Nbd.java
+++ b/src/main/java/hollyslip/node/Nbd.java
@@ -1,8 +1,8 @@
 package hollyslip.node;
 
-/** Numbers of the NBD protocol ("The NBD protocol", doc/proto.md of the Network Block Device project), by its
- * sections "Fixed newstyle negotiation", "Option types", "Request message", "Structured reply types" and
- * "Error values"; and of the two metadata contexts of ours (docs/node-protocol.md). */
+/** Constants of the NBD protocol (doc/proto.md of the Network Block Device project), from its sections "Fixed
+ * newstyle negotiation", "Option types", "Request message", "Structured reply types" and "Error values", and
+ * of this project's own metadata contexts (docs/node-protocol.md). */
 public final class Nbd {
   public static final long MAGIC = 0x4e42444d41474943L;
   public static final long IHAVEOPT = 0x49484156454F5054L;
@@ -33,32 +33,35 @@
   public static final int EPERM = 1, EIO = 5, ENOMEM = 12, EINVAL = 22, ENOSPC = 28, ENOTSUP = 95,
       ESHUTDOWN = 108;
 
-  /** Context of ours: a node's load, read as the status of consecutive blocks. */
+  /** Metadata context of this project: a node's load, reported as the block status of consecutive blocks. */
   public static final String CONTEXT_LOAD = "hollyslip:load";
-  /** Context of ours: who connects and which of its connections still live; see {@link Fence}. */
+  /** Metadata context of this project: which client connects and which of its connections are still alive;
+   * see {@link Fence}. */
   public static final String CONTEXT_FENCE = "hollyslip:fence/";
-  /** Context of ours: who holds a client's name; see {@link Fence#parseHolderReply}. */
+  /** Metadata context of this project: who holds a client's name; see {@link Fence#parseHolderReply}. */
   public static final String CONTEXT_EPOCH = "hollyslip:epoch/";
-  /** Bytes whose status is one figure of {@link #CONTEXT_LOAD}. */
+  /** Size in bytes of the block whose status is one value of {@link #CONTEXT_LOAD}. */
   public static final int LOAD_STEP = 512;
-  /** Message of an ENOMEM error chunk, between peers that have a context of ours: turned away unseen. */
+  /** Message of an ENOMEM error chunk between peers that share a context of this project: the command was
+   * rejected unprocessed. */
   public static final String MESSAGE_FULL = "hollyslip:full";
-  /** Message of an EPERM error chunk, between such peers: a newer fence stands, never run. */
+  /** Message of an EPERM error chunk between such peers: a newer fence is in force and the command never
+   * runs. */
   public static final String MESSAGE_FENCED = "hollyslip:fenced";
-  /** Longest message or option data that is read, bytes. */
+  /** Maximum accepted size in bytes of a message or of option data. */
   public static final int MOST_OPTION = 64 * 1024;
 
-  /** Figures of {@link #CONTEXT_LOAD}, in order; each unsigned 32 bits. */
+  /** Values of {@link #CONTEXT_LOAD}, in order; each is an unsigned 32-bit integer. */
   public enum LoadMetric {
-    /** Drawn anew at each start of the node. */
+    /** Random number drawn at each start of the node. */
     BOOT,
-    /** Since that start, ms; stays at the most it can hold. */
+    /** Time since that start, ms; saturates at its maximum. */
     AGE_MS,
-    /** Requests that it holds. */
+    /** Requests in progress. */
     INFLIGHT,
-    /** Of these, waiting. */
+    /** Requests of these that are queued. */
     QUEUE,
-    /** Its service time of late, without waiting, us. */
+    /** Recent service time without queueing, us. */
     LATENCY_US
   }
 
--- a/src/main/java/hollyslip/node/NbdConnection.java
+++ b/src/main/java/hollyslip/node/NbdConnection.java
@@ -19,8 +19,9 @@
 import java.util.concurrent.TimeUnit;
 import org.agrona.collections.Long2ObjectHashMap;
 
-/** One connection to a node: commands go out in one stream, pipelined, replies come back in any order by
- * cookie. All state is guarded by the connection's monitor, which is held only for copies in memory. */
+/** A connection to a node. Commands are pipelined in one stream, and replies arrive in any order and are
+ * matched by cookie. All state is guarded by the connection's monitor, which is held only for copies in
+ * memory. */
 final class NbdConnection implements NbdReplyParser.Sink {
   private static final int INPUT_BUFFER_BYTES = 256 * 1024;
   private static final int MAX_BURST_COMMANDS = 64;
@@ -28,9 +29,10 @@
   private static final int REQUEST_HEADER_BYTES = 28;
   private static final long LOAD_COOKIE = -1;
 
-  /** Who hears of what happens; calls come from any thread, never with the monitor held twice. */
+  /** Callbacks of a connection; called from any thread, and never with the monitor held twice. */
   interface Listener {
-    /** The negotiation is over; {@code load} are the node's figures, empty if it tells none. */
+    /** The negotiation is finished; {@code load} holds the node's load values and is empty if it reports
+     * none. */
     void onReady(NbdConnection connection, long[] load);
 
     void onAttemptEnded(Attempt attempt, Result result);
@@ -39,16 +41,17 @@
 
     void onProbeEnded(NbdConnection connection, Result result, long tookUs, long[] load);
 
-    /** The node does not count this connection as the newest holder's: nothing of it runs there. */
-    void onSuperseded(NbdConnection connection, NodeView known);
+    /** The node does not regard this connection's holder as the newest: nothing from it runs there. */
+    void onSuperseded(NbdConnection connection, NodeView holderView);
 
-    /** It is over: {@code waiting} never left, {@code sent} may run, {@code silent} are those of which the
-     * engine has already heard. */
-    void onClosed(NbdConnection connection, String why, List<Attempt> waiting, List<Attempt> sent,
-        List<Attempt> silent);
+    /** The connection is closed: {@code unsent} attempts were never sent, {@code sent} ones may run, and
+     * {@code withdrawn} ones may run but were already reported to the engine as withdrawn. */
+    void onClosed(NbdConnection connection, String reason, List<Attempt> unsent, List<Attempt> sent,
+        List<Attempt> withdrawn);
   }
 
-  /** Bytes of writes that are sent from one buffer; more, and larger ones, get their own. */
+  /** Size in bytes of the buffer that a burst's write data is copied to; data that does not fit gets a buffer
+   * of its own. */
   private static final int STAGING_BYTES = 256 << 10;
 
   private enum Stage {
@@ -82,11 +85,11 @@
   private final NbdHandshake handshake;
   private final ArrayDeque<Command> queue = new ArrayDeque<>();
   private final Long2ObjectHashMap<Command> inFlight = new Long2ObjectHashMap<>();
-  /** Of {@link #inFlight}, how many are given up. */
+  /** Number of commands in {@link #inFlight} that were withdrawn. */
   private int withdrawnCount;
-  /** Queued or out; written under the monitor. */
+  /** Number of commands queued or in flight; written under the monitor. */
   private volatile int pendingCount;
-  /** Whether the pool has it among those with something to send; the pool's thread. */
+  /** Whether the pool will flush this connection at the end of its turn; for the pool's thread only. */
   boolean flushScheduled;
   private final ByteBuffer input = ByteBuffer.allocateDirect(INPUT_BUFFER_BYTES);
   private final ByteBuffer headers = ByteBuffer.allocateDirect((MAX_BURST_COMMANDS + 1)
@@ -96,16 +99,17 @@
   private NbdReplyParser replyParser;
   private boolean negotiated, ready, writeInProgress, closed, probePending, readyReported;
   private long probeSentNs, lastReceivedNs;
-  /** A newer fence stands at the node: nothing of this connection runs there any more. */
+  /** Set once the node reported that a newer fence is in force: nothing from this connection runs there any
+   * more. */
   private boolean fencedOff;
   private List<Command> burst = List.of();
   private ByteBuffer[] gatherBuffers;
 
-  NbdConnection(AsynchronousChannelGroup group, long node, String export, Fence fence, Listener owner)
+  NbdConnection(AsynchronousChannelGroup group, long node, String export, Fence fence, Listener listener)
       throws IOException {
     this.fence = fence;
     this.node = node;
-    this.listener = owner;
+    this.listener = listener;
     handshake = new NbdHandshake(export, fence);
     channel = AsynchronousSocketChannel.open(group);
     channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
@@ -120,34 +124,36 @@
     });
   }
 
-  /** Takes an attempt; it leaves with the next {@link #flush}. False: the connection is closed. */
+  /** Queues an attempt, which is sent by the next {@link #flush}. Returns false if the connection is
+   * closed. */
   synchronized boolean add(Attempt attempt) {
     if (closed) {
       return false;
     }
-    Command slot = new Command(attempt, attempt.requestId() << 12 | attempt.number() & 0xfff);
-    attempt.handle = slot;
-    queue.add(slot);
+    Command command = new Command(attempt, attempt.requestId() << 12 | attempt.number() & 0xfff);
+    attempt.handle = command;
+    queue.add(command);
     pendingCount++;
     return true;
   }
 
-  /** Sends what waits, if nothing is being sent. */
+  /** Sends queued commands unless a write is in progress. */
   void flush() {
-    boolean go;
+    boolean startWrite;
     synchronized (this) {
-      go = ready && !writeInProgress && !closed && (!queue.isEmpty() || probePending && probeSentNs == 0);
-      if (go) {
+      startWrite = ready && !writeInProgress && !closed && (!queue.isEmpty() || probePending
+          && probeSentNs == 0);
+      if (startWrite) {
         writeInProgress = true;
         gatherBuffers();
       }
     }
-    if (go) {
+    if (startWrite) {
       write();
     }
   }
 
-  /** Asks for the node's load; answered by {@link Listener#onProbeEnded}. */
+  /** Requests the node's load values, which are reported to {@link Listener#onProbeEnded}. */
   synchronized boolean probe() {
     if (closed || !ready || probePending || handshake.loadContextId() < 0) {
       return false;
@@ -157,60 +163,60 @@
     return true;
   }
 
-  /** Gives an attempt up: nothing touches its data after this call. A write that is being sent goes on from
-   * its copy: others' requests are on this connection too. */
+  /** Withdraws an attempt: after this call nothing touches its data. A write that is being sent continues
+   * from its copy, because the connection carries other requests too. */
   synchronized WithdrawResult withdraw(Attempt attempt) {
-    Command slot = (Command) attempt.handle;
-    if (slot.withdrawn || closed) {
+    Command command = (Command) attempt.handle;
+    if (command.withdrawn || closed) {
       return WithdrawResult.ENDED;
     }
-    if (slot.stage == Stage.QUEUED) {
-      pendingCount -= queue.remove(slot) ? 1 : 0;
+    if (command.stage == Stage.QUEUED) {
+      pendingCount -= queue.remove(command) ? 1 : 0;
       return WithdrawResult.NEVER_SENT;
     }
-    if (inFlight.get(slot.cookie) != slot) {
+    if (inFlight.get(command.cookie) != command) {
       return WithdrawResult.ENDED;
     }
-    slot.withdrawn = true;
+    command.withdrawn = true;
     withdrawnCount++;
     return WithdrawResult.MAY_RUN;
   }
 
-  /** Gives back what has not left yet. */
+  /** Removes and returns the attempts that have not been sent. */
   synchronized List<Attempt> removeQueued() {
-    List<Attempt> waiting = queue.stream().map(s -> s.attempt).toList();
+    List<Attempt> unsent = queue.stream().map(command -> command.attempt).toList();
     queue.clear();
-    pendingCount -= waiting.size();
-    return waiting;
+    pendingCount -= unsent.size();
+    return unsent;
   }
 
-  /** Attempts queued or out whose end is still to be told. */
+  /** Number of attempts queued or in flight whose end has not been reported yet. */
   synchronized int activeCount() {
     return pendingCount - withdrawnCount;
   }
 
-  /** Attempts queued or out, given up or not. */
+  /** Number of attempts queued or in flight, withdrawn or not. */
   int pendingCount() {
     return pendingCount;
   }
 
-  /** The connection to which an attempt was given; null: none was. */
+  /** Returns the connection to which an attempt was given; null if there is none. */
   static NbdConnection connectionOf(Attempt attempt) {
-    return attempt.handle instanceof Command s ? s.connection() : null;
+    return attempt.handle instanceof Command command ? command.connection() : null;
   }
 
   synchronized boolean isOpen() {
     return !closed;
   }
 
-  /** Whether it has been silent for so long while something given up was out. */
-  synchronized boolean isSilentFor(long ns) {
+  /** Returns whether nothing was received for the given time while a withdrawn command was in flight. */
+  synchronized boolean isSilentFor(long durationNs) {
     if (withdrawnCount == 0) {
       return false;
     }
-    long from = System.nanoTime();
-    for (Command s : inFlight.values()) {
-      if (s.withdrawn && from - Math.max(s.sentNs, lastReceivedNs) > ns) {
+    long now = System.nanoTime();
+    for (Command command : inFlight.values()) {
+      if (command.withdrawn && now - Math.max(command.sentNs, lastReceivedNs) > durationNs) {
         return true;
       }
     }
@@ -225,7 +231,7 @@
     return handshake.supportsFence();
   }
 
-  /** Whether it ended since the node runs nothing of it any more. */
+  /** Returns whether the node no longer runs anything from this connection. */
   synchronized boolean fencedOff() {
     return fencedOff;
   }
@@ -234,18 +240,18 @@
     return handshake.hasFlag(Nbd.CAN_MULTI_CONN);
   }
 
-  /** Says goodbye where that can be done at once, then closes. */
-  void disconnect(String why) {
+  /** Sends NBD_CMD_DISC if nothing is being sent, then closes the connection. */
+  void disconnect(String reason) {
     boolean idle;
     synchronized (this) {
       idle = ready && !writeInProgress && !closed;
       writeInProgress |= idle;
     }
     if (!idle) {
-      close(why);
+      close(reason);
       return;
     }
-    ByteBuffer bye = ByteBuffer.allocate(REQUEST_HEADER_BYTES)
+    ByteBuffer message = ByteBuffer.allocate(REQUEST_HEADER_BYTES)
         .putInt(Nbd.REQUEST)
         .putShort((short) 0)
         .putShort((short) Nbd.CMD_DISC)
@@ -253,18 +259,18 @@
         .putLong(0)
         .putInt(0)
         .flip();
-    channel.write(bye, null, new ChannelHandler<Integer, Void>() {
+    channel.write(message, null, new ChannelHandler<Integer, Void>() {
       @Override
       public void completed(Integer n, Void none) {
-        close(why);
+        close(reason);
       }
     });
   }
 
-  void close(String why) {
-    List<Attempt> waiting = new ArrayList<>();
+  void close(String reason) {
+    List<Attempt> unsent = new ArrayList<>();
     List<Attempt> sent = new ArrayList<>();
-    List<Attempt> silent = new ArrayList<>();
+    List<Attempt> withdrawn = new ArrayList<>();
     synchronized (this) {
       if (closed) {
         return;
@@ -273,82 +279,84 @@
       try {
         channel.close();
       } catch (IOException e) {
-        why = why + " (" + e.getMessage() + ")";
+        reason = reason + " (" + e.getMessage() + ")";
       }
-      queue.forEach(s -> waiting.add(s.attempt));
-      inFlight.values().forEach(s -> (s.withdrawn ? silent : sent).add(s.attempt));
+      queue.forEach(command -> unsent.add(command.attempt));
+      inFlight.values().forEach(command -> (command.withdrawn ? withdrawn : sent).add(command.attempt));
       inFlight.clear();
       queue.clear();
       pendingCount = 0;
       withdrawnCount = 0;
     }
-    listener.onClosed(this, why, waiting, sent, silent);
+    listener.onClosed(this, reason, unsent, sent, withdrawn);
   }
 
-  // Out.
+  // Sending.
 
   private void gatherBuffers() {
-    List<ByteBuffer> out = new ArrayList<>();
+    List<ByteBuffer> buffers = new ArrayList<>();
     burst = new ArrayList<>();
     headers.clear();
     staging.clear();
     long bytes = 0;
-    int from = 0;
-    long at = System.nanoTime();
+    int headersStart = 0;
+    long now = System.nanoTime();
     if (probePending && probeSentNs == 0) {
-      probeSentNs = at;
+      probeSentNs = now;
       putRequestHeader(0, Nbd.CMD_BLOCK_STATUS, LOAD_COOKIE, 0, loadValues.length * Nbd.LOAD_STEP);
     }
     while (!queue.isEmpty() && burst.size() < MAX_BURST_COMMANDS && bytes < MAX_BURST_BYTES) {
-      Command s = queue.poll();
-      s.stage = Stage.SENDING;
-      s.sentNs = at;
-      inFlight.put(s.cookie, s);
-      burst.add(s);
-      putRequestHeader(0, commandType(s.attempt.kind()), s.cookie, s.attempt.offset(), (int) s.attempt
-          .length());
-      if (s.attempt.kind() == IoKind.WRITE) {
-        out.add(headers.slice(from, headers.position() - from));
-        from = headers.position();
-        out.add(stageWrite(s));
-        bytes += s.attempt.length();
+      Command command = queue.poll();
+      command.stage = Stage.SENDING;
+      command.sentNs = now;
+      inFlight.put(command.cookie, command);
+      burst.add(command);
+      putRequestHeader(0, commandType(command.attempt.kind()), command.cookie, command.attempt.offset(),
+          (int) command.attempt
+              .length());
+      if (command.attempt.kind() == IoKind.WRITE) {
+        buffers.add(headers.slice(headersStart, headers.position() - headersStart));
+        headersStart = headers.position();
+        buffers.add(stageWrite(command));
+        bytes += command.attempt.length();
       }
     }
-    if (headers.position() > from) {
-      out.add(headers.slice(from, headers.position() - from));
+    if (headers.position() > headersStart) {
+      buffers.add(headers.slice(headersStart, headers.position() - headersStart));
     }
-    gatherBuffers = out.toArray(new ByteBuffer[0]);
+    gatherBuffers = buffers.toArray(new ByteBuffer[0]);
   }
 
-  /** A copy of what a write brings. Sent from the client's memory itself, memory that is cut short would end
-   * this connection, which others use; and what is not there must not be what a write before left here. Harm:
-   * a copy a write. */
-  private ByteBuffer stageWrite(Command s) {
-    int length = (int) s.attempt.length();
-    ByteBuffer to = staging.remaining() >= length
+  /** Copies the data of a write to the staging buffer. If the data were sent from the client's memory itself,
+   * a client that truncates its memory would break this connection, which others use; and data that is
+   * missing must not be replaced by what an earlier write left in the buffer. The cost is one copy per
+   * write. */
+  private ByteBuffer stageWrite(Command command) {
+    int length = (int) command.attempt.length();
+    ByteBuffer copy = staging.remaining() >= length
         ? staging.slice(staging.position(), length)
         : ByteBuffer.allocate(length);
     if (staging.remaining() >= length) {
       staging.position(staging.position() + length);
     }
-    int at = 0;
-    boolean whole = true;
-    for (ByteBuffer b : s.data) {
-      whole &= ClientMemory.copy(to, at, b, b.position(), b.remaining());
-      at += b.remaining();
+    int position = 0;
+    boolean complete = true;
+    for (ByteBuffer b : command.data) {
+      complete &= ClientMemory.copy(copy, position, b, b.position(), b.remaining());
+      position += b.remaining();
     }
-    if (!whole) {
+    if (!complete) {
       for (int i = 0; i < length; i++) {
-        to.put(i, (byte) 0);
+        copy.put(i, (byte) 0);
       }
     }
-    return to;
+    return copy;
   }
 
-  private void putRequestHeader(int commandFlags, int command, long cookie, long offset, int length) {
+  private void putRequestHeader(int commandFlags, int type, long cookie, long offset, int length) {
     headers.putInt(Nbd.REQUEST)
         .putShort((short) commandFlags)
-        .putShort((short) command)
+        .putShort((short) type)
         .putLong(cookie)
         .putLong(offset)
         .putInt(length);
@@ -365,11 +373,11 @@
   }
 
   private void write() {
-    int from = 0;
-    while (from < gatherBuffers.length && !gatherBuffers[from].hasRemaining()) {
-      from++;
+    int first = 0;
+    while (first < gatherBuffers.length && !gatherBuffers[first].hasRemaining()) {
+      first++;
     }
-    channel.write(gatherBuffers, from, gatherBuffers.length - from, 0, TimeUnit.MILLISECONDS, null,
+    channel.write(gatherBuffers, first, gatherBuffers.length - first, 0, TimeUnit.MILLISECONDS, null,
         new ChannelHandler<Long, Void>() {
           @Override
           public void completed(Long n, Void none) {
@@ -389,7 +397,7 @@
         more |= b.hasRemaining();
       }
       if (!more) {
-        burst.forEach(s -> s.stage = Stage.SENT);
+        burst.forEach(command -> command.stage = Stage.SENT);
         writeInProgress = false;
       }
     }
@@ -400,7 +408,7 @@
     }
   }
 
-  // In.
+  // Receiving.
 
   private void read() {
     channel.read(input, null, new ChannelHandler<Integer, Void>() {
@@ -434,7 +442,7 @@
       }
       input.compact();
       if (fencedOff) {
-        close("fenced by another connection's negotiation");
+        close("fenced off by a newer connection");
       }
       return !fencedOff;
     } catch (NbdHandshake.NegotiationException | NbdReplyParser.MalformedReplyException e) {
@@ -445,30 +453,30 @@
 
   private void negotiate() throws NbdHandshake.NegotiationException {
     boolean done = handshake.feed(input);
-    ByteBuffer out = handshake.takeOutput();
-    if (out.hasRemaining()) {
-      sendNegotiation(out);
-    }
-    NodeView known = done ? handshake.holderView() : null;
-    if (known != null && !known.holder().equals(fence.holder())) {
-      close("superseded by epoch " + known.holder().epoch());
-      listener.onSuperseded(this, known);
+    ByteBuffer output = handshake.takeOutput();
+    if (output.hasRemaining()) {
+      sendNegotiation(output);
+    }
+    NodeView holderView = done ? handshake.holderView() : null;
+    if (holderView != null && !holderView.holder().equals(fence.holder())) {
+      close("superseded by epoch " + holderView.holder().epoch());
+      listener.onSuperseded(this, holderView);
       return;
     }
     if (done) {
-      boolean tells = handshake.loadContextId() >= 0;
+      boolean reportsLoad = handshake.loadContextId() >= 0;
       synchronized (this) {
         replyParser = new NbdReplyParser(handshake.structuredReplies(), this);
         negotiated = true;
         ready = true;
-        if (tells) {
+        if (reportsLoad) {
           probePending = true;
           probeSentNs = 0;
           writeInProgress = true;
           gatherBuffers();
         }
       }
-      if (tells) {
+      if (reportsLoad) {
         write();
       } else {
         listener.onReady(this, new long[0]);
@@ -476,13 +484,13 @@
     }
   }
 
-  /** Negotiation alone: one small message at a time. */
-  private void sendNegotiation(ByteBuffer out) {
-    channel.write(out, null, new ChannelHandler<Integer, Void>() {
+  /** Sends a message of the negotiation; these are small and sent one at a time. */
+  private void sendNegotiation(ByteBuffer message) {
+    channel.write(message, null, new ChannelHandler<Integer, Void>() {
       @Override
       public void completed(Integer n, Void none) {
-        if (out.hasRemaining()) {
-          sendNegotiation(out);
+        if (message.hasRemaining()) {
+          sendNegotiation(message);
         }
       }
     });
@@ -493,8 +501,8 @@
     if (cookie == LOAD_COOKIE) {
       return probePending ? 0 : -1;
     }
-    Command s = inFlight.get(cookie);
-    return s == null ? -1 : s.attempt.kind() == IoKind.READ ? s.attempt.length() : 0;
+    Command command = inFlight.get(cookie);
+    return command == null ? -1 : command.attempt.kind() == IoKind.READ ? command.attempt.length() : 0;
   }
 
   @Override
@@ -503,38 +511,37 @@
   }
 
   @Override
-  public void onData(long cookie, long at, ByteBuffer from, int length) {
-    Command s = inFlight.get(cookie);
-    s.receivedBytes += length;
-    if (s.withdrawn) {
-      from.position(from.position() + length);
+  public void onData(long cookie, long offset, ByteBuffer in, int length) {
+    Command command = inFlight.get(cookie);
+    command.receivedBytes += length;
+    if (command.withdrawn) {
+      in.position(in.position() + length);
       return;
     }
-    long skip = at;
-    int left = length;
-    for (ByteBuffer b : s.data) {
-      if (left > 0 && skip < b.limit()) {
-        int n = (int) Math.min(left, b.limit() - skip);
-        // A client that cut its memory short loses its own answer's data, and must not take the connection,
-        // which
-        // others use, with it.
-        ClientMemory.copy(b, (int) skip, from, from.position(), n);
-        from.position(from.position() + n);
-        left -= n;
+    long skip = offset;
+    int remaining = length;
+    for (ByteBuffer buffer : command.data) {
+      if (remaining > 0 && skip < buffer.limit()) {
+        int count = (int) Math.min(remaining, buffer.limit() - skip);
+        // A client that truncated its memory loses the data of its own reply only; it must not break the
+        // connection, which others use.
+        ClientMemory.copy(buffer, (int) skip, in, in.position(), count);
+        in.position(in.position() + count);
+        remaining -= count;
         skip = 0;
       } else {
-        skip -= b.limit();
+        skip -= buffer.limit();
       }
     }
   }
 
   @Override
-  public void onHole(long cookie, long at, long length) {
+  public void onHole(long cookie, long offset, long length) {
     ByteBuffer zeros = ByteBuffer.allocate((int) Math.min(length, 64 * 1024));
     for (long done = 0; done < length;) {
       zeros.clear();
       int n = (int) Math.min(zeros.capacity(), length - done);
-      onData(cookie, at + done, zeros, n);
+      onData(cookie, offset + done, zeros, n);
       done += n;
     }
   }
@@ -561,34 +568,36 @@
       }
       return;
     }
-    Command s = inFlight.remove(cookie);
+    Command command = inFlight.remove(cookie);
     pendingCount--;
-    withdrawnCount -= s.withdrawn ? 1 : 0;
+    withdrawnCount -= command.withdrawn ? 1 : 0;
     if (error == Nbd.EPERM && handshake.loadContextId() >= 0 && message.equals(Nbd.MESSAGE_FENCED)) {
       fencedOff = true;
-      if (s.withdrawn) {
-        listener.onAttemptResolved(s.attempt);
+      if (command.withdrawn) {
+        listener.onAttemptResolved(command.attempt);
       } else {
-        listener.onAttemptEnded(s.attempt, Result.CONNECT_FAILED);
+        listener.onAttemptEnded(command.attempt, Result.CONNECT_FAILED);
       }
-    } else if (s.withdrawn) {
-      listener.onAttemptResolved(s.attempt);
-    } else if (error == 0 && s.attempt.kind() == IoKind.READ && s.receivedBytes < s.attempt.length()) {
-      listener.onAttemptEnded(s.attempt, Result.ERROR);
+    } else if (command.withdrawn) {
+      listener.onAttemptResolved(command.attempt);
+    } else if (error == 0 && command.attempt.kind() == IoKind.READ && command.receivedBytes < command.attempt
+        .length()) {
+      listener.onAttemptEnded(command.attempt, Result.ERROR);
     } else {
-      listener.onAttemptEnded(s.attempt, error == 0
+      listener.onAttemptEnded(command.attempt, error == 0
           ? Result.OK
           : rejectedUnprocessed(error, message) ? Result.FULL : Result.ERROR);
     }
   }
 
-  /** Only a node that speaks our contexts is believed that it never looked at a command. */
+  /** Returns whether the node rejected a command without processing it; believed only of a node that supports
+   * this project's contexts. */
   private boolean rejectedUnprocessed(int error, String message) {
     return handshake.loadContextId() >= 0 && (error == Nbd.ESHUTDOWN || error == Nbd.ENOMEM && message.equals(
         Nbd.MESSAGE_FULL));
   }
 
-  /** A failed operation of the channel ends the connection, whatever it was. */
+  /** Closes the connection when any operation on the channel fails. */
   private abstract class ChannelHandler<V, A> implements CompletionHandler<V, A> {
     @Override
     public void failed(Throwable e, A attachment) {
--- a/src/main/java/hollyslip/node/NbdDirect.java
+++ b/src/main/java/hollyslip/node/NbdDirect.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.Executors;
 import java.util.function.BiConsumer;
 
-/** The node client without a gateway before it: what a measurement compares with. For one thread. */
+/** Node client without a gateway in front of it, as a baseline for benchmarks. Not thread-safe. */
 public final class NbdDirect implements AutoCloseable {
   private final AsynchronousChannelGroup group;
   private final NbdConnection connection;
@@ -23,19 +23,20 @@
   private final BiConsumer<Long, Boolean> completionListener;
   private long lastRequestId;
 
-  /** @param done
-   *          hears the number of each request and whether it was served, from any thread */
-  public NbdDirect(InetSocketAddress at, String export, BiConsumer<Long, Boolean> done) throws IOException,
+  /** @param completionListener
+   *          receives the number of each request and whether it succeeded, from any thread */
+  public NbdDirect(InetSocketAddress address, String export, BiConsumer<Long, Boolean> completionListener)
+      throws IOException,
       InterruptedException {
-    this.completionListener = done;
+    this.completionListener = completionListener;
     group = AsynchronousChannelGroup.withFixedThreadPool(1, Executors.defaultThreadFactory());
     connection = new NbdConnection(group, 0, export, new Fence("direct", new Holder(1, 1), 1, Set.of()),
         new ConnectionListener());
-    connection.connect(at);
+    connection.connect(address);
     ready.await();
   }
 
-  /** Asks for a read into {@code into}; its number. It leaves with the next {@link #flush}. */
+  /** Queues a read into {@code into} and returns its number; it is sent by the next {@link #flush}. */
   public long read(long offset, ByteBuffer into) {
     connection.add(Attempt.detached(++lastRequestId, IoKind.READ, 0, offset, List.of(into)));
     return lastRequestId;
@@ -47,13 +48,13 @@
 
   @Override
   public void close() {
-    connection.close("over");
+    connection.close("closed by the client");
     group.shutdown();
   }
 
   private final class ConnectionListener implements NbdConnection.Listener {
     @Override
-    public void onReady(NbdConnection c, long[] load) {
+    public void onReady(NbdConnection connection, long[] load) {
       ready.countDown();
     }
 
@@ -66,16 +67,16 @@
     public void onAttemptResolved(Attempt attempt) {}
 
     @Override
-    public void onSuperseded(NbdConnection c, NodeView known) {
+    public void onSuperseded(NbdConnection connection, NodeView holderView) {
       ready.countDown();
     }
 
     @Override
-    public void onProbeEnded(NbdConnection c, Result result, long tookUs, long[] load) {}
+    public void onProbeEnded(NbdConnection connection, Result result, long tookUs, long[] load) {}
 
     @Override
-    public void onClosed(NbdConnection c, String why, List<Attempt> waiting, List<Attempt> sent,
-        List<Attempt> silent) {
+    public void onClosed(NbdConnection connection, String reason, List<Attempt> unsent, List<Attempt> sent,
+        List<Attempt> withdrawn) {
       ready.countDown();
     }
   }
--- a/src/main/java/hollyslip/node/NbdHandshake.java
+++ b/src/main/java/hollyslip/node/NbdHandshake.java
@@ -5,15 +5,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** The client's side of NBD's fixed newstyle negotiation, free of I/O: bytes of the server in, bytes for the
- * server out. It asks for structured replies, sets the contexts of ours and ends with {@code NBD_OPT_GO}.
- * Source: doc/proto.md, "Fixed newstyle negotiation" and "Option types". */
+/** The client's side of NBD's fixed newstyle negotiation, without I/O: takes the server's bytes and produces
+ * the bytes to send. It negotiates structured replies, sets this project's metadata contexts and ends with
+ * {@code NBD_OPT_GO}. Source: doc/proto.md, "Fixed newstyle negotiation" and "Option types". */
 final class NbdHandshake {
   private enum State {
     GREETING, STRUCTURED, CONTEXTS, GO, DONE
   }
 
-  /** Whether contexts are set and the export opened, or contexts listed and the connection given up. */
+  /** Whether the negotiation sets the contexts and opens the export, or only lists the contexts and
+   * aborts. */
   private enum Purpose {
     TRANSMISSION, QUERY
   }
@@ -31,10 +32,10 @@
   private long exportSize = -1;
   private int transmissionFlags;
 
-  /** What was not what the protocol allows. */
+  /** The server violated the protocol or refused the export. */
   static final class NegotiationException extends Exception {
-    NegotiationException(String what) {
-      super(what);
+    NegotiationException(String message) {
+      super(message);
     }
   }
 
@@ -45,27 +46,28 @@
     this.purpose = purpose;
   }
 
-  /** One that ends ready for commands, with the fence standing. */
+  /** Creates a negotiation that ends ready for commands, with the fence in force. */
   NbdHandshake(String export, Fence fence) {
     this(export, fence.client(), List.of(Nbd.CONTEXT_LOAD, fence.contextName(), Fence.holderQueryName(fence
         .client())),
         Purpose.TRANSMISSION);
   }
 
-  /** One that only asks who holds a client's name, without an effect, and says goodbye. */
+  /** Creates a negotiation that only queries the holder of a client's name, changes nothing, and aborts. */
   static NbdHandshake forHolderQuery(String export, String client) {
     return new NbdHandshake(export, client, List.of(Fence.holderQueryName(client)), Purpose.QUERY);
   }
 
-  /** Reads what is whole in {@code in} and leaves the rest; whether the negotiation is over. */
+  /** Processes the complete messages in {@code in} and leaves the rest; returns whether the negotiation is
+   * finished. */
   boolean feed(ByteBuffer in) throws NegotiationException {
     while (state != State.DONE && processMessage(in)) {
-      // the next one
+      // continue with the next message
     }
     return state == State.DONE;
   }
 
-  /** Bytes to be sent now. */
+  /** Returns the bytes to send now and clears them. */
   ByteBuffer takeOutput() {
     ByteBuffer b = pendingOutput;
     pendingOutput = ByteBuffer.allocate(0);
@@ -76,17 +78,17 @@
     return structuredReplies;
   }
 
-  /** Id of the load context, -1: the node has none. */
+  /** ID of the load context; -1 if the node has none. */
   int loadContextId() {
     return loadContextId;
   }
 
-  /** Whether the node holds to {@link Fence}. */
+  /** Whether the node honors the {@link Fence}. */
   boolean supportsFence() {
     return supportsFence;
   }
 
-  /** Who holds the client's name there, null: the node does not say. */
+  /** The node's view of the holder of the client's name; null if the node does not report one. */
   NodeView holderView() {
     return holderView;
   }
@@ -106,21 +108,21 @@
     if (in.remaining() < 20) {
       return false;
     }
-    int at = in.position();
-    if (in.getLong(at) != Nbd.OPTION_REPLY) {
+    int start = in.position();
+    if (in.getLong(start) != Nbd.OPTION_REPLY) {
       throw new NegotiationException("option reply: wrong magic");
     }
-    int option = in.getInt(at + 8);
-    int type = in.getInt(at + 12);
-    int length = in.getInt(at + 16);
+    int option = in.getInt(start + 8);
+    int type = in.getInt(start + 12);
+    int length = in.getInt(start + 16);
     if (length < 0 || length > Nbd.MOST_OPTION) {
       throw new NegotiationException("option reply: length " + Integer.toUnsignedString(length));
     }
     if (in.remaining() < 20 + length) {
       return false;
     }
-    ByteBuffer data = in.slice(at + 20, length);
-    in.position(at + 20 + length);
+    ByteBuffer data = in.slice(start + 20, length);
+    in.position(start + 20 + length);
     processOptionReply(option, type, data);
     return true;
   }
@@ -130,7 +132,7 @@
       return false;
     }
     if (in.getLong() != Nbd.MAGIC || in.getLong() != Nbd.IHAVEOPT) {
-      throw new NegotiationException("greeting: not an NBD server of the newstyle");
+      throw new NegotiationException("greeting: not a newstyle NBD server");
     }
     int offered = Short.toUnsignedInt(in.getShort());
     if ((offered & Nbd.FLAG_FIXED_NEWSTYLE) == 0) {
@@ -164,19 +166,19 @@
         }
       }
       case GO -> { requireOption(option, Nbd.OPT_GO); processGoReply(type, data); }
-      default -> throw new NegotiationException("option reply: not asked for");
+      default -> throw new NegotiationException("option reply: unexpected");
     }
   }
 
-  private static void requireOption(int got, int wanted) throws NegotiationException {
-    if (got != wanted) {
-      throw new NegotiationException("option reply: of option " + got + ", not " + wanted);
+  private static void requireOption(int actual, int expected) throws NegotiationException {
+    if (actual != expected) {
+      throw new NegotiationException("option reply: for option " + actual + " instead of " + expected);
     }
   }
 
   private void processContext(ByteBuffer data) throws NegotiationException {
     if (data.remaining() < 4) {
-      throw new NegotiationException("context: too short");
+      throw new NegotiationException("metadata context: reply too short");
     }
     int id = data.getInt();
     String name = StandardCharsets.UTF_8.decode(data).toString();
@@ -193,33 +195,34 @@
     if (type == Nbd.REP_INFO && data.remaining() >= 2) {
       if (data.getShort() == Nbd.INFO_EXPORT) {
         if (data.remaining() != 10) {
-          throw new NegotiationException("info: export of " + data.remaining() + " bytes");
+          throw new NegotiationException("info: export information of " + data.remaining() + " bytes");
         }
         exportSize = data.getLong();
         transmissionFlags = Short.toUnsignedInt(data.getShort());
       }
     } else if (type == Nbd.REP_ACK) {
       if (exportSize < 0) {
-        throw new NegotiationException("go: no size of the export");
+        throw new NegotiationException("go: the server sent no export size");
       }
       state = State.DONE;
     } else {
-      throw new NegotiationException("export " + export + ": refused, " + StandardCharsets.UTF_8.decode(
-          data));
+      throw new NegotiationException("export " + export + ": refused by the server, " + StandardCharsets.UTF_8
+          .decode(
+              data));
     }
   }
 
   private void sendContexts() {
     byte[] name = export.getBytes(StandardCharsets.UTF_8);
-    ByteBuffer d = ByteBuffer.allocate(8 + name.length + contexts.stream()
+    ByteBuffer data = ByteBuffer.allocate(8 + name.length + contexts.stream()
         .mapToInt(c -> 4 + c.length())
         .sum());
-    d.putInt(name.length).put(name).putInt(contexts.size());
+    data.putInt(name.length).put(name).putInt(contexts.size());
     for (String c : contexts) {
       byte[] bytes = c.getBytes(StandardCharsets.US_ASCII);
-      d.putInt(bytes.length).put(bytes);
+      data.putInt(bytes.length).put(bytes);
     }
-    sendOption(contextOption(), d.array());
+    sendOption(contextOption(), data.array());
     state = State.CONTEXTS;
   }
 
@@ -227,7 +230,7 @@
     return purpose == Purpose.TRANSMISSION ? Nbd.OPT_SET_META_CONTEXT : Nbd.OPT_LIST_META_CONTEXT;
   }
 
-  /** After the contexts: the export, or goodbye. */
+  /** Ends the option phase: opens the export or aborts. */
   private void finishOptions() {
     if (purpose == Purpose.TRANSMISSION) {
       sendGo();
@@ -239,9 +242,9 @@
 
   private void sendGo() {
     byte[] name = export.getBytes(StandardCharsets.UTF_8);
-    ByteBuffer d = ByteBuffer.allocate(6 + name.length);
-    d.putInt(name.length).put(name).putShort((short) 0);
-    sendOption(Nbd.OPT_GO, d.array());
+    ByteBuffer data = ByteBuffer.allocate(6 + name.length);
+    data.putInt(name.length).put(name).putShort((short) 0);
+    sendOption(Nbd.OPT_GO, data.array());
     state = State.GO;
   }
 
--- a/src/main/java/hollyslip/node/NbdReplyParser.java
+++ b/src/main/java/hollyslip/node/NbdReplyParser.java
@@ -3,35 +3,37 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Reads the server's side of NBD's transmission phase, free of I/O. Data goes straight to where the sink
- * says; nothing longer than what was asked for is accepted. Source: doc/proto.md, "Simple reply message",
- * "Structured reply chunk message" and "Structured reply types". */
+/** Parses the server's side of the NBD transmission phase, without I/O. Data is passed straight to the sink;
+ * replies longer than the request are rejected. Source: doc/proto.md, "Simple reply message", "Structured
+ * reply chunk message" and "Structured reply types". */
 final class NbdReplyParser {
-  /** Where replies go. */
+  /** Receives parsed replies. */
   interface Sink {
-    /** Bytes of data that a reply to this cookie may bring in all; negative: nothing waits for it. */
+    /** Returns how many bytes of data the reply to this cookie may carry in all; negative if no request has
+     * the cookie. */
     long expectedBytes(long cookie);
 
-    /** {@code length} bytes of {@code in}, from its position, stand {@code at} bytes into the request. */
-    void onData(long cookie, long at, ByteBuffer in, int length);
+    /** Receives {@code length} bytes from the position of {@code in}, located {@code offset} bytes into the
+     * request. */
+    void onData(long cookie, long offset, ByteBuffer in, int length);
 
-    /** Zeros stand there. */
-    void onHole(long cookie, long at, long length);
+    /** Receives a range of zeros. */
+    void onHole(long cookie, long offset, long length);
 
-    /** One figure of a block status of this context. */
+    /** Receives one value of the block status for this context. */
     void onBlockStatus(long cookie, int context, int index, int value);
 
-    /** The reply is whole; {@code error} 0: done. */
+    /** Called when the reply is complete; {@code error} is 0 on success. */
     void onDone(long cookie, int error, String message);
 
-    /** First byte of the request on the export. */
+    /** Returns the offset of the request's first byte on the export. */
     long requestOffset(long cookie);
   }
 
-  /** What was not what the protocol allows; the connection is of no more use. */
+  /** The server violated the protocol; the connection is unusable. */
   static final class MalformedReplyException extends Exception {
-    MalformedReplyException(String what) {
-      super(what);
+    MalformedReplyException(String message) {
+      super(message);
     }
   }
 
@@ -49,7 +51,7 @@
     this.sink = sink;
   }
 
-  /** Reads as much as it can of {@code in} and leaves the start of what is not whole yet. */
+  /** Parses as much of {@code in} as possible and leaves an incomplete header unread. */
   void feed(ByteBuffer in) throws MalformedReplyException {
     while (in.hasRemaining()) {
       if (remainingPayload > 0) {
@@ -66,7 +68,7 @@
     }
   }
 
-  /** Data bytes that are still to come for the present chunk. */
+  /** Data bytes of the current chunk that have not arrived yet. */
   long remainingPayload() {
     return remainingPayload;
   }
@@ -75,26 +77,27 @@
     if (in.remaining() < 16) {
       return false;
     }
-    int p = in.position();
-    int magic = in.getInt(p);
+    int start = in.position();
+    int magic = in.getInt(start);
     if (magic == Nbd.SIMPLE_REPLY) {
-      parseSimpleReply(in, p);
+      parseSimpleReply(in, start);
       return true;
     }
     if (magic != Nbd.STRUCTURED_REPLY || !structured) {
-      throw new MalformedReplyException("reply: magic " + Integer.toHexString(magic));
+      throw new MalformedReplyException("reply: unexpected magic " + Integer.toHexString(magic));
     }
-    return in.remaining() >= 20 && parseChunk(in, p);
+    return in.remaining() >= 20 && parseChunk(in, start);
   }
 
-  private void parseSimpleReply(ByteBuffer in, int p) throws MalformedReplyException {
-    pendingError = in.getInt(p + 4);
-    beginReply(in.getLong(p + 8));
+  private void parseSimpleReply(ByteBuffer in, int start) throws MalformedReplyException {
+    pendingError = in.getInt(start + 4);
+    beginReply(in.getLong(start + 8));
     long expected = sink.expectedBytes(cookie);
     if (structured && expected > 0 && pendingError == 0) {
-      throw new MalformedReplyException("reply: simple to a read though structured replies are agreed");
+      throw new MalformedReplyException(
+          "reply: simple reply to a read although structured replies were negotiated");
     }
-    in.position(p + 16);
+    in.position(start + 16);
     lastChunk = true;
     dataOffset = 0;
     remainingPayload = pendingError == 0 ? expected : 0;
@@ -103,62 +106,63 @@
     }
   }
 
-  private boolean parseChunk(ByteBuffer in, int p) throws MalformedReplyException {
-    int chunkFlags = Short.toUnsignedInt(in.getShort(p + 4));
-    int type = Short.toUnsignedInt(in.getShort(p + 6));
-    long length = Integer.toUnsignedLong(in.getInt(p + 16));
+  private boolean parseChunk(ByteBuffer in, int start) throws MalformedReplyException {
+    int chunkFlags = Short.toUnsignedInt(in.getShort(start + 4));
+    int type = Short.toUnsignedInt(in.getShort(start + 6));
+    long length = Integer.toUnsignedLong(in.getInt(start + 16));
     boolean data = type == Nbd.CHUNK_DATA;
-    long ahead = data ? 8 : length;
+    long needed = data ? 8 : length;
     if (data && length <= 8) {
-      throw new MalformedReplyException("chunk: data of " + length + " bytes");
+      throw new MalformedReplyException("chunk: data chunk of " + length + " bytes");
     }
-    if (ahead > Nbd.MOST_OPTION) {
-      throw new MalformedReplyException("chunk: type " + type + " of " + length + " bytes");
+    if (needed > Nbd.MOST_OPTION) {
+      throw new MalformedReplyException("chunk: type " + type + " with a length of " + length + " bytes");
     }
-    if (in.remaining() < 20 + ahead) {
+    if (in.remaining() < 20 + needed) {
       return false;
     }
-    beginReply(in.getLong(p + 8));
+    beginReply(in.getLong(start + 8));
     lastChunk = (chunkFlags & Nbd.CHUNK_DONE) != 0;
-    in.position(p + 20);
-    ByteBuffer body = in.slice(p + 20, (int) ahead);
-    in.position(p + 20 + (int) ahead);
+    in.position(start + 20);
+    ByteBuffer body = in.slice(start + 20, (int) needed);
+    in.position(start + 20 + (int) needed);
     switch (type) {
-      case Nbd.CHUNK_NONE -> require(length == 0, "chunk: none with " + length + " bytes");
+      case Nbd.CHUNK_NONE -> require(length == 0, "chunk: NONE chunk with " + length + " bytes");
       case Nbd.CHUNK_DATA -> {
         dataOffset = offsetInRequest(body.getLong(), length - 8);
         remainingPayload = length - 8;
         return true;
       }
       case Nbd.CHUNK_HOLE -> {
-        require(length == 12, "chunk: hole of " + length + " bytes");
+        require(length == 12, "chunk: hole chunk of " + length + " bytes");
         long offset = body.getLong();
         long size = Integer.toUnsignedLong(body.getInt());
         sink.onHole(cookie, offsetInRequest(offset, size), size);
       }
       case Nbd.CHUNK_BLOCK_STATUS -> parseBlockStatus(body);
-      default -> { require(type >= 32768, "chunk: type " + type); parseError(body); }
+      default -> { require(type >= 32768, "chunk: unknown type " + type); parseError(body); }
     }
     endChunk();
     return true;
   }
 
-  private void beginReply(long id) throws MalformedReplyException {
-    cookie = id;
-    require(sink.expectedBytes(id) >= 0, "reply: unknown cookie " + Long.toHexString(id));
+  private void beginReply(long replyCookie) throws MalformedReplyException {
+    cookie = replyCookie;
+    require(sink.expectedBytes(replyCookie) >= 0, "reply: unknown cookie " + Long.toHexString(replyCookie));
   }
 
-  /** Place within the request of a chunk; it must lie inside what was asked for. */
+  /** Returns the offset of a chunk within its request; the chunk must lie inside the requested range. */
   private long offsetInRequest(long offset, long length) throws MalformedReplyException {
     long from = offset - sink.requestOffset(cookie);
     require(from >= 0 && length > 0 && from <= sink.expectedBytes(cookie) - length, "chunk: " + offset + "+"
         + length
-        + " was not asked for");
+        + " is outside the requested range");
     return from;
   }
 
   private void parseBlockStatus(ByteBuffer body) throws MalformedReplyException {
-    require(body.remaining() >= 12 && (body.remaining() - 4) % 8 == 0, "chunk: status of " + body.remaining()
+    require(body.remaining() >= 12 && (body.remaining() - 4) % 8 == 0, "chunk: block status of " + body
+        .remaining()
         + " bytes");
     int context = body.getInt();
     for (int i = 0; body.hasRemaining(); i++) {
@@ -168,7 +172,7 @@
   }
 
   private void parseError(ByteBuffer body) throws MalformedReplyException {
-    require(body.remaining() >= 6, "chunk: error of " + body.remaining() + " bytes");
+    require(body.remaining() >= 6, "chunk: error chunk of " + body.remaining() + " bytes");
     pendingError = body.getInt();
     int length = Short.toUnsignedInt(body.getShort());
     require(length <= body.remaining() && pendingError != 0, "chunk: error " + pendingError
@@ -179,17 +183,17 @@
 
   private void endChunk() {
     if (lastChunk) {
-      int e = pendingError;
-      String m = pendingMessage;
+      int error = pendingError;
+      String message = pendingMessage;
       pendingError = 0;
       pendingMessage = "";
-      sink.onDone(cookie, e, m);
+      sink.onDone(cookie, error, message);
     }
   }
 
-  private static void require(boolean ok, String what) throws MalformedReplyException {
+  private static void require(boolean ok, String message) throws MalformedReplyException {
     if (!ok) {
-      throw new MalformedReplyException(what);
+      throw new MalformedReplyException(message);
     }
   }
 }
--- a/src/main/java/hollyslip/node/NodePool.java
+++ b/src/main/java/hollyslip/node/NodePool.java
@@ -20,41 +20,43 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The nodes as the engine reaches them: a few connections each, made when they are needed, and what is left
- * of those that ended. All state belongs to the engine's thread; connections tell it by letters. */
+/** Connects the engine to the nodes: holds a few connections to each, opened on demand, and what may still
+ * run of those that were closed. All state belongs to the engine's thread; connections post their events to
+ * it. */
 public final class NodePool implements NodeTransport, NbdConnection.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(NodePool.class);
 
-  /** How a node is reached: its export is named after its shard. */
+  /** Address of a node; its export is named after its shard. */
   public record Address(long node, String name, InetSocketAddress socketAddress, String export) {}
 
-  /** What binds the pool.
+  /** Limits and identity of the pool.
    *
    * @param client
    *          name of this gateway instance, for {@link Fence}
    * @param holder
-   *          which of its starts
+   *          which of its starts this is
    * @param maxConnections
-   *          connections to one node at most
+   *          maximum number of connections to one node
    * @param maxInFlight
-   *          attempts on one connection at most
+   *          maximum number of attempts on one connection
    * @param connectTimeoutUs
-   *          a connection not ready after this has failed, us
+   *          a connection that is not ready after this time has failed, us
    * @param settleUs
-   *          how long a node without fences may still run what a dead connection brought, us */
+   *          how long a node without fences may still run commands of a closed connection, us */
   public record Limits(String client, Holder holder, int maxConnections, int maxInFlight,
       long connectTimeoutUs,
       long settleUs) {}
 
-  /** Hears that a node was found to have started: {@code ageUs} ago, told apart by {@code boot}. */
+  /** Receives what the connections learn of the nodes. */
   public interface NodeEventListener {
-    /** Whether this start was not known before. */
+    /** A node reports that it started {@code ageUs} ago, with the random number {@code boot} that identifies
+     * the start. Returns whether this start was not known before. */
     boolean onNodeStarted(long node, long boot, long ageUs);
 
-    /** A node counts another one as the newest holder of our name. */
-    void onSuperseded(long node, NodeView known);
+    /** A node reports another holder as the newest of this gateway's name. */
+    void onSuperseded(long node, NodeView holderView);
 
-    /** The module asks for the list. */
+    /** The scheduler requests the node list. */
     void onNodeListRequested();
   }
 
@@ -65,16 +67,17 @@
   private final List<String> reportFields;
   private final AsynchronousChannelGroup group;
   private final Long2ObjectHashMap<Target> targets = new Long2ObjectHashMap<>();
-  /** Those with something to send, at the end of the engine's turn. */
+  /** Connections to flush at the end of the engine's turn. */
   private final List<NbdConnection> connectionsToFlush = new ArrayList<>();
   private Holder holder;
   private boolean closing;
 
-  /** A node and what this gateway has to do with it. */
+  /** A node with this gateway's connections to it. */
   private static final class Target {
     Address address;
     final List<NbdConnection> connections = new ArrayList<>();
-    /** Changes of dead connections that may still run there, by serial of the connection. */
+    /** Attempts that change data and may still run although their connection is closed, by the connection's
+     * serial. */
     final Map<Long, List<Attempt>> unresolvedChanges = new LinkedHashMap<>();
     boolean listed = true;
   }
@@ -82,13 +85,13 @@
   /** @param serials
    *          shared by all pools of a process */
   public NodePool(Engine engine, Limits limits, ConnectionSerials serials, List<String> reportFields,
-      NodeEventListener news,
+      NodeEventListener nodeEventListener,
       int threads) throws IOException {
     this.serials = serials;
     this.engine = engine;
     this.limits = limits;
     holder = limits.holder();
-    this.nodeEventListener = news;
+    this.nodeEventListener = nodeEventListener;
     this.reportFields = List.copyOf(reportFields);
     group = AsynchronousChannelGroup.withFixedThreadPool(threads, r -> {
       Thread t = Executors.defaultThreadFactory().newThread(r);
@@ -98,84 +101,85 @@
     });
   }
 
-  /** Where nodes are from now on; on the engine's thread or before its start. A node no longer named keeps
-   * its connections until they end. */
-  public void updateAddresses(List<Address> all) {
-    Set<Long> named = new TreeSet<>();
-    for (Address a : all) {
-      targets.computeIfAbsent(a.node(), k -> new Target()).address = a;
-      named.add(a.node());
+  /** Sets the nodes' addresses; called on the engine's thread or before its start. A node that is no longer
+   * listed keeps its connections until they close. */
+  public void updateAddresses(List<Address> addresses) {
+    Set<Long> listed = new TreeSet<>();
+    for (Address address : addresses) {
+      targets.computeIfAbsent(address.node(), k -> new Target()).address = address;
+      listed.add(address.node());
     }
-    targets.forEach((node, t) -> {
-      t.listed = named.contains(node);
-      if (!t.listed) {
-        resolveAfterSettleTime(t);
+    targets.forEach((node, target) -> {
+      target.listed = listed.contains(node);
+      if (!target.listed) {
+        resolveAfterSettleTime(target);
       }
     });
   }
 
   @Override
   public void send(Attempt attempt) {
-    Target t = targets.get(attempt.node());
-    if (t == null || t.address == null || closing) {
+    Target target = targets.get(attempt.node());
+    if (target == null || target.address == null || closing) {
       engine.attemptEnded(attempt, Result.CONNECT_FAILED, null);
       return;
     }
-    NbdConnection c = chooseConnection(t);
-    if (c == null) {
+    NbdConnection connection = chooseConnection(target);
+    if (connection == null) {
       engine.attemptEnded(attempt, Result.FULL, null);
-    } else if (c.add(attempt)) {
-      if (!c.flushScheduled) {
-        c.flushScheduled = true;
-        connectionsToFlush.add(c);
+    } else if (connection.add(attempt)) {
+      if (!connection.flushScheduled) {
+        connection.flushScheduled = true;
+        connectionsToFlush.add(connection);
       }
     } else {
       engine.attemptEnded(attempt, Result.CONNECT_FAILED, null);
     }
   }
 
-  /** The ready connection with the least on it; another one only when that has half of what it may hold. A
-   * connection that is silent on something given up is passed over while there may be others: it guards
-   * against one that is stuck in the middle of a reply. Harm: a node that is merely slow is connected to more
-   * than once. */
-  private NbdConnection chooseConnection(Target t) {
+  /** Chooses the ready connection with the fewest attempts, and opens another one only when that has half of
+   * its maximum. A connection that is silent while a withdrawn attempt is in flight is skipped, which guards
+   * against one that is stuck in the middle of a reply. The cost is that a node that is merely slow gets more
+   * than one connection. */
+  private NbdConnection chooseConnection(Target target) {
     NbdConnection best = null;
-    int least = Integer.MAX_VALUE;
-    for (NbdConnection c : t.connections) {
-      int size = c.pendingCount();
-      boolean stuck = c.isSilentFor(limits.connectTimeoutUs() * 1_000);
-      if (stuck && c.activeCount() == 0) {
-        c.close("silent, and all on it given up");
-      } else if (size < least && !stuck) {
-        best = c;
-        least = size;
+    int lowestCount = Integer.MAX_VALUE;
+    for (NbdConnection connection : target.connections) {
+      int count = connection.pendingCount();
+      boolean silent = connection.isSilentFor(limits.connectTimeoutUs() * 1_000);
+      if (silent && connection.activeCount() == 0) {
+        connection.close("silent with only withdrawn attempts left");
+      } else if (count < lowestCount && !silent) {
+        best = connection;
+        lowestCount = count;
       }
     }
-    boolean crowded = best == null || best.isReady() && least >= limits.maxInFlight() / 2 && best
+    boolean crowded = best == null || best.isReady() && lowestCount >= limits.maxInFlight() / 2 && best
         .allowsMultipleConnections();
-    if (crowded && t.connections.size() < limits.maxConnections()) {
-      NbdConnection fresh = openConnection(t);
-      best = best == null ? fresh : best;
+    if (crowded && target.connections.size() < limits.maxConnections()) {
+      NbdConnection opened = openConnection(target);
+      best = best == null ? opened : best;
     }
     return best == null || best.pendingCount() >= limits.maxInFlight() ? null : best;
   }
 
-  private NbdConnection openConnection(Target t) {
-    Fence fence = serials.nextFence(t.address.node(), limits.client(), holder);
+  private NbdConnection openConnection(Target target) {
+    Fence fence = serials.nextFence(target.address.node(), limits.client(), holder);
     try {
-      NbdConnection c = new NbdConnection(group, t.address.node(), t.address.export(), fence, this);
-      t.connections.add(c);
+      NbdConnection connection = new NbdConnection(group, target.address.node(), target.address.export(),
+          fence, this);
+      target.connections.add(connection);
       engine.schedule(limits.connectTimeoutUs(), () -> {
-        if (!c.isReady()) {
-          c.close("not ready in time");
+        if (!connection.isReady()) {
+          connection.close("not ready within the connect timeout");
         }
       });
-      c.connect(t.address.socketAddress());
-      return c;
+      connection.connect(target.address.socketAddress());
+      return connection;
     } catch (IOException e) {
-      serials.markClosed(t.address.node(), fence.serial());
+      serials.markClosed(target.address.node(), fence.serial());
       LOG.atWarn()
-          .addKeyValue("node", t.address.name())
+          .addKeyValue("node", target.address.name())
           .addKeyValue("why", e.getMessage())
           .log("node.connection.failed");
       return null;
@@ -184,35 +188,35 @@
 
   @Override
   public WithdrawResult withdraw(Attempt attempt) {
-    NbdConnection c = NbdConnection.connectionOf(attempt);
-    return c == null ? WithdrawResult.ENDED : c.withdraw(attempt);
+    NbdConnection connection = NbdConnection.connectionOf(attempt);
+    return connection == null ? WithdrawResult.ENDED : connection.withdraw(attempt);
   }
 
-  /** Closes the connection that carried the attempt, if it still lives, and makes another, whose negotiation
-   * is the fence. */
+  /** Closes the connection that carried the attempt if it is still open, and opens another one, whose
+   * negotiation is the fence. */
   @Override
   public void fence(Attempt attempt) {
-    Target t = targets.get(attempt.node());
-    NbdConnection c = NbdConnection.connectionOf(attempt);
-    if (c != null && c.isOpen()) {
+    Target target = targets.get(attempt.node());
+    NbdConnection connection = NbdConnection.connectionOf(attempt);
+    if (connection != null && connection.isOpen()) {
       LOG.atInfo()
-          .addKeyValue("node", t.address.name())
-          .addKeyValue("connection", c.fence.serial())
+          .addKeyValue("node", target.address.name())
+          .addKeyValue("connection", connection.fence.serial())
           .addKeyValue("request", attempt.requestId())
           .log("node.fenced");
-      c.close("fenced: a newer write waits");
-    } else if (t != null && !t.unresolvedChanges.isEmpty()) {
-      openFencingConnection(t);
+      connection.close("closed to fence its attempts: a newer write is waiting");
+    } else if (target != null && !target.unresolvedChanges.isEmpty()) {
+      openFencingConnection(target);
     }
   }
 
   @Override
   public void probe(long node) {
-    Target t = targets.get(node);
-    for (NbdConnection c : t == null ? List.<NbdConnection>of() : t.connections) {
-      if (c.probe()) {
-        c.flushScheduled = true;
-        connectionsToFlush.add(c);
+    Target target = targets.get(node);
+    for (NbdConnection connection : target == null ? List.<NbdConnection>of() : target.connections) {
+      if (connection.probe()) {
+        connection.flushScheduled = true;
+        connectionsToFlush.add(connection);
         return;
       }
     }
@@ -236,54 +240,61 @@
   @Override
   public void close() {
     closing = true;
-    targets.values().forEach(t -> List.copyOf(t.connections).forEach(c -> c.disconnect("the gateway ends")));
+    targets.values()
+        .forEach(target -> List.copyOf(target.connections)
+            .forEach(c -> c.disconnect("the gateway is stopping")));
     group.shutdown();
   }
 
-  // Letters of the connections.
+  // Events of the connections.
 
   @Override
-  public void onReady(NbdConnection c, long[] load) {
-    engine.execute(() -> handleReady(c, load));
+  public void onReady(NbdConnection connection, long[] load) {
+    engine.execute(() -> handleReady(connection, load));
   }
 
-  private void handleReady(NbdConnection c, long[] load) {
-    Target t = targets.get(c.node);
+  private void handleReady(NbdConnection connection, long[] load) {
+    Target target = targets.get(connection.node);
     LOG.atDebug()
-        .addKeyValue("node", t.address.name())
-        .addKeyValue("connection", c.fence.serial())
+        .addKeyValue("node", target.address.name())
+        .addKeyValue("connection", connection.fence.serial())
         .log("node.connected");
-    boolean fresh = load.length > 0 && nodeEventListener.onNodeStarted(c.node, load[Nbd.LoadMetric.BOOT
-        .ordinal()],
+    boolean newStart = load.length > 0 && nodeEventListener.onNodeStarted(connection.node,
+        load[Nbd.LoadMetric.BOOT
+            .ordinal()],
         load[Nbd.LoadMetric.AGE_MS.ordinal()] * 1_000);
-    if (fresh) {
-      // What waited was sent by the module to the process before: it decides anew for a cold one.
-      c.removeQueued().forEach(a -> onAttemptEnded(a, Result.MOOT));
+    if (newStart) {
+      // The scheduler sent the unsent attempts to the previous process of the node; it decides again for the
+      // restarted one, which is cold.
+      connection.removeQueued().forEach(attempt -> onAttemptEnded(attempt, Result.MOOT));
     }
-    if (c.supportsFence()) {
-      t.unresolvedChanges.entrySet().removeIf(e -> {
-        boolean dead = e.getKey() < c.fence.serial() && !c.fence.liveSerials().contains(e.getKey());
-        if (dead) {
-          e.getValue().forEach(engine::attemptResolved);
+    if (connection.supportsFence()) {
+      target.unresolvedChanges.entrySet().removeIf(entry -> {
+        boolean invalidated = entry.getKey() < connection.fence.serial() && !connection.fence.liveSerials()
+            .contains(entry.getKey());
+        if (invalidated) {
+          entry.getValue().forEach(engine::attemptResolved);
         }
-        return dead;
+        return invalidated;
       });
     }
-    c.flush();
+    connection.flush();
   }
 
-  /** Goes on as another holder of the name, on the engine's thread: connections of the one before end, as its
-   * fences no longer count. */
-  public void changeHolder(Holder next) {
-    holder = next;
-    targets.values().forEach(t -> List.copyOf(t.connections).forEach(c -> c.close("a newer epoch is taken")));
+  /** Continues as another holder of the name; called on the engine's thread. Connections of the previous
+   * holder are closed, because its fences no longer count. */
+  public void changeHolder(Holder newHolder) {
+    holder = newHolder;
+    targets.values()
+        .forEach(target -> List.copyOf(target.connections)
+            .forEach(connection -> connection.close("the gateway took a newer epoch")));
   }
 
   @Override
-  public void onSuperseded(NbdConnection c, NodeView known) {
+  public void onSuperseded(NbdConnection connection, NodeView holderView) {
     engine.execute(() -> {
-      if (c.fence.holder().equals(holder)) {
-        nodeEventListener.onSuperseded(c.node, known);
+      if (connection.fence.holder().equals(holder)) {
+        nodeEventListener.onSuperseded(connection.node, holderView);
       }
     });
   }
@@ -299,7 +310,7 @@
   }
 
   @Override
-  public void onProbeEnded(NbdConnection c, Result result, long tookUs, long[] load) {
+  public void onProbeEnded(NbdConnection connection, Result result, long tookUs, long[] load) {
     List<Double> report = new ArrayList<>();
     for (String field : reportFields) {
       report.add(switch (field) {
@@ -309,80 +320,81 @@
         default -> 0.0;
       });
     }
-    engine.probeEnded(c.node, result, tookUs, report);
+    engine.probeEnded(connection.node, result, tookUs, report);
   }
 
   @Override
-  public void onClosed(NbdConnection c, String why, List<Attempt> waiting, List<Attempt> sent,
-      List<Attempt> silent) {
-    engine.execute(() -> handleClosed(c, why, waiting, sent, silent));
+  public void onClosed(NbdConnection connection, String reason, List<Attempt> unsent, List<Attempt> sent,
+      List<Attempt> withdrawn) {
+    engine.execute(() -> handleClosed(connection, reason, unsent, sent, withdrawn));
   }
 
-  private void handleClosed(NbdConnection c, String why, List<Attempt> waiting, List<Attempt> sent,
-      List<Attempt> silent) {
-    Target t = targets.get(c.node);
-    t.connections.remove(c);
-    serials.markClosed(c.node, c.fence.serial());
+  private void handleClosed(NbdConnection connection, String reason, List<Attempt> unsent, List<Attempt> sent,
+      List<Attempt> withdrawn) {
+    Target target = targets.get(connection.node);
+    target.connections.remove(connection);
+    serials.markClosed(connection.node, connection.fence.serial());
     if (!closing) {
       LOG.atInfo()
-          .addKeyValue("node", t.address.name())
-          .addKeyValue("connection", c.fence.serial())
-          .addKeyValue("waiting", waiting.size())
+          .addKeyValue("node", target.address.name())
+          .addKeyValue("connection", connection.fence.serial())
+          .addKeyValue("waiting", unsent.size())
           .addKeyValue("sent", sent.size())
-          .addKeyValue("why", why)
+          .addKeyValue("why", reason)
           .log("node.disconnected");
     }
-    if (c.fencedOff() && t.listed && !closing) {
-      // The next negotiation tells who holds our name.
-      openConnection(t);
+    if (connection.fencedOff() && target.listed && !closing) {
+      // The next negotiation reports the holder of this gateway's name.
+      openConnection(target);
     }
-    waiting.forEach(a -> onAttemptEnded(a, Result.CONNECT_FAILED));
-    List<Attempt> doubt = new ArrayList<>();
-    for (Attempt a : sent) {
-      onAttemptEnded(a, Result.RESET);
-      doubt.add(a);
+    unsent.forEach(attempt -> onAttemptEnded(attempt, Result.CONNECT_FAILED));
+    List<Attempt> changes = new ArrayList<>();
+    for (Attempt attempt : sent) {
+      onAttemptEnded(attempt, Result.RESET);
+      changes.add(attempt);
     }
-    doubt.addAll(silent);
-    doubt.removeIf(a -> !a.kind().modifiesData());
-    if (doubt.isEmpty() || closing) {
-      if (!t.unresolvedChanges.isEmpty()) {
-        engine.schedule(limits.connectTimeoutUs(), () -> openFencingConnection(t));
+    changes.addAll(withdrawn);
+    changes.removeIf(attempt -> !attempt.kind().modifiesData());
+    if (changes.isEmpty() || closing) {
+      if (!target.unresolvedChanges.isEmpty()) {
+        engine.schedule(limits.connectTimeoutUs(), () -> openFencingConnection(target));
       }
       return;
     }
-    t.unresolvedChanges.put(c.fence.serial(), doubt);
-    if (c.supportsFence()) {
-      openFencingConnection(t);
+    target.unresolvedChanges.put(connection.fence.serial(), changes);
+    if (connection.supportsFence()) {
+      openFencingConnection(target);
     } else {
       engine.schedule(limits.settleUs(), () -> {
-        if (t.unresolvedChanges.remove(c.fence.serial(), doubt)) {
-          doubt.forEach(engine::attemptResolved);
+        if (target.unresolvedChanges.remove(connection.fence.serial(), changes)) {
+          changes.forEach(engine::attemptResolved);
         }
       });
     }
   }
 
-  /** What may still run at a node that is no longer listed is seen by nobody: its shard is another node's. It
-   * counts as over after the settle time. Guards against blocks that stay locked because a node never comes
-   * back. Harm: a node listed again within that time is trusted to have been fenced by the negotiation before
-   * its first command. */
-  private void resolveAfterSettleTime(Target t) {
+  /** Considers the unresolved changes of a node that is no longer listed resolved after the settle time,
+   * because its shard belongs to another node and nobody observes them. This guards against blocks that stay
+   * locked because a node never returns. The cost is that a node listed again within that time is trusted to
+   * have been fenced by the negotiation before its first command. */
+  private void resolveAfterSettleTime(Target target) {
     engine.schedule(limits.settleUs(), () -> {
-      if (!t.listed) {
-        t.unresolvedChanges.values().forEach(d -> d.forEach(engine::attemptResolved));
-        t.unresolvedChanges.clear();
+      if (!target.listed) {
+        target.unresolvedChanges.values().forEach(changes -> changes.forEach(engine::attemptResolved));
+        target.unresolvedChanges.clear();
       }
     });
   }
 
-  /** A connection made for its fence: newer writes may be waiting. */
-  private void openFencingConnection(Target t) {
-    long newest = t.unresolvedChanges.keySet().stream().mapToLong(s -> s).max().orElse(0);
-    boolean underWay = t.connections.stream().anyMatch(c -> c.fence.serial() > newest);
-    if (!t.listed) {
-      resolveAfterSettleTime(t);
-    } else if (!underWay && !closing && !t.unresolvedChanges.isEmpty()) {
-      openConnection(t);
+  /** Opens a connection for the sake of its fence, because newer writes may be waiting. */
+  private void openFencingConnection(Target target) {
+    long newest = target.unresolvedChanges.keySet().stream().mapToLong(serial -> serial).max().orElse(0);
+    boolean fencePending = target.connections.stream()
+        .anyMatch(connection -> connection.fence.serial() > newest);
+    if (!target.listed) {
+      resolveAfterSettleTime(target);
+    } else if (!fencePending && !closing && !target.unresolvedChanges.isEmpty()) {
+      openConnection(target);
     }
   }
 }
--- a/src/main/java/hollyslip/node/NodeSurvey.java
+++ b/src/main/java/hollyslip/node/NodeSurvey.java
@@ -18,18 +18,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Asks nodes who holds a gateway's name, before that gateway takes its epoch. Nothing changes at the nodes
- * (NBD_OPT_LIST_META_CONTEXT, then NBD_OPT_ABORT). */
+/** Queries the nodes for the holder of a gateway's name before that gateway takes its epoch. Changes nothing
+ * at the nodes (NBD_OPT_LIST_META_CONTEXT, then NBD_OPT_ABORT). */
 public final class NodeSurvey {
   private static final Logger LOG = LoggerFactory.getLogger(NodeSurvey.class);
 
   private NodeSurvey() {}
 
-  /** What each node says, by its name; one that does not answer in time, or does not know our contexts, is
-   * left out.
+  /** Returns the view of each node by its name; nodes that do not answer in time or do not support this
+   * project's contexts are left out.
    *
    * @param timeoutUs
-   *          for all of them together, us */
+   *          time limit for all of them together, us */
   public static Map<String, NodeView> queryHolders(Collection<NodePool.Address> nodes, String client,
       long timeoutUs)
       throws IOException {
@@ -40,25 +40,25 @@
       return t;
     });
     try {
-      List<NodeQuery> asked = new ArrayList<>();
-      for (NodePool.Address a : nodes) {
-        asked.add(new NodeQuery(group, a, client));
+      List<NodeQuery> queries = new ArrayList<>();
+      for (NodePool.Address node : nodes) {
+        queries.add(new NodeQuery(group, node, client));
       }
-      Map<String, NodeView> known = new HashMap<>();
-      long end = System.nanoTime() + timeoutUs * 1_000;
-      for (NodeQuery q : asked) {
-        NodeView k = q.awaitResult(end - System.nanoTime());
-        if (k != null) {
-          known.put(q.node, k);
+      Map<String, NodeView> views = new HashMap<>();
+      long deadlineNs = System.nanoTime() + timeoutUs * 1_000;
+      for (NodeQuery query : queries) {
+        NodeView view = query.awaitResult(deadlineNs - System.nanoTime());
+        if (view != null) {
+          views.put(query.node, view);
         }
       }
-      return known;
+      return views;
     } finally {
       group.shutdownNow();
     }
   }
 
-  /** One node's. */
+  /** The query of one node. */
   private static final class NodeQuery implements CompletionHandler<Integer, ByteBuffer> {
     private final String node;
     private final AsynchronousSocketChannel channel;
@@ -73,9 +73,9 @@
       connect(node.socketAddress());
     }
 
-    private void connect(InetSocketAddress at) {
+    private void connect(InetSocketAddress address) {
       try {
-        channel.connect(at, null, new CompletionHandler<Void, Void>() {
+        channel.connect(address, null, new CompletionHandler<Void, Void>() {
           @Override
           public void completed(Void done, Void none) {
             channel.read(input, input, NodeQuery.this);
@@ -87,12 +87,12 @@
           }
         });
       } catch (RuntimeException e) {
-        // An address that did not resolve is thrown here and not told to the handler.
+        // The channel throws for an address that did not resolve instead of calling the handler.
         holderView.completeExceptionally(e);
       }
     }
 
-    /** Bytes were read, or, with another buffer, sent. */
+    /** Called when bytes were read, or, with another buffer, sent. */
     @Override
     public void completed(Integer n, ByteBuffer buffer) {
       if (n < 0) {
@@ -109,19 +109,19 @@
         input.flip();
         boolean done = handshake.feed(input);
         input.compact();
-        ByteBuffer out = handshake.takeOutput();
+        ByteBuffer output = handshake.takeOutput();
         if (done) {
           holderView.complete(handshake.holderView());
         }
-        writeOrRead(out);
+        writeOrRead(output);
       } catch (NbdHandshake.NegotiationException e) {
         holderView.completeExceptionally(e);
       }
     }
 
-    private void writeOrRead(ByteBuffer out) {
-      if (out.hasRemaining()) {
-        channel.write(out, out, this);
+    private void writeOrRead(ByteBuffer output) {
+      if (output.hasRemaining()) {
+        channel.write(output, output, this);
       } else if (!holderView.isDone()) {
         channel.read(input, input, this);
       }
@@ -132,16 +132,18 @@
       holderView.completeExceptionally(e);
     }
 
-    private NodeView awaitResult(long ns) {
+    private NodeView awaitResult(long timeoutNs) {
       try {
-        return holderView.get(Math.max(0, ns), TimeUnit.NANOSECONDS);
+        return holderView.get(Math.max(0, timeoutNs), TimeUnit.NANOSECONDS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         return null;
       } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
         LOG.atWarn()
             .addKeyValue("node", node)
-            .addKeyValue("why", e.getCause() == null ? "no answer in time" : e.getCause().toString())
+            .addKeyValue("why", e.getCause() == null
+                ? "no reply within the timeout"
+                : e.getCause().toString())
             .log("node.unasked");
         return null;
       }
--- a/src/test/java/hollyslip/node/NbdParsersTest.java
+++ b/src/test/java/hollyslip/node/NbdParsersTest.java
@@ -17,9 +17,9 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** The client's side of NBD on bytes of any kind. */
+/** Tests the parsers of the NBD client on well-formed, malformed and random input. */
 class NbdParsersTest {
-  private static final class Heard implements NbdReplyParser.Sink {
+  private static final class RecordingSink implements NbdReplyParser.Sink {
     final List<String> events = new ArrayList<>();
     int data;
 
@@ -34,15 +34,15 @@
     }
 
     @Override
-    public void onData(long cookie, long at, ByteBuffer in, int length) {
-      assertTrue(at >= 0 && at + length <= 1_024, at + "+" + length);
+    public void onData(long cookie, long offset, ByteBuffer in, int length) {
+      assertTrue(offset >= 0 && offset + length <= 1_024, offset + "+" + length);
       in.position(in.position() + length);
       data += length;
     }
 
     @Override
-    public void onHole(long cookie, long at, long length) {
-      assertTrue(at >= 0 && length > 0 && at + length <= 1_024);
+    public void onHole(long cookie, long offset, long length) {
+      assertTrue(offset >= 0 && length > 0 && offset + length <= 1_024);
       data += (int) length;
     }
 
@@ -72,29 +72,30 @@
     return ByteBuffer.allocate(8 + length).putLong(offset).array();
   }
 
-  private static Heard feed(ByteBuffer... all) throws NbdReplyParser.MalformedReplyException {
-    Heard heard = new Heard();
-    NbdReplyParser replies = new NbdReplyParser(true, heard);
+  private static RecordingSink feed(ByteBuffer... all) throws NbdReplyParser.MalformedReplyException {
+    RecordingSink sink = new RecordingSink();
+    NbdReplyParser replies = new NbdReplyParser(true, sink);
     ByteBuffer joined = ByteBuffer.allocate(100_000);
     for (ByteBuffer b : all) {
       joined.put(b);
-      // A byte at a time, as a slow peer may send them.
+      // Feeds the parts one by one, as they may arrive from a slow peer.
       joined.flip();
       replies.feed(joined);
       joined.compact();
     }
-    return heard;
+    return sink;
   }
 
   @Test
-  void chunksMakeOneReply() throws Exception {
-    Heard h = feed(chunk(0, Nbd.CHUNK_DATA, 7, data(4_096, 512)), chunk(0, Nbd.CHUNK_HOLE, 7, ByteBuffer
-        .allocate(12)
-        .putLong(4_608)
-        .putInt(512)
-        .array()), chunk(1, Nbd.CHUNK_NONE, 7, new byte[0]));
-    assertEquals(List.of("7 0"), h.events);
-    assertEquals(1_024, h.data);
+  void combinesChunksIntoOneReply() throws Exception {
+    RecordingSink sink = feed(chunk(0, Nbd.CHUNK_DATA, 7, data(4_096, 512)), chunk(0, Nbd.CHUNK_HOLE, 7,
+        ByteBuffer
+            .allocate(12)
+            .putLong(4_608)
+            .putInt(512)
+            .array()), chunk(1, Nbd.CHUNK_NONE, 7, new byte[0]));
+    assertEquals(List.of("7 0"), sink.events);
+    assertEquals(1_024, sink.data);
     assertEquals(List.of("8 5oh"), feed(chunk(1, Nbd.CHUNK_ERROR, 8, ByteBuffer.allocate(8)
         .putInt(5)
         .putShort((short) 2)
@@ -103,7 +104,7 @@
   }
 
   @Test
-  void whatWasNotAskedForBreaksTheConnection() {
+  void rejectsUnexpectedReplies() {
     for (ByteBuffer bad : List.of(chunk(1, Nbd.CHUNK_DATA, 9, data(4_096, 8)), chunk(1, Nbd.CHUNK_DATA, 7,
         data(4_095, 8)), chunk(1, Nbd.CHUNK_DATA, 7, data(4_096, 1_025)), chunk(1, Nbd.CHUNK_DATA, 8, data(
             4_096, 1)), chunk(1, 77, 7, new byte[4]), chunk(1, Nbd.CHUNK_HOLE, 7, new byte[11]), ByteBuffer
@@ -115,12 +116,12 @@
   }
 
   @Property(tries = 3_000, seed = "5")
-  void noBytesHangOrCrashTheReplies(@ForAll @Size(max = 200) byte[] bytes, @ForAll boolean framed) {
+  void replyParserHandlesArbitraryBytes(@ForAll @Size(max = 200) byte[] bytes, @ForAll boolean framed) {
     ByteBuffer in = framed && bytes.length > 30
         ? ByteBuffer.wrap(bytes).putInt(0, Nbd.STRUCTURED_REPLY).putLong(8, 7).putInt(16, bytes[16] & 0x7f)
         : ByteBuffer.wrap(bytes);
     try {
-      new NbdReplyParser(true, new Heard()).feed(in);
+      new NbdReplyParser(true, new RecordingSink()).feed(in);
       assertTrue(in.remaining() <= 20 + Nbd.MOST_OPTION);
     } catch (NbdReplyParser.MalformedReplyException e) {
       assertFalse(e.getMessage().isEmpty());
@@ -128,8 +129,8 @@
   }
 
   @Property(tries = 2_000, seed = "6")
-  void noBytesHangOrCrashTheHandshake(@ForAll @Size(max = 120) byte[] bytes, @ForAll boolean greeted) {
-    NbdHandshake h = new NbdHandshake("x", new Fence("c", new Holder(1, 1), 1, Set.of()));
+  void handshakeHandlesArbitraryBytes(@ForAll @Size(max = 120) byte[] bytes, @ForAll boolean greeted) {
+    NbdHandshake handshake = new NbdHandshake("x", new Fence("c", new Holder(1, 1), 1, Set.of()));
     ByteBuffer in = ByteBuffer.allocate(200);
     if (greeted) {
       in.putLong(Nbd.MAGIC)
@@ -140,29 +141,29 @@
     }
     in.put(bytes).flip();
     try {
-      h.feed(in);
+      handshake.feed(in);
     } catch (NbdHandshake.NegotiationException e) {
       assertFalse(e.getMessage().isEmpty());
     }
   }
 
   @Test
-  void fencesKillEarlierProcessesAndClosedConnections() {
+  void fenceInvalidatesEarlierProcessesAndClosedConnections() {
     Holder holder = new Holder(3, 7);
-    Fence f = new Fence("gw", holder, 9, Set.of(5L));
-    assertEquals(f, Fence.parse(f.contextName()));
-    assertTrue(f.kills(new Fence("gw", new Holder(2, 7), 50, Set.of())));
-    assertTrue(f.kills(new Fence("gw", holder, 8, Set.of())));
-    assertFalse(f.kills(new Fence("gw", holder, 5, Set.of())));
-    assertFalse(f.kills(f));
-    assertFalse(f.kills(new Fence("gw", holder, 10, Set.of())));
-    assertFalse(f.kills(new Fence("other", new Holder(1, 1), 1, Set.of())));
+    Fence fence = new Fence("gw", holder, 9, Set.of(5L));
+    assertEquals(fence, Fence.parse(fence.contextName()));
+    assertTrue(fence.kills(new Fence("gw", new Holder(2, 7), 50, Set.of())));
+    assertTrue(fence.kills(new Fence("gw", holder, 8, Set.of())));
+    assertFalse(fence.kills(new Fence("gw", holder, 5, Set.of())));
+    assertFalse(fence.kills(fence));
+    assertFalse(fence.kills(new Fence("gw", holder, 10, Set.of())));
+    assertFalse(fence.kills(new Fence("other", new Holder(1, 1), 1, Set.of())));
     Fence twin = new Fence("gw", new Holder(3, 8), 20, Set.of());
-    assertTrue(f.kills(twin), "another process with the same epoch");
-    assertEquals(f, f.orNewer(twin), "who came first stands");
-    NodeView known = new NodeView(holder, 2);
-    assertEquals(known, Fence.parseHolderReply(Fence.answer("gw", known), "gw"));
-    assertNull(Fence.parseHolderReply(Fence.answer("gw", known), "other"));
+    assertTrue(fence.kills(twin), "another process with the same epoch");
+    assertEquals(fence, fence.orNewer(twin), "the first one stays in force");
+    NodeView holderView = new NodeView(holder, 2);
+    assertEquals(holderView, Fence.parseHolderReply(Fence.answer("gw", holderView), "gw"));
+    assertNull(Fence.parseHolderReply(Fence.answer("gw", holderView), "other"));
     assertNull(Fence.parseHolderReply("hollyslip:epoch/gw/x/1/0", "gw"));
     for (String bad : List.of("", "hollyslip:fence/", "hollyslip:fence/a/b/c/d/", "hollyslip:fence/a/1/2",
         "x")) {
