--- a/src/main/java/hollyslip/front/sftp/SftpPackets.java
+++ b/src/main/java/hollyslip/front/sftp/SftpPackets.java
@@ -3,8 +3,8 @@
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
-/** Numbers and fields of the SSH File Transfer Protocol, version 3 (draft-ietf-secsh-filexfer-02, sections 3
- * to 8), and of the extension fsync@openssh.com (OpenSSH's PROTOCOL file, section 4.4). */
+/** Constants and field encodings of the SSH File Transfer Protocol, version 3 (draft-ietf-secsh-filexfer-02,
+ * sections 3 to 8), and of the extension fsync@openssh.com (OpenSSH's PROTOCOL file, section 4.4). */
 final class SftpPackets {
   static final int INIT = 1, VERSION = 2, OPEN = 3, CLOSE = 4, READ = 5, WRITE = 6, LSTAT = 7, FSTAT = 8;
   static final int SETSTAT = 9, FSETSTAT = 10, OPENDIR = 11, READDIR = 12, REMOVE = 13, MKDIR = 14,
@@ -21,17 +21,18 @@
   static final int DIRECTORY_MODE = 0040755, FILE_MODE = 0100600;
   static final String FSYNC_EXTENSION = "fsync@openssh.com";
 
-  /** Longest packet that is read, bytes: OpenSSH's bound; the draft asks for 34,000 at least (section 3). */
+  /** Maximum accepted packet size in bytes. This is OpenSSH's limit; the draft requires at least 34,000
+   * (section 3). */
   static final int MAX_PACKET_BYTES = 256 * 1024;
-  /** Longest name or handle, bytes. */
+  /** Maximum length of a name or handle in bytes. */
   static final int MAX_STRING_BYTES = 4_096;
-  /** Most bytes that one read returns or one write brings. */
+  /** Maximum number of bytes that one read returns or one write carries. */
   static final int MAX_DATA_BYTES = MAX_PACKET_BYTES - 1_024;
 
-  /** A packet that cannot be read; the connection ends. */
+  /** The packet is malformed; the connection is closed. */
   static final class MalformedPacketException extends RuntimeException {
-    MalformedPacketException(String what) {
-      super(what, null, false, false);
+    MalformedPacketException(String message) {
+      super(message, null, false, false);
     }
   }
 
@@ -39,28 +40,28 @@
 
   static int readU32(ByteBuf in, String field) {
     if (in.readableBytes() < 4) {
-      throw new MalformedPacketException(field + ": the packet ends before it");
+      throw new MalformedPacketException(field + ": the packet ends before this field");
     }
     return in.readInt();
   }
 
   static long readU64(ByteBuf in, String field) {
     if (in.readableBytes() < 8) {
-      throw new MalformedPacketException(field + ": the packet ends before it");
+      throw new MalformedPacketException(field + ": the packet ends before this field");
     }
-    long n = in.readLong();
-    if (n < 0) {
-      throw new MalformedPacketException(field + ": " + Long.toUnsignedString(n) + " is too large");
+    long value = in.readLong();
+    if (value < 0) {
+      throw new MalformedPacketException(field + ": " + Long.toUnsignedString(value) + " is too large");
     }
-    return n;
+    return value;
   }
 
   static String readString(ByteBuf in, String field) {
-    int n = readU32(in, field);
-    if (n < 0 || n > MAX_STRING_BYTES || n > in.readableBytes()) {
-      throw new MalformedPacketException(field + ": length " + Integer.toUnsignedString(n));
+    int length = readU32(in, field);
+    if (length < 0 || length > MAX_STRING_BYTES || length > in.readableBytes()) {
+      throw new MalformedPacketException(field + ": invalid length " + Integer.toUnsignedString(length));
     }
-    return in.readCharSequence(n, StandardCharsets.UTF_8).toString();
+    return in.readCharSequence(length, StandardCharsets.UTF_8).toString();
   }
 
   static void writeString(ByteBuf out, String text) {
--- a/src/main/java/hollyslip/front/sftp/SftpServer.java
+++ b/src/main/java/hollyslip/front/sftp/SftpServer.java
@@ -15,7 +15,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** File commands over a Unix socket: SFTP packets without the cryptography, for those who may open the
+/** Serves file commands over a Unix socket: SFTP packets without encryption, for everybody who may open the
  * socket. */
 public final class SftpServer {
   private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
@@ -23,7 +23,7 @@
   private final Path path;
 
   /** @param path
-   *          of the socket; a file left there is replaced */
+   *          path of the socket; a file left there is replaced */
   public SftpServer(RequestIntake engine, Path path) throws IOException {
     this.path = path;
     Files.deleteIfExists(path);
@@ -32,8 +32,8 @@
           .channel(NioServerDomainSocketChannel.class)
           .childHandler(new ChannelInitializer<Channel>() {
             @Override
-            protected void initChannel(Channel c) {
-              c.pipeline()
+            protected void initChannel(Channel channel) {
+              channel.pipeline()
                   .addLast(new LengthFieldBasedFrameDecoder(SftpPackets.MAX_PACKET_BYTES, 0, 4, 0, 4),
                       new LengthFieldPrepender(4), new SftpSession(engine));
             }
@@ -51,7 +51,7 @@
     return path;
   }
 
-  /** Takes no more and ends the sessions. */
+  /** Stops accepting connections and closes the sessions. */
   public void close() {
     listener.close().syncUninterruptibly();
     group.shutdownGracefully();
--- a/src/main/java/hollyslip/front/sftp/SftpSession.java
+++ b/src/main/java/hollyslip/front/sftp/SftpSession.java
@@ -22,14 +22,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One client of file commands: each volume is a file of fixed size in one folder. Requests go to the engine
- * and are answered in the order in which their ends come, as the protocol allows (section 6.1 of the draft).
- * A change that does not fill whole blocks reads the blocks first; such changes of one session wait for each
- * other where they touch. Runs on the channel's event loop. */
+/** The session of one SFTP client: each volume is a file of fixed size in a single directory. Requests go to
+ * the engine and are answered in the order of completion, as the protocol allows (section 6.1 of the draft).
+ * A write that does not cover whole blocks reads the blocks first; such writes of one session wait for each
+ * other where they overlap. Runs on the channel's event loop. */
 final class SftpSession extends SimpleChannelInboundHandler<ByteBuf> {
   private static final Logger LOG = LoggerFactory.getLogger(SftpSession.class);
 
-  /** Open handles and requests in flight of one session at most. */
+  /** Maximum numbers of open handles and of requests in flight of one session. */
   private static final int MAX_HANDLES = 256, MAX_IN_FLIGHT = 64;
 
   private final RequestIntake engine;
@@ -47,10 +47,10 @@
     final boolean readable, writable;
     boolean listed;
 
-    Handle(String volume, boolean reads, boolean writes) {
+    Handle(String volume, boolean readable, boolean writable) {
       this.volume = volume;
-      this.readable = reads;
-      this.writable = writes;
+      this.readable = readable;
+      this.writable = writable;
     }
   }
 
@@ -67,7 +67,7 @@
   @Override
   public void channelInactive(ChannelHandlerContext c) {
     engine.removeCapacityListener(capacityListener);
-    inFlight.forEach(w -> engine.abandon(w.currentRequest));
+    inFlight.forEach(operation -> engine.abandon(operation.currentRequest));
     blockedOperations.clear();
     pendingWrites.clear();
   }
@@ -86,7 +86,7 @@
     int type = in.readUnsignedByte();
     if (type == INIT) {
       if (initialized) {
-        throw new MalformedPacketException("INIT: a second one");
+        throw new MalformedPacketException("INIT: received twice");
       }
       initialized = true;
       readU32(in, "INIT.version");
@@ -97,7 +97,7 @@
       return;
     }
     if (!initialized) {
-      throw new MalformedPacketException("packet " + type + ": before INIT");
+      throw new MalformedPacketException("packet " + type + ": received before INIT");
     }
     handleRequest(type, readU32(in, "id"), in);
   }
@@ -115,9 +115,9 @@
       case REALPATH -> sendNames(id, List.of(normalizePath(readString(in, "REALPATH.path"))));
       case STAT, LSTAT -> sendPathAttributes(id, readString(in, "STAT.path"));
       case FSTAT -> {
-        Handle h = findHandle(id, in);
-        if (h != null) {
-          sendVolumeAttributes(id, h.volume);
+        Handle handle = findHandle(id, in);
+        if (handle != null) {
+          sendVolumeAttributes(id, handle.volume);
         }
       }
       case OPENDIR -> {
@@ -146,15 +146,15 @@
     }
   }
 
-  // Names.
+  // Paths and attributes.
 
   private static String normalizePath(String path) {
     ArrayDeque<String> parts = new ArrayDeque<>();
-    for (String p : path.split("/")) {
-      if (p.equals("..")) {
+    for (String part : path.split("/")) {
+      if (part.equals("..")) {
         parts.pollLast();
-      } else if (!p.isEmpty() && !p.equals(".")) {
-        parts.add(p);
+      } else if (!part.isEmpty() && !part.equals(".")) {
+        parts.add(part);
       }
     }
     return "/" + String.join("/", parts);
@@ -162,19 +162,21 @@
 
   private Volume findVolume(String path) {
     String name = normalizePath(path).substring(1);
-    // Hosted volumes, whose names have a slash, belong to tenants, and this front does not know its callers.
+    // Hosted volumes, whose names contain a slash, belong to tenants, and SFTP clients are not authenticated.
     return name.indexOf('/') < 0 ? engine.volumes().get(name) : null;
   }
 
   private void sendNames(int id, List<String> names) {
     ByteBuf out = Unpooled.buffer().writeByte(NAME).writeInt(id).writeInt(names.size());
-    for (String n : names) {
-      Volume v = engine.volumes().get(n);
-      writeString(out, n);
-      writeString(out, v == null
-          ? n
-          : String.format("-rw-------    1 0        0        %12d Jan  1 00:00 %s", v.bytes(), n));
-      SftpPackets.writeAttributes(out, v == null ? 0 : v.bytes(), v == null ? DIRECTORY_MODE : FILE_MODE);
+    for (String name : names) {
+      Volume volume = engine.volumes().get(name);
+      writeString(out, name);
+      writeString(out, volume == null
+          ? name
+          : String.format("-rw-------    1 0        0        %12d Jan  1 00:00 %s", volume.bytes(), name));
+      SftpPackets.writeAttributes(out, volume == null ? 0 : volume.bytes(), volume == null
+          ? DIRECTORY_MODE
+          : FILE_MODE);
     }
     send(out);
   }
@@ -191,56 +193,58 @@
 
   private void sendVolumeAttributes(int id, String volume) {
     ByteBuf out = Unpooled.buffer().writeByte(ATTRS).writeInt(id);
-    Volume v = volume == null ? null : engine.volumes().get(volume);
-    SftpPackets.writeAttributes(out, v == null ? 0 : v.bytes(), v == null ? DIRECTORY_MODE : FILE_MODE);
+    Volume current = volume == null ? null : engine.volumes().get(volume);
+    SftpPackets.writeAttributes(out, current == null ? 0 : current.bytes(), current == null
+        ? DIRECTORY_MODE
+        : FILE_MODE);
     send(out);
   }
 
   // Handles.
 
-  private void openHandle(int id, Handle h) {
+  private void openHandle(int id, Handle handle) {
     if (handles.size() >= MAX_HANDLES) {
       sendStatus(id, FAILURE, "too many handles are open");
       return;
     }
     String name = "h" + nextHandleId++;
-    handles.put(name, h);
+    handles.put(name, handle);
     ByteBuf out = Unpooled.buffer().writeByte(HANDLE).writeInt(id);
     writeString(out, name);
     send(out);
   }
 
   private void handleOpen(int id, ByteBuf in) {
-    Volume v = findVolume(readString(in, "OPEN.path"));
+    Volume volume = findVolume(readString(in, "OPEN.path"));
     int flags = readU32(in, "OPEN.flags");
-    if (v == null) {
+    if (volume == null) {
       sendStatus(id, (flags & OPEN_CREAT) != 0 ? PERMISSION_DENIED : NO_SUCH_FILE, "no such volume");
     } else if ((flags & (OPEN_APPEND | OPEN_EXCL)) != 0) {
       sendStatus(id, OP_UNSUPPORTED, "a volume has a fixed size");
     } else {
-      openHandle(id, new Handle(v.name(), (flags & OPEN_READ) != 0, (flags & OPEN_WRITE) != 0));
+      openHandle(id, new Handle(volume.name(), (flags & OPEN_READ) != 0, (flags & OPEN_WRITE) != 0));
     }
   }
 
   private Handle findHandle(int id, ByteBuf in) {
-    Handle h = handles.get(readString(in, "handle"));
-    if (h == null) {
+    Handle handle = handles.get(readString(in, "handle"));
+    if (handle == null) {
       sendStatus(id, FAILURE, "handle is not open");
     }
-    return h;
+    return handle;
   }
 
   private void handleReadDir(int id, ByteBuf in) {
-    Handle h = findHandle(id, in);
-    if (h == null) {
+    Handle handle = findHandle(id, in);
+    if (handle == null) {
       return;
     }
-    if (h.volume != null) {
+    if (handle.volume != null) {
       sendStatus(id, FAILURE, "not a folder");
-    } else if (h.listed) {
+    } else if (handle.listed) {
       sendStatus(id, EOF, "");
     } else {
-      h.listed = true;
+      handle.listed = true;
       sendNames(id, engine.volumes().keySet().stream().filter(n -> n.indexOf('/') < 0).sorted().toList());
     }
   }
@@ -248,37 +252,37 @@
   // Data.
 
   private void handleRead(int id, ByteBuf in) {
-    Handle h = findHandle(id, in);
+    Handle handle = findHandle(id, in);
     long offset = readU64(in, "READ.offset");
     int length = readU32(in, "READ.length");
-    Volume v = h == null ? null : openVolume(id, h, h.readable);
-    if (v == null) {
+    Volume volume = handle == null ? null : openVolume(id, handle, handle.readable);
+    if (volume == null) {
       return;
     }
-    if (length < 0 || offset >= v.bytes()) {
+    if (length < 0 || offset >= volume.bytes()) {
       sendStatus(id, length < 0 ? BAD_MESSAGE : EOF, "");
       return;
     }
-    int n = (int) Math.min(Math.min(length, MAX_DATA_BYTES), v.bytes() - offset);
-    if (n == 0) {
+    int count = (int) Math.min(Math.min(length, MAX_DATA_BYTES), volume.bytes() - offset);
+    if (count == 0) {
       send(Unpooled.buffer().writeByte(DATA).writeInt(id).writeInt(0));
       return;
     }
-    startOperation(new FileOperation(id, v, IoKind.READ, offset, n, null));
+    startOperation(new FileOperation(id, volume, IoKind.READ, offset, count, null));
   }
 
   private void handleWrite(int id, ByteBuf in) {
-    Handle h = findHandle(id, in);
+    Handle handle = findHandle(id, in);
     long offset = readU64(in, "WRITE.offset");
     int length = readU32(in, "WRITE.length");
     if (length < 0 || length > in.readableBytes()) {
       throw new MalformedPacketException("WRITE.length: " + Integer.toUnsignedString(length));
     }
-    Volume v = h == null ? null : openVolume(id, h, h.writable);
-    if (v == null) {
+    Volume volume = handle == null ? null : openVolume(id, handle, handle.writable);
+    if (volume == null) {
       return;
     }
-    if (offset > v.bytes() - length) {
+    if (offset > volume.bytes() - length) {
       sendStatus(id, FAILURE, "past the end: a volume has a fixed size");
       return;
     }
@@ -288,10 +292,10 @@
     }
     byte[] bytes = new byte[length];
     in.readBytes(bytes);
-    FileOperation w = new FileOperation(id, v, IoKind.WRITE, offset, length, bytes);
-    pendingWrites.add(w);
-    if (pendingWrites.stream().noneMatch(o -> o != w && o.overlaps(w))) {
-      startOperation(w);
+    FileOperation write = new FileOperation(id, volume, IoKind.WRITE, offset, length, bytes);
+    pendingWrites.add(write);
+    if (pendingWrites.stream().noneMatch(other -> other != write && other.overlaps(write))) {
+      startOperation(write);
     }
   }
 
@@ -300,31 +304,31 @@
       sendStatus(id, OP_UNSUPPORTED, "extension");
       return;
     }
-    Handle h = findHandle(id, in);
-    Volume v = h == null ? null : openVolume(id, h, h.writable || h.readable);
-    if (v != null) {
-      startOperation(new FileOperation(id, v, IoKind.FLUSH, 0, 0, null));
+    Handle handle = findHandle(id, in);
+    Volume volume = handle == null ? null : openVolume(id, handle, handle.writable || handle.readable);
+    if (volume != null) {
+      startOperation(new FileOperation(id, volume, IoKind.FLUSH, 0, 0, null));
     }
   }
 
-  private Volume openVolume(int id, Handle h, boolean may) {
-    Volume v = h.volume == null ? null : engine.volumes().get(h.volume);
-    if (v == null || !may) {
-      sendStatus(id, v == null ? FAILURE : PERMISSION_DENIED, v == null
+  private Volume openVolume(int id, Handle handle, boolean allowed) {
+    Volume volume = handle.volume == null ? null : engine.volumes().get(handle.volume);
+    if (volume == null || !allowed) {
+      sendStatus(id, volume == null ? FAILURE : PERMISSION_DENIED, volume == null
           ? "not a file"
           : "not opened for this");
       return null;
     }
-    return v;
+    return volume;
   }
 
-  private void startOperation(FileOperation w) {
-    inFlight.add(w);
-    w.submit();
+  private void startOperation(FileOperation operation) {
+    inFlight.add(operation);
+    operation.submit();
     stopReadingWhileFull();
   }
 
-  /** A session with much in flight is read no further: the socket is its back-pressure. */
+  /** Stops reading from the session while too much is in flight: the socket provides the back-pressure. */
   private void stopReadingWhileFull() {
     context.channel()
         .config()
@@ -333,17 +337,17 @@
 
   private void offerBlocked() {
     context.executor().execute(() -> {
-      for (Iterator<FileOperation> i = blockedOperations.iterator(); i.hasNext();) {
-        if (!engine.offer(i.next().currentRequest)) {
+      for (Iterator<FileOperation> operations = blockedOperations.iterator(); operations.hasNext();) {
+        if (!engine.offer(operations.next().currentRequest)) {
           return;
         }
-        i.remove();
+        operations.remove();
       }
       stopReadingWhileFull();
     });
   }
 
-  /** One READ, WRITE or fsync; a write of parts of blocks is a read of whole ones and then a write. */
+  /** A READ, WRITE or fsync. A write of partial blocks is a read of whole blocks followed by a write. */
   private final class FileOperation implements IoRequest.CompletionListener {
     final int id;
     final Volume volume;
@@ -370,8 +374,9 @@
       blocksComplete = kind != IoKind.WRITE || blocksStart == offset && blocksEnd == offset + length;
     }
 
-    boolean overlaps(FileOperation o) {
-      return o.volume.name().equals(volume.name()) && o.blocksStart < blocksEnd && blocksStart < o.blocksEnd;
+    boolean overlaps(FileOperation other) {
+      return other.volume.name().equals(volume.name()) && other.blocksStart < blocksEnd
+          && blocksStart < other.blocksEnd;
     }
 
     void submit() {
@@ -395,7 +400,7 @@
 
     @Override
     public void onRelease() {
-      // The blocks are ours and garbage once nothing points to them.
+      // The blocks are owned by this object and garbage collected with it.
     }
 
     private void handleAnswer(Answer answer) {
@@ -425,20 +430,22 @@
       stopReadingWhileFull();
     }
 
-    /** Writes that waited for this one. */
+    /** Starts the writes that waited for this one. */
     private void startWaitingWrites() {
       pendingWrites.remove(this);
-      List<FileOperation> waiting = pendingWrites.stream().filter(w -> w.currentRequest == null).toList();
-      for (FileOperation w : waiting) {
+      List<FileOperation> waiting = pendingWrites.stream()
+          .filter(write -> write.currentRequest == null)
+          .toList();
+      for (FileOperation write : waiting) {
         boolean free = true;
-        for (FileOperation before : pendingWrites) {
-          if (before == w) {
+        for (FileOperation earlier : pendingWrites) {
+          if (earlier == write) {
             break;
           }
-          free &= !before.overlaps(w);
+          free &= !earlier.overlaps(write);
         }
         if (free) {
-          startOperation(w);
+          startOperation(write);
         }
       }
     }
--- a/src/main/java/hollyslip/front/sys/Linux.java
+++ b/src/main/java/hollyslip/front/sys/Linux.java
@@ -13,10 +13,11 @@
 import java.util.Arrays;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The few calls of Linux that Java has not: descriptors over Unix sockets, eventfds, shared memory. Errors
- * are {@link IOException}s that name the call. Layouts are those of 64-bit Linux (recvmsg(2), cmsg(3)). */
+/** The Linux system calls that Java lacks: file descriptors over Unix sockets, eventfds, shared memory.
+ * Errors are reported as {@link IOException}s that name the call. Layouts are those of 64-bit Linux
+ * (recvmsg(2), cmsg(3)). */
 public final class Linux {
-  /** Descriptors that one message may bring: VHOST_MEMORY_BASELINE_NREGIONS is 8. */
+  /** Maximum number of file descriptors in one message: VHOST_MEMORY_BASELINE_NREGIONS is 8. */
   public static final int MAX_FDS = 8;
 
   public static final short POLLIN = 1, POLLERR = 8, POLLHUP = 16, POLLNVAL = 32;
@@ -96,15 +97,15 @@
     if (name.length >= SUN_PATH) {
       throw new IOException("socket path longer than " + (SUN_PATH - 1) + " bytes: " + path);
     }
-    Memory m = new Memory(2 + SUN_PATH);
-    m.clear();
-    m.setShort(0, (short) AF_UNIX);
-    m.write(2, name, 0, name.length);
-    return m;
+    Memory address = new Memory(2 + SUN_PATH);
+    address.clear();
+    address.setShort(0, (short) AF_UNIX);
+    address.write(2, name, 0, name.length);
+    return address;
   }
 
-  /** A listening Unix socket at a path. A file that a dead process left there is replaced, one at which
-   * somebody listens is not: taking it would cut that process off from its clients without a word. */
+  /** Opens a listening Unix socket at a path. A file left by a dead process is replaced, but one on which
+   * another process listens is not: taking it over would silently cut that process off from its clients. */
   public static int listen(Path path) throws IOException {
     if (Files.exists(path, LinkOption.NOFOLLOW_LINKS)) {
       if (isListening(path)) {
@@ -114,8 +115,8 @@
     }
     int fd = check(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0), "socket");
     try {
-      Memory a = socketAddress(path);
-      check(bind(fd, a, (int) a.size()), "bind " + path);
+      Memory address = socketAddress(path);
+      check(bind(fd, address, (int) address.size()), "bind " + path);
       check(listen(fd, 16), "listen");
       return fd;
     } catch (IOException e) {
@@ -133,7 +134,7 @@
     }
   }
 
-  /** Takes the next connection of a listening socket; waits. */
+  /** Accepts the next connection of a listening socket, and waits for one. */
   public static int accept(int fd) throws IOException {
     return check(accept4(fd, null, null, SOCK_CLOEXEC), "accept");
   }
@@ -142,8 +143,8 @@
   public static int connect(Path path) throws IOException {
     int fd = check(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0), "socket");
     try {
-      Memory a = socketAddress(path);
-      check(connect(fd, a, (int) a.size()), "connect " + path);
+      Memory address = socketAddress(path);
+      check(connect(fd, address, (int) address.size()), "connect " + path);
       return fd;
     } catch (IOException e) {
       close(fd);
@@ -151,46 +152,47 @@
     }
   }
 
-  /** Bytes and descriptors of one {@code recvmsg}; {@code bytes} -1: the peer closed, -2: nothing there. */
+  /** Result of one {@code recvmsg}; {@code bytes} is -1 if the peer closed the connection and -2 if nothing
+   * was available. */
   public record Received(int bytes, int[] fds, boolean truncated) {}
 
-  /** Reads up to {@code length} bytes without waiting; descriptors that come along are owned by the
-   * caller. */
-  public static Received receive(int fd, Memory into, int at, int length) throws IOException {
+  /** Reads up to {@code length} bytes without blocking; the caller owns the file descriptors received with
+   * them. */
+  public static Received receive(int fd, Memory into, int offset, int length) throws IOException {
     Memory control = new Memory(16 + 4 * 2 * MAX_FDS);
     Memory iov = new Memory(16);
-    iov.setPointer(0, into.share(at));
+    iov.setPointer(0, into.share(offset));
     iov.setLong(8, length);
-    Memory m = messageHeader(iov, control, control.size());
-    long n = recvmsg(fd, m, MSG_DONTWAIT | MSG_CMSG_CLOEXEC);
-    int error = n < 0 ? Native.getLastError() : 0;
+    Memory header = messageHeader(iov, control, control.size());
+    long received = recvmsg(fd, header, MSG_DONTWAIT | MSG_CMSG_CLOEXEC);
+    int error = received < 0 ? Native.getLastError() : 0;
     Reference.reachabilityFence(iov);
-    if (n < 0) {
+    if (received < 0) {
       if (error == EAGAIN || error == EINTR) {
         return new Received(-2, new int[0], false);
       }
       throw new IOException("recvmsg: error " + error);
     }
     int[] fds = new int[0];
-    long got = m.getLong(40);
-    if (got >= 16 && control.getInt(8) == SOL_SOCKET && control.getInt(12) == SCM_RIGHTS) {
-      int count = (int) Math.min((control.getLong(0) - 16) / 4, (got - 16) / 4);
+    long controlLength = header.getLong(40);
+    if (controlLength >= 16 && control.getInt(8) == SOL_SOCKET && control.getInt(12) == SCM_RIGHTS) {
+      int count = (int) Math.min((control.getLong(0) - 16) / 4, (controlLength - 16) / 4);
       fds = control.getIntArray(16, Math.max(0, count));
     }
-    return new Received(n == 0 ? -1 : (int) n, fds, (m.getInt(48) & MSG_CTRUNC) != 0);
+    return new Received(received == 0 ? -1 : (int) received, fds, (header.getInt(48) & MSG_CTRUNC) != 0);
   }
 
-  /** Sends bytes with descriptors. */
+  /** Sends bytes with file descriptors. */
   public static void send(int fd, byte[] bytes, int... fds) throws IOException {
     Memory data = new Memory(bytes.length);
     data.write(0, bytes, 0, bytes.length);
     Memory iov = new Memory(16);
-    int at = 0;
-    while (at < bytes.length) {
-      iov.setPointer(0, data.share(at));
-      iov.setLong(8, bytes.length - at);
+    int sent = 0;
+    while (sent < bytes.length) {
+      iov.setPointer(0, data.share(sent));
+      iov.setLong(8, bytes.length - sent);
       Memory control = null;
-      if (fds.length > 0 && at == 0) {
+      if (fds.length > 0 && sent == 0) {
         control = new Memory(16 + (4 * fds.length + 7) / 8 * 8);
         control.clear();
         control.setLong(0, 16 + 4L * fds.length);
@@ -198,49 +200,50 @@
         control.setInt(12, SCM_RIGHTS);
         control.write(16, fds, 0, fds.length);
       }
-      long n = sendmsg(fd, messageHeader(iov, control, control == null ? 0 : control.size()), MSG_NOSIGNAL);
-      int error = n < 0 ? Native.getLastError() : 0;
+      long count = sendmsg(fd, messageHeader(iov, control, control == null ? 0 : control.size()),
+          MSG_NOSIGNAL);
+      int error = count < 0 ? Native.getLastError() : 0;
       Reference.reachabilityFence(control);
-      if (n < 0 && error != EINTR) {
+      if (count < 0 && error != EINTR) {
         throw new IOException("sendmsg: error " + error);
       }
-      at += (int) Math.max(0, n);
+      sent += (int) Math.max(0, count);
     }
   }
 
-  /** Sends bytes if they can go at once, wholly.
+  /** Sends bytes without blocking.
    *
    * @throws IOException
-   *           they cannot */
+   *           if they cannot be sent at once and completely */
   public static void sendWithoutBlocking(int fd, byte[] bytes) throws IOException {
     Memory data = new Memory(bytes.length);
     data.write(0, bytes, 0, bytes.length);
     Memory iov = new Memory(16);
     iov.setPointer(0, data);
     iov.setLong(8, bytes.length);
-    long n = sendmsg(fd, messageHeader(iov, null, 0), MSG_NOSIGNAL | MSG_DONTWAIT);
+    long sent = sendmsg(fd, messageHeader(iov, null, 0), MSG_NOSIGNAL | MSG_DONTWAIT);
     Reference.reachabilityFence(iov);
-    if (n < bytes.length) {
-      throw new IOException("sendmsg: " + n + " of " + bytes.length);
+    if (sent < bytes.length) {
+      throw new IOException("sendmsg: " + sent + " of " + bytes.length);
     }
   }
 
   private static Memory messageHeader(Memory iov, Pointer control, long controlLength) {
-    Memory m = new Memory(56);
-    m.clear();
-    m.setPointer(16, iov);
-    m.setLong(24, 1);
-    m.setPointer(32, control);
-    m.setLong(40, controlLength);
-    return m;
+    Memory header = new Memory(56);
+    header.clear();
+    header.setPointer(16, iov);
+    header.setLong(24, 1);
+    header.setPointer(32, control);
+    header.setLong(40, controlLength);
+    return header;
   }
 
-  /** A new eventfd that never blocks. */
+  /** Creates a non-blocking eventfd. */
   public static int eventfd() throws IOException {
     return check(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC), "eventfd");
   }
 
-  /** Whether a descriptor is an eventfd. */
+  /** Returns whether a file descriptor is an eventfd. */
   public static boolean isEventfd(int fd) {
     try {
       return Files.readSymbolicLink(Path.of("/proc/self/fd/" + fd)).toString().equals("anon_inode:[eventfd]");
@@ -249,28 +252,29 @@
     }
   }
 
-  /** Makes reads and writes of a descriptor return at once. */
+  /** Makes a file descriptor non-blocking. */
   public static void setNonBlocking(int fd) throws IOException {
     int flags = check(fcntl(fd, F_GETFL, 0), "fcntl");
     check(fcntl(fd, F_SETFL, flags | O_NONBLOCK), "fcntl");
   }
 
-  /** Eight bytes for eventfds, one a thread. */
+  /** Eight-byte buffer for eventfds, one per thread. */
   private static final ThreadLocal<Memory> EVENTFD_VALUE = ThreadLocal.withInitial(() -> new Memory(8));
 
-  /** Adds one to an eventfd. A counter that is full is as good: its reader has much to wake for. */
+  /** Adds one to an eventfd. If the counter is full nothing is lost, because its reader will wake up
+   * anyway. */
   public static void signal(int fd) {
-    Memory one = EVENTFD_VALUE.get();
-    one.setLong(0, 1);
-    write(fd, one, 8);
+    Memory value = EVENTFD_VALUE.get();
+    value.setLong(0, 1);
+    write(fd, value, 8);
   }
 
-  /** Takes what an eventfd has counted. */
+  /** Reads and resets the counter of an eventfd. */
   public static void drain(int fd) {
     read(fd, EVENTFD_VALUE.get(), 8);
   }
 
-  /** A memory file of so many bytes. */
+  /** Creates an anonymous memory file of the given size. */
   public static int memfd(String name, long size) throws IOException {
     int fd = check(memfd_create(name, MFD_CLOEXEC), "memfd_create");
     check(ftruncate(fd, size), "ftruncate");
@@ -282,29 +286,30 @@
     check(ftruncate(fd, size), "ftruncate");
   }
 
-  /** Length of a file, bytes. */
+  /** Returns the length of a file in bytes. */
   public static long size(int fd) throws IOException {
-    long n = lseek(fd, 0, SEEK_END);
-    if (n < 0) {
+    long length = lseek(fd, 0, SEEK_END);
+    if (length < 0) {
       throw new IOException("lseek: error " + Native.getLastError());
     }
-    return n;
+    return length;
   }
 
-  /** Shared memory. No view of it can be used after its end in a way that harms: {@link #unmap} puts empty
-   * memory in its place, in one step of the kernel, and the addresses are given back only once no view is
-   * reachable any more. It guards against a SIGSEGV, the end of the whole process, from a thread that still
-   * looks at a ring while another closes it. Harm: addresses (no memory but for what is touched after the
-   * end) stay taken until the next garbage collection. */
+  /** Shared memory whose views stay safe to use after it ends: {@link #unmap} replaces it by empty memory in
+   * one atomic step of the kernel, and the address range is released only once no view is reachable any more.
+   * This guards against a SIGSEGV, which ends the whole process, when a thread still looks at a ring while
+   * another closes it. The cost is that address space (and memory only for what is touched after the end)
+   * stays in use until the next garbage collection. */
   public static final class Mapping {
-    /** Longest view, bytes. */
+    /** Maximum size of a view in bytes. */
     public static final int MAX_VIEW_BYTES = 1 << 30;
 
     private static final Cleaner CLEANER = Cleaner.create();
 
     private final Pointer base;
     private final long length;
-    /** Views are slices of these, which they keep reachable: each is two views long, so any view fits one. */
+    /** Views are slices of these buffers and keep them reachable. Each window is two maximum views long, so
+     * that any view fits into one. */
     private final ByteBuffer[] windows;
     private boolean mapped = true;
 
@@ -312,35 +317,35 @@
       this.base = base;
       this.length = length;
       windows = new ByteBuffer[(int) Math.max(1, (length + MAX_VIEW_BYTES - 1) / MAX_VIEW_BYTES)];
-      Runnable gone = new AddressReleaser(base, length, new AtomicInteger(windows.length));
+      Runnable releaser = new AddressReleaser(base, length, new AtomicInteger(windows.length));
       for (int i = 0; i < windows.length; i++) {
-        long from = (long) i * MAX_VIEW_BYTES;
-        windows[i] = base.getByteBuffer(from, Math.min(length - from, Integer.MAX_VALUE));
-        CLEANER.register(windows[i], gone);
+        long start = (long) i * MAX_VIEW_BYTES;
+        windows[i] = base.getByteBuffer(start, Math.min(length - start, Integer.MAX_VALUE));
+        CLEANER.register(windows[i], releaser);
       }
     }
 
-    /** A view of a part of at most {@link #MAX_VIEW_BYTES} bytes. After {@link #unmap} it reads as zeros, and
-     * what is written to it reaches nobody. */
-    public ByteBuffer view(long at, long size) {
-      if (at < 0 || size < 0 || at > length - size || size > MAX_VIEW_BYTES) {
-        throw new IndexOutOfBoundsException(at + "+" + size + " of " + length);
+    /** Returns a view of at most {@link #MAX_VIEW_BYTES} bytes. After {@link #unmap} it reads as zeros, and
+     * nobody sees what is written to it. */
+    public ByteBuffer view(long offset, long size) {
+      if (offset < 0 || size < 0 || offset > length - size || size > MAX_VIEW_BYTES) {
+        throw new IndexOutOfBoundsException(offset + "+" + size + " of " + length);
       }
-      int window = (int) Math.min(at / MAX_VIEW_BYTES, windows.length - 1);
-      return windows[window].slice((int) (at - (long) window * MAX_VIEW_BYTES), (int) size);
+      int window = (int) Math.min(offset / MAX_VIEW_BYTES, windows.length - 1);
+      return windows[window].slice((int) (offset - (long) window * MAX_VIEW_BYTES), (int) size);
     }
 
-    /** Copies {@code size} bytes to the start of a buffer, without a view of its own. */
-    public void copy(long at, ByteBuffer to, int size) {
-      if (at < 0 || size < 0 || at > length - size) {
-        throw new IndexOutOfBoundsException(at + "+" + size + " of " + length);
+    /** Copies {@code size} bytes to the start of a buffer, without creating a view. */
+    public void copy(long offset, ByteBuffer to, int size) {
+      if (offset < 0 || size < 0 || offset > length - size) {
+        throw new IndexOutOfBoundsException(offset + "+" + size + " of " + length);
       }
-      int window = (int) Math.min(at / MAX_VIEW_BYTES, windows.length - 1);
-      to.put(0, windows[window], (int) (at - (long) window * MAX_VIEW_BYTES), size);
+      int window = (int) Math.min(offset / MAX_VIEW_BYTES, windows.length - 1);
+      to.put(0, windows[window], (int) (offset - (long) window * MAX_VIEW_BYTES), size);
     }
 
-    /** Ends it; again does nothing. Where the kernel has no room for empty memory the shared one stays until
-     * no view is left. */
+    /** Ends the mapping; further calls do nothing. If the kernel has no room for the empty memory, the shared
+     * memory stays mapped until no view is left. */
     public synchronized void unmap() {
       if (mapped) {
         mapped = false;
@@ -349,7 +354,7 @@
       }
     }
 
-    /** Gives the addresses back when the last window is unreachable. */
+    /** Releases the address range when the last window is unreachable. */
     private record AddressReleaser(Pointer base, long length, AtomicInteger remainingWindows)
         implements
           Runnable {
@@ -364,22 +369,22 @@
 
   private static final AtomicInteger MAPPING_COUNT = new AtomicInteger();
 
-  /** Mappings not yet ended: for tests that look for leaks. */
+  /** Number of mappings not yet ended, for tests that look for leaks. */
   public static int mappings() {
     return MAPPING_COUNT.get();
   }
 
   /** Maps a part of a file; {@code offset} must be a multiple of the page size. */
   public static Mapping map(int fd, long offset, long length) throws IOException {
-    Pointer p = mmap(null, length, PROT_RW, MAP_SHARED, fd, offset);
-    if (Pointer.nativeValue(p) == -1) {
+    Pointer address = mmap(null, length, PROT_RW, MAP_SHARED, fd, offset);
+    if (Pointer.nativeValue(address) == -1) {
       throw new IOException("mmap: error " + Native.getLastError());
     }
     MAPPING_COUNT.incrementAndGet();
-    return new Mapping(p, length);
+    return new Mapping(address, length);
   }
 
-  /** A set of descriptors to wait for input on. */
+  /** A set of file descriptors to wait for input on (poll(2)). */
   public static final class Poll {
     private Memory pollFds = new Memory(8 * 64);
     private int count;
@@ -400,21 +405,22 @@
       count++;
     }
 
-    /** Waits for any, up to so many ms (-1: for ever). */
-    public void await(int ms) {
+    /** Waits until one of them has input or the time in ms is up; -1 waits without limit. */
+    public void await(int timeoutMs) {
       for (int i = 0; i < count; i++) {
         pollFds.setShort(8L * i + 6, (short) 0);
       }
-      poll(pollFds, count, ms);
+      poll(pollFds, count, timeoutMs);
     }
 
-    /** Events of the descriptor added as number {@code i}. */
+    /** Returns the events of the file descriptor that was added at index {@code i}. */
     public short events(int i) {
       return pollFds.getShort(8L * i + 6);
     }
   }
 
-  /** Many descriptors to wait for input on, where the cost goes by those that have some (epoll(7)). */
+  /** A set of many file descriptors to wait for input on, at a cost that depends on those that have input
+   * (epoll(7)). */
   public static final class Epoll {
     private static final int ADD = 1, DELETE = 2, EVENT_BYTES = 12;
     private final int fd;
@@ -424,23 +430,23 @@
       fd = check(epoll_create1(SOCK_CLOEXEC), "epoll_create1");
     }
 
-    /** {@code tag} comes with the descriptor's events. */
+    /** Adds a file descriptor; {@code tag} is returned with its events. */
     public void add(int watched, int tag) throws IOException {
-      Memory e = new Memory(EVENT_BYTES);
-      e.setInt(0, POLLIN);
-      e.setLong(4, tag);
-      check(epoll_ctl(fd, ADD, watched, e), "epoll_ctl");
+      Memory event = new Memory(EVENT_BYTES);
+      event.setInt(0, POLLIN);
+      event.setLong(4, tag);
+      check(epoll_ctl(fd, ADD, watched, event), "epoll_ctl");
     }
 
     public void remove(int watched) {
       epoll_ctl(fd, DELETE, watched, new Memory(EVENT_BYTES));
     }
 
-    /** Waits; tags of those that have input. */
+    /** Waits and returns the tags of the file descriptors that have input. */
     public int[] await() {
-      int n = Math.max(0, epoll_wait(fd, events, 64, -1));
-      int[] tags = new int[n];
-      for (int i = 0; i < n; i++) {
+      int count = Math.max(0, epoll_wait(fd, events, 64, -1));
+      int[] tags = new int[count];
+      for (int i = 0; i < count; i++) {
         tags[i] = (int) events.getLong((long) i * EVENT_BYTES + 4);
       }
       return tags;
@@ -451,7 +457,7 @@
     }
   }
 
-  /** User number of the process at the other end of a Unix socket, as of its connect (unix(7),
+  /** Returns the user ID of the process at the other end of a Unix socket, as of its connect (unix(7),
    * SO_PEERCRED). */
   public static long peerUserId(int fd) throws IOException {
     Memory credentials = new Memory(12);
@@ -466,7 +472,7 @@
     check(kill((int) pid, signal), "kill");
   }
 
-  /** Closes descriptors; failures do not matter. */
+  /** Closes file descriptors; ignores failures. */
   public static void closeAll(int... fds) {
     Arrays.stream(fds).filter(fd -> fd >= 0).forEach(Linux::close);
   }
--- a/src/main/java/hollyslip/front/vhost/Acceptor.java
+++ b/src/main/java/hollyslip/front/vhost/Acceptor.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes the connections of all listening sockets of a gateway on one thread, however many there are. */
+/** Accepts the connections of all listening sockets of a gateway on one thread, however many there are. */
 public final class Acceptor implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Acceptor.class);
   private static final int WAKE_UP_TAG = 0;
@@ -32,11 +32,11 @@
     thread.start();
   }
 
-  /** Hands every connection of a listening socket, which must not block, to {@code taken}; a number for
-   * {@link #remove}. */
-  int add(int socket, IntConsumer taken) throws IOException {
+  /** Passes every connection of a listening socket, which must be non-blocking, to {@code onAccept}; returns
+   * a tag for {@link #remove}. */
+  int add(int socket, IntConsumer onAccept) throws IOException {
     int tag = lastTag.incrementAndGet();
-    listeners.put(tag, new Listener(socket, taken));
+    listeners.put(tag, new Listener(socket, onAccept));
     try {
       epoll.add(socket, tag);
     } catch (IOException e) {
@@ -46,13 +46,13 @@
     return tag;
   }
 
-  /** Takes no more connections of a socket and closes it. */
+  /** Stops accepting connections of a socket and closes it. */
   void remove(int tag) {
-    Listener l = listeners.remove(tag);
-    if (l != null) {
-      synchronized (l) {
-        epoll.remove(l.socket);
-        Linux.closeAll(l.socket);
+    Listener listener = listeners.remove(tag);
+    if (listener != null) {
+      synchronized (listener) {
+        epoll.remove(listener.socket);
+        Linux.closeAll(listener.socket);
       }
     }
   }
@@ -60,9 +60,9 @@
   private void run() {
     while (!closing) {
       for (int tag : epoll.await()) {
-        Listener l = listeners.get(tag);
-        if (l != null) {
-          accept(tag, l);
+        Listener listener = listeners.get(tag);
+        if (listener != null) {
+          accept(tag, listener);
         }
       }
     }
@@ -70,24 +70,24 @@
     Linux.closeAll(wakeUpFd);
   }
 
-  private void accept(int tag, Listener l) {
+  private void accept(int tag, Listener listener) {
     int fd = -1;
     try {
-      synchronized (l) {
-        // The number of a closed socket may be another's by now.
-        fd = listeners.containsKey(tag) ? Linux.accept(l.socket) : -1;
+      synchronized (listener) {
+        // The file descriptor number of a closed socket may already be in use for something else.
+        fd = listeners.containsKey(tag) ? Linux.accept(listener.socket) : -1;
       }
     } catch (IOException e) {
       LOG.atWarn().addKeyValue("why", e.getMessage()).log("vhost.accept");
       pauseAfterFailure();
     }
     if (fd >= 0) {
-      l.onAccept.accept(fd);
+      listener.onAccept.accept(fd);
     }
   }
 
-  /** Guards against a spin while the process has no descriptors left: the connection stays ready. Harm:
-   * others wait as long. */
+  /** Pauses for a moment, so that the thread does not spin while the process has no file descriptors left:
+   * the connection stays ready. The cost is that other connections wait as long. */
   private static void pauseAfterFailure() {
     try {
       Thread.sleep(10);
--- a/src/main/java/hollyslip/front/vhost/Device.java
+++ b/src/main/java/hollyslip/front/vhost/Device.java
@@ -13,12 +13,14 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** One client at one volume: the vhost-user back end of a virtio-blk device, on a thread of its own. What the
- * specification leaves to trust is checked; whatever the client does wrong stops this device and no other.
+/** A client's connection to one volume: the vhost-user back end of a virtio-blk device, on a thread of its
+ * own. It checks everything that the specification leaves to trust; a client that violates a rule stops this
+ * device and no other.
  *
  * <p>
- * Its life is here: {@link #runTurn} looks for work and sleeps, {@link #close} ends it. What the socket says
- * is in {@link VhostUserConnection}, what the rings bring in {@link RequestProcessor}. */
+ * This class runs the life cycle: {@link #runTurn} looks for work and sleeps, {@link #close} ends the device.
+ * Socket messages are handled in {@link VhostUserConnection}, the contents of the rings in
+ * {@link RequestProcessor}. */
 final class Device implements Runnable {
   private static final Logger LOG = LoggerFactory.getLogger(Device.class);
 
@@ -41,32 +43,33 @@
   private boolean wakeClosed;
   private int turnsSincePoll;
 
-  Device(RequestIntake engine, Volume volume, int socket, long user, Runnable ended) throws IOException {
+  Device(RequestIntake engine, Volume volume, int socket, long userId, Runnable closeListener)
+      throws IOException {
     this.engine = engine;
-    this.userId = user;
+    this.userId = userId;
     this.volume = volume;
     this.socket = socket;
-    this.closeListener = ended;
+    this.closeListener = closeListener;
     wakeUpFd = Linux.eventfd();
     connection = new VhostUserConnection(socket, () -> this.volume);
     requests = new RequestProcessor(engine, connection, () -> this.volume, this::wakeUp);
     workAvailable = () -> requests.hasAnswers() || requests.hasMoreRequests();
   }
 
-  /** Ends the device since its volume is gone; from another thread. */
+  /** Ends the device because its volume was removed; called from another thread. */
   void retire() {
     retired = true;
     stop();
   }
 
-  /** User number of the client. */
+  /** User ID of the client. */
   long userId() {
     return userId;
   }
 
-  /** The volume has another size. From any thread. */
-  void resize(Volume next) {
-    volume = next;
+  /** Sets the volume's new size; called from any thread. */
+  void resize(Volume newVolume) {
+    volume = newVolume;
     configChanged = true;
     signal();
   }
@@ -84,7 +87,8 @@
     }
   }
 
-  /** Answers may come when the device is gone and its descriptor's number means something else. */
+  /** Wakes the device up. Answers may arrive after the device has ended, when the file descriptor's number
+   * may refer to something else. */
   private synchronized void signal() {
     if (!wakeClosed) {
       Linux.signal(wakeUpFd);
@@ -99,20 +103,20 @@
   @Override
   public void run() {
     engine.addCapacityListener(capacityListener);
-    String why = "memory region: cut short while in use";
+    String reason = "memory region: truncated while in use";
     try {
-      why = serve();
+      reason = serve();
     } catch (InternalError e) {
-      addVolume(LOG.atWarn()).addKeyValue("field", why).log("device.stopped");
+      addVolume(LOG.atWarn()).addKeyValue("field", reason).log("device.stopped");
     }
     ClientMemory.hasNoPendingFault();
-    close(why);
+    close(reason);
   }
 
-  /** Serves until the end, and says why it came. A fault in shared memory (the client cut its file short
-   * after the check at mapping) leaves this as an {@code InternalError}. The JVM tells of it some time after
-   * the touch, which then has read anything: so what was read may break a rule first, and the error come
-   * while that is being caught. */
+  /** Serves the client until the end and returns the reason for it. A fault in shared memory (the client
+   * truncated its file after the check at mapping) leaves this method as an {@code InternalError}. The JVM
+   * throws it some time after the access, which may then have read anything: the data read may violate a rule
+   * first, and the error be thrown while that violation is being caught. */
   private String serve() {
     try {
       while (!stopRequested) {
@@ -120,14 +124,14 @@
       }
       if (retired) {
         requests.refuseRemaining();
-        return "the volume is removed";
+        return "the volume was removed";
       }
-      return "the gateway ends";
+      return "the gateway is stopping";
     } catch (ProtocolViolationException e) {
       addVolume(LOG.atWarn()).addKeyValue("field", e.getMessage()).log("device.stopped");
       return e.getMessage();
     } catch (VhostUserConnection.DisconnectedException e) {
-      return "the client left";
+      return "the client disconnected";
     } catch (IOException | RuntimeException e) {
       addVolume(LOG.atWarn()).addKeyValue("why", e.toString()).log("device.stopped");
       return e.toString();
@@ -140,37 +144,40 @@
       configChanged = false;
       connection.notifyConfigChanged();
     }
-    for (Ring r : connection.rings()) {
-      worked |= r.queue != null && requests.takeRequests(r);
+    for (Ring ring : connection.rings()) {
+      worked |= ring.queue != null && requests.takeRequests(ring);
     }
     if (worked) {
       pollDescriptors(0);
       return;
     }
-    boolean seen = spinner.spinUntil(Long.MAX_VALUE, workAvailable);
+    boolean workSeen = spinner.spinUntil(Long.MAX_VALUE, workAvailable);
     checkNoPendingFault();
-    if (seen) {
+    if (workSeen) {
       return;
     }
     sleeping = true;
-    boolean more = requests.offerBlocked() | requests.hasMoreRequestsOrEnableKicks() | requests.hasAnswers()
+    boolean workWaiting = requests.offerBlocked() | requests.hasMoreRequestsOrEnableKicks() | requests
+        .hasAnswers()
         | stopRequested | configChanged;
     checkNoPendingFault();
-    pollDescriptors(more ? 0 : -1);
+    pollDescriptors(workWaiting ? 0 : -1);
     sleeping = false;
   }
 
-  /** What was looked at may be gone, and anything seen for that reason. The JVM would tell only once this
-   * thread calls into it: when a sleep that has no end is over, or never, where one look sees work and the
-   * next does not. Harm: some tens of ns after each look in vain. */
+  /** Checks that the memory just read is not truncated, since anything may have been read from it otherwise.
+   * The JVM would throw the error only once this thread calls into it: after a sleep without a time limit, or
+   * never, if one look sees work and the next does not. The cost is some tens of ns after each look that
+   * finds nothing. */
   private static void checkNoPendingFault() {
     ProtocolViolationException.check(ClientMemory.hasNoPendingFault(),
-        "memory region: cut short while in use");
+        "memory region: truncated while in use");
   }
 
-  /** Waits for kicks, letters and messages. While there is work, the socket is looked at now and then. */
-  private void pollDescriptors(int ms) throws IOException {
-    if (ms == 0 && ++turnsSincePoll % 64 != 0 && !connection.rings().isEmpty() && connection
+  /** Waits for kicks, wake-ups and messages. While there is work, file descriptors are polled only once in a
+   * while. */
+  private void pollDescriptors(int timeoutMs) throws IOException {
+    if (timeoutMs == 0 && ++turnsSincePoll % 64 != 0 && !connection.rings().isEmpty() && connection
         .drainingRing() == null) {
       return;
     }
@@ -179,22 +186,22 @@
     if (connection.drainingRing() == null) {
       poll.add(socket);
     }
-    int first = connection.drainingRing() == null ? 2 : 1;
-    List<Ring> kicked = new ArrayList<>();
-    for (Ring r : connection.rings()) {
-      if (r.kickFd >= 0) {
-        poll.add(r.kickFd);
-        kicked.add(r);
+    int firstRing = connection.drainingRing() == null ? 2 : 1;
+    List<Ring> rings = new ArrayList<>();
+    for (Ring ring : connection.rings()) {
+      if (ring.kickFd >= 0) {
+        poll.add(ring.kickFd);
+        rings.add(ring);
       }
     }
-    poll.await(ms);
+    poll.await(timeoutMs);
     if (poll.events(0) != 0) {
       Linux.drain(wakeUpFd);
     }
-    for (int i = 0; i < kicked.size(); i++) {
-      if (poll.events(first + i) != 0) {
-        Linux.drain(kicked.get(i).kickFd);
-        connection.start(kicked.get(i));
+    for (int i = 0; i < rings.size(); i++) {
+      if (poll.events(firstRing + i) != 0) {
+        Linux.drain(rings.get(i).kickFd);
+        connection.start(rings.get(i));
       }
     }
     if (connection.drainingRing() == null && poll.events(1) != 0) {
@@ -202,18 +209,20 @@
     }
   }
 
-  /** Departs what is in flight and closes all. */
-  private void close(String why) {
+  /** Abandons the requests in flight and releases everything. */
+  private void close(String reason) {
     engine.removeCapacityListener(capacityListener);
     stopRequested = true;
-    int left = requests.abandonAll();
+    int abandoned = requests.abandonAll();
     connection.close();
-    addVolume(LOG.atInfo()).addKeyValue("inflight", left).addKeyValue("why", why).log("device.closed");
+    addVolume(LOG.atInfo()).addKeyValue("inflight", abandoned)
+        .addKeyValue("why", reason)
+        .log("device.closed");
     closeWakeUp();
     closeListener.run();
   }
 
-  private LoggingEventBuilder addVolume(LoggingEventBuilder to) {
-    return to.addKeyValue("volume", volume.name()).addKeyValue("tenant", volume.tenant());
+  private LoggingEventBuilder addVolume(LoggingEventBuilder event) {
+    return event.addKeyValue("volume", volume.name()).addKeyValue("tenant", volume.tenant());
   }
 }
--- a/src/main/java/hollyslip/front/vhost/GuestMemory.java
+++ b/src/main/java/hollyslip/front/vhost/GuestMemory.java
@@ -10,39 +10,40 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The client's memory as it has shared it: an immutable row of regions. A region is unmapped when neither a
- * table nor a request holds it any more, so nothing can write to memory that is gone. */
+/** The memory that a client shares, as an immutable table of regions. A region is unmapped once neither a
+ * table nor a request refers to it any more, so that nothing writes to unmapped memory. */
 final class GuestMemory {
   static final GuestMemory EMPTY = new GuestMemory(List.of());
 
-  /** Unmapping a large region takes the kernel a while; no thread that serves waits for it. */
+  /** Unmapping a large region takes the kernel a while, so serving threads do not do it themselves. */
   private static final ExecutorService UNMAPPER = Executors.newSingleThreadExecutor(r -> {
     Thread t = new Thread(r, "unmapper");
     t.setDaemon(true);
     return t;
   });
 
-  /** One region, by the addresses of the message "memory region description". */
+  /** A region, with the addresses of the message "memory region description". */
   static final class Region {
     final long guestAddress, size, userAddress;
     private final long mappingOffset;
     private final Linux.Mapping mapping;
     private final AtomicInteger referenceCount = new AtomicInteger(1);
 
-    private Region(long guest, long size, long user, long offset, Linux.Mapping mapping) {
-      this.guestAddress = guest;
+    private Region(long guestAddress, long size, long userAddress, long mappingOffset,
+        Linux.Mapping mapping) {
+      this.guestAddress = guestAddress;
       this.size = size;
-      this.userAddress = user;
-      this.mappingOffset = offset;
+      this.userAddress = userAddress;
+      this.mappingOffset = mappingOffset;
       this.mapping = mapping;
     }
 
-    ByteBuffer view(long at, int length) {
-      return mapping.view(mappingOffset + at, length).order(ByteOrder.LITTLE_ENDIAN);
+    ByteBuffer view(long offset, int length) {
+      return mapping.view(mappingOffset + offset, length).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    void copy(long at, ByteBuffer to, int length) {
-      mapping.copy(mappingOffset + at, to, length);
+    void copy(long offset, ByteBuffer to, int length) {
+      mapping.copy(mappingOffset + offset, to, length);
     }
 
     void retain() {
@@ -62,42 +63,43 @@
     this.regions = List.copyOf(regions);
   }
 
-  /** Maps a region of a file that the client sent. A file that is shorter than the region is turned down: a
-   * touch behind its end would be a SIGBUS. The descriptor stays the caller's. */
-  static Region map(long guest, long size, long user, long offset, int fd) {
+  /** Maps a region of a file that the client sent. A file shorter than the region is rejected, because
+   * accessing memory beyond its end would raise a SIGBUS. The caller keeps the file descriptor. */
+  static Region map(long guestAddress, long size, long userAddress, long offset, int fd) {
     ProtocolViolationException.check(size > 0 && offset >= 0 && offset <= Long.MAX_VALUE - size,
         "memory region: size " + size
             + " at offset " + offset);
-    ProtocolViolationException.check(guest >= 0 && guest <= Long.MAX_VALUE - size && user >= 0
-        && user <= Long.MAX_VALUE
+    ProtocolViolationException.check(guestAddress >= 0 && guestAddress <= Long.MAX_VALUE - size
+        && userAddress >= 0
+        && userAddress <= Long.MAX_VALUE
             - size, "memory region: address out of range");
     try {
       ProtocolViolationException.check(Linux.size(fd) >= offset + size,
-          "memory region: file shorter than offset + size");
-      return new Region(guest, size, user, offset, Linux.map(fd, 0, offset + size));
+          "memory region: the file is shorter than offset + size");
+      return new Region(guestAddress, size, userAddress, offset, Linux.map(fd, 0, offset + size));
     } catch (IOException e) {
       throw new ProtocolViolationException("memory region: " + e.getMessage());
     }
   }
 
-  /** The table with one more region. */
+  /** Returns a table with one more region. */
   GuestMemory withRegion(Region added) {
     for (Region r : regions) {
       ProtocolViolationException.check(added.guestAddress + added.size <= r.guestAddress || r.guestAddress
           + r.size <= added.guestAddress,
-          "memory region: overlaps another");
+          "memory region: overlaps another region");
     }
     List<Region> next = new ArrayList<>(regions);
     next.add(added);
     return new GuestMemory(next);
   }
 
-  /** The table without a region; the caller releases it. */
-  GuestMemory withoutRegion(Region gone) {
-    return new GuestMemory(regions.stream().filter(r -> r != gone).toList());
+  /** Returns a table without a region; the caller releases the region. */
+  GuestMemory withoutRegion(Region removed) {
+    return new GuestMemory(regions.stream().filter(r -> r != removed).toList());
   }
 
-  /** A view of memory by the client's own addresses: where rings lie. */
+  /** Returns a view of memory by the client's own addresses, which locate the rings. */
   ByteBuffer viewAtUserAddress(long address, int length, String field) {
     for (Region r : regions) {
       if (address >= r.userAddress && address - r.userAddress <= r.size - length) {
@@ -110,26 +112,27 @@
   /** Copies a range of guest memory, which must lie in one region, to the start of {@code to}. */
   void copyFromGuestAddress(long address, ByteBuffer to, int length) {
     Region r = findByGuestAddress(address);
-    long at = address - r.guestAddress;
-    ProtocolViolationException.check(length <= r.size - at,
-        "indirect descriptor.addr: a table in two regions");
-    r.copy(at, to, length);
+    long offset = address - r.guestAddress;
+    ProtocolViolationException.check(length <= r.size - offset,
+        "indirect descriptor.addr: the table spans two regions");
+    r.copy(offset, to, length);
   }
 
-  /** Adds views of a range of guest memory to {@code to} and the regions touched to {@code held}; a range may
-   * go on in the next region. */
-  void addViewsAtGuestAddress(long address, long length, List<ByteBuffer> to, List<Region> held) {
-    long at = address;
-    long left = length;
-    while (left > 0) {
-      Region r = findByGuestAddress(at);
-      int n = (int) Math.min(Math.min(left, Linux.Mapping.MAX_VIEW_BYTES), r.size - (at - r.guestAddress));
-      to.add(r.view(at - r.guestAddress, n));
-      if (!held.contains(r)) {
-        held.add(r);
+  /** Adds views of a range of guest memory to {@code views}, and the regions it touches to {@code touched}; a
+   * range may continue in the next region. */
+  void addViewsAtGuestAddress(long address, long length, List<ByteBuffer> views, List<Region> touched) {
+    long current = address;
+    long remaining = length;
+    while (remaining > 0) {
+      Region region = findByGuestAddress(current);
+      int count = (int) Math.min(Math.min(remaining, Linux.Mapping.MAX_VIEW_BYTES), region.size - (current
+          - region.guestAddress));
+      views.add(region.view(current - region.guestAddress, count));
+      if (!touched.contains(region)) {
+        touched.add(region);
       }
-      at += n;
-      left -= n;
+      current += count;
+      remaining -= count;
     }
   }
 
--- a/src/main/java/hollyslip/front/vhost/ProtocolViolationException.java
+++ b/src/main/java/hollyslip/front/vhost/ProtocolViolationException.java
@@ -1,27 +1,27 @@
 package hollyslip.front.vhost;
 
-/** A client did what the specification does not allow; names the field. Its device is stopped. */
+/** A client violated the specification; the message names the field. Its device is stopped. */
 final class ProtocolViolationException extends RuntimeException {
-  ProtocolViolationException(String what) {
-    super(what, null, false, false);
+  ProtocolViolationException(String message) {
+    super(message, null, false, false);
   }
 
-  static void check(boolean ok, String what) {
-    if (!ok) {
-      throw new ProtocolViolationException(what);
+  static void check(boolean condition, String message) {
+    if (!condition) {
+      throw new ProtocolViolationException(message);
     }
   }
 
-  /** For the way of each request: the text is made of its parts only when it is needed. */
-  static void check(boolean ok, String field, long figure) {
-    if (!ok) {
-      throw new ProtocolViolationException(field + figure);
+  /** For checks on the path of every request: the message is only concatenated when it is needed. */
+  static void check(boolean condition, String field, long value) {
+    if (!condition) {
+      throw new ProtocolViolationException(field + value);
     }
   }
 
-  static void check(boolean ok, String field, long figure, String of, long most) {
-    if (!ok) {
-      throw new ProtocolViolationException(field + figure + of + most);
+  static void check(boolean condition, String field, long value, String separator, long limit) {
+    if (!condition) {
+      throw new ProtocolViolationException(field + value + separator + limit);
     }
   }
 }
--- a/src/main/java/hollyslip/front/vhost/RequestProcessor.java
+++ b/src/main/java/hollyslip/front/vhost/RequestProcessor.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Supplier;
 
-/** The requests of one device: taken off its rings and offered to the engine in {@link #takeRequests}, given
- * back with their answers in {@link #deliverAnswers}. For the device's thread but for what the engine
- * tells. */
+/** Processes the requests of one device: takes them off its rings and offers them to the engine in
+ * {@link #takeRequests}, and returns their answers to the client in {@link #deliverAnswers}. For the device's
+ * thread, except for the engine's callbacks. */
 final class RequestProcessor {
-  /** Requests taken off one queue before the others get their turn. */
+  /** Maximum number of requests taken off one queue before the others get their turn. */
   private static final int MAX_REQUESTS_PER_TURN = 64;
 
   private final RequestIntake engine;
@@ -26,17 +26,17 @@
   private final Set<PendingRequest> inFlight = new LinkedHashSet<>();
   private final ConcurrentLinkedQueue<PendingRequest> answers = new ConcurrentLinkedQueue<>();
 
-  /** @param wake
+  /** @param wakeUpDevice
    *          called from the engine's thread when there is an answer */
-  RequestProcessor(RequestIntake engine, VhostUserConnection messages, Supplier<Volume> volume,
-      Runnable wake) {
+  RequestProcessor(RequestIntake engine, VhostUserConnection connection, Supplier<Volume> volume,
+      Runnable wakeUpDevice) {
     this.engine = engine;
-    this.connection = messages;
+    this.connection = connection;
     this.volume = volume;
-    this.wakeUpDevice = wake;
+    this.wakeUpDevice = wakeUpDevice;
   }
 
-  /** A request on its way through the engine. */
+  /** A request that the engine is processing. */
   final class PendingRequest implements IoRequest.CompletionListener {
     final Ring ring;
     final int head;
@@ -57,8 +57,8 @@
     }
 
     @Override
-    public void onAnswer(Answer a) {
-      answer = a;
+    public void onAnswer(Answer result) {
+      answer = result;
       answers.add(this);
       wakeUpDevice.run();
     }
@@ -73,91 +73,96 @@
     return !answers.isEmpty();
   }
 
-  /** Whether the ring may be looked at for requests. */
-  boolean acceptsRequests(Ring r) {
-    return r.queue != null && (r.enabled && r != connection.drainingRing() || !r.recoveredHeads.isEmpty())
-        && r.blockedRequest == null;
+  /** Returns whether requests may be taken off the ring. */
+  boolean acceptsRequests(Ring ring) {
+    return ring.queue != null && (ring.enabled && ring != connection.drainingRing() || !ring.recoveredHeads
+        .isEmpty())
+        && ring.blockedRequest == null;
   }
 
-  /** Whether a client has put more into a ring. */
+  /** Returns whether a client has put more into a ring. */
   boolean hasMoreRequests() {
-    for (Ring r : connection.rings()) {
-      if (acceptsRequests(r) && r.queue.hasMore()) {
+    for (Ring ring : connection.rings()) {
+      if (acceptsRequests(ring) && ring.queue.hasMore()) {
         return true;
       }
     }
     return false;
   }
 
-  /** Offers the requests that found no room once more; whether one did now. To be called once the device is
-   * known as asleep: room that came just before would wake nobody. */
+  /** Offers the blocked requests again and returns whether one was accepted. To be called once the device
+   * counts as sleeping: capacity that became available just before would wake nobody. */
   boolean offerBlocked() {
     boolean any = false;
-    for (Ring r : connection.rings()) {
-      if (r.blockedRequest != null && offer(r.blockedRequest)) {
-        r.blockedRequest = null;
+    for (Ring ring : connection.rings()) {
+      if (ring.blockedRequest != null && offer(ring.blockedRequest)) {
+        ring.blockedRequest = null;
         any = true;
       }
     }
     return any;
   }
 
-  /** As {@link #hasMoreRequests}, and asks to be kicked for what comes after. */
+  /** Like {@link #hasMoreRequests}, after enabling kicks for what follows. */
   boolean hasMoreRequestsOrEnableKicks() {
     boolean more = false;
-    for (Ring r : connection.rings()) {
-      more |= acceptsRequests(r) && r.queue.hasMoreOrEnableKick();
+    for (Ring ring : connection.rings()) {
+      more |= acceptsRequests(ring) && ring.queue.hasMoreOrEnableKick();
     }
     return more;
   }
 
-  /** Takes a turn's requests off a ring; whether there were any. */
-  boolean takeRequests(Ring r) {
-    if (r.blockedRequest != null) {
-      if (!offer(r.blockedRequest)) {
+  /** Takes one turn's requests off a ring; returns whether there were any. */
+  boolean takeRequests(Ring ring) {
+    if (ring.blockedRequest != null) {
+      if (!offer(ring.blockedRequest)) {
         return false;
       }
-      r.blockedRequest = null;
+      ring.blockedRequest = null;
     }
-    int n = 0;
-    while (n < MAX_REQUESTS_PER_TURN && acceptsRequests(r)) {
-      boolean resumed = !r.recoveredHeads.isEmpty();
-      int head = resumed ? r.recoveredHeads.poll() : r == connection.drainingRing() ? -1 : r.queue.pop();
+    int count = 0;
+    while (count < MAX_REQUESTS_PER_TURN && acceptsRequests(ring)) {
+      boolean resumed = !ring.recoveredHeads.isEmpty();
+      int head = resumed
+          ? ring.recoveredHeads.poll()
+          : ring == connection.drainingRing() ? -1 : ring.queue.pop();
       if (head < 0) {
         break;
       }
-      n++;
-      Virtqueue.Chain chain = r.queue.readChain(head, connection.memory());
+      count++;
+      Virtqueue.Chain chain = ring.queue.readChain(head, connection.memory());
       BlockRequest request = BlockRequest.read(chain, volume.get(), tailBytes());
       if (request.kind() == null) {
-        answerImmediately(r, head, request);
+        answerImmediately(ring, head, request);
         continue;
       }
-      PendingRequest t = new PendingRequest(r, chain, request, resumed);
-      inFlight.add(t);
-      if (!offer(t)) {
-        r.blockedRequest = t;
+      PendingRequest pending = new PendingRequest(ring, chain, request, resumed);
+      inFlight.add(pending);
+      if (!offer(pending)) {
+        ring.blockedRequest = pending;
       }
     }
-    return n > 0;
+    return count > 0;
   }
 
-  /** A volume that was removed meanwhile refuses. */
-  private boolean offer(PendingRequest t) {
+  /** Offers a request to the engine; if the volume was removed meanwhile, the request is refused. */
+  private boolean offer(PendingRequest pending) {
     try {
-      return engine.offer(t.io);
+      return engine.offer(pending.io);
     } catch (IllegalArgumentException e) {
-      t.onAnswer(t.io.resumed() && t.io.kind().modifiesData() ? Answer.FAILED : Answer.refused(0));
-      t.onRelease();
+      pending.onAnswer(pending.io.resumed() && pending.io.kind().modifiesData()
+          ? Answer.FAILED
+          : Answer.refused(0));
+      pending.onRelease();
       return true;
     }
   }
 
-  /** The volume is gone: what its client has put into the rings by now is refused, so that none of it is left
-   * without an answer. A client that goes on is not waited for. */
+  /** Refuses what clients have put into the rings by now, because the volume was removed, so that no request
+   * is left without an answer. Does not wait for a client that continues. */
   void refuseRemaining() {
-    for (Ring r : connection.rings()) {
-      for (int n = 0; n < Virtqueue.MAX_SIZE && r.queue != null && takeRequests(r); n++) {
+    for (Ring ring : connection.rings()) {
+      for (int turns = 0; turns < Virtqueue.MAX_SIZE && ring.queue != null && takeRequests(ring); turns++) {
         deliverAnswers();
       }
     }
@@ -168,30 +173,32 @@
     return connection.hasFeature(Wire.BLK_REFUSED) ? BlockRequest.EXTENDED_TAIL_BYTES : 1;
   }
 
-  private void answerImmediately(Ring r, int head, BlockRequest request) {
+  private void answerImmediately(Ring ring, int head, BlockRequest request) {
     int written = 0;
     if (request.deviceIdRequested() && request.status() == BlockRequest.OK) {
       request.writeDeviceId(volume.get().name());
       written = BlockRequest.DEVICE_ID_BYTES;
     }
-    complete(r, head, request, request.status(), 0, written);
-    r.signalCall();
+    complete(ring, head, request, request.status(), 0, written);
+    ring.signalCall();
   }
 
-  /** Gives answers back to the client. */
+  /** Delivers answers to the client. */
   boolean deliverAnswers() {
     boolean any = false;
-    for (PendingRequest t = answers.poll(); t != null; t = answers.poll()) {
+    for (PendingRequest pending = answers.poll(); pending != null; pending = answers.poll()) {
       any = true;
-      inFlight.remove(t);
-      boolean told = connection.hasFeature(Wire.BLK_REFUSED);
-      byte status = switch (t.answer.kind()) {
+      inFlight.remove(pending);
+      boolean refusedNegotiated = connection.hasFeature(Wire.BLK_REFUSED);
+      byte status = switch (pending.answer.kind()) {
         case SERVED -> BlockRequest.OK;
-        case REFUSED -> told ? BlockRequest.REFUSED : BlockRequest.IOERR;
+        case REFUSED -> refusedNegotiated ? BlockRequest.REFUSED : BlockRequest.IOERR;
         case FAILED -> BlockRequest.IOERR;
       };
-      boolean read = t.request.kind() == IoKind.READ && status == BlockRequest.OK;
-      complete(t.ring, t.head, t.request, status, t.answer.retryInUs(), read ? (int) t.request.length() : 0);
+      boolean dataRead = pending.request.kind() == IoKind.READ && status == BlockRequest.OK;
+      complete(pending.ring, pending.head, pending.request, status, pending.answer.retryInUs(), dataRead
+          ? (int) pending.request.length()
+          : 0);
     }
     if (any) {
       connection.rings().forEach(Ring::signalCall);
@@ -202,24 +209,24 @@
     return any;
   }
 
-  private void complete(Ring r, int head, BlockRequest request, byte status, long retryInUs, int written) {
+  private void complete(Ring ring, int head, BlockRequest request, byte status, long retryInUs, int written) {
     ByteBuffer tail = request.tail();
     if (tail.capacity() == BlockRequest.EXTENDED_TAIL_BYTES) {
       tail.putInt(4, (int) Math.min(Integer.MAX_VALUE, (retryInUs + 999) / 1_000));
     }
     tail.put(0, status);
-    r.queue.push(head, written + tail.capacity());
+    ring.queue.push(head, written + tail.capacity());
   }
 
-  /** Departs what is in flight; how many that were. */
+  /** Abandons the requests in flight and returns their number. */
   int abandonAll() {
-    for (Ring r : connection.rings()) {
-      if (r.blockedRequest != null) {
-        inFlight.remove(r.blockedRequest);
-        r.blockedRequest.onRelease();
+    for (Ring ring : connection.rings()) {
+      if (ring.blockedRequest != null) {
+        inFlight.remove(ring.blockedRequest);
+        ring.blockedRequest.onRelease();
       }
     }
-    inFlight.forEach(t -> engine.abandon(t.io));
+    inFlight.forEach(pending -> engine.abandon(pending.io));
     return inFlight.size();
   }
 }
--- a/src/main/java/hollyslip/front/vhost/Ring.java
+++ b/src/main/java/hollyslip/front/vhost/Ring.java
@@ -3,15 +3,15 @@
 import hollyslip.front.sys.Linux;
 import java.util.ArrayDeque;
 
-/** One queue of a device and what the messages have said of it. */
+/** A queue of a device, with its state as set by vhost-user messages. */
 final class Ring {
   final int index;
   int size, firstAvailIdx, kickFd = -1, callFd = -1, errFd = -1;
   long descriptorAddress, availAddress, usedAddress;
   boolean addressesSet, enabled;
-  /** Null: it does not run. */
+  /** Null while the ring is not running. */
   Virtqueue queue;
-  /** The request that found no room, before which no other is taken. */
+  /** The request that the engine had no capacity for; no other is taken before it. */
   RequestProcessor.PendingRequest blockedRequest;
   /** Heads that a killed back end had taken, in order. */
   final ArrayDeque<Integer> recoveredHeads = new ArrayDeque<>();
@@ -20,7 +20,7 @@
     this.index = index;
   }
 
-  /** Calls the client, if it wants to be for what was pushed. */
+  /** Signals the client if it wants a call for what was pushed. */
   void signalCall() {
     if (queue != null && queue.needsCall() && callFd >= 0) {
       Linux.signal(callFd);
--- a/src/main/java/hollyslip/front/vhost/VhostServer.java
+++ b/src/main/java/hollyslip/front/vhost/VhostServer.java
@@ -13,14 +13,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Listens on one Unix socket a volume and makes a {@link Device} of each connection of a user who may. */
+/** Listens on the Unix socket of one volume and creates a {@link Device} for each connection of an allowed
+ * user. */
 public final class VhostServer {
   private static final Logger LOG = LoggerFactory.getLogger(VhostServer.class);
 
-  /** Clients of one volume at a time. */
+  /** Maximum number of concurrent clients of one volume. */
   private static final int MAX_DEVICES = 64;
 
-  /** Anybody who may open the socket. */
+  /** Allows every user who may open the socket. */
   public static final LongPredicate ANYBODY = user -> true;
 
   private final RequestIntake engine;
@@ -33,9 +34,9 @@
   private volatile boolean closing;
 
   /** @param path
-   *          of the socket; a file left there is replaced
+   *          path of the socket; a file left there is replaced
    * @param allowedUsers
-   *          which users may connect */
+   *          which users may connect, by user ID */
   public VhostServer(RequestIntake engine, Acceptor acceptor, String volume, Path path,
       LongPredicate allowedUsers)
       throws IOException {
@@ -55,70 +56,71 @@
   }
 
   private void handleConnection(int fd) {
-    Volume v = engine.volumes().get(volume);
+    Volume current = engine.volumes().get(volume);
     try {
       long user = Linux.peerUserId(fd);
-      if (closing || v == null || devices.size() >= MAX_DEVICES || !allowedUsers.test(user)) {
+      if (closing || current == null || devices.size() >= MAX_DEVICES || !allowedUsers.test(user)) {
         Linux.closeAll(fd);
         LOG.atWarn().addKeyValue("volume", volume).addKeyValue("user", user).log("device.refused");
         return;
       }
-      openDevice(v, fd, user);
+      openDevice(current, fd, user);
     } catch (IOException e) {
       Linux.closeAll(fd);
       LOG.atWarn().addKeyValue("volume", volume).addKeyValue("why", e.getMessage()).log("vhost.accept");
     }
   }
 
-  private void openDevice(Volume v, int fd, long user) throws IOException {
-    Device[] self = new Device[1];
-    self[0] = new Device(engine, v, fd, user, () -> devices.remove(self[0]));
-    devices.add(self[0]);
-    Thread t = new Thread(self[0], "device-" + volume);
-    t.setDaemon(true);
-    t.start();
+  private void openDevice(Volume servedVolume, int fd, long user) throws IOException {
+    Device[] holder = new Device[1];
+    holder[0] = new Device(engine, servedVolume, fd, user, () -> devices.remove(holder[0]));
+    devices.add(holder[0]);
+    Thread thread = new Thread(holder[0], "device-" + volume);
+    thread.setDaemon(true);
+    thread.start();
     LOG.atInfo()
         .addKeyValue("volume", volume)
-        .addKeyValue("tenant", v.tenant())
+        .addKeyValue("tenant", servedVolume.tenant())
         .addKeyValue("user", user)
         .log("device.opened");
     if (!allowedUsers.test(user)) {
-      self[0].stop();
+      holder[0].stop();
     }
   }
 
-  /** Which users may connect from now on; devices of others end. */
-  public void setAllowedUsers(LongPredicate next) {
-    allowedUsers = next;
-    devices.stream().filter(d -> !next.test(d.userId())).forEach(Device::stop);
+  /** Sets which users may connect from now on; devices of other users are stopped. */
+  public void setAllowedUsers(LongPredicate newAllowedUsers) {
+    allowedUsers = newAllowedUsers;
+    devices.stream().filter(device -> !newAllowedUsers.test(device.userId())).forEach(Device::stop);
   }
 
-  /** The volume has another size: clients that listen for it are told. */
-  public void resize(Volume v) {
-    devices.forEach(d -> d.resize(v));
+  /** Sets the volume's new size; clients that listen for configuration changes are notified. */
+  public void resize(Volume newVolume) {
+    devices.forEach(d -> d.resize(newVolume));
   }
 
-  /** Where it listens. */
+  /** Path of the socket. */
   public Path path() {
     return path;
   }
 
-  /** Devices that have not ended. */
+  /** Number of devices that have not ended. */
   public int deviceCount() {
     return devices.size();
   }
 
-  /** Takes no more connections and ends the devices. Answers must have been given before. */
+  /** Stops accepting connections and stops the devices; all requests must have been answered before. */
   public void close() {
     shutDown(Device::stop);
   }
 
-  /** As {@link #close}, when the volume is gone: what clients have put into their rings is refused. */
+  /** Like {@link #close}, when the volume was removed: requests that clients have put into their rings are
+   * refused. */
   public void retire() {
     shutDown(Device::retire);
   }
 
-  private void shutDown(Consumer<Device> how) {
+  private void shutDown(Consumer<Device> stopMethod) {
     closing = true;
     acceptor.remove(acceptorTag);
     try {
@@ -126,6 +128,6 @@
     } catch (IOException e) {
       LOG.atDebug().addKeyValue("volume", volume).addKeyValue("why", e.getMessage()).log("vhost.close");
     }
-    devices.forEach(how);
+    devices.forEach(stopMethod);
   }
 }
--- a/src/main/java/hollyslip/front/vhost/VhostUserConnection.java
+++ b/src/main/java/hollyslip/front/vhost/VhostUserConnection.java
@@ -13,12 +13,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The messages of one vhost-user connection ("Front-end message types" of the specification) and what they
- * have set up: features, memory, rings, the region of what is in flight. For the device's thread. */
+/** One vhost-user connection: handles its messages ("Front-end message types" of the specification) and holds
+ * what they set up: features, memory, rings and the inflight region. For the device's thread only. */
 final class VhostUserConnection {
   private static final Logger LOG = LoggerFactory.getLogger(VhostUserConnection.class);
 
-  /** Queues of one device at most. */
+  /** Maximum number of queues of one device. */
   static final int MAX_QUEUES = 16;
 
   private static final long FEATURES = Wire.F_INDIRECT | Wire.F_EVENT_IDX | Wire.F_PROTOCOL | Wire.F_VERSION_1
@@ -49,7 +49,7 @@
   private Ring drainingRing;
   private Wire.Message pendingBaseRequest;
 
-  /** The client closed its end. */
+  /** The client closed its end of the socket. */
   static final class DisconnectedException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
@@ -59,7 +59,7 @@
   }
 
   /** @param volume
-   *          what the device shows, as it is at the time */
+   *          supplies the volume in its current size */
   VhostUserConnection(int socket, Supplier<Volume> volume) {
     this.socket = socket;
     this.volume = volume;
@@ -73,19 +73,19 @@
     return memory;
   }
 
-  /** Whether a bit of the features is agreed. */
+  /** Returns whether a feature bit was negotiated. */
   boolean hasFeature(long feature) {
     return (features & feature) != 0;
   }
 
-  /** The ring that is being stopped; null: none. While there is one, no message is read. */
+  /** The ring that is being stopped; null if there is none. While there is one, no message is read. */
   Ring drainingRing() {
     return drainingRing;
   }
 
-  /** Tells a client that listens for it to read the configuration again
-   * (VHOST_USER_BACKEND_CONFIG_CHANGE_MSG). A client that does not read its end must not stop the device, so
-   * the message is dropped then. */
+  /** Notifies a client that listens for it to read the configuration again
+   * (VHOST_USER_BACKEND_CONFIG_CHANGE_MSG). A client that does not read its end must not block the device, so
+   * the message is dropped in that case. */
   void notifyConfigChanged() {
     if (backendRequestFd >= 0) {
       try {
@@ -99,204 +99,210 @@
     }
   }
 
-  /** Reads what has come and does what it says. */
+  /** Reads the messages that have arrived and handles them. */
   void receive() throws IOException {
-    Linux.Received got = Linux.receive(socket, receiveBuffer, 0, (int) Math.min(receiveBuffer.size(), input
-        .remaining()));
-    for (int fd : got.fds()) {
+    Linux.Received received = Linux.receive(socket, receiveBuffer, 0, (int) Math.min(receiveBuffer.size(),
+        input
+            .remaining()));
+    for (int fd : received.fds()) {
       receivedFds.add(fd);
     }
-    ProtocolViolationException.check(!got.truncated() && receivedFds.size() <= Linux.MAX_FDS,
-        "message: too many descriptors");
-    if (got.bytes() == -1) {
+    ProtocolViolationException.check(!received.truncated() && receivedFds.size() <= Linux.MAX_FDS,
+        "message: too many file descriptors");
+    if (received.bytes() == -1) {
       throw new DisconnectedException();
     }
-    if (got.bytes() > 0) {
-      byte[] bytes = receiveBuffer.getByteArray(0, got.bytes());
+    if (received.bytes() > 0) {
+      byte[] bytes = receiveBuffer.getByteArray(0, received.bytes());
       input.put(bytes);
       input.flip();
-      for (Wire.Message m = Wire.decode(input); m != null && drainingRing == null; m = drainingRing == null
-          ? Wire.decode(input)
-          : null) {
-        handleMessage(m);
-        ProtocolViolationException.check(receivedFds.isEmpty(), "message " + m.request()
-            + ": descriptors that it does not have");
+      for (Wire.Message message = Wire.decode(input); message != null
+          && drainingRing == null; message = drainingRing == null
+              ? Wire.decode(input)
+              : null) {
+        handleMessage(message);
+        ProtocolViolationException.check(receivedFds.isEmpty(), "message " + message.request()
+            + ": unexpected file descriptors");
       }
       input.compact();
     }
   }
 
-  private void handleMessage(Wire.Message m) throws IOException {
-    ProtocolViolationException.check((m.flags() & Wire.REPLY) == 0, "message.flags: a reply, not asked for");
-    ByteBuffer p = m.payload();
+  private void handleMessage(Wire.Message message) throws IOException {
+    ProtocolViolationException.check((message.flags() & Wire.REPLY) == 0, "message.flags: unexpected reply");
+    ByteBuffer payload = message.payload();
     boolean replied = true;
-    switch (m.request()) {
-      case Wire.GET_FEATURES -> reply(m, Wire.u64(FEATURES));
-      case Wire.GET_PROTOCOL_FEATURES -> reply(m, Wire.u64(PROTOCOL_FEATURES));
-      case Wire.GET_QUEUE_NUM -> reply(m, Wire.u64(MAX_QUEUES));
-      case Wire.GET_MAX_MEM_SLOTS -> reply(m, Wire.u64(MAX_MEMORY_SLOTS));
-      case Wire.GET_CONFIG -> sendConfig(m);
-      case Wire.GET_INFLIGHT_FD -> createInflightRegion(m);
-      case Wire.GET_VRING_BASE -> stopRing(m);
-      default -> { handleCommand(m, p); replied = false; }
+    switch (message.request()) {
+      case Wire.GET_FEATURES -> reply(message, Wire.u64(FEATURES));
+      case Wire.GET_PROTOCOL_FEATURES -> reply(message, Wire.u64(PROTOCOL_FEATURES));
+      case Wire.GET_QUEUE_NUM -> reply(message, Wire.u64(MAX_QUEUES));
+      case Wire.GET_MAX_MEM_SLOTS -> reply(message, Wire.u64(MAX_MEMORY_SLOTS));
+      case Wire.GET_CONFIG -> sendConfig(message);
+      case Wire.GET_INFLIGHT_FD -> createInflightRegion(message);
+      case Wire.GET_VRING_BASE -> stopRing(message);
+      default -> { handleCommand(message, payload); replied = false; }
     }
-    if (!replied && (m.flags() & Wire.NEED_REPLY) != 0 && (protocolFeatures
+    if (!replied && (message.flags() & Wire.NEED_REPLY) != 0 && (protocolFeatures
         & Wire.PROTOCOL_F_REPLY_ACK) != 0) {
-      reply(m, Wire.u64(0));
+      reply(message, Wire.u64(0));
     }
   }
 
-  private void handleCommand(Wire.Message m, ByteBuffer p) throws IOException {
-    switch (m.request()) {
+  private void handleCommand(Wire.Message message, ByteBuffer payload) throws IOException {
+    switch (message.request()) {
       case Wire.SET_FEATURES -> {
-        requireSize(p, 8, "SET_FEATURES");
-        long wanted = p.getLong();
-        ProtocolViolationException.check((wanted & ~FEATURES) == 0, "SET_FEATURES: bits " + Long.toHexString(
-            wanted
-                & ~FEATURES) + " were not offered");
-        ProtocolViolationException.check(rings.stream().allMatch(r -> r.queue == null),
-            "SET_FEATURES: while a ring runs");
-        features = wanted;
+        requireSize(payload, 8, "SET_FEATURES");
+        long requested = payload.getLong();
+        ProtocolViolationException.check((requested & ~FEATURES) == 0, "SET_FEATURES: bits " + Long
+            .toHexString(
+                requested
+                    & ~FEATURES) + " were not offered");
+        ProtocolViolationException.check(rings.stream().allMatch(ring -> ring.queue == null),
+            "SET_FEATURES: a ring is running");
+        features = requested;
       }
       case Wire.SET_PROTOCOL_FEATURES -> {
-        requireSize(p, 8, "SET_PROTOCOL_FEATURES");
-        long wanted = p.getLong();
-        ProtocolViolationException.check((wanted & ~PROTOCOL_FEATURES) == 0, "SET_PROTOCOL_FEATURES: bits "
-            + Long.toHexString(wanted
+        requireSize(payload, 8, "SET_PROTOCOL_FEATURES");
+        long requested = payload.getLong();
+        ProtocolViolationException.check((requested & ~PROTOCOL_FEATURES) == 0, "SET_PROTOCOL_FEATURES: bits "
+            + Long.toHexString(requested
                 & ~PROTOCOL_FEATURES) + " were not offered");
-        protocolFeatures = wanted;
+        protocolFeatures = requested;
       }
       case Wire.SET_OWNER -> {
-        ProtocolViolationException.check(!owned, "SET_OWNER: owned already");
+        ProtocolViolationException.check(!owned, "SET_OWNER: already has an owner");
         owned = true;
       }
       case Wire.RESET_OWNER -> owned = false;
-      case Wire.SET_MEM_TABLE -> setMemoryTable(p);
+      case Wire.SET_MEM_TABLE -> setMemoryTable(payload);
       case Wire.ADD_MEM_REG -> {
-        requireSize(p, 40, "ADD_MEM_REG");
-        p.getLong();
-        ProtocolViolationException.check(memory.regions.size() < MAX_MEMORY_SLOTS, "ADD_MEM_REG: more than "
-            + MAX_MEMORY_SLOTS);
-        addRegion(p);
+        requireSize(payload, 40, "ADD_MEM_REG");
+        payload.getLong();
+        ProtocolViolationException.check(memory.regions.size() < MAX_MEMORY_SLOTS,
+            "ADD_MEM_REG: more regions than "
+                + MAX_MEMORY_SLOTS);
+        addRegion(payload);
       }
-      case Wire.REM_MEM_REG -> removeRegion(p);
+      case Wire.REM_MEM_REG -> removeRegion(payload);
       case Wire.SET_VRING_NUM -> {
-        Ring r = stoppedRing(p, "SET_VRING_NUM");
-        int size = p.getInt();
+        Ring ring = stoppedRing(payload, "SET_VRING_NUM");
+        int size = payload.getInt();
         ProtocolViolationException.check(size > 0 && size <= Virtqueue.MAX_SIZE && Integer.bitCount(
             size) == 1,
-            "SET_VRING_NUM: " + size);
-        r.size = size;
+            "SET_VRING_NUM: invalid queue size " + size);
+        ring.size = size;
       }
-      case Wire.SET_VRING_ADDR -> setRingAddresses(p);
-      case Wire.SET_VRING_BASE -> stoppedRing(p, "SET_VRING_BASE").firstAvailIdx = p.getInt() & 0xffff;
+      case Wire.SET_VRING_ADDR -> setRingAddresses(payload);
+      case Wire.SET_VRING_BASE -> stoppedRing(payload, "SET_VRING_BASE").firstAvailIdx = payload.getInt()
+          & 0xffff;
       case Wire.SET_VRING_KICK -> {
-        Ring r = ringForFd(p, "SET_VRING_KICK");
-        r.kickFd = takeEventfd(p, r.kickFd, "SET_VRING_KICK");
-        start(r);
+        Ring ring = ringForFd(payload, "SET_VRING_KICK");
+        ring.kickFd = takeEventfd(payload, ring.kickFd, "SET_VRING_KICK");
+        start(ring);
       }
       case Wire.SET_VRING_CALL -> {
-        Ring r = ringForFd(p, "SET_VRING_CALL");
-        r.callFd = takeEventfd(p, r.callFd, "SET_VRING_CALL");
+        Ring ring = ringForFd(payload, "SET_VRING_CALL");
+        ring.callFd = takeEventfd(payload, ring.callFd, "SET_VRING_CALL");
       }
       case Wire.SET_VRING_ERR -> {
-        Ring r = ringForFd(p, "SET_VRING_ERR");
-        r.errFd = takeEventfd(p, r.errFd, "SET_VRING_ERR");
+        Ring ring = ringForFd(payload, "SET_VRING_ERR");
+        ring.errFd = takeEventfd(payload, ring.errFd, "SET_VRING_ERR");
       }
       case Wire.SET_BACKEND_REQ_FD -> {
         ProtocolViolationException.check((protocolFeatures & Wire.PROTOCOL_F_BACKEND_REQ) != 0,
-            "SET_BACKEND_REQ_FD: not agreed");
+            "SET_BACKEND_REQ_FD: not negotiated");
         Integer fd = receivedFds.poll();
-        ProtocolViolationException.check(fd != null, "SET_BACKEND_REQ_FD: no descriptor");
+        ProtocolViolationException.check(fd != null, "SET_BACKEND_REQ_FD: no file descriptor");
         Linux.closeAll(backendRequestFd);
         backendRequestFd = fd;
       }
       case Wire.SET_VRING_ENABLE -> {
-        requireSize(p, 8, "SET_VRING_ENABLE");
-        Ring r = ring(p.getInt(), "SET_VRING_ENABLE");
-        r.enabled = p.getInt() != 0;
-        start(r);
+        requireSize(payload, 8, "SET_VRING_ENABLE");
+        Ring ring = ring(payload.getInt(), "SET_VRING_ENABLE");
+        ring.enabled = payload.getInt() != 0;
+        start(ring);
       }
       case Wire.SET_CONFIG -> throw new ProtocolViolationException(
-          "SET_CONFIG: nothing in the configuration can be written");
-      case Wire.SET_INFLIGHT_FD -> setInflightRegion(p);
-      default -> throw new ProtocolViolationException("message.request: " + m.request()
-          + " is not known here");
+          "SET_CONFIG: the configuration is read-only");
+      case Wire.SET_INFLIGHT_FD -> setInflightRegion(payload);
+      default -> throw new ProtocolViolationException("message.request: " + message.request()
+          + " is not supported");
     }
   }
 
-  private void reply(Wire.Message m, byte[] payload, int... fds) throws IOException {
-    Linux.send(socket, Wire.message(m.request(), Wire.REPLY, payload), fds);
+  private void reply(Wire.Message message, byte[] payload, int... fds) throws IOException {
+    Linux.send(socket, Wire.message(message.request(), Wire.REPLY, payload), fds);
   }
 
-  private static void requireSize(ByteBuffer p, int bytes, String field) {
-    ProtocolViolationException.check(p.remaining() == bytes, field + ": size " + p.remaining() + ", not "
+  private static void requireSize(ByteBuffer payload, int bytes, String field) {
+    ProtocolViolationException.check(payload.remaining() == bytes, field + ": size " + payload.remaining()
+        + " instead of "
         + bytes);
   }
 
   private Ring ring(int index, String field) {
-    ProtocolViolationException.check(index >= 0 && index < MAX_QUEUES, field + ": queue " + Integer
+    ProtocolViolationException.check(index >= 0 && index < MAX_QUEUES, field + ": invalid queue " + Integer
         .toUnsignedString(index));
     while (rings.size() <= index) {
       rings.add(new Ring(rings.size()));
-      // Without the protocol's features a ring starts enabled: "Ring states".
+      // Without protocol features a ring starts enabled: "Ring states".
       rings.get(rings.size() - 1).enabled = (features & Wire.F_PROTOCOL) == 0;
     }
     return rings.get(index);
   }
 
-  private Ring stoppedRing(ByteBuffer p, String field) {
-    requireSize(p, 8, field);
-    Ring r = ring(p.getInt(), field);
-    ProtocolViolationException.check(r.queue == null, field + ": while the ring runs");
-    return r;
+  private Ring stoppedRing(ByteBuffer payload, String field) {
+    requireSize(payload, 8, field);
+    Ring ring = ring(payload.getInt(), field);
+    ProtocolViolationException.check(ring.queue == null, field + ": the ring is running");
+    return ring;
   }
 
-  private Ring ringForFd(ByteBuffer p, String field) {
-    requireSize(p, 8, field);
-    return ring((int) (p.getLong(0) & 0xff), field);
+  private Ring ringForFd(ByteBuffer payload, String field) {
+    requireSize(payload, 8, field);
+    return ring((int) (payload.getLong(0) & 0xff), field);
   }
 
-  private int takeEventfd(ByteBuffer p, int old, String field) throws IOException {
-    boolean none = (p.getLong(0) & 0x100) != 0;
-    ProtocolViolationException.check(none == receivedFds.isEmpty(), field
-        + ": descriptor missing or not announced");
-    if (old >= 0) {
-      Linux.closeAll(old);
+  private int takeEventfd(ByteBuffer payload, int previousFd, String field) throws IOException {
+    boolean noFd = (payload.getLong(0) & 0x100) != 0;
+    ProtocolViolationException.check(noFd == receivedFds.isEmpty(), field
+        + ": file descriptor missing or not announced");
+    if (previousFd >= 0) {
+      Linux.closeAll(previousFd);
     }
-    if (none) {
+    if (noFd) {
       return -1;
     }
     int fd = receivedFds.poll();
-    boolean good = Linux.isEventfd(fd);
-    if (!good) {
+    boolean isEventfd = Linux.isEventfd(fd);
+    if (!isEventfd) {
       Linux.closeAll(fd);
-      throw new ProtocolViolationException(field + ": the descriptor is not an eventfd");
+      throw new ProtocolViolationException(field + ": the file descriptor is not an eventfd");
     }
     Linux.setNonBlocking(fd);
     return fd;
   }
 
-  private void setMemoryTable(ByteBuffer p) {
-    ProtocolViolationException.check(p.remaining() >= 8, "SET_MEM_TABLE: size " + p.remaining());
-    int count = p.getInt();
-    p.getInt();
-    ProtocolViolationException.check(count >= 0 && count <= Linux.MAX_FDS && p.remaining() == count * 32
+  private void setMemoryTable(ByteBuffer payload) {
+    ProtocolViolationException.check(payload.remaining() >= 8, "SET_MEM_TABLE: size " + payload.remaining());
+    int count = payload.getInt();
+    payload.getInt();
+    ProtocolViolationException.check(count >= 0 && count <= Linux.MAX_FDS && payload.remaining() == count * 32
         && receivedFds
-            .size() == count, "SET_MEM_TABLE: " + count + " regions, " + p.remaining() + " bytes, "
+            .size() == count, "SET_MEM_TABLE: " + count + " regions, " + payload.remaining() + " bytes, "
                 + receivedFds
-                    .size() + " descriptors");
-    GuestMemory old = memory;
+                    .size() + " file descriptors");
+    GuestMemory previous = memory;
     memory = GuestMemory.EMPTY;
-    old.releaseAll();
+    previous.releaseAll();
     for (int i = 0; i < count; i++) {
-      addRegion(p);
+      addRegion(payload);
     }
     rings.forEach(this::relocate);
   }
 
-  private void addRegion(ByteBuffer p) {
-    GuestMemory.Region region = mapRegion(p);
+  private void addRegion(ByteBuffer payload) {
+    GuestMemory.Region region = mapRegion(payload);
     try {
       memory = memory.withRegion(region);
     } catch (ProtocolViolationException e) {
@@ -305,154 +311,165 @@
     }
   }
 
-  private GuestMemory.Region mapRegion(ByteBuffer p) {
-    long guest = p.getLong();
-    long size = p.getLong();
-    long user = p.getLong();
-    long offset = p.getLong();
+  private GuestMemory.Region mapRegion(ByteBuffer payload) {
+    long guestAddress = payload.getLong();
+    long size = payload.getLong();
+    long userAddress = payload.getLong();
+    long offset = payload.getLong();
     Integer fd = receivedFds.poll();
-    ProtocolViolationException.check(fd != null, "memory region: no descriptor");
+    ProtocolViolationException.check(fd != null, "memory region: no file descriptor");
     try {
-      return GuestMemory.map(guest, size, user, offset, fd);
+      return GuestMemory.map(guestAddress, size, userAddress, offset, fd);
     } finally {
       Linux.closeAll(fd);
     }
   }
 
-  private void removeRegion(ByteBuffer p) {
-    requireSize(p, 40, "REM_MEM_REG");
-    p.getLong();
-    long guest = p.getLong();
-    long size = p.getLong();
-    long user = p.getLong();
-    // A descriptor may come along and is of no use: "VHOST_USER_REM_MEM_REG".
+  private void removeRegion(ByteBuffer payload) {
+    requireSize(payload, 40, "REM_MEM_REG");
+    payload.getLong();
+    long guestAddress = payload.getLong();
+    long size = payload.getLong();
+    long userAddress = payload.getLong();
+    // A file descriptor may be attached and is ignored: "VHOST_USER_REM_MEM_REG".
     while (!receivedFds.isEmpty()) {
       Linux.closeAll(receivedFds.poll());
     }
-    GuestMemory.Region gone = memory.regions.stream()
-        .filter(r -> r.guestAddress == guest && r.size == size && r.userAddress == user)
+    GuestMemory.Region removed = memory.regions.stream()
+        .filter(r -> r.guestAddress == guestAddress && r.size == size && r.userAddress == userAddress)
         .findFirst()
         .orElseThrow(() -> new ProtocolViolationException("REM_MEM_REG: no such region"));
-    memory = memory.withoutRegion(gone);
+    memory = memory.withoutRegion(removed);
     rings.forEach(this::relocate);
-    gone.release();
+    removed.release();
   }
 
-  /** A running ring goes on in the new table; it must lie in it. */
-  private void relocate(Ring r) {
-    if (r.queue != null) {
-      r.queue.relocate(memory.viewAtUserAddress(r.descriptorAddress, 16 * r.size, "vring.descriptor"), memory
-          .viewAtUserAddress(r.availAddress, Virtqueue
-              .availBytes(r.size), "vring.available"), memory.viewAtUserAddress(r.usedAddress, Virtqueue
-                  .usedBytes(r.size),
-                  "vring.used"));
+  /** Moves a running ring to the new memory table, which must contain it. */
+  private void relocate(Ring ring) {
+    if (ring.queue != null) {
+      ring.queue.relocate(memory.viewAtUserAddress(ring.descriptorAddress, 16 * ring.size,
+          "vring.descriptor"), memory
+              .viewAtUserAddress(ring.availAddress, Virtqueue
+                  .availBytes(ring.size), "vring.available"), memory.viewAtUserAddress(ring.usedAddress,
+                      Virtqueue
+                          .usedBytes(ring.size),
+                      "vring.used"));
     }
   }
 
-  private void setRingAddresses(ByteBuffer p) {
-    requireSize(p, 40, "SET_VRING_ADDR");
-    Ring r = ring(p.getInt(), "SET_VRING_ADDR");
-    p.getInt();
-    r.descriptorAddress = p.getLong();
-    r.usedAddress = p.getLong();
-    r.availAddress = p.getLong();
-    ProtocolViolationException.check(r.descriptorAddress % 16 == 0 && r.availAddress % 2 == 0 && r.usedAddress
-        % 4 == 0, "SET_VRING_ADDR: not aligned");
-    r.addressesSet = true;
-    relocate(r);
+  private void setRingAddresses(ByteBuffer payload) {
+    requireSize(payload, 40, "SET_VRING_ADDR");
+    Ring ring = ring(payload.getInt(), "SET_VRING_ADDR");
+    payload.getInt();
+    ring.descriptorAddress = payload.getLong();
+    ring.usedAddress = payload.getLong();
+    ring.availAddress = payload.getLong();
+    ProtocolViolationException.check(ring.descriptorAddress % 16 == 0 && ring.availAddress % 2 == 0
+        && ring.usedAddress
+            % 4 == 0, "SET_VRING_ADDR: misaligned address");
+    ring.addressesSet = true;
+    relocate(ring);
   }
 
-  /** Starts a ring once all that it needs is known. */
-  void start(Ring r) {
-    if (r.queue != null || !r.enabled || r.kickFd < 0 || r.size == 0 || !r.addressesSet) {
+  /** Starts a ring once all of its parameters are known. */
+  void start(Ring ring) {
+    if (ring.queue != null || !ring.enabled || ring.kickFd < 0 || ring.size == 0 || !ring.addressesSet) {
       return;
     }
-    r.queue = new Virtqueue(r.size, memory.viewAtUserAddress(r.descriptorAddress, 16 * r.size,
+    ring.queue = new Virtqueue(ring.size, memory.viewAtUserAddress(ring.descriptorAddress, 16 * ring.size,
         "vring.descriptor"), memory.viewAtUserAddress(
-            r.availAddress, Virtqueue.availBytes(r.size), "vring.available"), memory.viewAtUserAddress(
-                r.usedAddress, Virtqueue.usedBytes(
-                    r.size), "vring.used"), r.firstAvailIdx, (features & Wire.F_EVENT_IDX) != 0);
-    if (inflightView != null && r.index < inflightQueues && r.size <= inflightSize) {
+            ring.availAddress, Virtqueue.availBytes(ring.size), "vring.available"), memory.viewAtUserAddress(
+                ring.usedAddress, Virtqueue.usedBytes(
+                    ring.size), "vring.used"), ring.firstAvailIdx, (features & Wire.F_EVENT_IDX) != 0);
+    if (inflightView != null && ring.index < inflightQueues && ring.size <= inflightSize) {
       int stride = bytesPerQueue(inflightSize);
-      List<Integer> heads = r.queue.recover(new InflightLog(inflightView.slice(r.index * stride, stride),
-          r.size));
-      r.recoveredHeads.addAll(heads);
+      List<Integer> heads = ring.queue.recover(new InflightLog(inflightView.slice(ring.index * stride,
+          stride),
+          ring.size));
+      ring.recoveredHeads.addAll(heads);
       if (!heads.isEmpty()) {
         LOG.atInfo()
             .addKeyValue("volume", volume.get().name())
-            .addKeyValue("queue", r.index)
+            .addKeyValue("queue", ring.index)
             .addKeyValue("requests", heads.size())
             .log("ring.recovered");
       }
     }
     LOG.atDebug()
         .addKeyValue("volume", volume.get().name())
-        .addKeyValue("queue", r.index)
-        .addKeyValue("size", r.size)
+        .addKeyValue("queue", ring.index)
+        .addKeyValue("size", ring.size)
         .log("ring.started");
   }
 
-  /** The ring stops; the reply waits until all it has taken is answered: {@link #completeStop}. */
-  private void stopRing(Wire.Message m) throws IOException {
-    requireSize(m.payload(), 8, "GET_VRING_BASE");
-    Ring r = ring(m.payload().getInt(0), "GET_VRING_BASE");
-    pendingBaseRequest = m;
-    drainingRing = r;
-    if (r.queue == null || r.queue.inFlight() == 0) {
+  /** Stops a ring; the reply is sent once all of its requests are answered, by {@link #completeStop}. */
+  private void stopRing(Wire.Message message) throws IOException {
+    requireSize(message.payload(), 8, "GET_VRING_BASE");
+    Ring ring = ring(message.payload().getInt(0), "GET_VRING_BASE");
+    pendingBaseRequest = message;
+    drainingRing = ring;
+    if (ring.queue == null || ring.queue.inFlight() == 0) {
       completeStop();
     }
   }
 
-  /** All that the stopping ring had is answered. */
+  /** Completes the stop of a ring, all of whose requests are answered. */
   void completeStop() {
-    Ring r = drainingRing;
+    Ring ring = drainingRing;
     drainingRing = null;
-    int base = r.queue == null ? r.firstAvailIdx : r.queue.base();
-    r.firstAvailIdx = base;
-    r.queue = null;
-    if (r.kickFd >= 0) {
-      Linux.closeAll(r.kickFd);
-      r.kickFd = -1;
+    int nextAvailIdx = ring.queue == null ? ring.firstAvailIdx : ring.queue.base();
+    ring.firstAvailIdx = nextAvailIdx;
+    ring.queue = null;
+    if (ring.kickFd >= 0) {
+      Linux.closeAll(ring.kickFd);
+      ring.kickFd = -1;
     }
     try {
-      reply(pendingBaseRequest, Wire.state(r.index, base));
+      reply(pendingBaseRequest, Wire.state(ring.index, nextAvailIdx));
     } catch (IOException e) {
       throw new DisconnectedException();
     }
   }
 
-  private void sendConfig(Wire.Message m) throws IOException {
-    ByteBuffer p = m.payload();
-    ProtocolViolationException.check(p.remaining() >= 12, "GET_CONFIG: size " + p.remaining());
-    int offset = p.getInt(0);
-    int size = p.getInt(4);
-    ProtocolViolationException.check(offset >= 0 && size >= 0 && size == p.remaining() - 12 && size <= 256,
+  private void sendConfig(Wire.Message message) throws IOException {
+    ByteBuffer payload = message.payload();
+    ProtocolViolationException.check(payload.remaining() >= 12, "GET_CONFIG: size " + payload.remaining());
+    int offset = payload.getInt(0);
+    int size = payload.getInt(4);
+    ProtocolViolationException.check(offset >= 0 && size >= 0 && size == payload.remaining() - 12
+        && size <= 256,
         "GET_CONFIG: "
             + offset + "+" + size);
-    ByteBuffer c = ByteBuffer.allocate(offset + size + CONFIG_BYTES).order(ByteOrder.LITTLE_ENDIAN);
-    c.putLong(0, volume.get().bytes() / Volume.BLOCK_BYTES)
+    ByteBuffer config = ByteBuffer.allocate(offset + size + CONFIG_BYTES).order(ByteOrder.LITTLE_ENDIAN);
+    config.putLong(0, volume.get().bytes() / Volume.BLOCK_BYTES)
         .putInt(12, MAX_SEGMENTS)
         .putInt(20, Volume.BLOCK_BYTES)
         .putShort(34, (short) MAX_QUEUES);
-    int most = (int) Math.min(Integer.MAX_VALUE, volume.get().bytes() / Volume.BLOCK_BYTES);
-    c.putInt(36, most).putInt(40, 1).putInt(44, 1).putInt(48, most).putInt(52, 1).put(56, (byte) 1);
+    int maxSectors = (int) Math.min(Integer.MAX_VALUE, volume.get().bytes() / Volume.BLOCK_BYTES);
+    config.putInt(36, maxSectors)
+        .putInt(40, 1)
+        .putInt(44, 1)
+        .putInt(48, maxSectors)
+        .putInt(52, 1)
+        .put(56, (byte) 1);
     for (int i = 0; i < size; i++) {
-      p.put(12 + i, offset + i < CONFIG_BYTES ? c.get(offset + i) : 0);
+      payload.put(12 + i, offset + i < CONFIG_BYTES ? config.get(offset + i) : 0);
     }
-    reply(m, p.array());
+    reply(message, payload.array());
   }
 
-  // In flight.
+  // Inflight region.
 
   private static int bytesPerQueue(int size) {
     return (InflightLog.regionBytes(size) + 63) / 64 * 64;
   }
 
-  private void createInflightRegion(Wire.Message m) throws IOException {
-    ByteBuffer p = m.payload();
-    ProtocolViolationException.check(p.remaining() >= 20, "GET_INFLIGHT_FD: size " + p.remaining());
-    int queues = Short.toUnsignedInt(p.getShort(16));
-    int size = Short.toUnsignedInt(p.getShort(18));
+  private void createInflightRegion(Wire.Message message) throws IOException {
+    ByteBuffer payload = message.payload();
+    ProtocolViolationException.check(payload.remaining() >= 20, "GET_INFLIGHT_FD: size " + payload
+        .remaining());
+    int queues = Short.toUnsignedInt(payload.getShort(16));
+    int size = Short.toUnsignedInt(payload.getShort(18));
     ProtocolViolationException.check(queues > 0 && queues <= MAX_QUEUES && size > 0
         && size <= Virtqueue.MAX_SIZE,
         "GET_INFLIGHT_FD: " + queues + " queues of " + size);
@@ -460,22 +477,23 @@
     int fd = Linux.memfd("inflight", bytes);
     try {
       mapInflightRegion(fd, bytes, 0, queues, size);
-      p.putLong(0, bytes).putLong(8, 0);
-      reply(m, p.array(), fd);
+      payload.putLong(0, bytes).putLong(8, 0);
+      reply(message, payload.array(), fd);
     } finally {
       Linux.closeAll(fd);
     }
   }
 
-  private void setInflightRegion(ByteBuffer p) throws IOException {
-    ProtocolViolationException.check(p.remaining() >= 20, "SET_INFLIGHT_FD: size " + p.remaining());
+  private void setInflightRegion(ByteBuffer payload) throws IOException {
+    ProtocolViolationException.check(payload.remaining() >= 20, "SET_INFLIGHT_FD: size " + payload
+        .remaining());
     Integer fd = receivedFds.poll();
-    ProtocolViolationException.check(fd != null, "SET_INFLIGHT_FD: no descriptor");
+    ProtocolViolationException.check(fd != null, "SET_INFLIGHT_FD: no file descriptor");
     try {
-      long bytes = p.getLong(0);
-      long offset = p.getLong(8);
-      int queues = Short.toUnsignedInt(p.getShort(16));
-      int size = Short.toUnsignedInt(p.getShort(18));
+      long bytes = payload.getLong(0);
+      long offset = payload.getLong(8);
+      int queues = Short.toUnsignedInt(payload.getShort(16));
+      int size = Short.toUnsignedInt(payload.getShort(18));
       ProtocolViolationException.check(bytes > 0 && bytes <= MAX_INFLIGHT_BYTES && offset >= 0
           && offset <= MAX_INFLIGHT_BYTES && queues <= MAX_QUEUES && size <= Virtqueue.MAX_SIZE
           && bytes >= (long) queues * bytesPerQueue(size) && Linux.size(fd) >= offset + bytes,
@@ -489,7 +507,7 @@
 
   private void mapInflightRegion(int fd, long bytes, long offset, int queues, int size) throws IOException {
     ProtocolViolationException.check(rings.stream().allMatch(r -> r.queue == null),
-        "inflight region: while a ring runs");
+        "inflight region: a ring is running");
     if (inflightMapping != null) {
       inflightMapping.unmap();
     }
@@ -499,7 +517,8 @@
     inflightSize = size;
   }
 
-  /** Closes all descriptors and lets go of the memory, which goes when the last request lets go. */
+  /** Closes all file descriptors and releases the memory, which is unmapped when the last request releases
+   * it. */
   void close() {
     rings.forEach(r -> Linux.closeAll(r.kickFd, r.callFd, r.errFd));
     while (!receivedFds.isEmpty()) {
--- a/src/main/java/hollyslip/front/vhost/Virtqueue.java
+++ b/src/main/java/hollyslip/front/vhost/Virtqueue.java
@@ -7,10 +7,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The device's side of one split virtqueue (virtio 1.2, 2.7), over memory that the client may change at any
- * time: every figure is read once and checked before use. Used by the device's thread alone. */
+/** The device's side of one split virtqueue (virtio 1.2, 2.7), in memory that the client may change at any
+ * time: every value is read once and checked before use. For the device's thread only. */
 final class Virtqueue {
-  /** Largest queue, virtio 1.2, 2.7: 32768; ours is what one device may have in flight. */
+  /** Maximum queue size. Virtio 1.2, 2.7, allows 32768; this smaller limit is what one device may have in
+   * flight. */
   static final int MAX_SIZE = 1024;
 
   private static final int FLAG_NEXT = 1, FLAG_WRITE = 2, FLAG_INDIRECT = 4;
@@ -19,7 +20,7 @@
   private ByteBuffer descriptorTable, availRing, usedRing;
   private final boolean eventIdx;
   private final boolean[] inFlight;
-  /** Copy of the indirect table that is being read: the client may change its own meanwhile. */
+  /** Copy of the indirect table being read, because the client may change its own meanwhile. */
   private final ByteBuffer indirectTable;
   private InflightLog inflightLog;
   private int lastAvailIdx;
@@ -27,7 +28,7 @@
   private int signalledUsedIdx;
   private int inFlightCount;
 
-  /** A chain of descriptors: what the device may read, what it may write, and the regions they lie in. */
+  /** A descriptor chain: what the device may read, what it may write, and the regions that contain them. */
   static final class Chain {
     final int head;
     final List<ByteBuffer> readable = new ArrayList<>(2);
@@ -39,16 +40,17 @@
     }
   }
 
-  Virtqueue(int size, ByteBuffer table, ByteBuffer avail, ByteBuffer used, int base, boolean eventIdx) {
+  Virtqueue(int size, ByteBuffer descriptorTable, ByteBuffer availRing, ByteBuffer usedRing,
+      int firstAvailIdx, boolean eventIdx) {
     this.size = size;
-    this.descriptorTable = table;
-    this.availRing = avail;
-    this.usedRing = used;
+    this.descriptorTable = descriptorTable;
+    this.availRing = availRing;
+    this.usedRing = usedRing;
     this.eventIdx = eventIdx;
     inFlight = new boolean[size];
     indirectTable = ByteBuffer.allocate(16 * size).order(ByteOrder.LITTLE_ENDIAN);
-    lastAvailIdx = base & 0xffff;
-    usedIdx = Short.toUnsignedInt(used.getShort(2));
+    lastAvailIdx = firstAvailIdx & 0xffff;
+    usedIdx = Short.toUnsignedInt(usedRing.getShort(2));
     signalledUsedIdx = usedIdx;
   }
 
@@ -60,10 +62,10 @@
     return 6 + 8 * size;
   }
 
-  /** Sets the record of what is in flight; gives the heads that a killed back end had taken, in order. */
-  List<Integer> recover(InflightLog inflight) {
-    inflightLog = inflight;
-    List<Integer> heads = inflight.recover(usedIdx);
+  /** Sets the inflight log and returns the heads that a killed back end had taken, in order. */
+  List<Integer> recover(InflightLog log) {
+    inflightLog = log;
+    List<Integer> heads = log.recover(usedIdx);
     lastAvailIdx = usedIdx + heads.size() & 0xffff;
     for (int head : heads) {
       inFlight[head] = true;
@@ -72,25 +74,26 @@
     return heads;
   }
 
-  /** The same ring, seen through another memory table. */
+  /** Switches to views of the same ring in another memory table. */
   void relocate(ByteBuffer newTable, ByteBuffer newAvail, ByteBuffer newUsed) {
     descriptorTable = newTable;
     availRing = newAvail;
     usedRing = newUsed;
   }
 
-  /** Next head that the client has made available, -1: none. */
+  /** Takes the next head that the client has made available; -1 if there is none. */
   int pop() {
     int idx = Short.toUnsignedInt(availRing.getShort(2));
     VarHandle.acquireFence();
-    int ahead = idx - lastAvailIdx & 0xffff;
-    if (ahead == 0) {
+    int available = idx - lastAvailIdx & 0xffff;
+    if (available == 0) {
       return -1;
     }
-    ProtocolViolationException.check(ahead <= size, "avail.idx: jumps by ", ahead, " in a queue of ", size);
+    ProtocolViolationException.check(available <= size, "avail.idx: advanced by ", available,
+        " in a queue of ", size);
     int head = Short.toUnsignedInt(availRing.getShort(4 + 2 * (lastAvailIdx % size)));
     ProtocolViolationException.check(head < size, "avail.ring: head ", head, " in a queue of ", size);
-    ProtocolViolationException.check(!inFlight[head], "avail.ring: in flight already is head ", head);
+    ProtocolViolationException.check(!inFlight[head], "avail.ring: already in flight: head ", head);
     lastAvailIdx = lastAvailIdx + 1 & 0xffff;
     inFlight[head] = true;
     inFlightCount++;
@@ -100,7 +103,7 @@
     return head;
   }
 
-  /** Whether the client has made more available; asks to be kicked for what comes after, if not. */
+  /** Returns whether the client has made more available, after enabling kicks for what follows. */
   boolean hasMoreOrEnableKick() {
     if (eventIdx) {
       usedRing.putShort(4 + 8 * size, (short) lastAvailIdx);
@@ -111,34 +114,34 @@
     return availRing.getShort(2) != (short) lastAvailIdx;
   }
 
-  /** Whether the client has made more available. */
+  /** Returns whether the client has made more available. */
   boolean hasMore() {
     VarHandle.acquireFence();
     return availRing.getShort(2) != (short) lastAvailIdx;
   }
 
-  /** Reads the chain of a head (2.7.5, 2.7.5.3). */
+  /** Reads the descriptor chain of a head (2.7.5, 2.7.5.3). */
   Chain readChain(int head, GuestMemory memory) {
     Chain chain = new Chain(head);
     walkDescriptors(descriptorTable, size, head, memory, chain, true);
     return chain;
   }
 
-  private void walkDescriptors(ByteBuffer from, int entries, int first, GuestMemory memory, Chain chain,
-      boolean direct) {
-    int at = first;
+  private void walkDescriptors(ByteBuffer table, int entries, int firstIndex, GuestMemory memory, Chain chain,
+      boolean indirectAllowed) {
+    int index = firstIndex;
     for (int steps = 1;; steps++) {
-      ProtocolViolationException.check(at < entries, "descriptor.next: ", at, " of ", entries);
+      ProtocolViolationException.check(index < entries, "descriptor.next: ", index, " of ", entries);
       ProtocolViolationException.check(steps <= entries, "descriptor.next: the chain loops");
-      long address = from.getLong(16 * at);
-      long length = Integer.toUnsignedLong(from.getInt(16 * at + 8));
-      int flags = Short.toUnsignedInt(from.getShort(16 * at + 12));
-      int next = Short.toUnsignedInt(from.getShort(16 * at + 14));
+      long address = table.getLong(16 * index);
+      long length = Integer.toUnsignedLong(table.getInt(16 * index + 8));
+      int flags = Short.toUnsignedInt(table.getShort(16 * index + 12));
+      int next = Short.toUnsignedInt(table.getShort(16 * index + 14));
       if ((flags & FLAG_INDIRECT) != 0) {
-        ProtocolViolationException.check(direct && (flags & (FLAG_NEXT | FLAG_WRITE)) == 0,
+        ProtocolViolationException.check(indirectAllowed && (flags & (FLAG_NEXT | FLAG_WRITE)) == 0,
             "descriptor.flags: INDIRECT with NEXT or "
                 + "WRITE, or inside an indirect table");
-        indirectTable(address, length, memory, chain);
+        walkIndirectTable(address, length, memory, chain);
         return;
       }
       boolean write = (flags & FLAG_WRITE) != 0;
@@ -151,11 +154,11 @@
       if ((flags & FLAG_NEXT) == 0) {
         return;
       }
-      at = next;
+      index = next;
     }
   }
 
-  private void indirectTable(long address, long length, GuestMemory memory, Chain chain) {
+  private void walkIndirectTable(long address, long length, GuestMemory memory, Chain chain) {
     ProtocolViolationException.check(length > 0 && length % 16 == 0 && length / 16 <= size,
         "indirect descriptor.len: ",
         length);
@@ -163,11 +166,11 @@
     walkDescriptors(indirectTable, (int) length / 16, 0, memory, chain, false);
   }
 
-  /** Gives a chain back with so many bytes written. */
+  /** Returns a chain to the client with the number of bytes written. */
   void push(int head, int written) {
-    int slot = 4 + 8 * (usedIdx % size);
-    usedRing.putInt(slot, head);
-    usedRing.putInt(slot + 4, written);
+    int entryOffset = 4 + 8 * (usedIdx % size);
+    usedRing.putInt(entryOffset, head);
+    usedRing.putInt(entryOffset + 4, written);
     if (inflightLog != null) {
       inflightLog.prepareAnswer(head);
     }
@@ -181,29 +184,29 @@
     inFlightCount--;
   }
 
-  /** Whether the client wants to be called for what was pushed since the last time (2.7.10). */
+  /** Returns whether the client wants a call for what was pushed since the last check (2.7.10). */
   boolean needsCall() {
     if (signalledUsedIdx == usedIdx) {
       return false;
     }
     VarHandle.fullFence();
-    boolean wants;
+    boolean needed;
     if (eventIdx) {
       int event = Short.toUnsignedInt(availRing.getShort(4 + 2 * size));
-      wants = (usedIdx - event - 1 & 0xffff) < (usedIdx - signalledUsedIdx & 0xffff);
+      needed = (usedIdx - event - 1 & 0xffff) < (usedIdx - signalledUsedIdx & 0xffff);
     } else {
-      wants = (availRing.getShort(0) & 1) == 0;
+      needed = (availRing.getShort(0) & 1) == 0;
     }
     signalledUsedIdx = usedIdx;
-    return wants;
+    return needed;
   }
 
-  /** Chains taken and not given back. */
+  /** Number of chains taken and not returned. */
   int inFlight() {
     return inFlightCount;
   }
 
-  /** Index of the next entry of the available ring: the reply to GET_VRING_BASE. */
+  /** Index of the next entry of the available ring, which is the reply to GET_VRING_BASE. */
   int base() {
     return lastAvailIdx;
   }
--- a/src/main/java/hollyslip/front/vhost/Wire.java
+++ b/src/main/java/hollyslip/front/vhost/Wire.java
@@ -4,8 +4,8 @@
 import java.nio.ByteOrder;
 
 /** Messages of the vhost-user protocol (QEMU documentation, "Vhost-user Protocol": "Message Specification",
- * "Front-end message types") and numbers of virtio-blk (virtio 1.2, 5.2.3 and 5.2.4). Public, since ring
- * clients speak it too. */
+ * "Front-end message types") and constants of virtio-blk (virtio 1.2, 5.2.3 and 5.2.4). Public, because ring
+ * clients speak the protocol too. */
 public final class Wire {
   public static final int GET_FEATURES = 1, SET_FEATURES = 2, SET_OWNER = 3, RESET_OWNER = 4;
   public static final int SET_MEM_TABLE = 5, SET_VRING_NUM = 8, SET_VRING_ADDR = 9, SET_VRING_BASE = 10;
@@ -14,20 +14,20 @@
   public static final int SET_VRING_ENABLE = 18, GET_CONFIG = 24, SET_CONFIG = 25, GET_INFLIGHT_FD = 31;
   public static final int SET_INFLIGHT_FD = 32, GET_MAX_MEM_SLOTS = 36, ADD_MEM_REG = 37, REM_MEM_REG = 38;
   public static final int SET_BACKEND_REQ_FD = 21;
-  /** A message of the back-end: "Back-end message types". */
+  /** Message sent by the back end: "Back-end message types". */
   public static final int BACKEND_CONFIG_CHANGE = 2;
 
   public static final int FLAG_VERSION = 1, REPLY = 4, NEED_REPLY = 8;
   public static final int HEADER = 12;
-  /** Longest payload that is read, bytes: a memory table of eight regions is 264, a config message 268. */
+  /** Maximum accepted payload in bytes: a memory table of eight regions has 264, a config message 268. */
   public static final int MAX_PAYLOAD_BYTES = 512;
 
   public static final long F_INDIRECT = 1L << 28, F_EVENT_IDX = 1L << 29, F_PROTOCOL = 1L << 30;
   public static final long F_VERSION_1 = 1L << 32;
   public static final long BLK_SEG_MAX = 1L << 2, BLK_BLK_SIZE = 1L << 6, BLK_FLUSH = 1L << 9;
   public static final long BLK_MQ = 1L << 12, BLK_DISCARD = 1L << 13, BLK_WRITE_ZEROES = 1L << 14;
-  /** Feature bit of ours in the device-specific range (virtio 1.2, 2.2: bits 50 to 127): refused requests get
-   * a status of their own and the time to come back; see docs/ring-front.md. */
+  /** Feature bit of this project in the device-specific range (virtio 1.2, 2.2: bits 50 to 127): refused
+   * requests get a status of their own and a retry delay; see docs/ring-front.md. */
   public static final long BLK_REFUSED = 1L << 60;
 
   public static final long PROTOCOL_F_MQ = 1, PROTOCOL_F_REPLY_ACK = 1L << 3,
@@ -35,35 +35,37 @@
       PROTOCOL_F_INFLIGHT_SHMFD = 1L << 12;
   public static final long PROTOCOL_F_CONFIGURE_MEM_SLOTS = 1L << 15;
 
-  /** A message as it stood on the socket; {@code payload} is little-endian, as on all machines we serve. */
+  /** A message as read from the socket; {@code payload} is little-endian, as on all supported machines. */
   public record Message(int request, int flags, ByteBuffer payload) {}
 
   private Wire() {}
 
-  /** Takes one whole message off the front of {@code in}; null: it is not whole yet.
+  /** Reads one complete message from the front of {@code in}; returns null if it is still incomplete.
    *
    * @throws ProtocolViolationException
-   *           a version or a size that no message has */
+   *           if the version or the size is invalid */
   static Message decode(ByteBuffer in) {
     if (in.remaining() < HEADER) {
       return null;
     }
-    int p = in.position();
-    int flags = in.getInt(p + 4);
-    int size = in.getInt(p + 8);
-    ProtocolViolationException.check((flags & 3) == FLAG_VERSION, "message.flags: version " + (flags & 3));
-    ProtocolViolationException.check(size >= 0 && size <= MAX_PAYLOAD_BYTES, "message.size: " + Integer
-        .toUnsignedString(size));
+    int start = in.position();
+    int flags = in.getInt(start + 4);
+    int size = in.getInt(start + 8);
+    ProtocolViolationException.check((flags & 3) == FLAG_VERSION, "message.flags: unsupported version "
+        + (flags & 3));
+    ProtocolViolationException.check(size >= 0 && size <= MAX_PAYLOAD_BYTES, "message.size: invalid size "
+        + Integer
+            .toUnsignedString(size));
     if (in.remaining() < HEADER + size) {
       return null;
     }
     byte[] payload = new byte[size];
-    in.get(p + HEADER, payload);
-    in.position(p + HEADER + size);
-    return new Message(in.getInt(p), flags, ByteBuffer.wrap(payload).order(ByteOrder.LITTLE_ENDIAN));
+    in.get(start + HEADER, payload);
+    in.position(start + HEADER + size);
+    return new Message(in.getInt(start), flags, ByteBuffer.wrap(payload).order(ByteOrder.LITTLE_ENDIAN));
   }
 
-  /** Bytes of a message. */
+  /** Encodes a message. */
   public static byte[] message(int request, int flags, byte[] payload) {
     return ByteBuffer.allocate(HEADER + payload.length)
         .order(ByteOrder.LITTLE_ENDIAN)
@@ -74,12 +76,12 @@
         .array();
   }
 
-  /** A payload of one u64. */
+  /** Encodes a payload of one u64. */
   public static byte[] u64(long value) {
     return ByteBuffer.allocate(8).order(ByteOrder.LITTLE_ENDIAN).putLong(value).array();
   }
 
-  /** A payload of two u32: "vring state description". */
+  /** Encodes a payload of two u32 values: "vring state description". */
   public static byte[] state(int index, int number) {
     return ByteBuffer.allocate(8).order(ByteOrder.LITTLE_ENDIAN).putInt(index).putInt(number).array();
   }
--- a/src/test/java/hollyslip/front/sys/MappingTest.java
+++ b/src/test/java/hollyslip/front/sys/MappingTest.java
@@ -12,9 +12,9 @@
 class MappingTest {
   private static final int PAGE = 4096;
 
-  /** A thread that looked at a ring while another closed it ended the process (SIGSEGV). */
+  /** A thread that accesses a ring while another thread closes it must not end the process with a SIGSEGV. */
   @Test
-  void viewsInUseWhileTheMappingEndsDoNoHarm() throws Exception {
+  void viewsStayUsableWhileTheMappingEnds() throws Exception {
     AtomicInteger touches = new AtomicInteger();
     for (int round = 0; round < 100; round++) {
       int fd = Linux.memfd("mapping-test", 16 * PAGE);
@@ -23,8 +23,8 @@
       CountDownLatch busy = new CountDownLatch(3);
       CountDownLatch ended = new CountDownLatch(1);
       List<Thread> users = new ArrayList<>();
-      for (int n = 0; n < 3; n++) {
-        ByteBuffer view = mapping.view(n * PAGE, 8 * PAGE).slice(PAGE, 4 * PAGE);
+      for (int user = 0; user < 3; user++) {
+        ByteBuffer view = mapping.view(user * PAGE, 8 * PAGE).slice(PAGE, 4 * PAGE);
         Thread t = new Thread(() -> {
           for (int i = 0; busy.getCount() > 0 || ended.getCount() > 0 || i % 64 != 0; i++) {
             view.putInt(i * 4 % (4 * PAGE), view.getInt(i * 8 % (4 * PAGE)) + 1);
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void afterItsEndAViewReadsZerosAndWritesReachNobody() throws Exception {
+  void viewOfAnEndedMappingReadsZerosAndIsDetached() throws Exception {
     int fd = Linux.memfd("mapping-test", PAGE);
     Linux.Mapping first = Linux.map(fd, 0, PAGE);
     Linux.Mapping second = Linux.map(fd, 0, PAGE);
