--- a/src/main/java/hollyslip/gateway/Gateway.java
+++ b/src/main/java/hollyslip/gateway/Gateway.java
@@ -43,17 +43,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One gateway, put together from its settings: the one place that knows all parts. */
+/** Assembles one gateway from its settings; the only class that knows all parts. */
 public final class Gateway {
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
 
-  /** Longest command that nodes take: the NBD protocol's limit without a block size constraint is 32 MiB. */
+  /** Maximum command size that nodes accept: the NBD protocol's limit without a block size constraint is 32
+   * MiB. */
   private static final long MAX_COMMAND_BYTES = 32 << 20;
 
-  /** Requests that a lane can number before the next one's numbers begin; a cookie has 12 bits more. */
+  /** Size of each lane's range of request IDs; a cookie has 12 more bits. */
   private static final long REQUEST_IDS_PER_LANE = 1L << 44;
 
-  /** Between the seeds of two lanes, so that those of neighbouring gateways do not meet. */
+  /** Distance between the seeds of two lanes, so that seeds of neighboring gateways do not coincide. */
   private static final long LANE_SEED_STEP = 1L << 32;
 
   private final Deployment deployment;
@@ -72,223 +73,238 @@
   private CompletableFuture<Void> stopping;
   private volatile List<Deployment.Node> currentNodes;
 
-  /** Ids of hosted tenants and volumes begin here; those of the settings' volumes are below. */
+  /** First ID of hosted tenants and volumes; volumes in the settings have lower IDs. */
   private static final long FIRST_HOSTED_ID = 1 << 20;
 
-  /** Builds and starts it; when this returns the sockets of all volumes listen, those of the settings and of
-   * the store, or it was logged of a volume of the store why its one does not. */
+  /** Builds and starts the gateway. When this returns, the sockets of all volumes in the settings and in the
+   * store listen; if one of a volume in the store does not, the reason was logged. */
   public Gateway(Deployment deployment) throws IOException {
     this(deployment, false);
   }
 
-  /** As the other.
+  /** Builds and starts the gateway.
    *
    * @param takeOver
-   *          an operator says that no other gateway of this name lives, whatever nodes say
+   *          an operator says that no other gateway with this name is alive, whatever the nodes report
    * @throws IOException
-   *           among others: another gateway of this name lives, or uses the state folder */
+   *           if, among other reasons, another gateway with this name is alive or uses the state directory */
   public Gateway(Deployment deployment, boolean takeOver) throws IOException {
     this.deployment = deployment;
     currentNodes = deployment.nodes();
-    Deployment.Process p = deployment.gateway();
-    epochStore = new EpochStore(p.stateDir());
+    Deployment.Process process = deployment.gateway();
+    epochStore = new EpochStore(process.stateDir());
     holder = takeEpoch(takeOver);
     lanes = new EngineLanes(createEngines(), deployment.byName(), this::settingsTerms);
     membership = new Membership(deployment.rules().coldUs(), lanes::updateNodes);
     ConnectionSerials serials = new ConnectionSerials();
-    for (int i = 0; i < p.cores(); i++) {
-      NodePool pool = new NodePool(lanes.lane(i), new NodePool.Limits(p.name(), holder, p.connections(), p
-          .perConnection(), deployment.allowed().connectTimeoutUs(), deployment.rules().orderSettleUs()),
-          serials, deployment.module().reportFields(), new MembershipUpdater(), p.ioThreads());
+    for (int i = 0; i < process.cores(); i++) {
+      NodePool pool = new NodePool(lanes.lane(i), new NodePool.Limits(process.name(), holder, process
+          .connections(), process
+              .perConnection(), deployment.allowed().connectTimeoutUs(), deployment.rules().orderSettleUs()),
+          serials, deployment.module().reportFields(), new MembershipUpdater(), process.ioThreads());
       pool.updateAddresses(nodeAddresses(deployment));
       lanes.lane(i).start(pool);
       pools.add(pool);
     }
     lanes.start();
     membership.replaceAll(nodeEntries(deployment));
-    Files.createDirectories(p.socketDir());
+    Files.createDirectories(process.socketDir());
     acceptor = new Acceptor();
-    for (Volume v : deployment.volumes()) {
-      vhostServers.add(new VhostServer(lanes, acceptor, v.name(), socket(v.name()), VhostServer.ANYBODY));
+    for (Volume volume : deployment.volumes()) {
+      vhostServers.add(new VhostServer(lanes, acceptor, volume.name(), socket(volume.name()),
+          VhostServer.ANYBODY));
     }
-    sftp = p.sftp() ? new SftpServer(lanes, p.socketDir().resolve("sftp.sock")) : null;
-    hostedVolumes = p.hosting() == null
+    sftp = process.sftp() ? new SftpServer(lanes, process.socketDir().resolve("sftp.sock")) : null;
+    hostedVolumes = process.hosting() == null
         ? null
-        : new HostedVolumes(lanes, acceptor, p.socketDir(), p.hosts(), this::setNodeState, this::nodeViews);
+        : new HostedVolumes(lanes, acceptor, process.socketDir(), process.hosts(), this::setNodeState,
+            this::nodeViews);
     control = hostedVolumes == null
         ? null
-        : new Control(new Folder(p.stateDir().resolve("store")), createShards(deployment), FIRST_HOSTED_ID, p
-            .hosts(),
+        : new Control(new Folder(process.stateDir().resolve("store")), createShards(deployment),
+            FIRST_HOSTED_ID, process
+                .hosts(),
             hostedVolumes, System::currentTimeMillis);
-    admin = control == null ? null : admin(p);
+    admin = control == null ? null : admin(process);
     if (control != null) {
       control.start().join();
     }
     LOG.atInfo()
-        .addKeyValue("name", p.name())
+        .addKeyValue("name", process.name())
         .addKeyValue("epoch", holder.epoch())
         .addKeyValue("volumes", deployment.volumes().size())
         .addKeyValue("nodes", deployment.nodes().size())
         .log("gateway.started");
   }
 
-  /** The lanes' engines: each a module with its own random source, and its part of what may be held. */
+  /** Creates the lanes' engines, each with its own scheduler and random source and its part of the capacity
+   * limits. */
   private List<Engine> createEngines() {
-    Deployment.Process p = deployment.gateway();
-    RequestClassifier classifier = new RequestClassifier(deployment.rows(), p.unitBytes(), deployment.store()
+    Deployment.Process process = deployment.gateway();
+    RequestClassifier classifier = new RequestClassifier(deployment.rows(), process.unitBytes(), deployment
+        .store()
         .maxUnits());
     List<Engine> engines = new ArrayList<>();
-    for (int i = 0; i < p.cores(); i++) {
-      HostScheduler.Settings m = deployment.module();
-      HostScheduler.Rules r = m.rules();
-      // What the budget allows beside its share is the process's: lanes divide it, or the sum would pass it.
-      HostScheduler.Rules part = new HostScheduler.Rules(r.answerSlackUs(), r.drainGraceUs(), r.coldFrom(), r
-          .coldUs(), r.fallMultiple(), r.fallUs(), r.orderSettleUs(), r.budgetShare(), r.budgetFree() / p
-              .cores(), r.budgetWindowUs(), r.askWithinUs());
-      HostScheduler.Settings own = new HostScheduler.Settings(m.seed() + i * LANE_SEED_STEP, m.index(), m
-          .hosts(),
-          m
-              .zone(), m.tickUs(), m.listOnRequest(), m.classes(), m.plans(), part, m.allowed(), m
-                  .store(), m
-                      .reportSource(), m.reportFields());
-      engines.add(new Engine(new Engine.Config(own, classifier, new ExtentSplitter(MAX_COMMAND_BYTES), Math
-          .max(1,
-              p
-                  .mostRequests() / p.cores()), Math.max(1, p.mostBytes() / p.cores()), i
-                      * REQUEST_IDS_PER_LANE), Map
-                          .of(),
-          new TokenBorrowingScheduler(own)));
+    for (int i = 0; i < process.cores(); i++) {
+      HostScheduler.Settings settings = deployment.module();
+      HostScheduler.Rules rules = settings.rules();
+      // The free part of the attempt budget, beside its share of the requests, is per process: the lanes
+      // divide it, because their sum would exceed it otherwise.
+      HostScheduler.Rules laneRules = new HostScheduler.Rules(rules.answerSlackUs(), rules.drainGraceUs(),
+          rules.coldFrom(), rules
+              .coldUs(), rules.fallMultiple(), rules.fallUs(), rules.orderSettleUs(), rules.budgetShare(),
+          rules.budgetFree() / process
+              .cores(), rules.budgetWindowUs(), rules.askWithinUs());
+      HostScheduler.Settings laneSettings = new HostScheduler.Settings(settings.seed() + i * LANE_SEED_STEP,
+          settings.index(), settings
+              .hosts(),
+          settings
+              .zone(), settings.tickUs(), settings.listOnRequest(), settings.classes(), settings.plans(),
+          laneRules, settings.allowed(), settings
+              .store(), settings
+                  .reportSource(), settings.reportFields());
+      engines.add(new Engine(new Engine.Config(laneSettings, classifier, new ExtentSplitter(
+          MAX_COMMAND_BYTES), Math
+              .max(1,
+                  process
+                      .mostRequests() / process.cores()), Math.max(1, process.mostBytes() / process.cores()),
+          i
+              * REQUEST_IDS_PER_LANE), Map
+                  .of(),
+          new TokenBorrowingScheduler(laneSettings)));
     }
     return engines;
   }
 
-  /** Terms of a volume of the settings, for a lane that takes it over: its plan, and no group. */
-  private VolumeChanged settingsTerms(Volume v) {
+  /** Terms of a volume in the settings for a lane that takes it over: its plan, and no group. */
+  private VolumeChanged settingsTerms(Volume volume) {
     HostScheduler.Plan plan = deployment.plans()
         .stream()
-        .filter(each -> each.name().equals(v.plan()))
+        .filter(candidate -> candidate.name().equals(volume.plan()))
         .findFirst()
         .orElseThrow();
-    return new VolumeChanged(v.id(), v.hosts(), plan, 0, plan.weight());
+    return new VolumeChanged(volume.id(), volume.hosts(), plan, 0, plan.weight());
   }
 
-  /** Takes an epoch above all that our record and the nodes know. */
+  /** Takes an epoch above all that the epoch store and the nodes know. */
   private Holder takeEpoch(boolean takeOver) throws IOException {
     String name = deployment.gateway().name();
     long recorded = epochStore.last();
-    Map<String, EpochElection.NodeView> known = NodeSurvey.queryHolders(nodeAddresses(deployment), name,
+    Map<String, EpochElection.NodeView> views = NodeSurvey.queryHolders(nodeAddresses(deployment), name,
         deployment
             .allowed()
             .connectTimeoutUs());
-    EpochElection.Decision step = takeOver
-        ? EpochElection.decideForcedTakeover(recorded, known.values())
-        : EpochElection.decideAtStart(recorded, known.values());
-    if (step.action() == EpochElection.Action.YIELD) {
+    EpochElection.Decision decision = takeOver
+        ? EpochElection.decideForcedTakeover(recorded, views.values())
+        : EpochElection.decideAtStart(recorded, views.values());
+    if (decision.action() == EpochElection.Action.YIELD) {
       epochStore.close();
-      throw new IOException("another gateway named " + name + " lives, with epoch " + step.other().epoch()
-          + " (ours on disk: " + recorded + "): nodes that say so are " + nodeNames(known, step.other())
-          + "; stop it, or start with --take-over if it is gone");
+      throw new IOException("another gateway named " + name + " lives, with epoch " + decision.other().epoch()
+          + " (recorded on disk: " + recorded + "); reported by nodes " + nodeNames(views, decision.other())
+          + "; stop it, or start with --take-over if it no longer runs");
     }
-    if (recorded < step.other().epoch()) {
+    if (recorded < decision.other().epoch()) {
       LOG.atWarn()
           .addKeyValue("name", name)
           .addKeyValue("recorded", recorded)
-          .addKeyValue("known", step.other().epoch())
-          .addKeyValue("taken", step.epoch())
+          .addKeyValue("known", decision.other().epoch())
+          .addKeyValue("taken", decision.epoch())
           .log("gateway.epoch.behind");
     }
-    epochStore.advanceTo(step.epoch());
-    return new Holder(step.epoch(), new SecureRandom().nextLong(Long.MAX_VALUE));
+    epochStore.advanceTo(decision.epoch());
+    return new Holder(decision.epoch(), new SecureRandom().nextLong(Long.MAX_VALUE));
   }
 
-  private static List<String> nodeNames(Map<String, EpochElection.NodeView> known, Holder other) {
-    return known.entrySet()
+  private static List<String> nodeNames(Map<String, EpochElection.NodeView> views, Holder other) {
+    return views.entrySet()
         .stream()
-        .filter(e -> e.getValue().holder().equals(other))
+        .filter(view -> view.getValue().holder().equals(other))
         .map(Map.Entry::getKey)
         .sorted()
         .toList();
   }
 
-  /** A node says that another one holds our name; engine's thread. */
-  private void handleSuperseded(long node, EpochElection.NodeView known) {
-    EpochElection.Decision step = EpochElection.decideInService(holder, known);
-    if (step.action() == EpochElection.Action.GO_ON || superseded.isDone()) {
+  /** Handles a node's report that another gateway holds this name; called on the engine's thread. */
+  private void handleSuperseded(long node, EpochElection.NodeView view) {
+    EpochElection.Decision decision = EpochElection.decideInService(holder, view);
+    if (decision.action() == EpochElection.Action.GO_ON || superseded.isDone()) {
       return;
     }
     LOG.atError()
         .addKeyValue("name", deployment.gateway().name())
         .addKeyValue("node", node)
         .addKeyValue("epoch", holder.epoch())
-        .addKeyValue("other", known.holder().epoch())
-        .addKeyValue("open", known.openConnections())
-        .addKeyValue("verdict", step.action())
+        .addKeyValue("other", view.holder().epoch())
+        .addKeyValue("open", view.openConnections())
+        .addKeyValue("verdict", decision.action())
         .log("gateway.superseded");
-    if (step.action() == EpochElection.Action.YIELD) {
+    if (decision.action() == EpochElection.Action.YIELD) {
       lanes.refuseAll();
       superseded.complete(null);
       return;
     }
-    Holder next = new Holder(step.epoch(), holder.instance());
-    holder = next;
-    CompletableFuture.runAsync(() -> record(next.epoch())).whenComplete((done, e) -> {
-      if (e == null) {
+    Holder newHolder = new Holder(decision.epoch(), holder.instance());
+    holder = newHolder;
+    CompletableFuture.runAsync(() -> record(newHolder.epoch())).whenComplete((done, error) -> {
+      if (error == null) {
         for (int i = 0; i < pools.size(); i++) {
           NodePool pool = pools.get(i);
-          lanes.lane(i).execute(() -> pool.changeHolder(next));
+          lanes.lane(i).execute(() -> pool.changeHolder(newHolder));
         }
       } else {
-        LOG.atError().setCause(e).log("gateway.epoch");
+        LOG.atError().setCause(error).log("gateway.epoch");
         superseded.complete(null);
       }
     });
   }
 
-  private void record(long taken) {
+  private void record(long newEpoch) {
     try {
-      epochStore.advanceTo(taken);
+      epochStore.advanceTo(newEpoch);
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
   }
 
-  /** Complete when a newer gateway of the same name was found: this one must end. */
+  /** Completes when a newer gateway with the same name was found: this one must stop. */
   public CompletableFuture<Void> superseded() {
     return superseded;
   }
 
-  /** The epoch that it has now. */
+  /** The current epoch. */
   public long epoch() {
     return holder.epoch();
   }
 
-  private AdminServer admin(Deployment.Process p) throws IOException {
-    Deployment.Hosting h = p.hosting();
-    AdminServer.bootstrap(control, p.stateDir().resolve("operator.token"));
-    return new AdminServer(control, p.socketDir().resolve("admin.sock"), h.port(), h.cert(), h.key());
+  private AdminServer admin(Deployment.Process process) throws IOException {
+    Deployment.Hosting hosting = process.hosting();
+    AdminServer.bootstrap(control, process.stateDir().resolve("operator.token"));
+    return new AdminServer(control, process.socketDir().resolve("admin.sock"), hosting.port(), hosting.cert(),
+        hosting.key());
   }
 
-  /** Shards as the settings state them; what volumes of the settings have of them is taken. */
-  private static List<Shard> createShards(Deployment d) {
-    Map<Integer, List<Shard.Range>> taken = new HashMap<>();
-    for (Volume v : d.volumes()) {
-      v.extents()
-          .forEach(e -> taken.computeIfAbsent(e.shard(), k -> new ArrayList<>())
-              .add(new Shard.Range(e.offset(), e.offset() + v.extentBytes())));
+  /** Creates the shards as stated in the settings; extents of volumes in the settings count as allocated. */
+  private static List<Shard> createShards(Deployment deployment) {
+    Map<Integer, List<Shard.Range>> allocated = new HashMap<>();
+    for (Volume volume : deployment.volumes()) {
+      volume.extents()
+          .forEach(extent -> allocated.computeIfAbsent(extent.shard(), k -> new ArrayList<>())
+              .add(new Shard.Range(extent.offset(), extent.offset() + volume.extentBytes())));
     }
-    return d.nodes()
+    return deployment.nodes()
         .stream()
-        .filter(n -> n.state() != NodeState.GONE)
-        .map(n -> new Shard(n.shard(), n.zone(), n.capacity(), n.bytes(), taken.getOrDefault(n.shard(), List
-            .of())))
+        .filter(node -> node.state() != NodeState.GONE)
+        .map(node -> new Shard(node.shard(), node.zone(), node.capacity(), node.bytes(), allocated
+            .getOrDefault(node.shard(), List
+                .of())))
         .toList();
   }
 
   private void setNodeState(String name, NodeState state) {
-    for (Deployment.Node n : currentNodes) {
-      if (n.name().equals(name)) {
+    for (Deployment.Node node : currentNodes) {
+      if (node.name().equals(name)) {
         List<NodeEntry> before = membership.list();
-        membership.setState(n.id(), state);
+        membership.setState(node.id(), state);
         logNodeChanges(before);
       }
     }
@@ -296,43 +312,44 @@
 
   private Map<String, Carrier.NodeView> nodeViews() {
     Map<Long, NodeEntry> listed = new HashMap<>();
-    membership.list().forEach(l -> listed.put(l.node(), l));
+    membership.list().forEach(entry -> listed.put(entry.node(), entry));
     Map<String, Carrier.NodeView> views = new TreeMap<>();
-    for (Deployment.Node n : currentNodes) {
-      NodeEntry l = listed.get(n.id());
-      views.put(n.name(), new Carrier.NodeView(n.id(), n.shard(), n.zone(), l == null
-          ? n.state()
-          : l.state()));
+    for (Deployment.Node node : currentNodes) {
+      NodeEntry entry = listed.get(node.id());
+      views.put(node.name(), new Carrier.NodeView(node.id(), node.shard(), node.zone(), entry == null
+          ? node.state()
+          : entry.state()));
     }
     return views;
   }
 
-  private static List<NodePool.Address> nodeAddresses(Deployment d) {
-    return d.nodes()
+  private static List<NodePool.Address> nodeAddresses(Deployment deployment) {
+    return deployment.nodes()
         .stream()
-        .map(n -> new NodePool.Address(n.id(), n.name(), new InetSocketAddress(n.host(), n.port()), "shard-"
-            + n.shard()))
+        .map(node -> new NodePool.Address(node.id(), node.name(), new InetSocketAddress(node.host(), node
+            .port()), "shard-"
+                + node.shard()))
         .toList();
   }
 
-  private static List<NodeEntry> nodeEntries(Deployment d) {
-    return d.nodes().stream().map(Deployment.Node::listed).toList();
+  private static List<NodeEntry> nodeEntries(Deployment deployment) {
+    return deployment.nodes().stream().map(Deployment.Node::listed).toList();
   }
 
-  /** News of starts go through the membership to the module. */
+  /** Passes events of the nodes through the membership to the scheduler. */
   private final class MembershipUpdater implements NodePool.NodeEventListener {
     @Override
     public boolean onNodeStarted(long node, long boot, long ageUs) {
-      boolean fresh = membership.recordStart(node, boot, ageUs, Engine.monotonicMicros());
-      if (fresh) {
+      boolean newStart = membership.recordStart(node, boot, ageUs, Engine.monotonicMicros());
+      if (newStart) {
         LOG.atInfo().addKeyValue("node", node).addKeyValue("age_ms", ageUs / 1_000).log("node.started");
       }
-      return fresh;
+      return newStart;
     }
 
     @Override
-    public void onSuperseded(long node, EpochElection.NodeView known) {
-      handleSuperseded(node, known);
+    public void onSuperseded(long node, EpochElection.NodeView view) {
+      handleSuperseded(node, view);
     }
 
     @Override
@@ -342,66 +359,69 @@
   }
 
   private void logNodeChanges(List<NodeEntry> before) {
-    List<NodeEntry> now = membership.list();
-    for (NodeEntry l : now) {
-      NodeEntry old = before.stream().filter(b -> b.node() == l.node()).findFirst().orElse(null);
-      if (old == null || old.state() != l.state()) {
+    List<NodeEntry> after = membership.list();
+    for (NodeEntry entry : after) {
+      NodeEntry previous = before.stream()
+          .filter(previousEntry -> previousEntry.node() == entry.node())
+          .findFirst()
+          .orElse(null);
+      if (previous == null || previous.state() != entry.state()) {
         LOG.atInfo()
-            .addKeyValue("node", l.node())
-            .addKeyValue("shard", l.cell())
-            .addKeyValue("state", l.state())
+            .addKeyValue("node", entry.node())
+            .addKeyValue("shard", entry.cell())
+            .addKeyValue("state", entry.state())
             .log("node.state");
       }
     }
     before.stream()
-        .filter(b -> now.stream().noneMatch(l -> l.node() == b.node()))
-        .forEach(b -> LOG.atInfo()
-            .addKeyValue("node", b.node())
-            .addKeyValue("shard", b.cell())
+        .filter(previousEntry -> after.stream().noneMatch(entry -> entry.node() == previousEntry.node()))
+        .forEach(previousEntry -> LOG.atInfo()
+            .addKeyValue("node", previousEntry.node())
+            .addKeyValue("shard", previousEntry.cell())
             .addKeyValue("state", "GONE")
             .log("node.state"));
   }
 
-  /** Takes on another node list; the rest of the settings stays as it was. */
-  public void nodes(Deployment next) {
-    List<NodePool.Address> addresses = nodeAddresses(next);
+  /** Replaces the node list; all other settings stay unchanged. */
+  public void nodes(Deployment newDeployment) {
+    List<NodePool.Address> addresses = nodeAddresses(newDeployment);
     for (int i = 0; i < pools.size(); i++) {
       NodePool pool = pools.get(i);
       lanes.lane(i).execute(() -> pool.updateAddresses(addresses));
     }
     List<NodeEntry> before = membership.list();
-    currentNodes = next.nodes();
-    membership.replaceAll(nodeEntries(next));
+    currentNodes = newDeployment.nodes();
+    membership.replaceAll(nodeEntries(newDeployment));
     if (control != null) {
-      // The administrators' word stands against the settings'.
-      control.read(r -> List.copyOf(r.nodes()))
-          .thenAccept(all -> all.forEach(n -> setNodeState(n.node(), n.state())));
+      // The node states set by administrators take precedence over the settings.
+      control.read(records -> List.copyOf(records.nodes()))
+          .thenAccept(recorded -> recorded.forEach(node -> setNodeState(node.node(), node.state())));
     }
     logNodeChanges(before);
-    LOG.atInfo().addKeyValue("nodes", next.nodes().size()).log("nodes.replaced");
+    LOG.atInfo().addKeyValue("nodes", newDeployment.nodes().size()).log("nodes.replaced");
   }
 
-  /** Socket of a volume. */
+  /** Returns the socket path of a volume in the settings. */
   public Path socket(String volume) {
     return deployment.gateway().socketDir().resolve(volume + ".sock");
   }
 
-  /** Socket of a hosted volume. */
+  /** Returns the socket path of a hosted volume. */
   public Path socket(String tenant, String volume) {
     return hostedVolumes.socketPath(tenant, volume);
   }
 
-  /** Who records and decides on hosted tenants; null: none are hosted. */
+  /** Returns the control of hosted tenants; null if hosting is disabled. */
   public Control control() {
     return control;
   }
 
-  /** The administration API; null: no tenants are hosted. */
+  /** Returns the server of the administration API; null if hosting is disabled. */
   public AdminServer admin() {
     return admin;
   }
 
-  /** Clients attached to a volume. */
+  /** Returns the number of clients connected to a volume. */
   public int devices(String volume) {
     return vhostServers.stream()
         .filter(f -> f.path().equals(socket(volume)))
@@ -409,7 +429,7 @@
         .sum();
   }
 
-  /** Where its requests go. */
+  /** Returns the lanes that process the requests. */
   public EngineLanes lanes() {
     return lanes;
   }
@@ -418,7 +438,8 @@
     return membership;
   }
 
-  /** Takes no more, answers everything, then closes the sockets; complete when all is answered. */
+  /** Stops accepting requests, answers all pending ones and then closes the sockets; completes when all are
+   * answered. */
   public synchronized CompletableFuture<Void> stop() {
     if (stopping == null) {
       stopping = stopAll();
@@ -446,17 +467,19 @@
     });
   }
 
-  /** Has this called when the engine ends, wanted or not. */
+  /** Registers a listener that is called when the engine terminates, intended or not, or when a newer gateway
+   * has superseded this one. */
   public void onFault(Runnable listener) {
     lanes.termination().whenComplete((done, error) -> listener.run());
     superseded.thenRun(listener);
   }
 
-  /** Stops and waits, but no longer than the longest time that a client waits. Whether all was answered. */
+  /** Stops and waits, with a limit derived from the longest deadline of a client. Returns whether all
+   * requests were answered. */
   public boolean close() {
-    long most = deployment.classes().stream().mapToLong(c -> c.deadlineUs()).max().orElse(0);
+    long maxDeadlineUs = deployment.classes().stream().mapToLong(c -> c.deadlineUs()).max().orElse(0);
     try {
-      stop().get(most * 2 + 1_000_000, TimeUnit.MICROSECONDS);
+      stop().get(maxDeadlineUs * 2 + 1_000_000, TimeUnit.MICROSECONDS);
       return true;
     } catch (ExecutionException | TimeoutException e) {
       LOG.atError().setCause(e).log("gateway.stop");
--- a/src/main/java/hollyslip/gateway/HostedVolumes.java
+++ b/src/main/java/hollyslip/gateway/HostedVolumes.java
@@ -25,7 +25,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Serves hosted volumes: the engine, the module and a socket for each, in the tenant's folder. */
+/** Serves hosted volumes: for each one the engine, the scheduler and a socket in the tenant's directory. */
 final class HostedVolumes implements Carrier {
   private static final Logger LOG = LoggerFactory.getLogger(HostedVolumes.class);
 
@@ -36,8 +36,8 @@
   private final BiConsumer<String, NodeState> nodeStateSetter;
   private final Supplier<Map<String, NodeView>> nodes;
   private final Map<Long, VhostServer> servers = new ConcurrentHashMap<>();
-  /** Sockets are made and removed here, in the order of the engine's word: files may be slow, and the
-   * engine's thread must not wait for them. */
+  /** Creates and removes sockets, in the order of the engine's confirmations. File operations may be slow,
+   * and the engine's thread must not wait for them. */
   private final ExecutorService socketExecutor = Executors.newSingleThreadExecutor(r -> {
     Thread t = new Thread(r, "sockets");
     t.setDaemon(true);
@@ -54,49 +54,52 @@
     this.nodes = nodes;
   }
 
-  private static String qualifiedName(HostedVolume v, Tenant t) {
-    return t.name() + "/" + v.name();
+  private static String qualifiedName(HostedVolume volume, Tenant tenant) {
+    return tenant.name() + "/" + volume.name();
   }
 
-  /** Socket of a volume. */
+  /** Returns the socket path of a volume. */
   Path socketPath(String tenant, String volume) {
     return socketDir.resolve(tenant).resolve(volume + ".sock");
   }
 
-  private Volume toVolume(HostedVolume v, Tenant t) {
-    return new Volume(v.id(), qualifiedName(v, t), t.name(), v.plan(), hosts, v.bytes(), v.extentBytes(), v
-        .extents());
+  private Volume toVolume(HostedVolume volume, Tenant tenant) {
+    return new Volume(volume.id(), qualifiedName(volume, tenant), tenant.name(), volume.plan(), hosts, volume
+        .bytes(), volume.extentBytes(), volume
+            .extents());
   }
 
-  private static LongPredicate memberPredicate(Tenant t) {
-    Set<Long> users = Set.copyOf(t.members().values());
+  private static LongPredicate memberPredicate(Tenant tenant) {
+    Set<Long> users = Set.copyOf(tenant.members().values());
     return users::contains;
   }
 
   @Override
-  public CompletableFuture<Void> serve(HostedVolume v, Tenant t, VolumeChanged terms) {
-    Volume volume = toVolume(v, t);
-    return lanes.serve(volume, terms).thenRunAsync(() -> {
-      VhostServer front = servers.get(v.id());
-      if (front == null) {
-        openServer(v, t);
+  public CompletableFuture<Void> serve(HostedVolume volume, Tenant tenant, VolumeChanged terms) {
+    Volume servedVolume = toVolume(volume, tenant);
+    return lanes.serve(servedVolume, terms).thenRunAsync(() -> {
+      VhostServer server = servers.get(volume.id());
+      if (server == null) {
+        openServer(volume, tenant);
       } else {
-        front.setAllowedUsers(memberPredicate(t));
-        front.resize(volume);
+        server.setAllowedUsers(memberPredicate(tenant));
+        server.resize(servedVolume);
       }
     }, socketExecutor);
   }
 
-  private void openServer(HostedVolume v, Tenant t) {
+  private void openServer(HostedVolume volume, Tenant tenant) {
     try {
-      Path path = socketPath(t.name(), v.name());
+      Path path = socketPath(tenant.name(), volume.name());
       Files.createDirectories(path.getParent());
-      servers.put(v.id(), new VhostServer(lanes, acceptor, qualifiedName(v, t), path, memberPredicate(t)));
-      // Anybody may knock: who is no member is turned away by the user number that the kernel tells.
+      servers.put(volume.id(), new VhostServer(lanes, acceptor, qualifiedName(volume, tenant), path,
+          memberPredicate(tenant)));
+      // Every user may connect; users who are not members are rejected by the user ID that the kernel
+      // reports.
       Files.setPosixFilePermissions(path, PosixFilePermissions.fromString("rw-rw-rw-"));
       LOG.atInfo()
-          .addKeyValue("volume", qualifiedName(v, t))
-          .addKeyValue("tenant", t.name())
+          .addKeyValue("volume", qualifiedName(volume, tenant))
+          .addKeyValue("tenant", tenant.name())
           .log("volume.served");
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
@@ -104,15 +107,15 @@
   }
 
   @Override
-  public CompletableFuture<Void> drain(HostedVolume v, Tenant t) {
-    return lanes.drain(toVolume(v, t)).thenRunAsync(() -> {
-      VhostServer front = servers.remove(v.id());
-      if (front != null) {
-        front.retire();
+  public CompletableFuture<Void> drain(HostedVolume volume, Tenant tenant) {
+    return lanes.drain(toVolume(volume, tenant)).thenRunAsync(() -> {
+      VhostServer server = servers.remove(volume.id());
+      if (server != null) {
+        server.retire();
       }
       LOG.atInfo()
-          .addKeyValue("volume", qualifiedName(v, t))
-          .addKeyValue("tenant", t.name())
+          .addKeyValue("volume", qualifiedName(volume, tenant))
+          .addKeyValue("tenant", tenant.name())
           .log("volume.gone");
     }, socketExecutor);
   }
