--- a/src/main/java/hollyslip/front/vhost/Device.java
+++ b/src/main/java/hollyslip/front/vhost/Device.java
@@ -13,204 +13,216 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** One client at one volume: the vhost-user back end of a virtio-blk device, on a thread of its own. What the
- * specification leaves to trust is checked; whatever the client does wrong stops this device and no other.
+/** A client's connection to one volume: the vhost-user back end of a virtio-blk device, on a thread of its
+ * own. It checks everything that the specification leaves to trust; a client that violates a rule stops this
+ * device and no other.
  *
  * <p>
- * Its life is here: {@link #turn} looks for work and sleeps, {@link #close} ends it. What the socket says is
- * in {@link Messages}, what the rings bring in {@link Requests}. */
+ * This class runs the life cycle: {@link #runTurn} looks for work and sleeps, {@link #close} ends the device.
+ * Socket messages are handled in {@link VhostUserConnection}, the contents of the rings in
+ * {@link RequestProcessor}. */
 final class Device implements Runnable {
   private static final Logger LOG = LoggerFactory.getLogger(Device.class);
 
   private final RequestIntake engine;
-  private final long user;
+  private final long userId;
   private final int socket;
-  private final int wake;
-  private final Runnable ended;
-  private final Messages messages;
-  private final Requests requests;
+  private final int wakeUpFd;
+  private final Runnable closeListener;
+  private final VhostUserConnection connection;
+  private final RequestProcessor requests;
   private final Linux.Poll poll = new Linux.Poll();
-  private final Runnable roomListener = this::wake;
-  private final AdaptiveSpinner spin = new AdaptiveSpinner();
-  private final BooleanSupplier work;
+  private final Runnable capacityListener = this::wakeUp;
+  private final AdaptiveSpinner spinner = new AdaptiveSpinner();
+  private final BooleanSupplier workAvailable;
   private volatile Volume volume;
-  private volatile boolean grown;
+  private volatile boolean configChanged;
   private volatile boolean retired;
   private volatile boolean sleeping;
-  private volatile boolean over;
+  private volatile boolean stopRequested;
   private boolean wakeClosed;
-  private int quiet;
+  private int turnsSincePoll;
 
-  Device(RequestIntake engine, Volume volume, int socket, long user, Runnable ended) throws IOException {
+  Device(RequestIntake engine, Volume volume, int socket, long userId, Runnable closeListener)
+      throws IOException {
     this.engine = engine;
-    this.user = user;
+    this.userId = userId;
     this.volume = volume;
     this.socket = socket;
-    this.ended = ended;
-    wake = Linux.eventfd();
-    messages = new Messages(socket, () -> this.volume);
-    requests = new Requests(engine, messages, () -> this.volume, this::wake);
-    work = () -> requests.answersWait() || requests.anyMore();
+    this.closeListener = closeListener;
+    wakeUpFd = Linux.eventfd();
+    connection = new VhostUserConnection(socket, () -> this.volume);
+    requests = new RequestProcessor(engine, connection, () -> this.volume, this::wakeUp);
+    workAvailable = () -> requests.hasAnswers() || requests.hasMoreRequests();
   }
 
-  /** Ends the device since its volume is gone; from another thread. */
+  /** Ends the device because its volume was removed; called from another thread. */
   void retire() {
     retired = true;
     stop();
   }
 
-  /** User number of the client. */
-  long user() {
-    return user;
+  /** User ID of the client. */
+  long userId() {
+    return userId;
   }
 
-  /** The volume has another size. From any thread. */
-  void resized(Volume next) {
-    volume = next;
-    grown = true;
+  /** Sets the volume's new size; called from any thread. */
+  void resize(Volume newVolume) {
+    volume = newVolume;
+    configChanged = true;
     signal();
   }
 
   /** Ends the device from another thread. */
   void stop() {
-    over = true;
+    stopRequested = true;
     signal();
   }
 
-  private void wake() {
+  private void wakeUp() {
     if (sleeping) {
       sleeping = false;
       signal();
     }
   }
 
-  /** Answers may come when the device is gone and its descriptor's number means something else. */
+  /** Wakes the device up. Answers may arrive after the device has ended, when the file descriptor's number
+   * may refer to something else. */
   private synchronized void signal() {
     if (!wakeClosed) {
-      Linux.signal(wake);
+      Linux.signal(wakeUpFd);
     }
   }
 
-  private synchronized void closeWake() {
+  private synchronized void closeWakeUp() {
     wakeClosed = true;
-    Linux.closeAll(wake);
+    Linux.closeAll(wakeUpFd);
   }
 
   @Override
   public void run() {
-    engine.addCapacityListener(roomListener);
-    String why = "memory region: cut short while in use";
+    engine.addCapacityListener(capacityListener);
+    String reason = "memory region: truncated while in use";
     try {
-      why = serve();
+      reason = serve();
     } catch (InternalError e) {
-      line(LOG.atWarn()).addKeyValue("field", why).log("device.stopped");
+      addVolume(LOG.atWarn()).addKeyValue("field", reason).log("device.stopped");
     }
     ClientMemory.hasNoPendingFault();
-    close(why);
+    close(reason);
   }
 
-  /** Serves until the end, and says why it came. A fault in shared memory (the client cut its file short
-   * after the check at mapping) leaves this as an {@code InternalError}. The JVM tells of it some time after
-   * the touch, which then has read anything: so what was read may break a rule first, and the error come
-   * while that is being caught. */
+  /** Serves the client until the end and returns the reason for it. A fault in shared memory (the client
+   * truncated its file after the check at mapping) leaves this method as an {@code InternalError}. The JVM
+   * throws it some time after the access, which may then have read anything: the data read may violate a rule
+   * first, and the error be thrown while that violation is being caught. */
   private String serve() {
     try {
-      while (!over) {
-        turn();
+      while (!stopRequested) {
+        runTurn();
       }
       if (retired) {
-        requests.lastTurn();
-        return "the volume is removed";
+        requests.refuseRemaining();
+        return "the volume was removed";
       }
-      return "the gateway ends";
-    } catch (Violation e) {
-      line(LOG.atWarn()).addKeyValue("field", e.getMessage()).log("device.stopped");
+      return "the gateway is stopping";
+    } catch (ProtocolViolationException e) {
+      addVolume(LOG.atWarn()).addKeyValue("field", e.getMessage()).log("device.stopped");
       return e.getMessage();
-    } catch (Messages.Closed e) {
-      return "the client left";
+    } catch (VhostUserConnection.DisconnectedException e) {
+      return "the client disconnected";
     } catch (IOException | RuntimeException e) {
-      line(LOG.atWarn()).addKeyValue("why", e.toString()).log("device.stopped");
+      addVolume(LOG.atWarn()).addKeyValue("why", e.toString()).log("device.stopped");
       return e.toString();
     }
   }
 
-  private void turn() throws IOException {
-    boolean worked = requests.give();
-    if (grown) {
-      grown = false;
-      messages.tellGrown();
+  private void runTurn() throws IOException {
+    boolean worked = requests.deliverAnswers();
+    if (configChanged) {
+      configChanged = false;
+      connection.notifyConfigChanged();
     }
-    for (Ring r : messages.rings()) {
-      worked |= r.queue != null && requests.take(r);
+    for (Ring ring : connection.rings()) {
+      worked |= ring.queue != null && requests.takeRequests(ring);
     }
     if (worked) {
-      looksAt(0);
+      pollDescriptors(0);
       return;
     }
-    boolean seen = spin.spinUntil(Long.MAX_VALUE, work);
-    settle();
-    if (seen) {
+    boolean workSeen = spinner.spinUntil(Long.MAX_VALUE, workAvailable);
+    checkNoPendingFault();
+    if (workSeen) {
       return;
     }
     sleeping = true;
-    boolean more = requests.roomNow() | requests.anyMoreOrKick() | requests.answersWait() | over | grown;
-    settle();
-    looksAt(more ? 0 : -1);
+    boolean workWaiting = requests.offerBlocked() | requests.hasMoreRequestsOrEnableKicks() | requests
+        .hasAnswers()
+        | stopRequested | configChanged;
+    checkNoPendingFault();
+    pollDescriptors(workWaiting ? 0 : -1);
     sleeping = false;
   }
 
-  /** What was looked at may be gone, and anything seen for that reason. The JVM would tell only once this
-   * thread calls into it: when a sleep that has no end is over, or never, where one look sees work and the
-   * next does not. Harm: some tens of ns after each look in vain. */
-  private static void settle() {
-    Violation.check(ClientMemory.hasNoPendingFault(), "memory region: cut short while in use");
+  /** Checks that the memory just read is not truncated, since anything may have been read from it otherwise.
+   * The JVM would throw the error only once this thread calls into it: after a sleep without a time limit, or
+   * never, if one look sees work and the next does not. The cost is some tens of ns after each look that
+   * finds nothing. */
+  private static void checkNoPendingFault() {
+    ProtocolViolationException.check(ClientMemory.hasNoPendingFault(),
+        "memory region: truncated while in use");
   }
 
-  /** Waits for kicks, letters and messages. While there is work, the socket is looked at now and then. */
-  private void looksAt(int ms) throws IOException {
-    if (ms == 0 && ++quiet % 64 != 0 && !messages.rings().isEmpty() && messages.draining() == null) {
+  /** Waits for kicks, wake-ups and messages. While there is work, file descriptors are polled only once in a
+   * while. */
+  private void pollDescriptors(int timeoutMs) throws IOException {
+    if (timeoutMs == 0 && ++turnsSincePoll % 64 != 0 && !connection.rings().isEmpty() && connection
+        .drainingRing() == null) {
       return;
     }
     poll.clear();
-    poll.add(wake);
-    if (messages.draining() == null) {
+    poll.add(wakeUpFd);
+    if (connection.drainingRing() == null) {
       poll.add(socket);
     }
-    int first = messages.draining() == null ? 2 : 1;
-    List<Ring> kicked = new ArrayList<>();
-    for (Ring r : messages.rings()) {
-      if (r.kick >= 0) {
-        poll.add(r.kick);
-        kicked.add(r);
+    int firstRing = connection.drainingRing() == null ? 2 : 1;
+    List<Ring> rings = new ArrayList<>();
+    for (Ring ring : connection.rings()) {
+      if (ring.kickFd >= 0) {
+        poll.add(ring.kickFd);
+        rings.add(ring);
       }
     }
-    poll.await(ms);
+    poll.await(timeoutMs);
     if (poll.events(0) != 0) {
-      Linux.drain(wake);
+      Linux.drain(wakeUpFd);
     }
-    for (int i = 0; i < kicked.size(); i++) {
-      if (poll.events(first + i) != 0) {
-        Linux.drain(kicked.get(i).kick);
-        messages.start(kicked.get(i));
+    for (int i = 0; i < rings.size(); i++) {
+      if (poll.events(firstRing + i) != 0) {
+        Linux.drain(rings.get(i).kickFd);
+        connection.start(rings.get(i));
       }
     }
-    if (messages.draining() == null && poll.events(1) != 0) {
-      messages.receive();
+    if (connection.drainingRing() == null && poll.events(1) != 0) {
+      connection.receive();
     }
   }
 
-  /** Departs what is in flight and closes all. */
-  private void close(String why) {
-    engine.removeCapacityListener(roomListener);
-    over = true;
-    int left = requests.depart();
-    messages.close();
-    line(LOG.atInfo()).addKeyValue("inflight", left).addKeyValue("why", why).log("device.closed");
-    closeWake();
-    ended.run();
+  /** Abandons the requests in flight and releases everything. */
+  private void close(String reason) {
+    engine.removeCapacityListener(capacityListener);
+    stopRequested = true;
+    int abandoned = requests.abandonAll();
+    connection.close();
+    addVolume(LOG.atInfo()).addKeyValue("inflight", abandoned)
+        .addKeyValue("why", reason)
+        .log("device.closed");
+    closeWakeUp();
+    closeListener.run();
   }
 
-  private LoggingEventBuilder line(LoggingEventBuilder to) {
-    return to.addKeyValue("volume", volume.name()).addKeyValue("tenant", volume.tenant());
+  private LoggingEventBuilder addVolume(LoggingEventBuilder event) {
+    return event.addKeyValue("volume", volume.name()).addKeyValue("tenant", volume.tenant());
   }
 }
--- a/src/main/java/hollyslip/front/vhost/GuestMemory.java
+++ b/src/main/java/hollyslip/front/vhost/GuestMemory.java
@@ -10,48 +10,49 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The client's memory as it has shared it: an immutable row of regions. A region is unmapped when neither a
- * table nor a request holds it any more, so nothing can write to memory that is gone. */
+/** The memory that a client shares, as an immutable table of regions. A region is unmapped once neither a
+ * table nor a request refers to it any more, so that nothing writes to unmapped memory. */
 final class GuestMemory {
-  static final GuestMemory NONE = new GuestMemory(List.of());
+  static final GuestMemory EMPTY = new GuestMemory(List.of());
 
-  /** Unmapping a large region takes the kernel a while; no thread that serves waits for it. */
-  private static final ExecutorService REAPER = Executors.newSingleThreadExecutor(r -> {
+  /** Unmapping a large region takes the kernel a while, so serving threads do not do it themselves. */
+  private static final ExecutorService UNMAPPER = Executors.newSingleThreadExecutor(r -> {
     Thread t = new Thread(r, "unmapper");
     t.setDaemon(true);
     return t;
   });
 
-  /** One region, by the addresses of the message "memory region description". */
+  /** A region, with the addresses of the message "memory region description". */
   static final class Region {
-    final long guest, size, user;
-    private final long shift;
+    final long guestAddress, size, userAddress;
+    private final long mappingOffset;
     private final Linux.Mapping mapping;
-    private final AtomicInteger holders = new AtomicInteger(1);
+    private final AtomicInteger referenceCount = new AtomicInteger(1);
 
-    private Region(long guest, long size, long user, long offset, Linux.Mapping mapping) {
-      this.guest = guest;
+    private Region(long guestAddress, long size, long userAddress, long mappingOffset,
+        Linux.Mapping mapping) {
+      this.guestAddress = guestAddress;
       this.size = size;
-      this.user = user;
-      this.shift = offset;
+      this.userAddress = userAddress;
+      this.mappingOffset = mappingOffset;
       this.mapping = mapping;
     }
 
-    ByteBuffer view(long at, int length) {
-      return mapping.view(shift + at, length).order(ByteOrder.LITTLE_ENDIAN);
+    ByteBuffer view(long offset, int length) {
+      return mapping.view(mappingOffset + offset, length).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    void copy(long at, ByteBuffer to, int length) {
-      mapping.copy(shift + at, to, length);
+    void copy(long offset, ByteBuffer to, int length) {
+      mapping.copy(mappingOffset + offset, to, length);
     }
 
-    void hold() {
-      holders.incrementAndGet();
+    void retain() {
+      referenceCount.incrementAndGet();
     }
 
     void release() {
-      if (holders.decrementAndGet() == 0) {
-        REAPER.execute(mapping::unmap);
+      if (referenceCount.decrementAndGet() == 0) {
+        UNMAPPER.execute(mapping::unmap);
       }
     }
   }
@@ -62,79 +63,87 @@
     this.regions = List.copyOf(regions);
   }
 
-  /** Maps a region of a file that the client sent. A file that is shorter than the region is turned down: a
-   * touch behind its end would be a SIGBUS. The descriptor stays the caller's. */
-  static Region map(long guest, long size, long user, long offset, int fd) {
-    Violation.check(size > 0 && offset >= 0 && offset <= Long.MAX_VALUE - size, "memory region: size " + size
-        + " at offset " + offset);
-    Violation.check(guest >= 0 && guest <= Long.MAX_VALUE - size && user >= 0 && user <= Long.MAX_VALUE
-        - size, "memory region: address out of range");
+  /** Maps a region of a file that the client sent. A file shorter than the region is rejected, because
+   * accessing memory beyond its end would raise a SIGBUS. The caller keeps the file descriptor. */
+  static Region map(long guestAddress, long size, long userAddress, long offset, int fd) {
+    ProtocolViolationException.check(size > 0 && offset >= 0 && offset <= Long.MAX_VALUE - size,
+        "memory region: size " + size
+            + " at offset " + offset);
+    ProtocolViolationException.check(guestAddress >= 0 && guestAddress <= Long.MAX_VALUE - size
+        && userAddress >= 0
+        && userAddress <= Long.MAX_VALUE
+            - size, "memory region: address out of range");
     try {
-      Violation.check(Linux.size(fd) >= offset + size, "memory region: file shorter than offset + size");
-      return new Region(guest, size, user, offset, Linux.map(fd, 0, offset + size));
+      ProtocolViolationException.check(Linux.size(fd) >= offset + size,
+          "memory region: the file is shorter than offset + size");
+      return new Region(guestAddress, size, userAddress, offset, Linux.map(fd, 0, offset + size));
     } catch (IOException e) {
-      throw new Violation("memory region: " + e.getMessage());
+      throw new ProtocolViolationException("memory region: " + e.getMessage());
     }
   }
 
-  /** The table with one more region. */
-  GuestMemory with(Region added) {
+  /** Returns a table with one more region. */
+  GuestMemory withRegion(Region added) {
     for (Region r : regions) {
-      Violation.check(added.guest + added.size <= r.guest || r.guest + r.size <= added.guest,
-          "memory region: overlaps another");
+      ProtocolViolationException.check(added.guestAddress + added.size <= r.guestAddress || r.guestAddress
+          + r.size <= added.guestAddress,
+          "memory region: overlaps another region");
     }
     List<Region> next = new ArrayList<>(regions);
     next.add(added);
     return new GuestMemory(next);
   }
 
-  /** The table without a region; the caller releases it. */
-  GuestMemory without(Region gone) {
-    return new GuestMemory(regions.stream().filter(r -> r != gone).toList());
+  /** Returns a table without a region; the caller releases the region. */
+  GuestMemory withoutRegion(Region removed) {
+    return new GuestMemory(regions.stream().filter(r -> r != removed).toList());
   }
 
-  /** A view of memory by the client's own addresses: where rings lie. */
-  ByteBuffer byUser(long address, int length, String field) {
+  /** Returns a view of memory by the client's own addresses, which locate the rings. */
+  ByteBuffer viewAtUserAddress(long address, int length, String field) {
     for (Region r : regions) {
-      if (address >= r.user && address - r.user <= r.size - length) {
-        return r.view(address - r.user, length);
+      if (address >= r.userAddress && address - r.userAddress <= r.size - length) {
+        return r.view(address - r.userAddress, length);
       }
     }
-    throw new Violation(field + ": outside shared memory");
+    throw new ProtocolViolationException(field + ": outside shared memory");
   }
 
   /** Copies a range of guest memory, which must lie in one region, to the start of {@code to}. */
-  void copy(long address, ByteBuffer to, int length) {
-    Region r = find(address);
-    long at = address - r.guest;
-    Violation.check(length <= r.size - at, "indirect descriptor.addr: a table in two regions");
-    r.copy(at, to, length);
+  void copyFromGuestAddress(long address, ByteBuffer to, int length) {
+    Region r = findByGuestAddress(address);
+    long offset = address - r.guestAddress;
+    ProtocolViolationException.check(length <= r.size - offset,
+        "indirect descriptor.addr: the table spans two regions");
+    r.copy(offset, to, length);
   }
 
-  /** Adds views of a range of guest memory to {@code to} and the regions touched to {@code held}; a range may
-   * go on in the next region. */
-  void byGuest(long address, long length, List<ByteBuffer> to, List<Region> held) {
-    long at = address;
-    long left = length;
-    while (left > 0) {
-      Region r = find(at);
-      int n = (int) Math.min(Math.min(left, Linux.Mapping.MOST_VIEW), r.size - (at - r.guest));
-      to.add(r.view(at - r.guest, n));
-      if (!held.contains(r)) {
-        held.add(r);
+  /** Adds views of a range of guest memory to {@code views}, and the regions it touches to {@code touched}; a
+   * range may continue in the next region. */
+  void addViewsAtGuestAddress(long address, long length, List<ByteBuffer> views, List<Region> touched) {
+    long current = address;
+    long remaining = length;
+    while (remaining > 0) {
+      Region region = findByGuestAddress(current);
+      int count = (int) Math.min(Math.min(remaining, Linux.Mapping.MAX_VIEW_BYTES), region.size - (current
+          - region.guestAddress));
+      views.add(region.view(current - region.guestAddress, count));
+      if (!touched.contains(region)) {
+        touched.add(region);
       }
-      at += n;
-      left -= n;
+      current += count;
+      remaining -= count;
     }
   }
 
-  private Region find(long address) {
+  private Region findByGuestAddress(long address) {
     for (Region r : regions) {
-      if (address >= r.guest && address - r.guest < r.size) {
+      if (address >= r.guestAddress && address - r.guestAddress < r.size) {
         return r;
       }
     }
-    throw new Violation("descriptor.addr: " + Long.toHexString(address) + " is outside shared memory");
+    throw new ProtocolViolationException("descriptor.addr: " + Long.toHexString(address)
+        + " is outside shared memory");
   }
 
   void releaseAll() {
--- a/src/main/java/hollyslip/gateway/HostedVolumes.java
+++ b/src/main/java/hollyslip/gateway/HostedVolumes.java
@@ -25,20 +25,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Serves hosted volumes: the engine, the module and a socket for each, in the tenant's folder. */
+/** Serves hosted volumes: for each one the engine, the scheduler and a socket in the tenant's directory. */
 final class HostedVolumes implements Carrier {
   private static final Logger LOG = LoggerFactory.getLogger(HostedVolumes.class);
 
-  private final EngineLanes engine;
+  private final EngineLanes lanes;
   private final Acceptor acceptor;
-  private final Path sockets;
+  private final Path socketDir;
   private final int hosts;
-  private final BiConsumer<String, NodeState> nodeState;
+  private final BiConsumer<String, NodeState> nodeStateSetter;
   private final Supplier<Map<String, NodeView>> nodes;
-  private final Map<Long, VhostServer> fronts = new ConcurrentHashMap<>();
-  /** Sockets are made and removed here, in the order of the engine's word: files may be slow, and the
-   * engine's thread must not wait for them. */
-  private final ExecutorService opener = Executors.newSingleThreadExecutor(r -> {
+  private final Map<Long, VhostServer> servers = new ConcurrentHashMap<>();
+  /** Creates and removes sockets, in the order of the engine's confirmations. File operations may be slow,
+   * and the engine's thread must not wait for them. */
+  private final ExecutorService socketExecutor = Executors.newSingleThreadExecutor(r -> {
     Thread t = new Thread(r, "sockets");
     t.setDaemon(true);
     return t;
@@ -46,73 +46,83 @@
 
   HostedVolumes(EngineLanes engine, Acceptor acceptor, Path sockets, int hosts,
       BiConsumer<String, NodeState> nodeState, Supplier<Map<String, NodeView>> nodes) {
-    this.engine = engine;
+    this.lanes = engine;
     this.acceptor = acceptor;
-    this.sockets = sockets;
+    this.socketDir = sockets;
     this.hosts = hosts;
-    this.nodeState = nodeState;
+    this.nodeStateSetter = nodeState;
     this.nodes = nodes;
   }
 
-  private static String name(HostedVolume v, Tenant t) {
-    return t.name() + "/" + v.name();
+  private static String qualifiedName(HostedVolume volume, Tenant tenant) {
+    return tenant.name() + "/" + volume.name();
   }
 
-  /** Socket of a volume. */
-  Path socket(String tenant, String volume) {
-    return sockets.resolve(tenant).resolve(volume + ".sock");
+  /** Returns the socket path of a volume. */
+  Path socketPath(String tenant, String volume) {
+    return socketDir.resolve(tenant).resolve(volume + ".sock");
   }
 
-  private Volume volume(HostedVolume v, Tenant t) {
-    return new Volume(v.id(), name(v, t), t.name(), v.plan(), hosts, v.bytes(), v.extentBytes(), v.extents());
+  private Volume toVolume(HostedVolume volume, Tenant tenant) {
+    return new Volume(volume.id(), qualifiedName(volume, tenant), tenant.name(), volume.plan(), hosts, volume
+        .bytes(), volume.extentBytes(), volume
+            .extents());
   }
 
-  private static LongPredicate members(Tenant t) {
-    Set<Long> users = Set.copyOf(t.members().values());
+  private static LongPredicate memberPredicate(Tenant tenant) {
+    Set<Long> users = Set.copyOf(tenant.members().values());
     return users::contains;
   }
 
   @Override
-  public CompletableFuture<Void> serve(HostedVolume v, Tenant t, VolumeChanged terms) {
-    Volume volume = volume(v, t);
-    return engine.serve(volume, terms).thenRunAsync(() -> {
-      VhostServer front = fronts.get(v.id());
-      if (front == null) {
-        open(v, t);
+  public CompletableFuture<Void> serve(HostedVolume volume, Tenant tenant, VolumeChanged terms) {
+    Volume servedVolume = toVolume(volume, tenant);
+    return lanes.serve(servedVolume, terms).thenRunAsync(() -> {
+      VhostServer server = servers.get(volume.id());
+      if (server == null) {
+        openServer(volume, tenant);
       } else {
-        front.members(members(t));
-        front.resized(volume);
+        server.setAllowedUsers(memberPredicate(tenant));
+        server.resize(servedVolume);
       }
-    }, opener);
+    }, socketExecutor);
   }
 
-  private void open(HostedVolume v, Tenant t) {
+  private void openServer(HostedVolume volume, Tenant tenant) {
     try {
-      Path path = socket(t.name(), v.name());
+      Path path = socketPath(tenant.name(), volume.name());
       Files.createDirectories(path.getParent());
-      fronts.put(v.id(), new VhostServer(engine, acceptor, name(v, t), path, members(t)));
-      // Anybody may knock: who is no member is turned away by the user number that the kernel tells.
+      servers.put(volume.id(), new VhostServer(lanes, acceptor, qualifiedName(volume, tenant), path,
+          memberPredicate(tenant)));
+      // Every user may connect; users who are not members are rejected by the user ID that the kernel
+      // reports.
       Files.setPosixFilePermissions(path, PosixFilePermissions.fromString("rw-rw-rw-"));
-      LOG.atInfo().addKeyValue("volume", name(v, t)).addKeyValue("tenant", t.name()).log("volume.served");
+      LOG.atInfo()
+          .addKeyValue("volume", qualifiedName(volume, tenant))
+          .addKeyValue("tenant", tenant.name())
+          .log("volume.served");
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
   }
 
   @Override
-  public CompletableFuture<Void> drain(HostedVolume v, Tenant t) {
-    return engine.drain(volume(v, t)).thenRunAsync(() -> {
-      VhostServer front = fronts.remove(v.id());
-      if (front != null) {
-        front.retire();
+  public CompletableFuture<Void> drain(HostedVolume volume, Tenant tenant) {
+    return lanes.drain(toVolume(volume, tenant)).thenRunAsync(() -> {
+      VhostServer server = servers.remove(volume.id());
+      if (server != null) {
+        server.retire();
       }
-      LOG.atInfo().addKeyValue("volume", name(v, t)).addKeyValue("tenant", t.name()).log("volume.gone");
-    }, opener);
+      LOG.atInfo()
+          .addKeyValue("volume", qualifiedName(volume, tenant))
+          .addKeyValue("tenant", tenant.name())
+          .log("volume.gone");
+    }, socketExecutor);
   }
 
   @Override
   public void node(String name, NodeState state) {
-    nodeState.accept(name, state);
+    nodeStateSetter.accept(name, state);
   }
 
   @Override
@@ -121,7 +131,7 @@
   }
 
   void close() {
-    opener.shutdown();
-    fronts.values().forEach(VhostServer::close);
+    socketExecutor.shutdown();
+    servers.values().forEach(VhostServer::close);
   }
 }
--- a/src/main/java/hollyslip/node/NbdConnection.java
+++ b/src/main/java/hollyslip/node/NbdConnection.java
@@ -19,52 +19,55 @@
 import java.util.concurrent.TimeUnit;
 import org.agrona.collections.Long2ObjectHashMap;
 
-/** One connection to a node: commands go out in one stream, pipelined, replies come back in any order by
- * cookie. All state is guarded by the connection's monitor, which is held only for copies in memory. */
-final class NbdConnection implements NbdReplies.Sink {
-  private static final int IN_BYTES = 256 * 1024;
-  private static final int BURST = 64;
-  private static final long BURST_BYTES = 1 << 20;
-  private static final int HEADER = 28;
+/** A connection to a node. Commands are pipelined in one stream, and replies arrive in any order and are
+ * matched by cookie. All state is guarded by the connection's monitor, which is held only for copies in
+ * memory. */
+final class NbdConnection implements NbdReplyParser.Sink {
+  private static final int INPUT_BUFFER_BYTES = 256 * 1024;
+  private static final int MAX_BURST_COMMANDS = 64;
+  private static final long MAX_BURST_BYTES = 1 << 20;
+  private static final int REQUEST_HEADER_BYTES = 28;
   private static final long LOAD_COOKIE = -1;
 
-  /** Who hears of what happens; calls come from any thread, never with the monitor held twice. */
-  interface Owner {
-    /** The negotiation is over; {@code load} are the node's figures, empty if it tells none. */
-    void ready(NbdConnection connection, long[] load);
+  /** Callbacks of a connection; called from any thread, and never with the monitor held twice. */
+  interface Listener {
+    /** The negotiation is finished; {@code load} holds the node's load values and is empty if it reports
+     * none. */
+    void onReady(NbdConnection connection, long[] load);
 
-    void ended(Attempt attempt, Result result);
+    void onAttemptEnded(Attempt attempt, Result result);
 
-    void resolved(Attempt attempt);
+    void onAttemptResolved(Attempt attempt);
 
-    void probed(NbdConnection connection, Result result, long tookUs, long[] load);
+    void onProbeEnded(NbdConnection connection, Result result, long tookUs, long[] load);
 
-    /** The node does not count this connection as the newest holder's: nothing of it runs there. */
-    void superseded(NbdConnection connection, NodeView known);
+    /** The node does not regard this connection's holder as the newest: nothing from it runs there. */
+    void onSuperseded(NbdConnection connection, NodeView holderView);
 
-    /** It is over: {@code waiting} never left, {@code sent} may run, {@code silent} are those of which the
-     * engine has already heard. */
-    void closed(NbdConnection connection, String why, List<Attempt> waiting, List<Attempt> sent,
-        List<Attempt> silent);
+    /** The connection is closed: {@code unsent} attempts were never sent, {@code sent} ones may run, and
+     * {@code withdrawn} ones may run but were already reported to the engine as withdrawn. */
+    void onClosed(NbdConnection connection, String reason, List<Attempt> unsent, List<Attempt> sent,
+        List<Attempt> withdrawn);
   }
 
-  /** Bytes of writes that are sent from one buffer; more, and larger ones, get their own. */
-  private static final int STAGING = 256 << 10;
+  /** Size in bytes of the buffer that a burst's write data is copied to; data that does not fit gets a buffer
+   * of its own. */
+  private static final int STAGING_BYTES = 256 << 10;
 
   private enum Stage {
     QUEUED, SENDING, SENT
   }
 
-  private final class Slot {
+  private final class Command {
     final Attempt attempt;
     final long cookie;
     final List<ByteBuffer> data;
     Stage stage = Stage.QUEUED;
-    boolean detached;
-    long received;
+    boolean withdrawn;
+    long receivedBytes;
     long sentNs;
 
-    Slot(Attempt attempt, long cookie) {
+    Command(Attempt attempt, long cookie) {
       this.attempt = attempt;
       this.cookie = cookie;
       data = attempt.kind() == IoKind.READ || attempt.kind() == IoKind.WRITE ? attempt.data() : List.of();
@@ -77,41 +80,43 @@
 
   final Fence fence;
   final long node;
-  private final Owner owner;
+  private final Listener listener;
   private final AsynchronousSocketChannel channel;
   private final NbdHandshake handshake;
-  private final ArrayDeque<Slot> queue = new ArrayDeque<>();
-  private final Long2ObjectHashMap<Slot> flight = new Long2ObjectHashMap<>();
-  /** Of {@link #flight}, how many are given up. */
-  private int detached;
-  /** Queued or out; written under the monitor. */
-  private volatile int size;
-  /** Whether the pool has it among those with something to send; the pool's thread. */
-  boolean dirty;
-  private final ByteBuffer in = ByteBuffer.allocateDirect(IN_BYTES);
-  private final ByteBuffer headers = ByteBuffer.allocateDirect((BURST + 1) * HEADER);
-  private final ByteBuffer staging = ByteBuffer.allocateDirect(STAGING);
-  private final long[] load = new long[Nbd.Load.values().length];
-  private NbdReplies replies;
-  private boolean negotiated, ready, writing, closed, probing, opened;
-  private long probeNs, heardNs;
-  /** A newer fence stands at the node: nothing of this connection runs there any more. */
+  private final ArrayDeque<Command> queue = new ArrayDeque<>();
+  private final Long2ObjectHashMap<Command> inFlight = new Long2ObjectHashMap<>();
+  /** Number of commands in {@link #inFlight} that were withdrawn. */
+  private int withdrawnCount;
+  /** Number of commands queued or in flight; written under the monitor. */
+  private volatile int pendingCount;
+  /** Whether the pool will flush this connection at the end of its turn; for the pool's thread only. */
+  boolean flushScheduled;
+  private final ByteBuffer input = ByteBuffer.allocateDirect(INPUT_BUFFER_BYTES);
+  private final ByteBuffer headers = ByteBuffer.allocateDirect((MAX_BURST_COMMANDS + 1)
+      * REQUEST_HEADER_BYTES);
+  private final ByteBuffer staging = ByteBuffer.allocateDirect(STAGING_BYTES);
+  private final long[] loadValues = new long[Nbd.LoadMetric.values().length];
+  private NbdReplyParser replyParser;
+  private boolean negotiated, ready, writeInProgress, closed, probePending, readyReported;
+  private long probeSentNs, lastReceivedNs;
+  /** Set once the node reported that a newer fence is in force: nothing from this connection runs there any
+   * more. */
   private boolean fencedOff;
-  private List<Slot> burst = List.of();
-  private ByteBuffer[] gather;
+  private List<Command> burst = List.of();
+  private ByteBuffer[] gatherBuffers;
 
-  NbdConnection(AsynchronousChannelGroup group, long node, String export, Fence fence, Owner owner)
+  NbdConnection(AsynchronousChannelGroup group, long node, String export, Fence fence, Listener listener)
       throws IOException {
     this.fence = fence;
     this.node = node;
-    this.owner = owner;
+    this.listener = listener;
     handshake = new NbdHandshake(export, fence);
     channel = AsynchronousSocketChannel.open(group);
     channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
   }
 
   void connect(SocketAddress address) {
-    channel.connect(address, null, new Handler<Void, Void>() {
+    channel.connect(address, null, new ChannelHandler<Void, Void>() {
       @Override
       public void completed(Void done, Void none) {
         read();
@@ -119,97 +124,99 @@
     });
   }
 
-  /** Takes an attempt; it leaves with the next {@link #flush}. False: the connection is closed. */
+  /** Queues an attempt, which is sent by the next {@link #flush}. Returns false if the connection is
+   * closed. */
   synchronized boolean add(Attempt attempt) {
     if (closed) {
       return false;
     }
-    Slot slot = new Slot(attempt, attempt.requestId() << 12 | attempt.number() & 0xfff);
-    attempt.handle = slot;
-    queue.add(slot);
-    size++;
+    Command command = new Command(attempt, attempt.requestId() << 12 | attempt.number() & 0xfff);
+    attempt.handle = command;
+    queue.add(command);
+    pendingCount++;
     return true;
   }
 
-  /** Sends what waits, if nothing is being sent. */
+  /** Sends queued commands unless a write is in progress. */
   void flush() {
-    boolean go;
+    boolean startWrite;
     synchronized (this) {
-      go = ready && !writing && !closed && (!queue.isEmpty() || probing && probeNs == 0);
-      if (go) {
-        writing = true;
-        gather();
+      startWrite = ready && !writeInProgress && !closed && (!queue.isEmpty() || probePending
+          && probeSentNs == 0);
+      if (startWrite) {
+        writeInProgress = true;
+        gatherBuffers();
       }
     }
-    if (go) {
+    if (startWrite) {
       write();
     }
   }
 
-  /** Asks for the node's load; answered by {@link Owner#probed}. */
+  /** Requests the node's load values, which are reported to {@link Listener#onProbeEnded}. */
   synchronized boolean probe() {
-    if (closed || !ready || probing || handshake.loadContext() < 0) {
+    if (closed || !ready || probePending || handshake.loadContextId() < 0) {
       return false;
     }
-    probing = true;
-    probeNs = 0;
+    probePending = true;
+    probeSentNs = 0;
     return true;
   }
 
-  /** Gives an attempt up: nothing touches its data after this call. A write that is being sent goes on from
-   * its copy: others' requests are on this connection too. */
+  /** Withdraws an attempt: after this call nothing touches its data. A write that is being sent continues
+   * from its copy, because the connection carries other requests too. */
   synchronized WithdrawResult withdraw(Attempt attempt) {
-    Slot slot = (Slot) attempt.handle;
-    if (slot.detached || closed) {
+    Command command = (Command) attempt.handle;
+    if (command.withdrawn || closed) {
       return WithdrawResult.ENDED;
     }
-    if (slot.stage == Stage.QUEUED) {
-      size -= queue.remove(slot) ? 1 : 0;
+    if (command.stage == Stage.QUEUED) {
+      pendingCount -= queue.remove(command) ? 1 : 0;
       return WithdrawResult.NEVER_SENT;
     }
-    if (flight.get(slot.cookie) != slot) {
+    if (inFlight.get(command.cookie) != command) {
       return WithdrawResult.ENDED;
     }
-    slot.detached = true;
-    detached++;
+    command.withdrawn = true;
+    withdrawnCount++;
     return WithdrawResult.MAY_RUN;
   }
 
-  /** Gives back what has not left yet. */
-  synchronized List<Attempt> takeBack() {
-    List<Attempt> waiting = queue.stream().map(s -> s.attempt).toList();
+  /** Removes and returns the attempts that have not been sent. */
+  synchronized List<Attempt> removeQueued() {
+    List<Attempt> unsent = queue.stream().map(command -> command.attempt).toList();
     queue.clear();
-    size -= waiting.size();
-    return waiting;
+    pendingCount -= unsent.size();
+    return unsent;
   }
 
-  /** Attempts queued or out whose end is still to be told. */
-  synchronized int live() {
-    return size - detached;
+  /** Number of attempts queued or in flight whose end has not been reported yet. */
+  synchronized int activeCount() {
+    return pendingCount - withdrawnCount;
   }
 
-  /** Attempts queued or out, given up or not. */
-  int size() {
-    return size;
+  /** Number of attempts queued or in flight, withdrawn or not. */
+  int pendingCount() {
+    return pendingCount;
   }
 
-  /** The connection to which an attempt was given; null: none was. */
-  static NbdConnection carrier(Attempt attempt) {
-    return attempt.handle instanceof Slot s ? s.connection() : null;
+  /** Returns the connection to which an attempt was given; null if there is none. */
+  static NbdConnection connectionOf(Attempt attempt) {
+    return attempt.handle instanceof Command command ? command.connection() : null;
   }
 
   synchronized boolean isOpen() {
     return !closed;
   }
 
-  /** Whether it has been silent for so long while something given up was out. */
-  synchronized boolean silentFor(long ns) {
-    if (detached == 0) {
+  /** Returns whether nothing was received for the given time while a withdrawn command was in flight. */
+  synchronized boolean isSilentFor(long durationNs) {
+    if (withdrawnCount == 0) {
       return false;
     }
-    long from = System.nanoTime();
-    for (Slot s : flight.values()) {
-      if (s.detached && from - Math.max(s.sentNs, heardNs) > ns) {
+    long now = System.nanoTime();
+    for (Command command : inFlight.values()) {
+      if (command.withdrawn && now - Math.max(command.sentNs, lastReceivedNs) > durationNs) {
         return true;
       }
     }
@@ -220,31 +227,31 @@
     return ready && !closed;
   }
 
-  boolean fenced() {
-    return handshake.fenced();
+  boolean supportsFence() {
+    return handshake.supportsFence();
   }
 
-  /** Whether it ended since the node runs nothing of it any more. */
+  /** Returns whether the node no longer runs anything from this connection. */
   synchronized boolean fencedOff() {
     return fencedOff;
   }
 
-  boolean multi() {
-    return handshake.has(Nbd.CAN_MULTI_CONN);
+  boolean allowsMultipleConnections() {
+    return handshake.hasFlag(Nbd.CAN_MULTI_CONN);
   }
 
-  /** Says goodbye where that can be done at once, then closes. */
-  void leave(String why) {
+  /** Sends NBD_CMD_DISC if nothing is being sent, then closes the connection. */
+  void disconnect(String reason) {
     boolean idle;
     synchronized (this) {
-      idle = ready && !writing && !closed;
-      writing |= idle;
+      idle = ready && !writeInProgress && !closed;
+      writeInProgress |= idle;
     }
     if (!idle) {
-      close(why);
+      close(reason);
       return;
     }
-    ByteBuffer bye = ByteBuffer.allocate(HEADER)
+    ByteBuffer message = ByteBuffer.allocate(REQUEST_HEADER_BYTES)
         .putInt(Nbd.REQUEST)
         .putShort((short) 0)
         .putShort((short) Nbd.CMD_DISC)
@@ -252,18 +259,18 @@
         .putLong(0)
         .putInt(0)
         .flip();
-    channel.write(bye, null, new Handler<Integer, Void>() {
+    channel.write(message, null, new ChannelHandler<Integer, Void>() {
       @Override
       public void completed(Integer n, Void none) {
-        close(why);
+        close(reason);
       }
     });
   }
 
-  void close(String why) {
-    List<Attempt> waiting = new ArrayList<>();
+  void close(String reason) {
+    List<Attempt> unsent = new ArrayList<>();
     List<Attempt> sent = new ArrayList<>();
-    List<Attempt> silent = new ArrayList<>();
+    List<Attempt> withdrawn = new ArrayList<>();
     synchronized (this) {
       if (closed) {
         return;
@@ -272,87 +279,90 @@
       try {
         channel.close();
       } catch (IOException e) {
-        why = why + " (" + e.getMessage() + ")";
+        reason = reason + " (" + e.getMessage() + ")";
       }
-      queue.forEach(s -> waiting.add(s.attempt));
-      flight.values().forEach(s -> (s.detached ? silent : sent).add(s.attempt));
-      flight.clear();
+      queue.forEach(command -> unsent.add(command.attempt));
+      inFlight.values().forEach(command -> (command.withdrawn ? withdrawn : sent).add(command.attempt));
+      inFlight.clear();
       queue.clear();
-      size = 0;
-      detached = 0;
+      pendingCount = 0;
+      withdrawnCount = 0;
     }
-    owner.closed(this, why, waiting, sent, silent);
+    listener.onClosed(this, reason, unsent, sent, withdrawn);
   }
 
-  // Out.
+  // Sending.
 
-  private void gather() {
-    List<ByteBuffer> out = new ArrayList<>();
+  private void gatherBuffers() {
+    List<ByteBuffer> buffers = new ArrayList<>();
     burst = new ArrayList<>();
     headers.clear();
     staging.clear();
     long bytes = 0;
-    int from = 0;
-    long at = System.nanoTime();
-    if (probing && probeNs == 0) {
-      probeNs = at;
-      header(0, Nbd.CMD_BLOCK_STATUS, LOAD_COOKIE, 0, load.length * Nbd.LOAD_STEP);
-    }
-    while (!queue.isEmpty() && burst.size() < BURST && bytes < BURST_BYTES) {
-      Slot s = queue.poll();
-      s.stage = Stage.SENDING;
-      s.sentNs = at;
-      flight.put(s.cookie, s);
-      burst.add(s);
-      header(0, command(s.attempt.kind()), s.cookie, s.attempt.offset(), (int) s.attempt.length());
-      if (s.attempt.kind() == IoKind.WRITE) {
-        out.add(headers.slice(from, headers.position() - from));
-        from = headers.position();
-        out.add(staged(s));
-        bytes += s.attempt.length();
+    int headersStart = 0;
+    long now = System.nanoTime();
+    if (probePending && probeSentNs == 0) {
+      probeSentNs = now;
+      putRequestHeader(0, Nbd.CMD_BLOCK_STATUS, LOAD_COOKIE, 0, loadValues.length * Nbd.LOAD_STEP);
+    }
+    while (!queue.isEmpty() && burst.size() < MAX_BURST_COMMANDS && bytes < MAX_BURST_BYTES) {
+      Command command = queue.poll();
+      command.stage = Stage.SENDING;
+      command.sentNs = now;
+      inFlight.put(command.cookie, command);
+      burst.add(command);
+      putRequestHeader(0, commandType(command.attempt.kind()), command.cookie, command.attempt.offset(),
+          (int) command.attempt
+              .length());
+      if (command.attempt.kind() == IoKind.WRITE) {
+        buffers.add(headers.slice(headersStart, headers.position() - headersStart));
+        headersStart = headers.position();
+        buffers.add(stageWrite(command));
+        bytes += command.attempt.length();
       }
     }
-    if (headers.position() > from) {
-      out.add(headers.slice(from, headers.position() - from));
+    if (headers.position() > headersStart) {
+      buffers.add(headers.slice(headersStart, headers.position() - headersStart));
     }
-    gather = out.toArray(new ByteBuffer[0]);
+    gatherBuffers = buffers.toArray(new ByteBuffer[0]);
   }
 
-  /** A copy of what a write brings. Sent from the client's memory itself, memory that is cut short would end
-   * this connection, which others use; and what is not there must not be what a write before left here. Harm:
-   * a copy a write. */
-  private ByteBuffer staged(Slot s) {
-    int length = (int) s.attempt.length();
-    ByteBuffer to = staging.remaining() >= length
+  /** Copies the data of a write to the staging buffer. If the data were sent from the client's memory itself,
+   * a client that truncates its memory would break this connection, which others use; and data that is
+   * missing must not be replaced by what an earlier write left in the buffer. The cost is one copy per
+   * write. */
+  private ByteBuffer stageWrite(Command command) {
+    int length = (int) command.attempt.length();
+    ByteBuffer copy = staging.remaining() >= length
         ? staging.slice(staging.position(), length)
         : ByteBuffer.allocate(length);
     if (staging.remaining() >= length) {
       staging.position(staging.position() + length);
     }
-    int at = 0;
-    boolean whole = true;
-    for (ByteBuffer b : s.data) {
-      whole &= ClientMemory.copy(to, at, b, b.position(), b.remaining());
-      at += b.remaining();
+    int position = 0;
+    boolean complete = true;
+    for (ByteBuffer b : command.data) {
+      complete &= ClientMemory.copy(copy, position, b, b.position(), b.remaining());
+      position += b.remaining();
     }
-    if (!whole) {
+    if (!complete) {
       for (int i = 0; i < length; i++) {
-        to.put(i, (byte) 0);
+        copy.put(i, (byte) 0);
       }
     }
-    return to;
+    return copy;
   }
 
-  private void header(int commandFlags, int command, long cookie, long offset, int length) {
+  private void putRequestHeader(int commandFlags, int type, long cookie, long offset, int length) {
     headers.putInt(Nbd.REQUEST)
         .putShort((short) commandFlags)
-        .putShort((short) command)
+        .putShort((short) type)
         .putLong(cookie)
         .putLong(offset)
         .putInt(length);
   }
 
-  private static int command(IoKind kind) {
+  private static int commandType(IoKind kind) {
     return switch (kind) {
       case READ -> Nbd.CMD_READ;
       case WRITE -> Nbd.CMD_WRITE;
@@ -363,32 +373,32 @@
   }
 
   private void write() {
-    int from = 0;
-    while (from < gather.length && !gather[from].hasRemaining()) {
-      from++;
+    int first = 0;
+    while (first < gatherBuffers.length && !gatherBuffers[first].hasRemaining()) {
+      first++;
     }
-    channel.write(gather, from, gather.length - from, 0, TimeUnit.MILLISECONDS, null,
-        new Handler<Long, Void>() {
+    channel.write(gatherBuffers, first, gatherBuffers.length - first, 0, TimeUnit.MILLISECONDS, null,
+        new ChannelHandler<Long, Void>() {
           @Override
           public void completed(Long n, Void none) {
-            written();
+            handleWritten();
           }
         });
   }
 
-  private void written() {
+  private void handleWritten() {
     boolean more;
     synchronized (this) {
       if (closed) {
         return;
       }
       more = false;
-      for (ByteBuffer b : gather) {
+      for (ByteBuffer b : gatherBuffers) {
         more |= b.hasRemaining();
       }
       if (!more) {
-        burst.forEach(s -> s.stage = Stage.SENT);
-        writing = false;
+        burst.forEach(command -> command.stage = Stage.SENT);
+        writeInProgress = false;
       }
     }
     if (more) {
@@ -398,195 +408,197 @@
     }
   }
 
-  // In.
+  // Receiving.
 
   private void read() {
-    channel.read(in, null, new Handler<Integer, Void>() {
+    channel.read(input, null, new ChannelHandler<Integer, Void>() {
       @Override
       public void completed(Integer n, Void none) {
         if (n < 0) {
           close("the node closed the connection");
           return;
         }
-        if (received()) {
+        if (processInput()) {
           read();
         }
       }
     });
   }
 
-  private boolean received() {
+  private boolean processInput() {
     try {
       synchronized (this) {
         if (closed) {
           return false;
         }
-        heardNs = System.nanoTime();
-        in.flip();
+        lastReceivedNs = System.nanoTime();
+        input.flip();
         if (negotiated) {
-          replies.feed(in);
+          replyParser.feed(input);
         }
       }
       if (!negotiated) {
         negotiate();
       }
-      in.compact();
+      input.compact();
       if (fencedOff) {
-        close("fenced by another connection's negotiation");
+        close("fenced off by a newer connection");
       }
       return !fencedOff;
-    } catch (NbdHandshake.Refused | NbdReplies.Broken e) {
+    } catch (NbdHandshake.NegotiationException | NbdReplyParser.MalformedReplyException e) {
       close(e.getMessage());
       return false;
     }
   }
 
-  private void negotiate() throws NbdHandshake.Refused {
-    boolean done = handshake.feed(in);
-    ByteBuffer out = handshake.out();
-    if (out.hasRemaining()) {
-      sendAll(out);
+  private void negotiate() throws NbdHandshake.NegotiationException {
+    boolean done = handshake.feed(input);
+    ByteBuffer output = handshake.takeOutput();
+    if (output.hasRemaining()) {
+      sendNegotiation(output);
     }
-    NodeView known = done ? handshake.known() : null;
-    if (known != null && !known.holder().equals(fence.holder())) {
-      close("superseded by epoch " + known.holder().epoch());
-      owner.superseded(this, known);
+    NodeView holderView = done ? handshake.holderView() : null;
+    if (holderView != null && !holderView.holder().equals(fence.holder())) {
+      close("superseded by epoch " + holderView.holder().epoch());
+      listener.onSuperseded(this, holderView);
       return;
     }
     if (done) {
-      boolean tells = handshake.loadContext() >= 0;
+      boolean reportsLoad = handshake.loadContextId() >= 0;
       synchronized (this) {
-        replies = new NbdReplies(handshake.structured(), this);
+        replyParser = new NbdReplyParser(handshake.structuredReplies(), this);
         negotiated = true;
         ready = true;
-        if (tells) {
-          probing = true;
-          probeNs = 0;
-          writing = true;
-          gather();
+        if (reportsLoad) {
+          probePending = true;
+          probeSentNs = 0;
+          writeInProgress = true;
+          gatherBuffers();
         }
       }
-      if (tells) {
+      if (reportsLoad) {
         write();
       } else {
-        owner.ready(this, new long[0]);
+        listener.onReady(this, new long[0]);
       }
     }
   }
 
-  /** Negotiation alone: one small message at a time. */
-  private void sendAll(ByteBuffer out) {
-    channel.write(out, null, new Handler<Integer, Void>() {
+  /** Sends a message of the negotiation; these are small and sent one at a time. */
+  private void sendNegotiation(ByteBuffer message) {
+    channel.write(message, null, new ChannelHandler<Integer, Void>() {
       @Override
       public void completed(Integer n, Void none) {
-        if (out.hasRemaining()) {
-          sendAll(out);
+        if (message.hasRemaining()) {
+          sendNegotiation(message);
         }
       }
     });
   }
 
   @Override
-  public long expects(long cookie) {
+  public long expectedBytes(long cookie) {
     if (cookie == LOAD_COOKIE) {
-      return probing ? 0 : -1;
+      return probePending ? 0 : -1;
     }
-    Slot s = flight.get(cookie);
-    return s == null ? -1 : s.attempt.kind() == IoKind.READ ? s.attempt.length() : 0;
+    Command command = inFlight.get(cookie);
+    return command == null ? -1 : command.attempt.kind() == IoKind.READ ? command.attempt.length() : 0;
   }
 
   @Override
-  public long offset(long cookie) {
-    return flight.get(cookie).attempt.offset();
+  public long requestOffset(long cookie) {
+    return inFlight.get(cookie).attempt.offset();
   }
 
   @Override
-  public void data(long cookie, long at, ByteBuffer from, int length) {
-    Slot s = flight.get(cookie);
-    s.received += length;
-    if (s.detached) {
-      from.position(from.position() + length);
+  public void onData(long cookie, long offset, ByteBuffer in, int length) {
+    Command command = inFlight.get(cookie);
+    command.receivedBytes += length;
+    if (command.withdrawn) {
+      in.position(in.position() + length);
       return;
     }
-    long skip = at;
-    int left = length;
-    for (ByteBuffer b : s.data) {
-      if (left > 0 && skip < b.limit()) {
-        int n = (int) Math.min(left, b.limit() - skip);
-        // A client that cut its memory short loses its own answer's data, and must not take the connection,
-        // which
-        // others use, with it.
-        ClientMemory.copy(b, (int) skip, from, from.position(), n);
-        from.position(from.position() + n);
-        left -= n;
+    long skip = offset;
+    int remaining = length;
+    for (ByteBuffer buffer : command.data) {
+      if (remaining > 0 && skip < buffer.limit()) {
+        int count = (int) Math.min(remaining, buffer.limit() - skip);
+        // A client that truncated its memory loses the data of its own reply only; it must not break the
+        // connection, which others use.
+        ClientMemory.copy(buffer, (int) skip, in, in.position(), count);
+        in.position(in.position() + count);
+        remaining -= count;
         skip = 0;
       } else {
-        skip -= b.limit();
+        skip -= buffer.limit();
       }
     }
   }
 
   @Override
-  public void hole(long cookie, long at, long length) {
+  public void onHole(long cookie, long offset, long length) {
     ByteBuffer zeros = ByteBuffer.allocate((int) Math.min(length, 64 * 1024));
     for (long done = 0; done < length;) {
       zeros.clear();
       int n = (int) Math.min(zeros.capacity(), length - done);
-      data(cookie, at + done, zeros, n);
+      onData(cookie, offset + done, zeros, n);
       done += n;
     }
   }
 
   @Override
-  public void status(long cookie, int context, int index, int value) {
-    if (cookie == LOAD_COOKIE && context == handshake.loadContext() && index < load.length) {
-      load[index] = Integer.toUnsignedLong(value);
+  public void onBlockStatus(long cookie, int context, int index, int value) {
+    if (cookie == LOAD_COOKIE && context == handshake.loadContextId() && index < loadValues.length) {
+      loadValues[index] = Integer.toUnsignedLong(value);
     }
   }
 
   @Override
-  public void done(long cookie, int error, String message) {
+  public void onDone(long cookie, int error, String message) {
     if (cookie == LOAD_COOKIE) {
-      probing = false;
-      boolean first = !opened;
-      opened = true;
+      probePending = false;
+      boolean first = !readyReported;
+      readyReported = true;
       if (first) {
-        owner.ready(this, load.clone());
+        listener.onReady(this, loadValues.clone());
       } else {
-        owner.probed(this, error == 0 ? Result.OK : Result.ERROR, (System.nanoTime() - probeNs) / 1_000, load
-            .clone());
+        listener.onProbeEnded(this, error == 0 ? Result.OK : Result.ERROR, (System.nanoTime() - probeSentNs)
+            / 1_000, loadValues
+                .clone());
       }
       return;
     }
-    Slot s = flight.remove(cookie);
-    size--;
-    detached -= s.detached ? 1 : 0;
-    if (error == Nbd.EPERM && handshake.loadContext() >= 0 && message.equals(Nbd.MESSAGE_FENCED)) {
+    Command command = inFlight.remove(cookie);
+    pendingCount--;
+    withdrawnCount -= command.withdrawn ? 1 : 0;
+    if (error == Nbd.EPERM && handshake.loadContextId() >= 0 && message.equals(Nbd.MESSAGE_FENCED)) {
       fencedOff = true;
-      if (s.detached) {
-        owner.resolved(s.attempt);
+      if (command.withdrawn) {
+        listener.onAttemptResolved(command.attempt);
       } else {
-        owner.ended(s.attempt, Result.CONNECT_FAILED);
+        listener.onAttemptEnded(command.attempt, Result.CONNECT_FAILED);
       }
-    } else if (s.detached) {
-      owner.resolved(s.attempt);
-    } else if (error == 0 && s.attempt.kind() == IoKind.READ && s.received < s.attempt.length()) {
-      owner.ended(s.attempt, Result.ERROR);
+    } else if (command.withdrawn) {
+      listener.onAttemptResolved(command.attempt);
+    } else if (error == 0 && command.attempt.kind() == IoKind.READ && command.receivedBytes < command.attempt
+        .length()) {
+      listener.onAttemptEnded(command.attempt, Result.ERROR);
     } else {
-      owner.ended(s.attempt, error == 0
+      listener.onAttemptEnded(command.attempt, error == 0
           ? Result.OK
-          : turnedAway(error, message) ? Result.FULL : Result.ERROR);
+          : rejectedUnprocessed(error, message) ? Result.FULL : Result.ERROR);
     }
   }
 
-  /** Only a node that speaks our contexts is believed that it never looked at a command. */
-  private boolean turnedAway(int error, String message) {
-    return handshake.loadContext() >= 0 && (error == Nbd.ESHUTDOWN || error == Nbd.ENOMEM && message.equals(
+  /** Returns whether the node rejected a command without processing it; believed only of a node that supports
+   * this project's contexts. */
+  private boolean rejectedUnprocessed(int error, String message) {
+    return handshake.loadContextId() >= 0 && (error == Nbd.ESHUTDOWN || error == Nbd.ENOMEM && message.equals(
         Nbd.MESSAGE_FULL));
   }
 
-  /** A failed operation of the channel ends the connection, whatever it was. */
-  private abstract class Handler<V, A> implements CompletionHandler<V, A> {
+  /** Closes the connection when any operation on the channel fails. */
+  private abstract class ChannelHandler<V, A> implements CompletionHandler<V, A> {
     @Override
     public void failed(Throwable e, A attachment) {
       close(e.getClass().getSimpleName() + (e.getMessage() == null ? "" : ": " + e.getMessage()));
--- a/src/main/java/hollyslip/node/NodeSurvey.java
+++ b/src/main/java/hollyslip/node/NodeSurvey.java
@@ -18,19 +18,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Asks nodes who holds a gateway's name, before that gateway takes its epoch. Nothing changes at the nodes
- * (NBD_OPT_LIST_META_CONTEXT, then NBD_OPT_ABORT). */
+/** Queries the nodes for the holder of a gateway's name before that gateway takes its epoch. Changes nothing
+ * at the nodes (NBD_OPT_LIST_META_CONTEXT, then NBD_OPT_ABORT). */
 public final class NodeSurvey {
   private static final Logger LOG = LoggerFactory.getLogger(NodeSurvey.class);
 
   private NodeSurvey() {}
 
-  /** What each node says, by its name; one that does not answer in time, or does not know our contexts, is
-   * left out.
+  /** Returns the view of each node by its name; nodes that do not answer in time or do not support this
+   * project's contexts are left out.
    *
    * @param timeoutUs
-   *          for all of them together, us */
-  public static Map<String, NodeView> ask(Collection<NodePool.Address> nodes, String client, long timeoutUs)
+   *          time limit for all of them together, us */
+  public static Map<String, NodeView> queryHolders(Collection<NodePool.Address> nodes, String client,
+      long timeoutUs)
       throws IOException {
     AsynchronousChannelGroup group = AsynchronousChannelGroup.withFixedThreadPool(1, r -> {
       Thread t = Executors.defaultThreadFactory().newThread(r);
@@ -39,108 +40,110 @@
       return t;
     });
     try {
-      List<Question> asked = new ArrayList<>();
-      for (NodePool.Address a : nodes) {
-        asked.add(new Question(group, a, client));
+      List<NodeQuery> queries = new ArrayList<>();
+      for (NodePool.Address node : nodes) {
+        queries.add(new NodeQuery(group, node, client));
       }
-      Map<String, NodeView> known = new HashMap<>();
-      long end = System.nanoTime() + timeoutUs * 1_000;
-      for (Question q : asked) {
-        NodeView k = q.within(end - System.nanoTime());
-        if (k != null) {
-          known.put(q.node, k);
+      Map<String, NodeView> views = new HashMap<>();
+      long deadlineNs = System.nanoTime() + timeoutUs * 1_000;
+      for (NodeQuery query : queries) {
+        NodeView view = query.awaitResult(deadlineNs - System.nanoTime());
+        if (view != null) {
+          views.put(query.node, view);
         }
       }
-      return known;
+      return views;
     } finally {
       group.shutdownNow();
     }
   }
 
-  /** One node's. */
-  private static final class Question implements CompletionHandler<Integer, ByteBuffer> {
+  /** The query of one node. */
+  private static final class NodeQuery implements CompletionHandler<Integer, ByteBuffer> {
     private final String node;
     private final AsynchronousSocketChannel channel;
     private final NbdHandshake handshake;
-    private final ByteBuffer in = ByteBuffer.allocate(Nbd.MOST_OPTION + 64);
-    private final CompletableFuture<NodeView> answer = new CompletableFuture<>();
+    private final ByteBuffer input = ByteBuffer.allocate(Nbd.MOST_OPTION + 64);
+    private final CompletableFuture<NodeView> holderView = new CompletableFuture<>();
 
-    Question(AsynchronousChannelGroup group, NodePool.Address node, String client) throws IOException {
+    NodeQuery(AsynchronousChannelGroup group, NodePool.Address node, String client) throws IOException {
       this.node = node.name();
-      handshake = NbdHandshake.asking(node.export(), client);
+      handshake = NbdHandshake.forHolderQuery(node.export(), client);
       channel = AsynchronousSocketChannel.open(group);
-      connect(node.at());
+      connect(node.socketAddress());
     }
 
-    private void connect(InetSocketAddress at) {
+    private void connect(InetSocketAddress address) {
       try {
-        channel.connect(at, null, new CompletionHandler<Void, Void>() {
+        channel.connect(address, null, new CompletionHandler<Void, Void>() {
           @Override
           public void completed(Void done, Void none) {
-            channel.read(in, in, Question.this);
+            channel.read(input, input, NodeQuery.this);
           }
 
           @Override
           public void failed(Throwable e, Void none) {
-            answer.completeExceptionally(e);
+            holderView.completeExceptionally(e);
           }
         });
       } catch (RuntimeException e) {
-        // An address that did not resolve is thrown here and not told to the handler.
-        answer.completeExceptionally(e);
+        // The channel throws for an address that did not resolve instead of calling the handler.
+        holderView.completeExceptionally(e);
       }
     }
 
-    /** Bytes were read, or, with another buffer, sent. */
+    /** Called when bytes were read, or, with another buffer, sent. */
     @Override
     public void completed(Integer n, ByteBuffer buffer) {
       if (n < 0) {
-        answer.completeExceptionally(new IOException("the node closed the connection"));
-      } else if (buffer != in) {
-        goOn(buffer);
+        holderView.completeExceptionally(new IOException("the node closed the connection"));
+      } else if (buffer != input) {
+        writeOrRead(buffer);
       } else {
-        read();
+        processInput();
       }
     }
 
-    private void read() {
+    private void processInput() {
       try {
-        in.flip();
-        boolean done = handshake.feed(in);
-        in.compact();
-        ByteBuffer out = handshake.out();
+        input.flip();
+        boolean done = handshake.feed(input);
+        input.compact();
+        ByteBuffer output = handshake.takeOutput();
         if (done) {
-          answer.complete(handshake.known());
+          holderView.complete(handshake.holderView());
         }
-        goOn(out);
-      } catch (NbdHandshake.Refused e) {
-        answer.completeExceptionally(e);
+        writeOrRead(output);
+      } catch (NbdHandshake.NegotiationException e) {
+        holderView.completeExceptionally(e);
       }
     }
 
-    private void goOn(ByteBuffer out) {
-      if (out.hasRemaining()) {
-        channel.write(out, out, this);
-      } else if (!answer.isDone()) {
-        channel.read(in, in, this);
+    private void writeOrRead(ByteBuffer output) {
+      if (output.hasRemaining()) {
+        channel.write(output, output, this);
+      } else if (!holderView.isDone()) {
+        channel.read(input, input, this);
       }
     }
 
     @Override
     public void failed(Throwable e, ByteBuffer buffer) {
-      answer.completeExceptionally(e);
+      holderView.completeExceptionally(e);
     }
 
-    private NodeView within(long ns) {
+    private NodeView awaitResult(long timeoutNs) {
       try {
-        return answer.get(Math.max(0, ns), TimeUnit.NANOSECONDS);
+        return holderView.get(Math.max(0, timeoutNs), TimeUnit.NANOSECONDS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         return null;
       } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
         LOG.atWarn()
             .addKeyValue("node", node)
-            .addKeyValue("why", e.getCause() == null ? "no answer in time" : e.getCause().toString())
+            .addKeyValue("why", e.getCause() == null
+                ? "no reply within the timeout"
+                : e.getCause().toString())
             .log("node.unasked");
         return null;
       }
