--- a/src/main/java/hollyslip/admin/AdminServer.java
+++ b/src/main/java/hollyslip/admin/AdminServer.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.core.JsonProcessingException;
-import hollyslip.tenant.Trail;
+import hollyslip.tenant.AuditRecord;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.http.HttpConnection;
@@ -38,27 +38,27 @@
   private static final Logger LOG = LoggerFactory.getLogger(AdminServer.class);
 
   /** Longest body, bytes: a tenant with 1,000 members is 30 KB. */
-  static final int MOST_BODY = 512 << 10;
+  static final int MAX_BODY_BYTES = 512 << 10;
 
   /** How long a client may take for one request, and how long a connection may be quiet, ms. */
-  private static final long REQUEST_MS = 10_000;
-  private static final int QUIET_MS = 60_000;
+  private static final long REQUEST_TIMEOUT_MS = 10_000;
+  private static final int IDLE_TIMEOUT_MS = 60_000;
 
   /** Connections at a time: guards the process's descriptors, which the rings need too. */
-  private static final int MOST_CONNECTIONS = 256;
-  private static final int MOST_STREAMS = 64, STREAM_BYTES = 1 << 20;
-  private static final ObjectMapper STRICT = new ObjectMapper().enable(
+  private static final int MAX_CONNECTIONS = 256;
+  private static final int MAX_STREAMS = 64, STREAM_BUFFER_BYTES = 1 << 20;
+  private static final ObjectMapper STRICT_JSON = new ObjectMapper().enable(
       DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
   private final Vertx vertx;
   private final Control control;
   private final Api api;
   private final List<HttpServer> servers = new ArrayList<>();
-  private final Path cert, key;
+  private final Path certFile, keyFile;
   private final int port;
   /** Connections that have not brought a request yet, with their timers; event loop, of which there is
    * one. */
-  private final Map<HttpConnection, Long> first = new HashMap<>();
+  private final Map<HttpConnection, Long> firstRequestTimers = new HashMap<>();
   private int connections;
   private int streams;
 
@@ -72,8 +72,8 @@
    *          its private key, PEM */
   public AdminServer(Control control, Path socket, int port, Path cert, Path key) throws IOException {
     this.control = control;
-    this.cert = cert;
-    this.key = key;
+    this.certFile = cert;
+    this.keyFile = key;
     api = new Api(control);
     vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1)
         .setWorkerPoolSize(1)
@@ -81,11 +81,11 @@
     try {
       Router router = router();
       Files.deleteIfExists(socket);
-      listen(router, options(), SocketAddress.domainSocketAddress(socket.toString()));
+      listen(router, serverOptions(), SocketAddress.domainSocketAddress(socket.toString()));
       Files.setPosixFilePermissions(socket, PosixFilePermissions.fromString("rw-------"));
-      HttpServerOptions tls = options();
+      HttpServerOptions tls = serverOptions();
       if (cert != null) {
-        tls.setSsl(true).setKeyCertOptions(pair());
+        tls.setSsl(true).setKeyCertOptions(keyCertOptions());
       }
       this.port = port < 0 ? -1 : listen(router, tls, SocketAddress.inetSocketAddress(port, "127.0.0.1"));
     } catch (IOException | RuntimeException e) {
@@ -104,7 +104,7 @@
   public static void bootstrap(Control control, Path file) throws IOException {
     boolean needed = control.read(r -> r.tokens().stream().noneMatch(t -> t.tenant() == 0)).join();
     if (needed) {
-      Access.Made made = Access.make("operator", 0);
+      AuthenticatedCaller.IssuedToken made = AuthenticatedCaller.issueToken("operator", 0);
       Path half = file.resolveSibling(file.getFileName() + ".half");
       Files.deleteIfExists(half);
       Files.createFile(half, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString(
@@ -115,15 +115,15 @@
     }
   }
 
-  private PemKeyCertOptions pair() {
-    return new PemKeyCertOptions().addCertPath(cert.toString()).addKeyPath(key.toString());
+  private PemKeyCertOptions keyCertOptions() {
+    return new PemKeyCertOptions().addCertPath(certFile.toString()).addKeyPath(keyFile.toString());
   }
 
-  private static HttpServerOptions options() {
+  private static HttpServerOptions serverOptions() {
     // A client that changes a clear connection over to HTTP/2 with its first request may never see the
     // answer.
     return new HttpServerOptions().setHttp2ClearTextEnabled(false)
-        .setIdleTimeout(QUIET_MS)
+        .setIdleTimeout(IDLE_TIMEOUT_MS)
         .setIdleTimeoutUnit(TimeUnit.MILLISECONDS)
         .setMaxInitialLineLength(4096)
         .setMaxHeaderSize(8192);
@@ -131,14 +131,14 @@
 
   private int listen(Router router, HttpServerOptions options, SocketAddress at) throws IOException {
     HttpServer s = vertx.createHttpServer(options).requestHandler(router).connectionHandler(c -> {
-      if (++connections > MOST_CONNECTIONS) {
+      if (++connections > MAX_CONNECTIONS) {
         c.close();
       }
       // A client that sends its first request slowly, a byte now and then, is never idle: it is cut off here.
-      first.put(c, vertx.setTimer(REQUEST_MS, t -> c.close()));
+      firstRequestTimers.put(c, vertx.setTimer(REQUEST_TIMEOUT_MS, t -> c.close()));
       c.closeHandler(v -> {
         connections--;
-        came(c);
+        cancelFirstRequestTimer(c);
       });
     });
     try {
@@ -161,12 +161,12 @@
   /** Takes on key and certificate from their files again; connections that stand go on. False: they cannot be
    * used, and the ones before stay. */
   public boolean reloadKeys() {
-    if (cert == null) {
+    if (certFile == null) {
       return true;
     }
     try {
       servers.get(1)
-          .updateSSLOptions(new ServerSSLOptions().setKeyCertOptions(pair()), true)
+          .updateSSLOptions(new ServerSSLOptions().setKeyCertOptions(keyCertOptions()), true)
           .toCompletionStage()
           .toCompletableFuture()
           .get(10, TimeUnit.SECONDS);
@@ -186,13 +186,13 @@
     byte[] description = OpenApi.description(routes)
         .toString()
         .getBytes(java.nio.charset.StandardCharsets.UTF_8);
-    router.route().handler(this::timed);
+    router.route().handler(this::limitRequestTime);
     router.get("/openapi.json")
         .handler(c -> c.response()
             .putHeader("Content-Type", "application/json")
             .end(io.vertx.core.buffer.Buffer.buffer(description)));
-    router.get("/v1/events").handler(this::stream);
-    router.route().handler(BodyHandler.create(false).setBodyLimit(MOST_BODY));
+    router.get("/v1/events").handler(this::streamEvents);
+    router.route().handler(BodyHandler.create(false).setBodyLimit(MAX_BODY_BYTES));
     for (OpenApi.Route r : routes) {
       List<String> names = new ArrayList<>();
       var m = java.util.regex.Pattern.compile("\\{(\\w+)}").matcher(r.path());
@@ -203,17 +203,18 @@
           .handler(c -> answer(c, r, names));
     }
     router.route()
-        .handler(c -> fail(c, new Problem(404, "not found", null, "there is nothing of this name here", Map
-            .of())));
-    router.route().failureHandler(this::failed);
+        .handler(c -> sendProblem(c, new ApiException(404, "not found", null,
+            "there is nothing of this name here", Map
+                .of())));
+    router.route().failureHandler(this::handleFailure);
     for (int code : List.of(400, 405)) {
-      router.errorHandler(code, this::failed);
+      router.errorHandler(code, this::handleFailure);
     }
     return router;
   }
 
   /** What went wrong outside the routes: a body that is too large, a client that left. */
-  private void failed(RoutingContext c) {
+  private void handleFailure(RoutingContext c) {
     int code = c.statusCode() < 400 ? 500 : c.statusCode();
     if (c.response().closed()) {
       return;
@@ -221,22 +222,22 @@
     if (code == 500) {
       LOG.atError().setCause(c.failure()).log("admin.fault");
     }
-    fail(c, new Problem(code, Statuses.title(code), code == 413 ? "body" : null, code == 413
-        ? "a body may have " + MOST_BODY + " bytes"
-        : Statuses.title(code), Map.of()));
+    sendProblem(c, new ApiException(code, ProblemDetails.title(code), code == 413 ? "body" : null, code == 413
+        ? "a body may have " + MAX_BODY_BYTES + " bytes"
+        : ProblemDetails.title(code), Map.of()));
   }
 
-  private void came(HttpConnection c) {
-    Long timer = first.remove(c);
+  private void cancelFirstRequestTimer(HttpConnection c) {
+    Long timer = firstRequestTimers.remove(c);
     if (timer != null) {
       vertx.cancelTimer(timer);
     }
   }
 
   /** A request that is not there whole in time ends its connection. */
-  private void timed(RoutingContext c) {
-    came(c.request().connection());
-    long timer = vertx.setTimer(REQUEST_MS, t -> {
+  private void limitRequestTime(RoutingContext c) {
+    cancelFirstRequestTimer(c.request().connection());
+    long timer = vertx.setTimer(REQUEST_TIMEOUT_MS, t -> {
       if (!c.request().isEnded()) {
         c.request().connection().close();
       }
@@ -245,59 +246,62 @@
     c.next();
   }
 
-  private Api.Call call(RoutingContext c, JsonNode body) {
+  private Api.Request toApiRequest(RoutingContext c, JsonNode body) {
     var q = c.request();
     byte[] bytes = c.body() == null || c.body().buffer() == null ? new byte[0] : c.body().buffer().getBytes();
     String digest = q.getHeader("Idempotency-Key") == null
         ? ""
-        : Access.hash(q.method() + " " + q.path() + " " + java.util.HexFormat.of().formatHex(bytes));
-    return new Api.Call(q.getHeader("Authorization"), q.getHeader("If-Match"), q.getHeader("Idempotency-Key"),
+        : AuthenticatedCaller.sha256Hex(q.method() + " " + q.path() + " " + java.util.HexFormat.of()
+            .formatHex(bytes));
+    return new Api.Request(q.getHeader("Authorization"), q.getHeader("If-Match"), q.getHeader(
+        "Idempotency-Key"),
         body, digest, q.getParam("after"), q.getParam("limit"));
   }
 
   private void answer(RoutingContext c, OpenApi.Route r, List<String> names) {
     try {
-      JsonNode body = r.takes() == null ? null : parse(c);
+      JsonNode body = r.requestSchema() == null ? null : parseBody(c);
       List<String> parameters = names.stream().map(c::pathParam).toList();
       r.handler()
-          .answer(call(c, body), parameters)
+          .handle(toApiRequest(c, body), parameters)
           .whenComplete((reply, error) -> c.vertx().runOnContext(v -> {
             if (error != null) {
-              fail(c, error);
+              sendProblem(c, error);
             } else {
               send(c, reply);
             }
           }));
-    } catch (Problem e) {
-      fail(c, e);
+    } catch (ApiException e) {
+      sendProblem(c, e);
     }
   }
 
-  private static JsonNode parse(RoutingContext c) {
+  private static JsonNode parseBody(RoutingContext c) {
     byte[] bytes = c.body().buffer() == null ? new byte[0] : c.body().buffer().getBytes();
     try {
-      JsonNode n = STRICT.readTree(bytes);
+      JsonNode n = STRICT_JSON.readTree(bytes);
       if (n == null || !n.isObject()) {
-        throw Problem.invalid("body", "must be a JSON object");
+        throw ApiException.invalid("body", "must be a JSON object");
       }
       return n;
     } catch (JsonProcessingException e) {
       var at = e.getLocation();
-      throw Problem.invalid("body", "is no JSON at line " + (at == null ? 0 : at.getLineNr()) + ", column "
+      throw ApiException.invalid("body", "is no JSON at line " + (at == null ? 0 : at.getLineNr())
+          + ", column "
           + (at == null ? 0 : at.getColumnNr()) + ": " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw Problem.invalid("body", e.getMessage());
+      throw ApiException.invalid("body", e.getMessage());
     }
   }
 
-  private static void send(RoutingContext c, Api.Reply r) {
+  private static void send(RoutingContext c, Api.Response r) {
     HttpServerResponse out = c.response();
     if (out.ended() || out.closed()) {
       return;
     }
     out.setStatusCode(r.status());
-    if (r.tag() != 0) {
-      out.putHeader("ETag", "\"" + Math.max(0, r.tag()) + "\"");
+    if (r.etag() != 0) {
+      out.putHeader("ETag", "\"" + Math.max(0, r.etag()) + "\"");
     }
     if (r.location() != null) {
       out.putHeader("Location", r.location());
@@ -309,8 +313,8 @@
     }
   }
 
-  private void fail(RoutingContext c, Throwable e) {
-    Problem p = Statuses.problem(e);
+  private void sendProblem(RoutingContext c, Throwable e) {
+    ApiException p = ProblemDetails.toApiException(e);
     if (p.status == 500) {
       LOG.atError().setCause(e).log("admin.fault");
     }
@@ -326,51 +330,51 @@
     }
     out.setStatusCode(p.status)
         .putHeader("Content-Type", "application/problem+json")
-        .end(Statuses.body(p).toString());
+        .end(ProblemDetails.toJson(p).toString());
   }
 
   /** Server-sent events (WHATWG HTML, 9.2). A client that does not read is cut off, so that nothing piles
    * up. */
-  private void stream(RoutingContext c) {
+  private void streamEvents(RoutingContext c) {
     c.request().pause();
-    api.listener(call(c, null)).whenComplete((tenant, error) -> c.vertx().runOnContext(v -> {
+    api.eventScope(toApiRequest(c, null)).whenComplete((tenant, error) -> c.vertx().runOnContext(v -> {
       c.request().resume();
       if (error != null) {
-        fail(c, error);
-      } else if (streams >= MOST_STREAMS) {
-        fail(c, new Problem(503, Statuses.title(503), null, "too many streams", Map.of()));
+        sendProblem(c, error);
+      } else if (streams >= MAX_STREAMS) {
+        sendProblem(c, new ApiException(503, ProblemDetails.title(503), null, "too many streams", Map.of()));
       } else {
-        stream(c, tenant);
+        streamEvents(c, tenant);
       }
     }));
   }
 
-  private void stream(RoutingContext c, long tenant) {
+  private void streamEvents(RoutingContext c, long tenant) {
     HttpServerResponse out = c.response()
         .setChunked(true)
         .putHeader("Content-Type", "text/event-stream")
         .putHeader("Cache-Control", "no-store");
-    out.setWriteQueueMaxSize(STREAM_BYTES);
+    out.setWriteQueueMaxSize(STREAM_BUFFER_BYTES);
     out.write(": begin\n\n");
     streams++;
     var context = vertx.getOrCreateContext();
-    Consumer<Trail> listener = t -> context.runOnContext(v -> {
+    Consumer<AuditRecord> listener = t -> context.runOnContext(v -> {
       if (tenant != 0 && t.tenant() != tenant || out.closed()) {
         return;
       }
       if (out.writeQueueFull()) {
         c.request().connection().close();
       } else {
-        out.write("id: " + t.sequence() + "\nevent: change\ndata: " + Views.trail(t) + "\n\n");
+        out.write("id: " + t.sequence() + "\nevent: change\ndata: " + Views.auditRecord(t) + "\n\n");
       }
     });
     // A comment now and then keeps the connection from being idle, and finds out clients that are gone.
-    long beat = vertx.setPeriodic(QUIET_MS / 4, t -> out.write(": \n\n"));
-    control.listen(listener);
+    long beat = vertx.setPeriodic(IDLE_TIMEOUT_MS / 4, t -> out.write(": \n\n"));
+    control.addAuditListener(listener);
     out.closeHandler(v -> {
       streams--;
       vertx.cancelTimer(beat);
-      control.forget(listener);
+      control.removeAuditListener(listener);
     });
   }
 
--- a/src/main/java/hollyslip/admin/ApiClient.java
+++ b/src/main/java/hollyslip/admin/ApiClient.java
@@ -23,7 +23,7 @@
 /** Asks the administration API, over its Unix socket or a port with TLS. */
 public final class ApiClient implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final long PATIENCE_S = 30;
+  private static final long TIMEOUT_S = 30;
 
   /** An answer; {@code body} null: none, {@code tag} and {@code location} may be null. */
   public record Answer(int status, JsonNode body, String tag, String location) {
@@ -91,14 +91,14 @@
     // by then, and the body never came.
     vertx.runOnContext(v -> http.request(options)
         .compose(q -> body == null ? q.send() : q.send(Buffer.buffer(body.toString())))
-        .compose(r -> r.body().map(b -> answer(r, b)))
+        .compose(r -> r.body().map(b -> toResponse(r, b)))
         .onSuccess(answer::complete)
         .onFailure(answer::completeExceptionally));
     try {
-      return answer.get(PATIENCE_S, TimeUnit.SECONDS);
+      return answer.get(TIMEOUT_S, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
       throw new IOException(e.getCause() == null
-          ? "no answer in " + PATIENCE_S + " s"
+          ? "no answer in " + TIMEOUT_S + " s"
           : e.getCause().getMessage(), e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -106,7 +106,7 @@
     }
   }
 
-  private static Answer answer(HttpClientResponse r, Buffer body) {
+  private static Answer toResponse(HttpClientResponse r, Buffer body) {
     try {
       return new Answer(r.statusCode(), body.length() == 0 ? null : JSON.readTree(body.getBytes()), r
           .getHeader(
--- a/src/main/java/hollyslip/admin/Problem.java
+++ b/src/main/java/hollyslip/admin/ApiException.java
@@ -4,7 +4,7 @@
 
 /** An error as the API answers it (RFC 9457, problem details): status, a title, what is wrong, the field that
  * it is about, and figures. */
-final class Problem extends RuntimeException {
+final class ApiException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
   final int status;
@@ -12,7 +12,7 @@
   final String field;
   final transient Map<String, Object> figures;
 
-  Problem(int status, String title, String field, String detail, Map<String, Object> figures) {
+  ApiException(int status, String title, String field, String detail, Map<String, Object> figures) {
     super(detail, null, false, false);
     this.status = status;
     this.title = title;
@@ -20,12 +20,12 @@
     this.figures = figures;
   }
 
-  static Problem invalid(String field, String detail) {
-    return new Problem(400, "invalid", field, detail, Map.of());
+  static ApiException invalid(String field, String detail) {
+    return new ApiException(400, "invalid", field, detail, Map.of());
   }
 
   /** The same for what is not there and what is not the caller's. */
-  static Problem unknown() {
-    return new Problem(404, "not found", null, "there is nothing of this name here", Map.of());
+  static ApiException notFound() {
+    return new ApiException(404, "not found", null, "there is nothing of this name here", Map.of());
   }
 }
--- a/src/main/java/hollyslip/admin/Access.java
+++ b/src/main/java/hollyslip/admin/AuthenticatedCaller.java
@@ -17,27 +17,27 @@
  *          whose it is
  * @param tenant
  *          the one tenant that it opens; 0: an operator's, which opens all */
-record Access(String id, String who, long tenant) {
+record AuthenticatedCaller(String id, String who, long tenant) {
   private static final SecureRandom RANDOM = new SecureRandom();
 
   /** A new token and what is recorded of it. */
-  record Made(String token, Change.Token recorded) {}
+  record IssuedToken(String token, Change.Token recorded) {}
 
-  boolean operator() {
+  boolean isOperator() {
     return tenant == 0;
   }
 
-  static Made make(String who, long tenant) {
+  static IssuedToken issueToken(String who, long tenant) {
     byte[] id = new byte[6];
     byte[] secret = new byte[32];
     RANDOM.nextBytes(id);
     RANDOM.nextBytes(secret);
     String name = HexFormat.of().formatHex(id);
     String word = HexFormat.of().formatHex(secret);
-    return new Made(name + "." + word, new Change.Token(name, hash(word), tenant, who));
+    return new IssuedToken(name + "." + word, new Change.Token(name, sha256Hex(word), tenant, who));
   }
 
-  static String hash(String text) {
+  static String sha256Hex(String text) {
     try {
       return HexFormat.of()
           .formatHex(MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8)));
@@ -47,7 +47,7 @@
   }
 
   /** Who comes with an Authorization header; null: nobody known. */
-  static Access of(Registry r, String header) {
+  static AuthenticatedCaller authenticate(Registry r, String header) {
     if (header == null || !header.startsWith("Bearer ")) {
       return null;
     }
@@ -55,9 +55,10 @@
     int dot = token.indexOf('.');
     Change.Token known = dot < 0 ? null : r.token(token.substring(0, dot));
     // Compared even where there is no such token, so that the time does not tell.
-    String expected = known == null ? hash("") : known.hash();
-    boolean same = MessageDigest.isEqual(expected.getBytes(StandardCharsets.US_ASCII), hash(token.substring(
-        dot + 1)).getBytes(StandardCharsets.US_ASCII));
-    return known != null && same ? new Access(known.id(), known.who(), known.tenant()) : null;
+    String expected = known == null ? sha256Hex("") : known.hash();
+    boolean same = MessageDigest.isEqual(expected.getBytes(StandardCharsets.US_ASCII), sha256Hex(token
+        .substring(
+            dot + 1)).getBytes(StandardCharsets.US_ASCII));
+    return known != null && same ? new AuthenticatedCaller(known.id(), known.who(), known.tenant()) : null;
   }
 }
--- a/src/main/java/hollyslip/admin/Control.java
+++ b/src/main/java/hollyslip/admin/Control.java
@@ -1,18 +1,18 @@
 package hollyslip.admin;
 
 import hollyslip.HostScheduler.VolumeChanged;
-import hollyslip.store.Disk;
+import hollyslip.store.StoreDirectory;
 import hollyslip.store.Journal;
 import hollyslip.store.StoreException;
 import hollyslip.tenant.Change;
-import hollyslip.tenant.Entry;
+import hollyslip.tenant.ChangeSet;
 import hollyslip.tenant.HostedVolume;
 import hollyslip.tenant.Phase;
-import hollyslip.tenant.Registrar;
+import hollyslip.tenant.RegistryCommandHandler;
 import hollyslip.tenant.Registry;
 import hollyslip.tenant.Shard;
 import hollyslip.tenant.Tenant;
-import hollyslip.tenant.Trail;
+import hollyslip.tenant.AuditRecord;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -44,23 +44,23 @@
   private static final long RETRY_MS = 500;
 
   private final Registry registry;
-  private final Registrar registrar;
+  private final RegistryCommandHandler registrar;
   private final Journal journal;
-  private final Carrier carrier;
+  private final Carrier provisioner;
   private final int hosts;
   private final LongSupplier clock;
-  private final Set<Consumer<Trail>> listeners = ConcurrentHashMap.newKeySet();
-  private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(r -> {
+  private final Set<Consumer<AuditRecord>> listeners = ConcurrentHashMap.newKeySet();
+  private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(r -> {
     Thread t = new Thread(r, "control");
     t.setDaemon(true);
     return t;
   });
-  private CompletableFuture<Long> lastWrite = CompletableFuture.completedFuture(0L);
-  private long bytesSince;
+  private CompletableFuture<Long> lastAppend = CompletableFuture.completedFuture(0L);
+  private long bytesSinceSnapshot;
   private volatile boolean closing;
 
   /** What a record asks of the carrier. */
-  private record Step(HostedVolume volume, Tenant tenant, VolumeChanged terms) {}
+  private record ProvisioningStep(HostedVolume volume, Tenant tenant, VolumeChanged terms) {}
 
   /** Opens the store and carries out what it holds.
    *
@@ -70,24 +70,24 @@
    *          gateways of the deployment
    * @param clock
    *          ms since 1970 */
-  public Control(Disk disk, Collection<Shard> shards, long firstId, int hosts, Carrier carrier,
+  public Control(StoreDirectory disk, Collection<Shard> shards, long firstId, int hosts, Carrier carrier,
       LongSupplier clock) throws IOException {
-    this.carrier = carrier;
+    this.provisioner = carrier;
     this.hosts = hosts;
     this.clock = clock;
     journal = new Journal(disk);
     try {
-      Journal.Found found = journal.found();
-      found.remarks().forEach(r -> LOG.atWarn().addKeyValue("remark", r).log("store.opened"));
+      Journal.RecoveredState found = journal.recovered();
+      found.warnings().forEach(r -> LOG.atWarn().addKeyValue("remark", r).log("store.opened"));
       registry = found.state() == null
           ? new Registry(shards, firstId)
-          : new Registry(shards, Records.image(found.state()));
+          : new Registry(shards, RegistryCodec.decodeSnapshot(found.state()));
       long sequence = found.sequence();
       for (byte[] record : found.records()) {
-        registry.apply(++sequence, Records.entry(record));
-        bytesSince += record.length;
+        registry.apply(++sequence, RegistryCodec.decodeChangeSet(record));
+        bytesSinceSnapshot += record.length;
       }
-      registrar = new Registrar(registry);
+      registrar = new RegistryCommandHandler(registry);
       LOG.atInfo()
           .addKeyValue("tenants", registry.tenantNames().size())
           .addKeyValue("volumes", registry.volumes().size())
@@ -103,42 +103,42 @@
    * yet: it is tried again then. */
   public CompletableFuture<Void> start() {
     CompletableFuture<Void> tried = new CompletableFuture<>();
-    run(tried, () -> {
-      registry.nodes().forEach(n -> carrier.node(n.node(), n.state()));
+    submit(tried, () -> {
+      registry.nodes().forEach(n -> provisioner.node(n.node(), n.state()));
       List<CompletableFuture<Void>> all = new ArrayList<>();
       registry.volumes()
           .stream()
           .sorted((a, b) -> Long.compare(a.id(), b.id()))
-          .forEach(v -> all.add(carry(step(v)).exceptionally(e -> null)));
+          .forEach(v -> all.add(provision(toStep(v)).exceptionally(e -> null)));
       CompletableFuture.allOf(all.toArray(new CompletableFuture<?>[0])).thenRun(() -> tried.complete(null));
     });
     return tried;
   }
 
-  private Step step(HostedVolume v) {
-    return new Step(v, registry.tenant(v.tenant()), registry.told(v, hosts));
+  private ProvisioningStep toStep(HostedVolume v) {
+    return new ProvisioningStep(v, registry.tenant(v.tenant()), registry.toVolumeChanged(v, hosts));
   }
 
   /** A command: decided on the registry as it then stands; complete, with the view after it, once it is
    * synced. A decision of null changes nothing and is no error. */
-  public <T> CompletableFuture<T> command(BiFunction<Registrar, Long, Entry> decide,
+  public <T> CompletableFuture<T> command(BiFunction<RegistryCommandHandler, Long, ChangeSet> decide,
       Function<Registry, T> view) {
     return command(decide, (r, entry) -> view.apply(r));
   }
 
   /** As the other, with the entry for the view. */
-  <T> CompletableFuture<T> command(BiFunction<Registrar, Long, Entry> decide,
-      BiFunction<Registry, Entry, T> view) {
+  <T> CompletableFuture<T> command(BiFunction<RegistryCommandHandler, Long, ChangeSet> decide,
+      BiFunction<Registry, ChangeSet, T> view) {
     CompletableFuture<T> answer = new CompletableFuture<>();
-    run(answer, () -> {
-      if (journal.broken() != null) {
-        throw unwritable();
+    submit(answer, () -> {
+      if (journal.failure() != null) {
+        throw storeFailedException();
       }
-      Entry entry = decide.apply(registrar, clock.getAsLong());
+      ChangeSet entry = decide.apply(registrar, clock.getAsLong());
       if (entry != null) {
         record(entry);
       }
-      answerWith(answer, view.apply(registry, entry));
+      completeWhenSynced(answer, view.apply(registry, entry));
     });
     return answer;
   }
@@ -146,27 +146,27 @@
   /** Something read from the registry; complete once all that it may have seen is synced. */
   public <T> CompletableFuture<T> read(Function<Registry, T> view) {
     CompletableFuture<T> answer = new CompletableFuture<>();
-    run(answer, () -> answerWith(answer, view.apply(registry)));
+    submit(answer, () -> completeWhenSynced(answer, view.apply(registry)));
     return answer;
   }
 
-  private <T> void answerWith(CompletableFuture<T> answer, T value) {
-    lastWrite.whenComplete((done, error) -> {
+  private <T> void completeWhenSynced(CompletableFuture<T> answer, T value) {
+    lastAppend.whenComplete((done, error) -> {
       if (error == null) {
         answer.complete(value);
       } else {
-        answer.completeExceptionally(unwritable());
+        answer.completeExceptionally(storeFailedException());
       }
     });
   }
 
-  private static RuntimeException unwritable() {
+  private static RuntimeException storeFailedException() {
     return new IllegalStateException("the store cannot be written; see the log");
   }
 
-  private void run(CompletableFuture<?> answer, Runnable task) {
+  private void submit(CompletableFuture<?> answer, Runnable task) {
     try {
-      thread.execute(() -> {
+      executor.execute(() -> {
         try {
           task.run();
         } catch (RuntimeException e) {
@@ -178,20 +178,20 @@
     }
   }
 
-  private void record(Entry entry) {
-    byte[] bytes = Records.bytes(entry);
+  private void record(ChangeSet entry) {
+    byte[] bytes = RegistryCodec.encode(entry);
     CompletableFuture<Long> write = journal.append(bytes);
-    long sequence = journal.last();
-    lastWrite = write;
-    List<Trail> before = new ArrayList<>();
-    Consumer<Trail> collect = before::add;
+    long sequence = journal.lastSequence();
+    lastAppend = write;
+    List<AuditRecord> before = new ArrayList<>();
+    Consumer<AuditRecord> collect = before::add;
     registry.apply(sequence, entry, collect);
-    List<Step> steps = new ArrayList<>();
-    List<Change.NodePut> nodes = new ArrayList<>();
+    List<ProvisioningStep> steps = new ArrayList<>();
+    List<Change.NodeStatePut> nodes = new ArrayList<>();
     for (Change c : entry.changes()) {
       if (c instanceof Change.VolumePut v && v.volume().phase() != Phase.ACTIVE) {
-        steps.add(step(v.volume()));
-      } else if (c instanceof Change.NodePut n) {
+        steps.add(toStep(v.volume()));
+      } else if (c instanceof Change.NodeStatePut n) {
         nodes.add(n);
       }
     }
@@ -201,27 +201,27 @@
       LOG.atError().setCause(e).addKeyValue("target", entry.target()).log("volume.fault");
       return null;
     });
-    write.thenRun(() -> run(carried, () -> {
-      steps.forEach(this::carry);
-      nodes.forEach(n -> carrier.node(n.node(), n.state()));
+    write.thenRun(() -> submit(carried, () -> {
+      steps.forEach(this::provision);
+      nodes.forEach(n -> provisioner.node(n.node(), n.state()));
       before.forEach(t -> listeners.forEach(l -> l.accept(t)));
     }));
-    bytesSince += bytes.length;
-    if (bytesSince > SNAPSHOT_BYTES) {
-      bytesSince = 0;
+    bytesSinceSnapshot += bytes.length;
+    if (bytesSinceSnapshot > SNAPSHOT_BYTES) {
+      bytesSinceSnapshot = 0;
       snapshot();
     }
   }
 
   private CompletableFuture<Long> snapshot() {
-    Registry.Image image = registry.image();
-    return journal.snapshot(journal.last(), () -> Records.bytes(image));
+    Registry.Snapshot image = registry.snapshot();
+    return journal.snapshot(journal.lastSequence(), () -> RegistryCodec.encode(image));
   }
 
   /** Keeps the present state as a snapshot. */
   public CompletableFuture<Long> keep() {
     CompletableFuture<Long> done = new CompletableFuture<>();
-    run(done, () -> snapshot().whenComplete((n, e) -> {
+    submit(done, () -> snapshot().whenComplete((n, e) -> {
       if (e == null) {
         done.complete(n);
       } else {
@@ -231,15 +231,15 @@
     return done;
   }
 
-  private CompletableFuture<Void> carry(Step s) {
+  private CompletableFuture<Void> provision(ProvisioningStep s) {
     HostedVolume v = s.volume;
     return v.phase() == Phase.DRAINING
-        ? whenDone(carrier.drain(v, s.tenant), s, (r, at) -> r.drained(at, v.id()))
-        : whenDone(carrier.serve(v, s.tenant, s.terms), s, (r, at) -> r.settled(at, v));
+        ? whenDone(provisioner.drain(v, s.tenant), s, (r, at) -> r.volumeDrained(at, v.id()))
+        : whenDone(provisioner.serve(v, s.tenant, s.terms), s, (r, at) -> r.volumeServed(at, v));
   }
 
-  private CompletableFuture<Void> whenDone(CompletableFuture<Void> done, Step s,
-      BiFunction<Registrar, Long, Entry> then) {
+  private CompletableFuture<Void> whenDone(CompletableFuture<Void> done, ProvisioningStep s,
+      BiFunction<RegistryCommandHandler, Long, ChangeSet> then) {
     return done.whenComplete((ok, error) -> {
       if (closing) {
         return;
@@ -251,44 +251,44 @@
             .addKeyValue("volume", s.volume.name())
             .addKeyValue("why", error.getMessage())
             .log("volume.step");
-        thread.schedule(() -> again(s), RETRY_MS, TimeUnit.MILLISECONDS);
+        executor.schedule(() -> retry(s), RETRY_MS, TimeUnit.MILLISECONDS);
       }
     });
   }
 
   /** Once more, with what is recorded by now. */
-  private void again(Step s) {
+  private void retry(ProvisioningStep s) {
     HostedVolume v = registry.volume(s.volume.id());
     if (v != null && !closing) {
-      carry(step(v));
+      provision(toStep(v));
     }
   }
 
   /** Hears every line of the audit trail from now on, once it is synced; must not block. */
-  public void listen(Consumer<Trail> listener) {
+  public void addAuditListener(Consumer<AuditRecord> listener) {
     listeners.add(listener);
   }
 
-  public void forget(Consumer<Trail> listener) {
+  public void removeAuditListener(Consumer<AuditRecord> listener) {
     listeners.remove(listener);
   }
 
   /** Why nothing can be changed any more; null: it can. */
-  public Throwable broken() {
-    return journal.broken();
+  public Throwable storeFailure() {
+    return journal.failure();
   }
 
-  Carrier carrier() {
-    return carrier;
+  Carrier provisioner() {
+    return provisioner;
   }
 
   /** Ends; what was recorded is synced. */
   @Override
   public void close() {
     closing = true;
-    thread.shutdown();
+    executor.shutdown();
     try {
-      thread.awaitTermination(5, TimeUnit.SECONDS);
+      executor.awaitTermination(5, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/hollyslip/admin/Fields.java
+++ b/src/main/java/hollyslip/admin/JsonObjectReader.java
@@ -8,21 +8,21 @@
 
 /** Reads a JSON object field by field and names the field that is wrong. Fields that are not known are
  * refused: a misspelt one must not pass for one that is left out. */
-record Fields(JsonNode object, String prefix) {
-  Fields(JsonNode object, String prefix, Set<String> known) {
+record JsonObjectReader(JsonNode object, String path) {
+  JsonObjectReader(JsonNode object, String prefix, Set<String> known) {
     this(object, prefix);
     if (object == null || !object.isObject()) {
-      throw Problem.invalid(prefix.isEmpty() ? "body" : prefix, "must be an object");
+      throw ApiException.invalid(prefix.isEmpty() ? "body" : prefix, "must be an object");
     }
     object.fieldNames().forEachRemaining(f -> {
       if (!known.contains(f)) {
-        throw Problem.invalid(path(f), "is not known; known are " + known.stream().sorted().toList());
+        throw ApiException.invalid(pathOf(f), "is not known; known are " + known.stream().sorted().toList());
       }
     });
   }
 
-  private String path(String field) {
-    return prefix.isEmpty() ? field : prefix + "." + field;
+  private String pathOf(String field) {
+    return path.isEmpty() ? field : path + "." + field;
   }
 
   private JsonNode get(String field) {
@@ -30,10 +30,10 @@
     return n == null || n.isNull() ? null : n;
   }
 
-  String text(String field) {
+  String string(String field) {
     JsonNode n = get(field);
     if (n == null || !n.isTextual()) {
-      throw Problem.invalid(path(field), n == null ? "is missing" : "must be a text");
+      throw ApiException.invalid(pathOf(field), n == null ? "is missing" : "must be a text");
     }
     return n.asText();
   }
@@ -41,7 +41,7 @@
   double number(String field, Double standard) {
     Double d = number(field);
     if (d == null && standard == null) {
-      throw Problem.invalid(path(field), "is missing");
+      throw ApiException.invalid(pathOf(field), "is missing");
     }
     return d == null ? standard : d;
   }
@@ -50,50 +50,51 @@
   Double number(String field) {
     JsonNode n = get(field);
     if (n != null && (!n.isNumber() || Double.isInfinite(n.asDouble()) || Double.isNaN(n.asDouble()))) {
-      throw Problem.invalid(path(field), "must be a number");
+      throw ApiException.invalid(pathOf(field), "must be a number");
     }
     return n == null ? null : n.asDouble();
   }
 
-  long whole(String field, Long standard) {
+  long integer(String field, Long standard) {
     JsonNode n = get(field);
     if (n == null && standard == null || n != null && !(n.isIntegralNumber() && n.canConvertToLong())) {
-      throw Problem.invalid(path(field), n == null ? "is missing" : "must be a whole number");
+      throw ApiException.invalid(pathOf(field), n == null ? "is missing" : "must be a whole number");
     }
     return n == null ? standard : n.asLong();
   }
 
-  Fields object(String field, Set<String> known) {
+  JsonObjectReader object(String field, Set<String> known) {
     if (get(field) == null) {
-      throw Problem.invalid(path(field), "is missing");
+      throw ApiException.invalid(pathOf(field), "is missing");
     }
-    return new Fields(get(field), path(field), known);
+    return new JsonObjectReader(get(field), pathOf(field), known);
   }
 
   /** Whole numbers by name. */
-  Map<String, Long> numbers(String field) {
+  Map<String, Long> integerMap(String field) {
     Map<String, Long> map = new TreeMap<>();
     JsonNode n = get(field);
     if (n != null) {
       Set<String> names = new java.util.HashSet<>();
       n.fieldNames().forEachRemaining(names::add);
-      Fields inner = new Fields(n, path(field), names);
-      names.forEach(name -> map.put(name, inner.whole(name, null)));
+      JsonObjectReader inner = new JsonObjectReader(n, pathOf(field), names);
+      names.forEach(name -> map.put(name, inner.integer(name, null)));
     }
     return map;
   }
 
   /** Lays a merge patch (RFC 7396) over an object. */
-  static ObjectNode merged(ObjectNode target, JsonNode patch) {
+  static ObjectNode mergePatch(ObjectNode target, JsonNode patch) {
     if (patch == null || !patch.isObject()) {
-      throw Problem.invalid("body", "must be an object");
+      throw ApiException.invalid("body", "must be an object");
     }
     patch.fields().forEachRemaining(e -> {
       JsonNode old = target.get(e.getKey());
       if (e.getValue().isNull()) {
         target.remove(e.getKey());
       } else if (e.getValue().isObject()) {
-        target.set(e.getKey(), merged(old instanceof ObjectNode o ? o : target.objectNode(), e.getValue()));
+        target.set(e.getKey(), mergePatch(old instanceof ObjectNode o ? o : target.objectNode(), e
+            .getValue()));
       } else {
         target.set(e.getKey(), e.getValue());
       }
--- a/src/main/java/hollyslip/admin/Statuses.java
+++ b/src/main/java/hollyslip/admin/ProblemDetails.java
@@ -1,13 +1,13 @@
 package hollyslip.admin;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import hollyslip.tenant.Refusal;
+import hollyslip.tenant.CommandRejectedException;
 import java.util.Map;
 import java.util.concurrent.CompletionException;
 
 /** Status and problem details of what went wrong. */
-final class Statuses {
-  private Statuses() {}
+final class ProblemDetails {
+  private ProblemDetails() {}
 
   static String title(int status) {
     return switch (status) {
@@ -31,30 +31,30 @@
     };
   }
 
-  static Problem problem(Throwable thrown) {
+  static ApiException toApiException(Throwable thrown) {
     Throwable e = thrown instanceof CompletionException && thrown.getCause() != null
         ? thrown.getCause()
         : thrown;
-    if (e instanceof Problem p) {
+    if (e instanceof ApiException p) {
       return p;
     }
-    if (e instanceof Refusal r) {
-      int status = switch (r.kind()) {
+    if (e instanceof CommandRejectedException r) {
+      int status = switch (r.reason()) {
         case INVALID -> 400;
         case UNKNOWN -> 400;
         case CONFLICT, NO_ROOM -> 409;
         case STALE -> 412;
         case KEY_REUSED -> 422;
       };
-      return new Problem(status, title(status), r.field(), r.getMessage(), r.figures());
+      return new ApiException(status, title(status), r.field(), r.getMessage(), r.figures());
     }
     if (e instanceof IllegalStateException) {
-      return new Problem(503, title(503), null, e.getMessage(), Map.of());
+      return new ApiException(503, title(503), null, e.getMessage(), Map.of());
     }
-    return new Problem(500, title(500), null, "see the gateway's log", Map.of());
+    return new ApiException(500, title(500), null, "see the gateway's log", Map.of());
   }
 
-  static ObjectNode body(Problem p) {
+  static ObjectNode toJson(ApiException p) {
     ObjectNode n = Views.JSON.createObjectNode()
         .put("type", "about:blank")
         .put("title", p.title)
--- a/src/main/java/hollyslip/admin/Records.java
+++ b/src/main/java/hollyslip/admin/RegistryCodec.java
@@ -3,20 +3,20 @@
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
-import hollyslip.tenant.Entry;
+import hollyslip.tenant.ChangeSet;
 import hollyslip.tenant.Registry;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
 /** Records and snapshots as bytes: CBOR with names of fields, so that a later form may add some. A record of
- * a version that is not known is refused whole by {@link Entry}. */
-final class Records {
+ * a version that is not known is refused whole by {@link ChangeSet}. */
+final class RegistryCodec {
   private static final ObjectMapper CBOR = new CBORMapper().configure(
       DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false);
 
-  private Records() {}
+  private RegistryCodec() {}
 
-  static byte[] bytes(Object value) {
+  static byte[] encode(Object value) {
     try {
       return CBOR.writeValueAsBytes(value);
     } catch (IOException e) {
@@ -24,11 +24,11 @@
     }
   }
 
-  static Entry entry(byte[] record) throws IOException {
-    return CBOR.readValue(record, Entry.class);
+  static ChangeSet decodeChangeSet(byte[] record) throws IOException {
+    return CBOR.readValue(record, ChangeSet.class);
   }
 
-  static Registry.Image image(byte[] state) throws IOException {
-    return CBOR.readValue(state, Registry.Image.class);
+  static Registry.Snapshot decodeSnapshot(byte[] state) throws IOException {
+    return CBOR.readValue(state, Registry.Snapshot.class);
   }
 }
--- a/src/main/java/hollyslip/admin/Views.java
+++ b/src/main/java/hollyslip/admin/Views.java
@@ -13,7 +13,7 @@
 import hollyslip.tenant.Registry;
 import hollyslip.tenant.Tenant;
 import hollyslip.tenant.Terms;
-import hollyslip.tenant.Trail;
+import hollyslip.tenant.AuditRecord;
 import hollyslip.tenant.Wish;
 import java.util.Locale;
 import java.util.Map;
@@ -29,11 +29,11 @@
 
     @Override
     public NumericNode numberNode(double figure) {
-      Number plain = Plain.number(figure);
+      Number plain = Plain.toWholeIfExact(figure);
       return plain instanceof Long whole ? super.numberNode(whole.longValue()) : super.numberNode(figure);
     }
   });
-  private static final Set<String> TERMS = Set.of("rate", "reserve", "weight", "price", "limit",
+  private static final Set<String> TERM_FIELDS = Set.of("rate", "reserve", "weight", "price", "limit",
       "limit_burst", "limit_slack");
 
   private Views() {}
@@ -42,7 +42,7 @@
     return JSON.createObjectNode();
   }
 
-  private static String word(Enum<?> e) {
+  private static String lowerCaseName(Enum<?> e) {
     return e.name().toLowerCase(Locale.ROOT);
   }
 
@@ -65,15 +65,15 @@
   }
 
   /** What of a plan can be wished for. */
-  static ObjectNode wish(Plan p) {
+  static ObjectNode spec(Plan p) {
     return plan(p).without(Set.of("revision"));
   }
 
   static Wish.ForPlan plan(JsonNode body) {
-    Set<String> known = new java.util.HashSet<>(TERMS);
+    Set<String> known = new java.util.HashSet<>(TERM_FIELDS);
     known.add("name");
-    Fields f = new Fields(body, "", known);
-    return new Wish.ForPlan(f.text("name"), new Terms(f.number("rate", 0.0), f.number("reserve", 0.0), f
+    JsonObjectReader f = new JsonObjectReader(body, "", known);
+    return new Wish.ForPlan(f.string("name"), new Terms(f.number("rate", 0.0), f.number("reserve", 0.0), f
         .number("weight", null), f.number("price", 1.0), f.number("limit", 0.0), f.number("limit_burst", 0.0),
         f.number("limit_slack", 0.0)));
   }
@@ -81,16 +81,16 @@
   // Tenants.
 
   static ObjectNode tenant(Registry r, Tenant t) {
-    ObjectNode n = wish(t);
-    n.put("revision", t.revision()).put("phase", word(t.phase()));
+    ObjectNode n = spec(t);
+    n.put("revision", t.revision()).put("phase", lowerCaseName(t.phase()));
     n.putObject("used")
-        .put("reserve", r.promised(t.id()))
-        .put("bytes", r.bytes(t.id()))
+        .put("reserve", r.totalReserve(t.id()))
+        .put("bytes", r.totalBytes(t.id()))
         .put("volumes", r.volumeNames(t.id()).size());
     return n;
   }
 
-  static ObjectNode wish(Tenant t) {
+  static ObjectNode spec(Tenant t) {
     ObjectNode n = node().put("name", t.name()).put("weight", t.weight());
     n.putObject("quota")
         .put("reserve", t.quota().reserve())
@@ -102,19 +102,22 @@
   }
 
   static Wish.ForTenant tenant(JsonNode body) {
-    Fields f = new Fields(body, "", Set.of("name", "weight", "quota", "members"));
-    Fields q = f.object("quota", Set.of("reserve", "bytes", "volumes"));
-    long volumes = q.whole("volumes", 1_000L);
-    return new Wish.ForTenant(f.text("name"), f.number("weight", 1.0), new Tenant.Quota(q.number("reserve",
-        null), q.whole("bytes", null), (int) Math.max(-1, Math.min(Integer.MAX_VALUE, volumes))), f.numbers(
-            "members"));
+    JsonObjectReader f = new JsonObjectReader(body, "", Set.of("name", "weight", "quota", "members"));
+    JsonObjectReader q = f.object("quota", Set.of("reserve", "bytes", "volumes"));
+    long volumes = q.integer("volumes", 1_000L);
+    return new Wish.ForTenant(f.string("name"), f.number("weight", 1.0), new Tenant.Quota(q.number("reserve",
+        null), q.integer("bytes", null), (int) Math.max(-1, Math.min(Integer.MAX_VALUE, volumes))), f
+            .integerMap(
+                "members"));
   }
 
   // Volumes.
 
   static ObjectNode volume(Registry r, HostedVolume v) {
-    ObjectNode n = wish(v);
-    n.put("tenant", r.tenant(v.tenant()).name()).put("revision", v.revision()).put("phase", word(v.phase()));
+    ObjectNode n = spec(v);
+    n.put("tenant", r.tenant(v.tenant()).name())
+        .put("revision", v.revision())
+        .put("phase", lowerCaseName(v.phase()));
     n.set("terms", terms(r.terms(v)));
     Map<Integer, Integer> counts = new TreeMap<>();
     v.extents().forEach(e -> counts.merge(e.shard(), 1, Integer::sum));
@@ -123,40 +126,43 @@
     return n;
   }
 
-  static ObjectNode wish(HostedVolume v) {
+  static ObjectNode spec(HostedVolume v) {
     ObjectNode n = node().put("name", v.name())
         .put("plan", v.plan())
         .put("bytes", v.bytes())
         .put("extent_bytes", v.extentBytes());
-    put(n, "reserve", v.own().reserve());
-    put(n, "weight", v.own().weight());
-    put(n, "limit", v.own().limit());
-    put(n, "limit_burst", v.own().limitBurst());
+    putIfPresent(n, "reserve", v.overrides().reserve());
+    putIfPresent(n, "weight", v.overrides().weight());
+    putIfPresent(n, "limit", v.overrides().limit());
+    putIfPresent(n, "limit_burst", v.overrides().limitBurst());
     return n;
   }
 
-  private static void put(ObjectNode n, String field, Double value) {
+  private static void putIfPresent(ObjectNode n, String field, Double value) {
     if (value != null) {
       n.put(field, value);
     }
   }
 
   static Wish.ForVolume volume(JsonNode body) {
-    Fields f = new Fields(body, "", Set.of("name", "plan", "bytes", "extent_bytes", "reserve", "weight",
+    JsonObjectReader f = new JsonObjectReader(body, "", Set.of("name", "plan", "bytes", "extent_bytes",
+        "reserve", "weight",
         "limit", "limit_burst"));
-    long bytes = f.whole("bytes", null);
-    return new Wish.ForVolume(f.text("name"), f.text("plan"), new Terms.Own(f.number("reserve"), f.number(
-        "weight"), f.number("limit"), f.number("limit_burst")), bytes, f.whole("extent_bytes", 4L << 20));
+    long bytes = f.integer("bytes", null);
+    return new Wish.ForVolume(f.string("name"), f.string("plan"), new Terms.Overrides(f.number("reserve"), f
+        .number(
+            "weight"), f.number("limit"), f.number("limit_burst")), bytes, f.integer("extent_bytes",
+                4L << 20));
   }
 
   // The rest.
 
-  static ObjectNode nodeOf(String name, Carrier.NodeView v, Change.NodePut said) {
+  static ObjectNode nodeOf(String name, Carrier.NodeView v, Change.NodeStatePut said) {
     return node().put("name", name)
         .put("id", v.id())
         .put("shard", v.shard())
         .put("zone", v.zone())
-        .put("state", word(v.state()))
+        .put("state", lowerCaseName(v.state()))
         .put("revision", said == null ? 0 : said.revision());
   }
 
@@ -185,7 +191,7 @@
     return n;
   }
 
-  static ObjectNode trail(Trail t) {
+  static ObjectNode auditRecord(AuditRecord t) {
     ObjectNode n = node().put("sequence", t.sequence())
         .put("at", t.at())
         .put("who", t.who())
--- a/src/main/java/hollyslip/settings/Loader.java
+++ b/src/main/java/hollyslip/settings/Loader.java
@@ -311,8 +311,9 @@
         .asText()
         .toUpperCase(Locale.ROOT)), DedupScope.valueOf(c.get("group").asText().toUpperCase(Locale.ROOT)), c
             .get(
-                "window").asLong(), c.get("aim").asLong(), c.get("deadline").asLong(), c.get("worth")
-                    .asDouble(),
+                "window")
+            .asLong(), c.get("aim").asLong(), c.get("deadline").asLong(), c.get("worth")
+                .asDouble(),
         c.get("late_worth").asDouble(), c.get("in_order").asBoolean(), write);
   }
 
--- a/src/main/java/hollyslip/store/Folder.java
+++ b/src/main/java/hollyslip/store/Folder.java
@@ -13,33 +13,34 @@
 import java.util.stream.Stream;
 
 /** A folder of the file system. One process holds it at a time. */
-public final class Folder implements Disk {
-  private static final String LOCK = "lock";
+public final class Folder implements StoreDirectory {
+  private static final String LOCK_FILE = "lock";
 
   private final Path dir;
-  private final FileChannel lockFile;
+  private final FileChannel lockChannel;
 
   /** @throws IOException
    *           also if another process holds the folder */
   public Folder(Path dir) throws IOException {
     this.dir = Files.createDirectories(dir);
-    lockFile = FileChannel.open(dir.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    lockChannel = FileChannel.open(dir.resolve(LOCK_FILE), StandardOpenOption.CREATE,
+        StandardOpenOption.WRITE);
     FileLock lock;
     try {
-      lock = lockFile.tryLock();
+      lock = lockChannel.tryLock();
     } catch (OverlappingFileLockException e) {
       lock = null;
     }
     if (lock == null) {
-      lockFile.close();
+      lockChannel.close();
       throw new IOException(dir + ": another process holds this store");
     }
   }
 
   @Override
-  public List<String> names() throws IOException {
+  public List<String> listFiles() throws IOException {
     try (Stream<Path> all = Files.list(dir)) {
-      return all.map(p -> p.getFileName().toString()).filter(n -> !n.equals(LOCK)).sorted().toList();
+      return all.map(p -> p.getFileName().toString()).filter(n -> !n.equals(LOCK_FILE)).sorted().toList();
     }
   }
 
@@ -49,10 +50,10 @@
   }
 
   @Override
-  public Out append(String name) throws IOException {
+  public AppendableFile append(String name) throws IOException {
     FileChannel c = FileChannel.open(dir.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE,
         StandardOpenOption.APPEND);
-    return new Out() {
+    return new AppendableFile() {
       @Override
       public void write(ByteBuffer bytes) throws IOException {
         while (bytes.hasRemaining()) {
@@ -73,7 +74,7 @@
   }
 
   @Override
-  public void cut(String name, long size) throws IOException {
+  public void truncate(String name, long size) throws IOException {
     try (FileChannel c = FileChannel.open(dir.resolve(name), StandardOpenOption.WRITE)) {
       c.truncate(size);
       c.force(true);
@@ -91,7 +92,7 @@
   }
 
   @Override
-  public void syncNames() throws IOException {
+  public void syncDirectory() throws IOException {
     try (FileChannel c = FileChannel.open(dir)) {
       c.force(true);
     }
@@ -99,6 +100,6 @@
 
   @Override
   public void close() throws IOException {
-    lockFile.close();
+    lockChannel.close();
   }
 }
--- a/src/main/java/hollyslip/store/Frames.java
+++ b/src/main/java/hollyslip/store/Frames.java
@@ -16,14 +16,14 @@
   static final int HEADER = 24;
 
   /** Largest payload, bytes: a bound against lengths that are noise. */
-  static final int MOST = 64 << 20;
+  static final int MAX_PAYLOAD_BYTES = 64 << 20;
 
   private Frames() {}
 
   /** A frame found in a file. */
-  record Frame(int at, long sequence, long synced, byte[] payload) {
+  record Frame(int position, long sequence, long syncedSequence, byte[] payload) {
     int end() {
-      return at + HEADER + payload.length;
+      return position + HEADER + payload.length;
     }
   }
 
@@ -51,8 +51,9 @@
     }
     ByteBuffer b = ByteBuffer.wrap(file);
     int length = b.getInt(at);
-    if (length < 0 || length > MOST || length > file.length - at - HEADER || crc(file, at, length) != b
-        .getInt(at + 4)) {
+    if (length < 0 || length > MAX_PAYLOAD_BYTES || length > file.length - at - HEADER || crc(file, at,
+        length) != b
+            .getInt(at + 4)) {
       return null;
     }
     byte[] payload = new byte[length];
@@ -80,7 +81,7 @@
     }
     for (int i = at + 1; i <= file.length - HEADER; i++) {
       Frame later = at(file, i);
-      if (later != null && later.synced >= expected) {
+      if (later != null && later.syncedSequence >= expected) {
         return new Scan(frames, at, "byte " + at + ": record " + expected
             + " is damaged, yet the one at byte " + i + " says that it was synced");
       }
--- a/src/main/java/hollyslip/store/Disk.java
+++ b/src/main/java/hollyslip/store/StoreDirectory.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /** Files of one folder, as far as the store needs them: what a crash may take is what was not synced. */
-public interface Disk extends Closeable {
+public interface StoreDirectory extends Closeable {
   /** A file that only grows. */
-  interface Out extends Closeable {
+  interface AppendableFile extends Closeable {
     /** Appends all that remains in {@code bytes}. */
     void write(ByteBuffer bytes) throws IOException;
 
@@ -17,16 +17,16 @@
   }
 
   /** Names of the files, sorted. */
-  List<String> names() throws IOException;
+  List<String> listFiles() throws IOException;
 
   /** All bytes of a file. */
   byte[] read(String name) throws IOException;
 
   /** Opens a file at its end; a new one if there is none. */
-  Out append(String name) throws IOException;
+  AppendableFile append(String name) throws IOException;
 
   /** Cuts a file; the cut is synced. */
-  void cut(String name, long size) throws IOException;
+  void truncate(String name, long size) throws IOException;
 
   /** Replaces {@code to} by {@code from} in one step. */
   void rename(String from, String to) throws IOException;
@@ -34,5 +34,5 @@
   void delete(String name) throws IOException;
 
   /** Makes what was created, renamed and deleted outlive a crash. */
-  void syncNames() throws IOException;
+  void syncDirectory() throws IOException;
 }
--- a/src/main/java/hollyslip/store/Opening.java
+++ b/src/main/java/hollyslip/store/StoreRecovery.java
@@ -6,29 +6,29 @@
 
 /** Reads a store after a stop or a crash: the newest snapshot that is whole, all records behind it, the torn
  * tail cut. Damage that no crash explains stops it, with file and place. */
-final class Opening {
-  private final Disk disk;
-  private final List<String> remarks = new ArrayList<>();
+final class StoreRecovery {
+  private final StoreDirectory directory;
+  private final List<String> warnings = new ArrayList<>();
   private byte[] state;
-  private long from;
+  private long snapshotSequence;
 
-  Opening(Disk disk) {
-    this.disk = disk;
+  StoreRecovery(StoreDirectory disk) {
+    this.directory = disk;
   }
 
-  Journal.Found read() throws IOException {
-    for (String n : disk.names()) {
-      if (n.endsWith(Snapshots.HALF)) {
-        disk.delete(n);
+  Journal.RecoveredState recover() throws IOException {
+    for (String n : directory.listFiles()) {
+      if (n.endsWith(Snapshots.PARTIAL_SUFFIX)) {
+        directory.delete(n);
       }
     }
-    snapshot(Snapshots.of(disk.names()));
+    loadSnapshot(Snapshots.snapshotNames(directory.listFiles()));
     List<byte[]> records = new ArrayList<>();
-    List<String> segments = Journal.segments(disk.names());
-    long next = from + 1;
+    List<String> segments = Journal.segmentNames(directory.listFiles());
+    long next = snapshotSequence + 1;
     for (int i = 0; i < segments.size(); i++) {
-      long first = Journal.after(segments.get(i)) + 1;
-      boolean needed = i + 1 == segments.size() || Journal.after(segments.get(i + 1)) >= next;
+      long first = Journal.sequenceBefore(segments.get(i)) + 1;
+      boolean needed = i + 1 == segments.size() || Journal.sequenceBefore(segments.get(i + 1)) >= next;
       if (!needed) {
         continue;
       }
@@ -36,21 +36,21 @@
         throw new StoreException(segments.get(i) + ": begins with record " + first + ", but " + next
             + " is missing");
       }
-      next = segment(segments.get(i), first, next, i + 1 == segments.size(), records);
+      next = readSegment(segments.get(i), first, next, i + 1 == segments.size(), records);
     }
-    return new Journal.Found(state, from, records, remarks);
+    return new Journal.RecoveredState(state, snapshotSequence, records, warnings);
   }
 
   /** The newest whole one. An older one serves as well: the records behind it are kept. */
-  private void snapshot(List<String> names) throws IOException {
+  private void loadSnapshot(List<String> names) throws IOException {
     StoreException damage = null;
     for (int i = names.size() - 1; i >= 0; i--) {
       try {
-        state = Snapshots.read(disk, names.get(i));
-        from = Snapshots.sequence(names.get(i));
+        state = Snapshots.read(directory, names.get(i));
+        snapshotSequence = Snapshots.sequence(names.get(i));
         return;
       } catch (StoreException e) {
-        remarks.add(e.getMessage() + "; the one before is used");
+        warnings.add(e.getMessage() + "; the one before is used");
         damage = e;
       }
     }
@@ -59,9 +59,9 @@
     }
   }
 
-  private long segment(String name, long first, long next, boolean last, List<byte[]> records)
+  private long readSegment(String name, long first, long next, boolean last, List<byte[]> records)
       throws IOException {
-    byte[] file = disk.read(name);
+    byte[] file = directory.read(name);
     Frames.Scan scan = Frames.scan(file, 0, first);
     if (scan.damage() != null) {
       throw new StoreException(name + ": " + scan.damage());
@@ -77,8 +77,9 @@
         // A segment is followed by another only after all of it was synced.
         throw new StoreException(name + ": byte " + scan.end() + ": is damaged, and a later segment follows");
       }
-      remarks.add(name + ": torn tail of " + (file.length - scan.end()) + " bytes cut at byte " + scan.end());
-      disk.cut(name, scan.end());
+      warnings.add(name + ": torn tail of " + (file.length - scan.end()) + " bytes cut at byte " + scan
+          .end());
+      directory.truncate(name, scan.end());
     }
     return Math.max(next, after);
   }
--- a/src/main/java/hollyslip/tenant/Trail.java
+++ b/src/main/java/hollyslip/tenant/AuditRecord.java
@@ -18,5 +18,5 @@
  *          value before, null: none
  * @param after
  *          value after, null: none */
-public record Trail(long sequence, long at, String who, String what, String target, long tenant,
+public record AuditRecord(long sequence, long at, String who, String what, String target, long tenant,
     Object before, Object after) {}
--- a/src/main/java/hollyslip/tenant/Refusal.java
+++ b/src/main/java/hollyslip/tenant/CommandRejectedException.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /** A command that cannot be carried out: nothing has changed. */
-public final class Refusal extends RuntimeException {
+public final class CommandRejectedException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
   /** What kind of obstacle it is. */
-  public enum Kind {
+  public enum Reason {
     /** A field is missing or out of range. */
     INVALID,
     /** What is named is not there, or not this caller's to see. */
@@ -23,34 +23,37 @@
     KEY_REUSED
   }
 
-  private final Kind kind;
+  private final Reason reason;
   private final String field;
   private final transient Map<String, Object> figures;
 
-  Refusal(Kind kind, String field, String what, Map<String, Object> figures) {
+  CommandRejectedException(Reason kind, String field, String what, Map<String, Object> figures) {
     super(what, null, false, false);
-    this.kind = kind;
+    this.reason = kind;
     this.field = field;
     Map<String, Object> plain = new HashMap<>();
-    figures.forEach((name, figure) -> plain.put(name, figure instanceof Double d ? Plain.number(d) : figure));
+    figures.forEach((name, figure) -> plain.put(name, figure instanceof Double d
+        ? Plain.toWholeIfExact(d)
+        : figure));
     this.figures = Map.copyOf(plain);
   }
 
-  static Refusal invalid(String field, String what) {
-    return new Refusal(Kind.INVALID, field, what, Map.of());
+  static CommandRejectedException invalid(String field, String what) {
+    return new CommandRejectedException(Reason.INVALID, field, what, Map.of());
   }
 
   /** What is named is not there. */
-  public static Refusal unknown(String field, Object name) {
-    return new Refusal(Kind.UNKNOWN, field, field + " " + name + " is not known", Map.of());
+  public static CommandRejectedException unknown(String field, Object name) {
+    return new CommandRejectedException(Reason.UNKNOWN, field, field + " " + name + " is not known", Map
+        .of());
   }
 
-  static Refusal conflict(String field, String what) {
-    return new Refusal(Kind.CONFLICT, field, what, Map.of());
+  static CommandRejectedException conflict(String field, String what) {
+    return new CommandRejectedException(Reason.CONFLICT, field, what, Map.of());
   }
 
-  public Kind kind() {
-    return kind;
+  public Reason reason() {
+    return reason;
   }
 
   /** Field that it is about. */
--- a/src/main/java/hollyslip/tenant/HostedVolume.java
+++ b/src/main/java/hollyslip/tenant/HostedVolume.java
@@ -1,5 +1,6 @@
 package hollyslip.tenant;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import hollyslip.volume.Volume;
 import java.util.List;
 
@@ -17,7 +18,7 @@
  *          where it is
  * @param plan
  *          name of its plan
- * @param own
+ * @param overrides
  *          what it has otherwise than the plan
  * @param bytes
  *          size
@@ -26,15 +27,18 @@
  * @param extents
  *          where they lie: decided once, then only added to */
 public record HostedVolume(long id, long tenant, String name, long revision, Phase phase, String plan,
-    Terms.Own own, long bytes, long extentBytes, List<Volume.Extent> extents) {
+    @JsonProperty("own") Terms.Overrides overrides, long bytes, long extentBytes,
+    List<Volume.Extent> extents) {
   public HostedVolume {
     extents = List.copyOf(extents);
   }
 
-  HostedVolume with(long nextRevision, Phase next) {
-    if (!phase.may(next)) {
-      throw Refusal.conflict("volume", "volume " + name + " is " + phase + " and cannot become " + next);
+  HostedVolume withPhase(long nextRevision, Phase next) {
+    if (!phase.canBecome(next)) {
+      throw CommandRejectedException.conflict("volume", "volume " + name + " is " + phase
+          + " and cannot become " + next);
     }
-    return new HostedVolume(id, tenant, name, nextRevision, next, plan, own, bytes, extentBytes, extents);
+    return new HostedVolume(id, tenant, name, nextRevision, next, plan, overrides, bytes, extentBytes,
+        extents);
   }
 }
--- a/src/main/java/hollyslip/tenant/Phase.java
+++ b/src/main/java/hollyslip/tenant/Phase.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 
 /** States of a tenant and of a volume. Administrators bring about the first step of a change, the gateway
- * reports when it is carried out; both only along {@link #next}. */
+ * reports when it is carried out; both only along {@link #allowedNext}. */
 public enum Phase {
   /** Recorded, not served yet. */
   CREATING,
@@ -17,7 +17,7 @@
   REMOVED;
 
   /** The legal steps from here. A change of what is still being created or changed is one more change. */
-  public Set<Phase> next() {
+  public Set<Phase> allowedNext() {
     return switch (this) {
       case CREATING -> Set.of(CREATING, ACTIVE, DRAINING);
       case ACTIVE -> Set.of(CHANGING, DRAINING);
@@ -27,12 +27,12 @@
     };
   }
 
-  public boolean may(Phase to) {
-    return next().contains(to);
+  public boolean canBecome(Phase to) {
+    return allowedNext().contains(to);
   }
 
   /** Where a change by an administrator leads from here. */
-  Phase changed() {
+  Phase afterChange() {
     return this == CREATING ? CREATING : CHANGING;
   }
 }
--- a/src/main/java/hollyslip/tenant/Placement.java
+++ b/src/main/java/hollyslip/tenant/Placement.java
@@ -12,38 +12,38 @@
  * was placed so far, then with fewest extents of the volume. It is asked once for each extent; the answer is
  * recorded and never worked out again. */
 final class Placement {
-  private final Ledger ledger;
-  private final double each;
-  private final long size;
-  private final Map<String, Integer> inZone = new HashMap<>();
-  private final Map<String, Integer> shardsOf = new HashMap<>();
-  private final Map<Integer, Integer> onShard = new HashMap<>();
+  private final ShardAllocations allocations;
+  private final double reservePerExtent;
+  private final long extentBytes;
+  private final Map<String, Integer> extentsByZone = new HashMap<>();
+  private final Map<String, Integer> shardsByZone = new HashMap<>();
+  private final Map<Integer, Integer> extentsByShard = new HashMap<>();
 
   /** @param each
    *          units a second that an extent brings with it
    * @param size
    *          bytes of an extent */
-  Placement(Ledger ledger, double each, long size) {
-    this.ledger = ledger;
-    this.each = each;
-    this.size = size;
-    ledger.accounts().forEach(a -> shardsOf.merge(a.shard.zone(), 1, Integer::sum));
+  Placement(ShardAllocations ledger, double each, long size) {
+    this.allocations = ledger;
+    this.reservePerExtent = each;
+    this.extentBytes = size;
+    ledger.allocations().forEach(a -> shardsByZone.merge(a.shard.zone(), 1, Integer::sum));
   }
 
-  private double left(Ledger.Account a) {
-    return a.free() - each * onShard.getOrDefault(a.shard.number(), 0);
+  private double remainingReserve(ShardAllocations.Allocation a) {
+    return a.freeReserve() - reservePerExtent * extentsByShard.getOrDefault(a.shard.number(), 0);
   }
 
-  private double crowd(Ledger.Account a) {
+  private double extentsPerZoneShard(ShardAllocations.Allocation a) {
     String zone = a.shard.zone();
-    return (double) inZone.getOrDefault(zone, 0) / shardsOf.get(zone);
+    return (double) extentsByZone.getOrDefault(zone, 0) / shardsByZone.get(zone);
   }
 
-  private void note(int shard, int n) {
-    Ledger.Account a = ledger.account(shard);
-    onShard.merge(shard, n, Integer::sum);
+  private void countExtents(int shard, int n) {
+    ShardAllocations.Allocation a = allocations.allocation(shard);
+    extentsByShard.merge(shard, n, Integer::sum);
     if (a != null) {
-      inZone.merge(a.shard.zone(), n, Integer::sum);
+      extentsByZone.merge(a.shard.zone(), n, Integer::sum);
     }
   }
 
@@ -51,37 +51,46 @@
    *
    * @param before
    *          extents that the volume has; their reserve is not in the ledger at this time
-   * @throws Refusal
+   * @throws CommandRejectedException
    *           with the figures, and nothing is taken */
   List<Volume.Extent> place(int count, List<Volume.Extent> before) {
-    Ledger.counts(before).forEach(this::note);
+    ShardAllocations.extentsPerShard(before).forEach(this::countExtents);
     List<Volume.Extent> placed = new ArrayList<>(count);
-    Comparator<Ledger.Account> order = Comparator.comparingDouble(this::crowd)
-        .thenComparingDouble(a -> -left(a))
-        .thenComparingInt(a -> onShard.getOrDefault(a.shard.number(), 0))
+    Comparator<ShardAllocations.Allocation> order = Comparator.comparingDouble(this::extentsPerZoneShard)
+        .thenComparingDouble(a -> -remainingReserve(a))
+        .thenComparingInt(a -> extentsByShard.getOrDefault(a.shard.number(), 0))
         .thenComparingInt(a -> a.shard.number());
     for (int i = 0; i < count; i++) {
-      Ledger.Account best = ledger.accounts()
+      ShardAllocations.Allocation best = allocations.allocations()
           .stream()
-          .filter(a -> left(a) >= each && a.roomFor(size))
+          .filter(a -> remainingReserve(a) >= reservePerExtent && a.hasRoomFor(extentBytes))
           .min(order)
           .orElse(null);
       if (best == null) {
-        ledger.give(placed, size);
-        throw noRoom(count, i);
+        allocations.release(placed, extentBytes);
+        throw doesNotFit(count, i);
       }
-      placed.add(ledger.take(best.shard.number(), size));
-      note(best.shard.number(), 1);
+      placed.add(allocations.allocateExtent(best.shard.number(), extentBytes));
+      countExtents(best.shard.number(), 1);
     }
     return placed;
   }
 
-  private Refusal noRoom(int count, int fitted) {
-    double free = ledger.accounts().stream().mapToDouble(Ledger.Account::free).sum();
-    long freeBytes = ledger.accounts().stream().mapToLong(Ledger.Account::freeBytes).sum();
-    return new Refusal(Refusal.Kind.NO_ROOM, "bytes", "of " + count + " extents of " + size + " bytes with "
-        + Plain.text(each) + " units a second each, " + fitted + " fit on the shards", Map.of("extents",
-            count, "would_fit_extents", fitted, "would_fit_bytes", fitted * size, "free_reserve", free,
-            "free_bytes", freeBytes));
+  private CommandRejectedException doesNotFit(int count, int fitted) {
+    double free = allocations.allocations()
+        .stream()
+        .mapToDouble(ShardAllocations.Allocation::freeReserve)
+        .sum();
+    long freeBytes = allocations.allocations()
+        .stream()
+        .mapToLong(ShardAllocations.Allocation::freeBytes)
+        .sum();
+    return new CommandRejectedException(CommandRejectedException.Reason.NO_ROOM, "bytes", "of " + count
+        + " extents of " + extentBytes + " bytes with "
+        + Plain.formatNumber(reservePerExtent) + " units a second each, " + fitted + " fit on the shards", Map
+            .of("extents",
+                count, "would_fit_extents", fitted, "would_fit_bytes", fitted * extentBytes, "free_reserve",
+                free,
+                "free_bytes", freeBytes));
   }
 }
--- a/src/main/java/hollyslip/tenant/Plain.java
+++ b/src/main/java/hollyslip/tenant/Plain.java
@@ -7,20 +7,20 @@
 /** Figures as people read them: whole ones without a point, none with an exponent, bytes with their unit. */
 public final class Plain {
   private static final List<String> UNITS = List.of("KiB", "MiB", "GiB", "TiB");
-  private static final double WHOLE = 1L << 53;
+  private static final double MAX_EXACT_LONG = 1L << 53;
 
   private Plain() {}
 
   /** A whole figure as a {@code Long}, others as they are. */
-  public static Number number(double figure) {
-    if (Math.abs(figure) <= WHOLE && figure == Math.rint(figure)) {
+  public static Number toWholeIfExact(double figure) {
+    if (Math.abs(figure) <= MAX_EXACT_LONG && figure == Math.rint(figure)) {
       return (long) figure;
     }
     return figure;
   }
 
   /** Digits alone, three after the point at most. */
-  public static String text(double figure) {
+  public static String formatNumber(double figure) {
     if (Double.isNaN(figure) || Double.isInfinite(figure)) {
       return Double.toString(figure);
     }
@@ -36,6 +36,6 @@
       in /= 1024;
       unit++;
     }
-    return unit < 0 ? bytes + " bytes" : text(in) + " " + UNITS.get(unit);
+    return unit < 0 ? bytes + " bytes" : formatNumber(in) + " " + UNITS.get(unit);
   }
 }
--- a/src/main/java/hollyslip/tenant/Registry.java
+++ b/src/main/java/hollyslip/tenant/Registry.java
@@ -1,8 +1,9 @@
 package hollyslip.tenant;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import hollyslip.HostScheduler;
-import hollyslip.tenant.Change.KeyPut;
-import hollyslip.tenant.Change.NodePut;
+import hollyslip.tenant.Change.IdempotencyKeyPut;
+import hollyslip.tenant.Change.NodeStatePut;
 import hollyslip.tenant.Change.Task;
 import hollyslip.tenant.Change.Token;
 import java.util.ArrayDeque;
@@ -21,40 +22,42 @@
  * registries. Not safe for several threads. */
 public final class Registry {
   /** Lines of the audit trail held here; the store's log has what it still keeps of the others. */
-  static final int MOST_TRAIL = 10_000;
+  static final int MAX_AUDIT_RECORDS = 10_000;
 
   /** Keys and ended tasks held: the oldest go first. */
-  static final int MOST_KEYS = 10_000, MOST_TASKS = 1_000;
+  static final int MAX_IDEMPOTENCY_KEYS = 10_000, MAX_TASKS = 1_000;
 
   /** All of a registry, for a snapshot. */
-  public record Image(int v, long nextId, List<Plan> plans, List<Tenant> tenants, List<HostedVolume> volumes,
-      List<NodePut> nodes, List<Task> tasks, List<Token> tokens, List<KeyPut> keys, List<Trail> trail) {}
+  public record Snapshot(@JsonProperty("v") int version, long nextId, List<Plan> plans, List<Tenant> tenants,
+      List<HostedVolume> volumes,
+      List<NodeStatePut> nodes, List<Task> tasks, List<Token> tokens, List<IdempotencyKeyPut> keys,
+      List<AuditRecord> trail) {}
 
   private final TreeMap<String, Plan> plans = new TreeMap<>();
   private final TreeMap<Long, Tenant> tenants = new TreeMap<>();
   private final TreeMap<String, Long> tenantNames = new TreeMap<>();
   private final Map<Long, HostedVolume> volumes = new HashMap<>();
   private final Map<Long, TreeMap<String, Long>> volumeNames = new HashMap<>();
-  private final Map<String, Integer> planUsers = new HashMap<>();
-  private final Map<Long, Double> promised = new HashMap<>();
-  private final Map<Long, Long> bytes = new HashMap<>();
-  private final TreeMap<String, NodePut> nodes = new TreeMap<>();
+  private final Map<String, Integer> volumesPerPlan = new HashMap<>();
+  private final Map<Long, Double> totalReserve = new HashMap<>();
+  private final Map<Long, Long> totalBytes = new HashMap<>();
+  private final TreeMap<String, NodeStatePut> nodes = new TreeMap<>();
   private final TreeMap<Long, Task> tasks = new TreeMap<>();
   private final Map<String, Token> tokens = new LinkedHashMap<>();
-  private final Map<String, KeyPut> keys = new LinkedHashMap<>();
-  private final ArrayDeque<Trail> trail = new ArrayDeque<>();
-  private final Ledger ledger;
+  private final Map<String, IdempotencyKeyPut> keys = new LinkedHashMap<>();
+  private final ArrayDeque<AuditRecord> trail = new ArrayDeque<>();
+  private final ShardAllocations allocations;
   private double quotaSum;
   private long nextId;
 
   /** An empty one. {@code firstId}: ids from here on are given to tenants, volumes and tasks. */
   public Registry(Collection<Shard> shards, long firstId) {
-    ledger = new Ledger(shards);
+    allocations = new ShardAllocations(shards);
     nextId = firstId;
   }
 
   /** One from a snapshot. */
-  public Registry(Collection<Shard> shards, Image image) {
+  public Registry(Collection<Shard> shards, Snapshot image) {
     this(shards, image.nextId());
     image.plans().forEach(p -> plans.put(p.name(), p));
     image.tenants().forEach(this::put);
@@ -67,10 +70,11 @@
   }
 
   /** All of it, as of now; what it names is immutable. */
-  public Image image() {
-    return new Image(Entry.VERSION, nextId, List.copyOf(plans.values()), List.copyOf(tenants.values()), List
-        .copyOf(volumes.values()), List.copyOf(nodes.values()), List.copyOf(tasks.values()), List.copyOf(
-            tokens.values()), List.copyOf(keys.values()), List.copyOf(trail));
+  public Snapshot snapshot() {
+    return new Snapshot(ChangeSet.FORMAT_VERSION, nextId, List.copyOf(plans.values()), List.copyOf(tenants
+        .values()), List
+            .copyOf(volumes.values()), List.copyOf(nodes.values()), List.copyOf(tasks.values()), List.copyOf(
+                tokens.values()), List.copyOf(keys.values()), List.copyOf(trail));
   }
 
   // What is there.
@@ -115,11 +119,11 @@
     return volumes.values();
   }
 
-  public NodePut node(String name) {
+  public NodeStatePut node(String name) {
     return nodes.get(name);
   }
 
-  public Collection<NodePut> nodes() {
+  public Collection<NodeStatePut> nodes() {
     return nodes.values();
   }
 
@@ -139,38 +143,39 @@
     return tokens.get(id);
   }
 
-  public KeyPut key(String key) {
+  public IdempotencyKeyPut key(String key) {
     return keys.get(key);
   }
 
-  public Collection<Trail> trail() {
+  public Collection<AuditRecord> trail() {
     return trail;
   }
 
   /** Terms of a volume: its plan's, with its own over them. */
   public Terms terms(HostedVolume v) {
-    return v.own().over(plans.get(v.plan()).terms());
+    return v.overrides().applyTo(plans.get(v.plan()).terms());
   }
 
   /** What the module is told of a volume. Its tenant is the group it shares with. */
-  public HostScheduler.VolumeChanged told(HostedVolume v, int hosts) {
-    return new HostScheduler.VolumeChanged(v.id(), hosts, terms(v).plan(v.plan()), v.tenant(), tenants.get(v
-        .tenant()).weight());
+  public HostScheduler.VolumeChanged toVolumeChanged(HostedVolume v, int hosts) {
+    return new HostScheduler.VolumeChanged(v.id(), hosts, terms(v).toSchedulerPlan(v.plan()), v.tenant(),
+        tenants.get(v
+            .tenant()).weight());
   }
 
   /** Units a second promised to a tenant's volumes together. */
-  public double promised(long tenant) {
-    return promised.getOrDefault(tenant, 0.0);
+  public double totalReserve(long tenant) {
+    return totalReserve.getOrDefault(tenant, 0.0);
   }
 
   /** Bytes of a tenant's volumes together. */
-  public long bytes(long tenant) {
-    return bytes.getOrDefault(tenant, 0L);
+  public long totalBytes(long tenant) {
+    return totalBytes.getOrDefault(tenant, 0L);
   }
 
   /** Volumes on a plan. */
-  int users(String plan) {
-    return planUsers.getOrDefault(plan, 0);
+  int volumesOnPlan(String plan) {
+    return volumesPerPlan.getOrDefault(plan, 0);
   }
 
   /** Sum of the tenants' quotas of reserve. */
@@ -178,8 +183,8 @@
     return quotaSum;
   }
 
-  Ledger ledger() {
-    return ledger;
+  ShardAllocations allocations() {
+    return allocations;
   }
 
   long nextId() {
@@ -189,12 +194,12 @@
   // How it changes.
 
   /** Takes on a recorded decision. */
-  public void apply(long sequence, Entry entry) {
+  public void apply(long sequence, ChangeSet entry) {
     apply(sequence, entry, line -> {});
   }
 
   /** Takes on a recorded decision; {@code heard} gets its lines of the audit trail. */
-  public void apply(long sequence, Entry entry, Consumer<Trail> heard) {
+  public void apply(long sequence, ChangeSet entry, Consumer<AuditRecord> heard) {
     for (Change c : entry.changes()) {
       Object before = null;
       Object after = null;
@@ -203,76 +208,77 @@
         before = plans.get(p.plan().name());
         after = p.plan();
         put(p.plan());
-      } else if (c instanceof Change.PlanGone p) {
+      } else if (c instanceof Change.PlanRemoved p) {
         before = plans.remove(p.name());
       } else if (c instanceof Change.TenantPut t) {
         before = tenants.get(t.tenant().id());
         after = t.tenant();
         tenant = t.tenant().id();
         put(t.tenant());
-      } else if (c instanceof Change.TenantGone t) {
+      } else if (c instanceof Change.TenantRemoved t) {
         before = tenants.get(t.id());
         tenant = t.id();
-        dropTenant(t.id());
+        removeTenant(t.id());
       } else if (c instanceof Change.VolumePut v) {
         before = volumes.get(v.volume().id());
         after = v.volume();
         tenant = v.volume().tenant();
         put(v.volume());
-      } else if (c instanceof Change.VolumeGone v) {
+      } else if (c instanceof Change.VolumeRemoved v) {
         HostedVolume gone = volumes.get(v.id());
         before = gone;
         tenant = gone.tenant();
-        dropVolume(gone);
-      } else if (c instanceof NodePut n) {
+        removeVolume(gone);
+      } else if (c instanceof NodeStatePut n) {
         before = nodes.put(n.node(), n);
         after = n;
       } else {
-        applyQuiet(c);
+        applyUnaudited(c);
         continue;
       }
-      Trail line = new Trail(sequence, entry.at(), entry.who(), entry.what(), entry.target(), tenant, before,
+      AuditRecord line = new AuditRecord(sequence, entry.at(), entry.who(), entry.what(), entry.target(),
+          tenant, before,
           after);
-      note(line);
+      addAuditRecord(line);
       heard.accept(line);
     }
   }
 
   /** Changes that say nothing of service. Tokens are in the trail by their command, never by their hash. */
-  private void applyQuiet(Change c) {
+  private void applyUnaudited(Change c) {
     if (c instanceof Change.TaskPut t) {
       tasks.put(t.task().id(), t.task());
       nextId = Math.max(nextId, t.task().id() + 1);
-      while (tasks.size() > MOST_TASKS && tasks.firstEntry().getValue().doneAt() > 0) {
+      while (tasks.size() > MAX_TASKS && tasks.firstEntry().getValue().doneAt() > 0) {
         tasks.pollFirstEntry();
       }
     } else if (c instanceof Change.TokenPut t) {
       tokens.put(t.token().id(), t.token());
-    } else if (c instanceof Change.TokenGone t) {
+    } else if (c instanceof Change.TokenRemoved t) {
       tokens.remove(t.id());
-    } else if (c instanceof KeyPut k) {
+    } else if (c instanceof IdempotencyKeyPut k) {
       keys.put(k.key(), k);
-      if (keys.size() > MOST_KEYS) {
+      if (keys.size() > MAX_IDEMPOTENCY_KEYS) {
         keys.remove(keys.keySet().iterator().next());
       }
     }
   }
 
-  private void note(Trail t) {
+  private void addAuditRecord(AuditRecord t) {
     trail.add(t);
-    if (trail.size() > MOST_TRAIL) {
+    if (trail.size() > MAX_AUDIT_RECORDS) {
       trail.poll();
     }
   }
 
   private void put(Plan next) {
     List<HostedVolume> on = new ArrayList<>();
-    if (plans.containsKey(next.name()) && users(next.name()) > 0) {
+    if (plans.containsKey(next.name()) && volumesOnPlan(next.name()) > 0) {
       volumes.values().stream().filter(v -> v.plan().equals(next.name())).forEach(on::add);
     }
-    on.forEach(v -> enter(v, -1));
+    on.forEach(v -> addToTotals(v, -1));
     plans.put(next.name(), next);
-    on.forEach(v -> enter(v, 1));
+    on.forEach(v -> addToTotals(v, 1));
   }
 
   private void put(Tenant t) {
@@ -282,43 +288,43 @@
     nextId = Math.max(nextId, t.id() + 1);
   }
 
-  private void dropTenant(long id) {
+  private void removeTenant(long id) {
     Tenant t = tenants.remove(id);
     quotaSum -= t.quota().reserve();
     tenantNames.remove(t.name());
     volumeNames.remove(id);
-    promised.remove(id);
-    bytes.remove(id);
+    totalReserve.remove(id);
+    totalBytes.remove(id);
     tokens.values().removeIf(k -> k.tenant() == id);
   }
 
   private void put(HostedVolume v) {
     HostedVolume old = volumes.put(v.id(), v);
     if (old != null) {
-      enter(old, -1);
-      ledger.give(old.extents(), old.extentBytes());
-      planUsers.merge(old.plan(), -1, Integer::sum);
+      addToTotals(old, -1);
+      allocations.release(old.extents(), old.extentBytes());
+      volumesPerPlan.merge(old.plan(), -1, Integer::sum);
     }
-    ledger.occupy(v.extents(), v.extentBytes());
-    planUsers.merge(v.plan(), 1, Integer::sum);
-    enter(v, 1);
+    allocations.occupy(v.extents(), v.extentBytes());
+    volumesPerPlan.merge(v.plan(), 1, Integer::sum);
+    addToTotals(v, 1);
     volumeNames.computeIfAbsent(v.tenant(), k -> new TreeMap<>()).put(v.name(), v.id());
     nextId = Math.max(nextId, v.id() + 1);
   }
 
-  private void dropVolume(HostedVolume v) {
+  private void removeVolume(HostedVolume v) {
     volumes.remove(v.id());
-    enter(v, -1);
-    ledger.give(v.extents(), v.extentBytes());
-    planUsers.merge(v.plan(), -1, Integer::sum);
+    addToTotals(v, -1);
+    allocations.release(v.extents(), v.extentBytes());
+    volumesPerPlan.merge(v.plan(), -1, Integer::sum);
     volumeNames.get(v.tenant()).remove(v.name());
   }
 
   /** Enters a volume's reserve and bytes in the sums, or takes them out. */
-  private void enter(HostedVolume v, int sign) {
+  private void addToTotals(HostedVolume v, int sign) {
     double reserve = terms(v).reserve();
-    ledger.promise(v, sign * reserve);
-    promised.merge(v.tenant(), sign * reserve, Double::sum);
-    bytes.merge(v.tenant(), sign * v.bytes(), Long::sum);
+    allocations.addReserve(v, sign * reserve);
+    totalReserve.merge(v.tenant(), sign * reserve, Double::sum);
+    totalBytes.merge(v.tenant(), sign * v.bytes(), Long::sum);
   }
 }
--- a/src/main/java/hollyslip/tenant/Shard.java
+++ b/src/main/java/hollyslip/tenant/Shard.java
@@ -12,13 +12,13 @@
  *          units a second that may be promised on it
  * @param bytes
  *          its size
- * @param taken
+ * @param excludedRanges
  *          ranges that are not for hosted volumes: {@code from}, {@code to} */
-public record Shard(int number, String zone, double capacity, long bytes, List<Range> taken) {
+public record Shard(int number, String zone, double capacity, long bytes, List<Range> excludedRanges) {
   /** Bytes from, up to. */
   public record Range(long from, long to) {}
 
   public Shard {
-    taken = List.copyOf(taken);
+    excludedRanges = List.copyOf(excludedRanges);
   }
 }
--- a/src/main/java/hollyslip/tenant/Tenant.java
+++ b/src/main/java/hollyslip/tenant/Tenant.java
@@ -25,11 +25,11 @@
   /** Bounds of a tenant: reserve in units a second, bytes, count of volumes. */
   public record Quota(double reserve, long bytes, int volumes) {
     public Quota {
-      Terms.within(reserve, 0, "quota.reserve");
+      Terms.requireInRange(reserve, 0, "quota.reserve");
       if (bytes < 0) {
-        throw Refusal.invalid("quota.bytes", "quota.bytes must be at least 0, not " + bytes);
+        throw CommandRejectedException.invalid("quota.bytes", "quota.bytes must be at least 0, not " + bytes);
       }
-      Terms.within(volumes, 0, "quota.volumes");
+      Terms.requireInRange(volumes, 0, "quota.volumes");
     }
   }
 
@@ -37,9 +37,10 @@
     members = new TreeMap<>(members);
   }
 
-  Tenant with(long nextRevision, Phase next) {
-    if (!phase.may(next)) {
-      throw Refusal.conflict("tenant", "tenant " + name + " is " + phase + " and cannot become " + next);
+  Tenant withPhase(long nextRevision, Phase next) {
+    if (!phase.canBecome(next)) {
+      throw CommandRejectedException.conflict("tenant", "tenant " + name + " is " + phase
+          + " and cannot become " + next);
     }
     return new Tenant(id, name, nextRevision, next, weight, quota, members);
   }
--- a/src/main/java/hollyslip/tenant/Wish.java
+++ b/src/main/java/hollyslip/tenant/Wish.java
@@ -14,9 +14,9 @@
   }
 
   /** A volume. */
-  public record ForVolume(String name, String plan, Terms.Own own, long bytes, long extentBytes) {
+  public record ForVolume(String name, String plan, Terms.Overrides overrides, long bytes, long extentBytes) {
     public static ForVolume of(HostedVolume v) {
-      return new ForVolume(v.name(), v.plan(), v.own(), v.bytes(), v.extentBytes());
+      return new ForVolume(v.name(), v.plan(), v.overrides(), v.bytes(), v.extentBytes());
     }
   }
 
--- a/src/test/java/hollyslip/admin/AdminTest.java
+++ b/src/test/java/hollyslip/admin/AdminTest.java
@@ -52,7 +52,7 @@
   private static final String VOLUME = "{\"name\":\"%s\",\"plan\":\"gold\",\"bytes\":8388608}";
 
   /** Carries out nothing, but holds drains up if told to. */
-  private static final class Hands implements Carrier {
+  private static final class FakeProvisioner implements Carrier {
     final Map<String, NodeState> nodes = new ConcurrentHashMap<>(Map.of("n0", NodeState.ON, "n1",
         NodeState.ON));
     final CompletableFuture<Void> drained = new CompletableFuture<>();
@@ -80,26 +80,26 @@
     }
   }
 
-  private record Got(int status, JsonNode body, String tag, String location) {}
+  private record Response(int status, JsonNode body, String etag, String location) {}
 
   @TempDir
   Path dir;
   private final HttpClient http = HttpClient.newHttpClient();
-  private final Hands hands = new Hands();
+  private final FakeProvisioner provisioner = new FakeProvisioner();
   private Control control;
   private AdminServer server;
-  private String operator;
+  private String operatorToken;
 
   @BeforeEach
   void start() throws IOException {
     List<Shard> shards = List.of(new Shard(0, "a", 1_000, 1L << 30, List.of()), new Shard(1, "b", 1_000,
         1L << 30, List.of()));
-    control = new Control(new Folder(dir.resolve("store")), shards, 1 << 20, 1, hands,
+    control = new Control(new Folder(dir.resolve("store")), shards, 1 << 20, 1, provisioner,
         System::currentTimeMillis);
     AdminServer.bootstrap(control, dir.resolve("token"));
     server = new AdminServer(control, dir.resolve("admin.sock"), 0, null, null);
     control.start();
-    operator = Files.readString(dir.resolve("token")).trim();
+    operatorToken = Files.readString(dir.resolve("token")).trim();
   }
 
   @AfterEach
@@ -108,7 +108,7 @@
     control.close();
   }
 
-  private Got call(String token, String method, String path, String body, String... headers) {
+  private Response send(String token, String method, String path, String body, String... headers) {
     try {
       HttpRequest.Builder b = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + server.port() + path))
           .method(method, body == null
@@ -121,7 +121,8 @@
         b.header(headers[i], headers[i + 1]);
       }
       HttpResponse<String> r = http.send(b.build(), HttpResponse.BodyHandlers.ofString());
-      return new Got(r.statusCode(), r.body().isEmpty() ? null : Views.JSON.readTree(r.body()), r.headers()
+      return new Response(r.statusCode(), r.body().isEmpty() ? null : Views.JSON.readTree(r.body()), r
+          .headers()
           .firstValue("ETag")
           .orElse(null), r.headers().firstValue("Location").orElse(null));
     } catch (IOException e) {
@@ -131,46 +132,46 @@
     }
   }
 
-  private Got ask(String method, String path, String body, String... headers) {
-    return call(operator, method, path, body, headers);
+  private Response sendAsOperator(String method, String path, String body, String... headers) {
+    return send(operatorToken, method, path, body, headers);
   }
 
-  private void made(String path, String body) {
-    Got g = ask("POST", path, body);
+  private void create(String path, String body) {
+    Response g = sendAsOperator("POST", path, body);
     assertEquals(201, g.status, () -> g.body.toString());
   }
 
-  private void world() {
-    made("/v1/plans", PLAN);
-    made("/v1/tenants", String.format(TENANT, "lee"));
-    made("/v1/tenants", String.format(TENANT, "shannon"));
-    made("/v1/tenants/lee/volumes", String.format(VOLUME, "stock"));
-    made("/v1/tenants/shannon/volumes", String.format(VOLUME, "orders"));
+  private void createTenantsWithVolumes() {
+    create("/v1/plans", PLAN);
+    create("/v1/tenants", String.format(TENANT, "lee"));
+    create("/v1/tenants", String.format(TENANT, "shannon"));
+    create("/v1/tenants/lee/volumes", String.format(VOLUME, "stock"));
+    create("/v1/tenants/shannon/volumes", String.format(VOLUME, "orders"));
   }
 
   /** Reads, changes, and begins again where it comes second; how often it came second. */
-  private int insist(String path, SplittableRandom random, UnaryOperator<JsonNode> patch) {
-    Got seen = ask("GET", path, null);
+  private int patchUntilAccepted(String path, SplittableRandom random, UnaryOperator<JsonNode> patch) {
+    Response seen = sendAsOperator("GET", path, null);
     for (int late = 0;; late++) {
       if (random.nextInt(3) == 0) {
         Thread.yield();
       }
-      Got g = ask("PATCH", path, patch.apply(seen.body).toString(), "If-Match", seen.tag);
+      Response g = sendAsOperator("PATCH", path, patch.apply(seen.body).toString(), "If-Match", seen.etag);
       if (g.status == 200) {
         return late;
       }
       assertEquals(412, g.status, () -> g.body.toString());
       JsonNode current = g.body.at("/figures/current");
       assertNotEquals(seen.body.get("revision"), current.get("revision"));
-      seen = new Got(200, current, g.tag, null);
+      seen = new Response(200, current, g.etag, null);
     }
   }
 
   /** Two administrators raise the same figure by one, five hundred times each: none of the thousand is lost,
    * so the outcome is that of some order of them. */
   @Test
-  void noUpdateOfTwoAdministratorsIsLost() throws Exception {
-    world();
+  void concurrentUpdatesAreNotLost() throws Exception {
+    createTenantsWithVolumes();
     AtomicInteger late = new AtomicInteger();
     List<Throwable> wrong = java.util.Collections.synchronizedList(new ArrayList<>());
     List<Thread> both = new ArrayList<>();
@@ -178,7 +179,7 @@
       SplittableRandom random = new SplittableRandom(who);
       both.add(new Thread(() -> {
         for (int i = 0; i < 500; i++) {
-          late.addAndGet(insist("/v1/tenants/lee", random, old -> Views.JSON.createObjectNode()
+          late.addAndGet(patchUntilAccepted("/v1/tenants/lee", random, old -> Views.JSON.createObjectNode()
               .set("quota", Views.JSON.createObjectNode()
                   .put("volumes", old.at("/quota/volumes").asInt() + 1))));
         }
@@ -190,48 +191,51 @@
       t.join();
     }
     assertEquals(List.of(), wrong);
-    JsonNode end = ask("GET", "/v1/tenants/lee", null).body;
+    JsonNode end = sendAsOperator("GET", "/v1/tenants/lee", null).body;
     assertEquals(2_000, end.at("/quota/volumes").asInt());
     assertEquals(1_001, end.get("revision").asInt());
     assertTrue(late.get() > 0, "they met");
   }
 
   @Test
-  void aChangeNeedsTheTagOfWhatItChanges() {
-    world();
-    assertEquals(428, ask("PATCH", "/v1/tenants/lee", "{\"weight\":2}").status);
-    assertEquals(412, ask("PATCH", "/v1/tenants/lee", "{\"weight\":2}", "If-Match", "\"7\"").status);
-    assertEquals(400, ask("PATCH", "/v1/tenants/lee", "{\"weight\":2}", "If-Match", "seven").status);
-    Got g = ask("PATCH", "/v1/tenants/lee", "{\"weight\":2}", "If-Match", "\"1\"");
-    assertEquals("\"2\"", g.tag);
+  void changeRequiresTheCurrentEtag() {
+    createTenantsWithVolumes();
+    assertEquals(428, sendAsOperator("PATCH", "/v1/tenants/lee", "{\"weight\":2}").status);
+    assertEquals(412, sendAsOperator("PATCH", "/v1/tenants/lee", "{\"weight\":2}", "If-Match",
+        "\"7\"").status);
+    assertEquals(400, sendAsOperator("PATCH", "/v1/tenants/lee", "{\"weight\":2}", "If-Match",
+        "seven").status);
+    Response g = sendAsOperator("PATCH", "/v1/tenants/lee", "{\"weight\":2}", "If-Match", "\"1\"");
+    assertEquals("\"2\"", g.etag);
     assertEquals(2, g.body.get("weight").asDouble());
   }
 
   @Test
-  void aCreationIsDoneOnceForItsKey() {
-    made("/v1/plans", PLAN);
+  void creationIsIdempotentByKey() {
+    create("/v1/plans", PLAN);
     String body = String.format(TENANT, "lee");
-    assertEquals(201, ask("POST", "/v1/tenants", body, "Idempotency-Key", "k1").status);
-    Got again = ask("POST", "/v1/tenants", body, "Idempotency-Key", "k1");
+    assertEquals(201, sendAsOperator("POST", "/v1/tenants", body, "Idempotency-Key", "k1").status);
+    Response again = sendAsOperator("POST", "/v1/tenants", body, "Idempotency-Key", "k1");
     assertEquals(201, again.status);
     assertEquals("/v1/tenants/lee", again.location);
-    assertEquals(409, ask("POST", "/v1/tenants", body, "Idempotency-Key", "k2").status);
-    assertEquals(422, ask("POST", "/v1/tenants", String.format(TENANT, "tom"), "Idempotency-Key",
+    assertEquals(409, sendAsOperator("POST", "/v1/tenants", body, "Idempotency-Key", "k2").status);
+    assertEquals(422, sendAsOperator("POST", "/v1/tenants", String.format(TENANT, "tom"), "Idempotency-Key",
         "k1").status);
   }
 
   @Test
-  void whatDoesNotFitIsRefusedWithTheFigures() {
-    world();
-    Got g = ask("POST", "/v1/tenants/lee/volumes",
+  void excessRequestIsRejectedWithFigures() {
+    createTenantsWithVolumes();
+    Response g = sendAsOperator("POST", "/v1/tenants/lee/volumes",
         "{\"name\":\"big\",\"plan\":\"gold\",\"bytes\":8388608,\"reserve\":450}");
     assertEquals(409, g.status);
     assertEquals("quota.reserve", g.body.get("field").asText());
     assertEquals(400, g.body.at("/figures/would_fit").asDouble());
-    assertEquals(409, ask("POST", "/v1/tenants", String.format(TENANT, "tom").replace("500", "1001")).status);
-    made("/v1/tenants", String.format(TENANT, "tom").replace("500", "1000"));
+    assertEquals(409, sendAsOperator("POST", "/v1/tenants", String.format(TENANT, "tom")
+        .replace("500", "1001")).status);
+    create("/v1/tenants", String.format(TENANT, "tom").replace("500", "1000"));
     // 900 a volume of one extent: each shard has at most 1,000, of which 200 are given away.
-    Got shard = ask("POST", "/v1/tenants/tom/volumes",
+    Response shard = sendAsOperator("POST", "/v1/tenants/tom/volumes",
         "{\"name\":\"one\",\"plan\":\"gold\",\"bytes\":4194304,\"reserve\":950}");
     assertEquals(409, shard.status, () -> shard.body.toString());
     assertEquals(0, shard.body.at("/figures/would_fit_extents").asInt());
@@ -239,32 +243,33 @@
 
   /** Figures came as 1.073741824E9 and 1048576.0. */
   @Test
-  void figuresArePlainAndBytesWholeWithAUnit() {
-    made("/v1/plans", PLAN);
-    made("/v1/tenants", "{\"name\":\"lee\",\"quota\":{\"reserve\":500,\"bytes\":1073741824}}");
-    Got g = ask("POST", "/v1/tenants/lee/volumes",
+  void numbersHaveNoExponentAndBytesHaveAUnit() {
+    create("/v1/plans", PLAN);
+    create("/v1/tenants", "{\"name\":\"lee\",\"quota\":{\"reserve\":500,\"bytes\":1073741824}}");
+    Response g = sendAsOperator("POST", "/v1/tenants/lee/volumes",
         "{\"name\":\"big\",\"plan\":\"gold\",\"bytes\":1073742336,\"extent_bytes\":1073742336}");
     assertEquals(409, g.status, () -> g.body.toString());
     assertEquals("tenant lee may have 1 GiB and has 0 bytes, 1 GiB more are asked", g.body.get("detail")
         .asText());
     assertEquals("1073741824", g.body.at("/figures/quota").toString());
     assertEquals("1073741824", g.body.at("/figures/would_fit").toString());
-    Got plan = ask("GET", "/v1/plans/gold", null);
+    Response plan = sendAsOperator("GET", "/v1/plans/gold", null);
     assertEquals("100", plan.body.get("reserve").toString());
     assertEquals("1.5 KiB", Plain.bytes(1536));
-    assertEquals("10000000.125", Plain.text(10_000_000.1251));
+    assertEquals("10000000.125", Plain.formatNumber(10_000_000.1251));
   }
 
   /** Whatever is another tenant's, or an operator's, is not there for a tenant's token. */
   @Test
-  void aTenantsTokenOpensNothingElse() {
-    world();
-    String token = ask("POST", "/v1/tokens", "{\"who\":\"ann\",\"tenant\":\"lee\"}").body.get("token")
+  void tenantTokenGrantsAccessToItsTenantOnly() {
+    createTenantsWithVolumes();
+    String token = sendAsOperator("POST", "/v1/tokens", "{\"who\":\"ann\",\"tenant\":\"lee\"}").body.get(
+        "token")
         .asText();
-    assertEquals(200, call(token, "GET", "/v1/tenants/lee", null).status);
-    assertEquals(200, call(token, "GET", "/v1/tenants/lee/volumes/stock", null).status);
-    assertEquals(403, call(token, "PATCH", "/v1/tenants/lee", "{\"weight\":9}", "If-Match", "*").status);
-    assertEquals(200, call(token, "PATCH", "/v1/tenants/lee", "{\"members\":{\"ann\":1001}}", "If-Match",
+    assertEquals(200, send(token, "GET", "/v1/tenants/lee", null).status);
+    assertEquals(200, send(token, "GET", "/v1/tenants/lee/volumes/stock", null).status);
+    assertEquals(403, send(token, "PATCH", "/v1/tenants/lee", "{\"weight\":9}", "If-Match", "*").status);
+    assertEquals(200, send(token, "PATCH", "/v1/tenants/lee", "{\"members\":{\"ann\":1001}}", "If-Match",
         "*").status);
     for (OpenApi.Route r : OpenApi.routes(new Api(control))) {
       String path = r.path()
@@ -277,15 +282,16 @@
       if (path.equals("/v1/audit")) {
         continue;
       }
-      String body = r.takes() == null ? null : "{}";
-      assertEquals(404, call(token, r.method(), path, body, "If-Match", "*").status, r.method() + " " + path);
-      assertEquals(404, call(token, r.method(), path.replace("shannon", "nobody"), body, "If-Match",
+      String body = r.requestSchema() == null ? null : "{}";
+      assertEquals(404, send(token, r.method(), path, body, "If-Match", "*").status, r.method() + " " + path);
+      assertEquals(404, send(token, r.method(), path.replace("shannon", "nobody"), body, "If-Match",
           "*").status);
     }
-    call(token, "GET", "/v1/audit", null).body.get("items")
+    send(token, "GET", "/v1/audit", null).body.get("items")
         .forEach(t -> assertTrue(t.get("target").asText().startsWith("/v1/tenants/lee"), t::toString));
-    assertEquals(204, ask("DELETE", "/v1/tokens/" + token.substring(0, token.indexOf('.')), null).status);
-    assertEquals(401, call(token, "GET", "/v1/tenants/lee", null).status);
+    assertEquals(204, sendAsOperator("DELETE", "/v1/tokens/" + token.substring(0, token.indexOf('.')),
+        null).status);
+    assertEquals(401, send(token, "GET", "/v1/tenants/lee", null).status);
   }
 
   /** Clients that offer HTTP/2 with their first request, as the JDK's do: some waited for ever on a
@@ -308,15 +314,15 @@
 
   /** The description and the code name the same routes. */
   @Test
-  void theDescriptionIsThatOfTheCode() {
-    JsonNode d = call(null, "GET", "/openapi.json", null).body;
+  void openApiDescriptionMatchesTheRoutes() {
+    JsonNode d = send(null, "GET", "/openapi.json", null).body;
     assertEquals("3.1.0", d.get("openapi").asText());
     int described = 0;
     for (var path : (Iterable<Map.Entry<String, JsonNode>>) () -> d.get("paths").fields()) {
       String url = path.getKey().replaceAll("\\{\\w+}", "x");
       for (String method : List.of("GET", "POST", "PATCH", "DELETE", "PUT")) {
         boolean named = path.getValue().has(method.toLowerCase(java.util.Locale.ROOT));
-        int status = call(null, method, url, named && !method.equals("GET") ? "{}" : null).status;
+        int status = send(null, method, url, named && !method.equals("GET") ? "{}" : null).status;
         described += named ? 1 : 0;
         assertEquals(named, status == 401, method + " " + url + " " + status);
       }
@@ -326,8 +332,8 @@
   }
 
   @Test
-  void whatIsWrongIsNamed() {
-    world();
+  void invalidFieldIsNamed() {
+    createTenantsWithVolumes();
     Map<String, String> faults = new TreeMap<>();
     faults.put("{\"name\":\"Lee!\",\"quota\":{\"reserve\":1,\"bytes\":1}}", "name");
     faults.put("{\"name\":\"x\",\"quota\":{\"reserve\":-1,\"bytes\":1}}", "quota.reserve");
@@ -340,21 +346,23 @@
     faults.put("[]", "body");
     faults.put("{}{}", "body");
     faults.forEach((body, field) -> {
-      Got g = ask("POST", "/v1/tenants", body);
+      Response g = sendAsOperator("POST", "/v1/tenants", body);
       assertEquals(400, g.status, body);
       assertEquals(field, g.body.get("field").asText(), body);
     });
-    assertEquals(413, ask("POST", "/v1/tenants", "x".repeat(AdminServer.MOST_BODY + 1)).status);
-    assertEquals(3, ask("GET", "/v1/tenants?limit=1", null).body.size() + ask("GET", "/v1/tenants?after=lee",
+    assertEquals(413, sendAsOperator("POST", "/v1/tenants", "x".repeat(AdminServer.MAX_BODY_BYTES
+        + 1)).status);
+    assertEquals(3, sendAsOperator("GET", "/v1/tenants?limit=1", null).body.size() + sendAsOperator("GET",
+        "/v1/tenants?after=lee",
         null).body.get("items").size());
-    assertEquals(400, ask("GET", "/v1/tenants?limit=0", null).status);
+    assertEquals(400, sendAsOperator("GET", "/v1/tenants?limit=0", null).status);
   }
 
   /** Noise on the socket: whatever comes, the next client is served. */
   @Test
-  void noiseHarmsNobody() throws IOException {
+  void malformedRequestsDoNotAffectOtherClients() throws IOException {
     SplittableRandom random = new SplittableRandom(5);
-    String whole = "POST /v1/tenants HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + operator
+    String whole = "POST /v1/tenants HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + operatorToken
         + "\r\nContent-Length: 20\r\n\r\n{\"name\":\"x\",\"quota\"}";
     for (int i = 0; i < 200; i++) {
       byte[] bytes = whole.getBytes(java.nio.charset.StandardCharsets.UTF_8);
@@ -365,59 +373,61 @@
         s.getOutputStream().write(bytes, 0, random.nextInt(bytes.length) + 1);
       }
     }
-    assertEquals(200, ask("GET", "/v1/tenants", null).status);
+    assertEquals(200, sendAsOperator("GET", "/v1/tenants", null).status);
   }
 
   /** A removal is a task with progress, and nothing of it is lost over a restart; the stream tells of it. */
   @Test
-  void aRemovalGoesOnOverARestart() throws Exception {
-    world();
+  void removalContinuesAfterARestart() throws Exception {
+    createTenantsWithVolumes();
     LinkedBlockingQueue<String> events = new LinkedBlockingQueue<>();
     http.sendAsync(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + server.port() + "/v1/events"))
-        .header("Authorization", "Bearer " + operator)
+        .header("Authorization", "Bearer " + operatorToken)
         .build(), HttpResponse.BodyHandlers.ofLines()).thenAccept(r -> r.body().forEach(events::add));
     assertEquals(": begin", events.poll(10, TimeUnit.SECONDS));
-    Got begun = ask("DELETE", "/v1/tenants/lee", null, "If-Match", "\"1\"");
+    Response begun = sendAsOperator("DELETE", "/v1/tenants/lee", null, "If-Match", "\"1\"");
     assertEquals(202, begun.status);
     String line = "";
     while (!line.startsWith("data:")) {
       line = events.poll(10, TimeUnit.SECONDS);
     }
     assertTrue(line.contains("\"what\":\"remove tenant\""), line);
-    JsonNode task = ask("GET", begun.location, null).body;
+    JsonNode task = sendAsOperator("GET", begun.location, null).body;
     assertEquals("running", task.get("state").asText());
     assertEquals(1, task.get("volumes_left").asInt());
-    assertEquals("draining", ask("GET", "/v1/tenants/lee", null).body.get("phase").asText());
-    assertEquals(409, ask("POST", "/v1/tenants/lee/volumes", String.format(VOLUME, "new")).status);
-    assertEquals(409, ask("PATCH", "/v1/tenants/lee", "{\"weight\":2}", "If-Match", "*").status);
+    assertEquals("draining", sendAsOperator("GET", "/v1/tenants/lee", null).body.get("phase").asText());
+    assertEquals(409, sendAsOperator("POST", "/v1/tenants/lee/volumes", String.format(VOLUME, "new")).status);
+    assertEquals(409, sendAsOperator("PATCH", "/v1/tenants/lee", "{\"weight\":2}", "If-Match", "*").status);
     stop();
     start();
-    assertEquals("running", ask("GET", begun.location, null).body.get("state").asText());
-    hands.drained.complete(null);
+    assertEquals("running", sendAsOperator("GET", begun.location, null).body.get("state").asText());
+    provisioner.drained.complete(null);
     Awaitility.await()
         .atMost(20, TimeUnit.SECONDS)
-        .until(() -> ask("GET", begun.location, null).body.get("state").asText().equals("done"));
-    assertEquals(404, ask("GET", "/v1/tenants/lee", null).status);
-    assertEquals(200, ask("GET", "/v1/tenants/shannon/volumes/orders", null).status);
-    JsonNode used = ask("GET", "/v1/tenants/shannon", null).body.get("used");
+        .until(() -> sendAsOperator("GET", begun.location, null).body.get("state").asText().equals("done"));
+    assertEquals(404, sendAsOperator("GET", "/v1/tenants/lee", null).status);
+    assertEquals(200, sendAsOperator("GET", "/v1/tenants/shannon/volumes/orders", null).status);
+    JsonNode used = sendAsOperator("GET", "/v1/tenants/shannon", null).body.get("used");
     assertEquals(100, used.get("reserve").asDouble());
   }
 
   @Test
-  void aNodeIsDrainedAndStaysSoOverARestart() throws Exception {
-    Got n = ask("GET", "/v1/nodes/n0", null);
-    assertEquals("\"0\"", n.tag);
-    assertEquals(200, ask("PATCH", "/v1/nodes/n0", "{\"state\":\"draining\"}", "If-Match", n.tag).status);
-    Awaitility.await().until(() -> hands.nodes.get("n0") == NodeState.DRAINING);
+  void drainedNodeStaysDrainedAfterARestart() throws Exception {
+    Response n = sendAsOperator("GET", "/v1/nodes/n0", null);
+    assertEquals("\"0\"", n.etag);
+    assertEquals(200, sendAsOperator("PATCH", "/v1/nodes/n0", "{\"state\":\"draining\"}", "If-Match",
+        n.etag).status);
+    Awaitility.await().until(() -> provisioner.nodes.get("n0") == NodeState.DRAINING);
     stop();
-    hands.nodes.put("n0", NodeState.ON);
+    provisioner.nodes.put("n0", NodeState.ON);
     start();
-    Awaitility.await().until(() -> hands.nodes.get("n0") == NodeState.DRAINING);
-    assertEquals(412, ask("PATCH", "/v1/nodes/n0", "{\"state\":\"on\"}", "If-Match", "\"0\"").status);
+    Awaitility.await().until(() -> provisioner.nodes.get("n0") == NodeState.DRAINING);
+    assertEquals(412, sendAsOperator("PATCH", "/v1/nodes/n0", "{\"state\":\"on\"}", "If-Match",
+        "\"0\"").status);
   }
 
   /** A key and its certificate for localhost, as two PEM files. */
-  private void pair(String name, Path cert, Path key) throws Exception {
+  private void createKeyPair(String name, Path cert, Path key) throws Exception {
     Path store = dir.resolve(name + ".p12");
     Process p = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "keytool").toString(),
         "-genkeypair", "-alias", "k", "-keyalg", "EC", "-dname", "CN=" + name, "-ext", "san=dns:localhost",
@@ -436,33 +446,34 @@
         .encodeToString(bytes) + "\n-----END " + what + "-----\n";
   }
 
-  private ApiClient over(int port, Path trusted) {
-    return ApiClient.at(port, trusted, operator);
+  private ApiClient connectOverTls(int port, Path trusted) {
+    return ApiClient.at(port, trusted, operatorToken);
   }
 
   /** New keys are used for new connections; one that stands goes on; keys that cannot be used change
    * nothing. */
   @Test
-  void keysAreReplacedInService() throws Exception {
+  void certificateIsReloadedInService() throws Exception {
     Path cert = dir.resolve("cert.pem");
     Path key = dir.resolve("key.pem");
-    pair("first", cert, key);
+    createKeyPair("first", cert, key);
     Path first = Files.copy(cert, dir.resolve("first.pem"));
     try (AdminServer tls = new AdminServer(control, dir.resolve("tls.sock"), 0, cert, key);
-        ApiClient standing = over(tls.port(), first)) {
+        ApiClient standing = connectOverTls(tls.port(), first)) {
       assertEquals(200, standing.ask("GET", "/v1/tenants", null, Map.of()).status());
-      pair("second", cert, key);
+      createKeyPair("second", cert, key);
       assertTrue(tls.reloadKeys());
       // The pool has one connection, whose far end only knows the first key.
       assertEquals(200, standing.ask("GET", "/v1/tenants", null, Map.of()).status());
-      try (ApiClient fresh = over(tls.port(), cert); ApiClient old = over(tls.port(), first)) {
+      try (ApiClient fresh = connectOverTls(tls.port(), cert);
+          ApiClient old = connectOverTls(tls.port(), first)) {
         assertEquals(200, fresh.ask("GET", "/v1/tenants", null, Map.of()).status());
         assertThrows(IOException.class, () -> old.ask("GET", "/v1/tenants", null, Map.of()));
       }
       Path second = Files.copy(cert, dir.resolve("second.pem"));
       Files.writeString(key, "no key");
       assertFalse(tls.reloadKeys());
-      try (ApiClient fresh = over(tls.port(), second)) {
+      try (ApiClient fresh = connectOverTls(tls.port(), second)) {
         assertEquals(200, fresh.ask("GET", "/v1/tenants", null, Map.of()).status());
       }
     }
@@ -470,10 +481,10 @@
 
   /** One answer in some hundred was never seen on a busy machine: its body was asked for after its end. */
   @Test
-  void theClientSeesEveryAnswer() throws Exception {
+  void clientReceivesEveryResponse() throws Exception {
     AtomicBoolean over = new AtomicBoolean();
     List<Thread> busy = new ArrayList<>();
-    try (ApiClient api = ApiClient.at(dir.resolve("admin.sock"), operator)) {
+    try (ApiClient api = ApiClient.at(dir.resolve("admin.sock"), operatorToken)) {
       for (int i = 0; i < 2 * Runtime.getRuntime().availableProcessors(); i++) {
         Thread t = new Thread(() -> {
           while (!over.get()) {
--- a/src/test/java/hollyslip/store/CrashDisk.java
+++ b/src/test/java/hollyslip/store/CrashingDirectory.java
@@ -11,23 +11,23 @@
 
 /** Files in memory that can crash before any write, sync or change of a name. What was not synced is then
  * kept, dropped or torn, each write for itself, so that later ones may be there without earlier ones. */
-final class CrashDisk implements Disk {
+final class CrashingDirectory implements StoreDirectory {
   /** A file: synced bytes, then writes that are not. */
   private static final class Content {
     byte[] synced = new byte[0];
-    final List<byte[]> pending = new ArrayList<>();
+    final List<byte[]> unsynced = new ArrayList<>();
 
-    byte[] all() {
-      int size = synced.length + pending.stream().mapToInt(p -> p.length).sum();
+    byte[] allBytes() {
+      int size = synced.length + unsynced.stream().mapToInt(p -> p.length).sum();
       ByteBuffer b = ByteBuffer.allocate(size).put(synced);
-      pending.forEach(b::put);
+      unsynced.forEach(b::put);
       return b.array();
     }
 
-    byte[] after(SplittableRandom random) {
-      ByteBuffer b = ByteBuffer.allocate(all().length).put(synced);
+    byte[] afterCrash(SplittableRandom random) {
+      ByteBuffer b = ByteBuffer.allocate(allBytes().length).put(synced);
       int end = synced.length;
-      for (byte[] p : pending) {
+      for (byte[] p : unsynced) {
         int kept = random.nextInt(3) == 0
             ? 0
             : random.nextBoolean() ? p.length : random.nextInt(p.length + 1);
@@ -41,80 +41,80 @@
     }
   }
 
-  private final Map<String, Content> now = new TreeMap<>();
+  private final Map<String, Content> current = new TreeMap<>();
   private final Map<String, Content> durable = new HashMap<>();
-  private final List<Runnable> namesPending = new ArrayList<>();
-  private long left;
+  private final List<Runnable> pendingNameChanges = new ArrayList<>();
+  private long stepsUntilCrash;
   long steps;
 
   /** @param left
    *          steps until the crash; negative: none */
-  CrashDisk(long left) {
-    this.left = left;
+  CrashingDirectory(long left) {
+    this.stepsUntilCrash = left;
   }
 
   private synchronized void step() throws IOException {
     steps++;
-    if (left >= 0 && left-- <= 0) {
-      left = 0;
+    if (stepsUntilCrash >= 0 && stepsUntilCrash-- <= 0) {
+      stepsUntilCrash = 0;
       throw new IOException("crash");
     }
   }
 
   /** What is there after the crash; it crashes again after so many steps. */
-  synchronized CrashDisk crashed(SplittableRandom random, long next) {
-    CrashDisk d = new CrashDisk(next);
-    int applied = random.nextInt(namesPending.size() + 1);
-    namesPending.subList(0, applied).forEach(Runnable::run);
+  synchronized CrashingDirectory afterCrash(SplittableRandom random, long next) {
+    CrashingDirectory d = new CrashingDirectory(next);
+    int applied = random.nextInt(pendingNameChanges.size() + 1);
+    pendingNameChanges.subList(0, applied).forEach(Runnable::run);
     durable.forEach((name, c) -> {
       Content k = new Content();
-      k.synced = c.after(random);
-      d.now.put(name, k);
+      k.synced = c.afterCrash(random);
+      d.current.put(name, k);
       d.durable.put(name, k);
     });
     return d;
   }
 
   /** Turns over bits of one byte. */
-  synchronized void damage(String name, int at) {
-    now.get(name).synced[at] ^= 0x15;
+  synchronized void flipBits(String name, int at) {
+    current.get(name).synced[at] ^= 0x15;
   }
 
   @Override
-  public synchronized List<String> names() {
-    return List.copyOf(now.keySet());
+  public synchronized List<String> listFiles() {
+    return List.copyOf(current.keySet());
   }
 
   @Override
   public synchronized byte[] read(String name) {
-    return now.get(name).all();
+    return current.get(name).allBytes();
   }
 
   @Override
-  public synchronized Out append(String name) throws IOException {
+  public synchronized AppendableFile append(String name) throws IOException {
     step();
-    Content c = now.computeIfAbsent(name, k -> {
+    Content c = current.computeIfAbsent(name, k -> {
       Content fresh = new Content();
-      namesPending.add(() -> durable.put(name, fresh));
+      pendingNameChanges.add(() -> durable.put(name, fresh));
       return fresh;
     });
-    return new Out() {
+    return new AppendableFile() {
       @Override
       public void write(ByteBuffer bytes) throws IOException {
         step();
         byte[] b = new byte[bytes.remaining()];
         bytes.get(b);
-        synchronized (CrashDisk.this) {
-          c.pending.add(b);
+        synchronized (CrashingDirectory.this) {
+          c.unsynced.add(b);
         }
       }
 
       @Override
       public void sync() throws IOException {
         step();
-        synchronized (CrashDisk.this) {
-          c.synced = c.all();
-          c.pending.clear();
+        synchronized (CrashingDirectory.this) {
+          c.synced = c.allBytes();
+          c.unsynced.clear();
         }
       }
 
@@ -124,19 +124,19 @@
   }
 
   @Override
-  public synchronized void cut(String name, long size) throws IOException {
+  public synchronized void truncate(String name, long size) throws IOException {
     step();
-    Content c = now.get(name);
-    c.synced = java.util.Arrays.copyOf(c.all(), (int) size);
-    c.pending.clear();
+    Content c = current.get(name);
+    c.synced = java.util.Arrays.copyOf(c.allBytes(), (int) size);
+    c.unsynced.clear();
   }
 
   @Override
   public synchronized void rename(String from, String to) throws IOException {
     step();
-    Content c = now.remove(from);
-    now.put(to, c);
-    namesPending.add(() -> {
+    Content c = current.remove(from);
+    current.put(to, c);
+    pendingNameChanges.add(() -> {
       durable.remove(from);
       durable.put(to, c);
     });
@@ -145,16 +145,16 @@
   @Override
   public synchronized void delete(String name) throws IOException {
     step();
-    if (now.remove(name) != null) {
-      namesPending.add(() -> durable.remove(name));
+    if (current.remove(name) != null) {
+      pendingNameChanges.add(() -> durable.remove(name));
     }
   }
 
   @Override
-  public synchronized void syncNames() throws IOException {
+  public synchronized void syncDirectory() throws IOException {
     step();
-    namesPending.forEach(Runnable::run);
-    namesPending.clear();
+    pendingNameChanges.forEach(Runnable::run);
+    pendingNameChanges.clear();
   }
 
   @Override
--- a/src/test/java/hollyslip/store/JournalTest.java
+++ b/src/test/java/hollyslip/store/JournalTest.java
@@ -31,7 +31,7 @@
 
   /** Writes records in groups, with snapshots between, until the disk crashes or 24 are there; the last that
    * was acknowledged. */
-  private static long work(Journal j, long from) {
+  private static long appendWithSnapshots(Journal j, long from) {
     long acknowledged = from;
     for (long i = from + 1; i <= from + 24; i += 3) {
       List<CompletableFuture<Long>> group = new ArrayList<>();
@@ -54,7 +54,7 @@
   }
 
   /** Everything acknowledged is there, nothing in part, nothing that was never written. */
-  private static long holds(Journal.Found f, long acknowledged, long appended) {
+  private static long checkRecovered(Journal.RecoveredState f, long acknowledged, long appended) {
     long all = f.sequence() + f.records().size();
     assertTrue(all >= acknowledged, all + " records are there, " + acknowledged + " were acknowledged");
     assertTrue(all <= appended);
@@ -70,33 +70,33 @@
   /** A crash at every write, sync and change of a name, with several outcomes of each, and then another crash
    * in the work that follows. */
   @Test
-  void whatWasAcknowledgedOutlivesACrashAnywhere() throws IOException {
-    CrashDisk calm = new CrashDisk(-1);
+  void acknowledgedRecordsSurviveACrashAtAnyStep() throws IOException {
+    CrashingDirectory calm = new CrashingDirectory(-1);
     try (Journal j = new Journal(calm)) {
-      assertEquals(24, work(j, 0));
+      assertEquals(24, appendWithSnapshots(j, 0));
     }
     SplittableRandom random = new SplittableRandom(11);
     int points = 0;
     for (long at = 0; at < calm.steps; at++) {
       for (int variant = 0; variant < 20; variant++) {
-        CrashDisk disk = new CrashDisk(at);
+        CrashingDirectory disk = new CrashingDirectory(at);
         long acknowledged = 0;
         long appended = 0;
         for (int crash = 0; crash < 2; crash++) {
           try {
             Journal j = new Journal(disk);
-            long there = holds(j.found(), acknowledged, appended);
+            long there = checkRecovered(j.recovered(), acknowledged, appended);
             appended = there + 24;
-            acknowledged = Math.max(there, work(j, there));
+            acknowledged = Math.max(there, appendWithSnapshots(j, there));
             j.close();
           } catch (IOException e) {
             assertEquals("crash", e.getMessage());
           }
-          disk = disk.crashed(random, crash == 0 ? random.nextInt(40) : -1);
+          disk = disk.afterCrash(random, crash == 0 ? random.nextInt(40) : -1);
           points++;
         }
         try (Journal j = new Journal(disk)) {
-          holds(j.found(), acknowledged, appended);
+          checkRecovered(j.recovered(), acknowledged, appended);
         }
       }
     }
@@ -106,38 +106,39 @@
   /** A damaged record is never taken for a torn tail: not in the middle, and not the last one either, since
    * the mark behind it tells that it was synced. */
   @Test
-  void damageIsReportedWithItsPlace() throws IOException {
+  void damagedRecordIsReportedWithItsPosition() throws IOException {
     for (int n = 1; n <= 5; n++) {
-      CrashDisk disk = new CrashDisk(-1);
+      CrashingDirectory disk = new CrashingDirectory(-1);
       Journal j = new Journal(disk);
       for (long i = 1; i <= 5; i++) {
         j.append(record(i)).join();
       }
       j.close();
-      CrashDisk whole = new CrashDisk(-1);
-      try (Disk.Out out = whole.append("log-0000000000000000000.wal")) {
+      CrashingDirectory whole = new CrashingDirectory(-1);
+      try (StoreDirectory.AppendableFile out = whole.append("log-0000000000000000000.wal")) {
         out.write(java.nio.ByteBuffer.wrap(disk.read("log-0000000000000000000.wal")));
         out.sync();
       }
       byte[] file = whole.read("log-0000000000000000000.wal");
       List<Frames.Frame> frames = Frames.scan(file, 0, 1).frames();
       assertEquals(5, frames.size());
-      whole.damage("log-0000000000000000000.wal", frames.get(n - 1).at() + Frames.HEADER + 2);
+      whole.flipBits("log-0000000000000000000.wal", frames.get(n - 1).position() + Frames.HEADER + 2);
       String said = assertThrows(StoreException.class, () -> new Journal(whole)).getMessage();
-      assertTrue(said.startsWith("log-0000000000000000000.wal: byte " + frames.get(n - 1).at() + ": record "
+      assertTrue(said.startsWith("log-0000000000000000000.wal: byte " + frames.get(n - 1).position()
+          + ": record "
           + n + " is damaged"), said);
     }
   }
 
   @Test
-  void aDamagedSnapshotIsReplacedByTheOneBefore(@TempDir Path dir) throws IOException {
+  void damagedSnapshotFallsBackToThePreviousOne(@TempDir Path dir) throws IOException {
     try (Journal j = new Journal(new Folder(dir))) {
-      assertEquals(24, work(j, 0));
+      assertEquals(24, appendWithSnapshots(j, 0));
     }
     List<String> snapshots;
     try (Folder f = new Folder(dir)) {
       assertThrows(IOException.class, () -> new Folder(dir));
-      snapshots = Snapshots.of(f.names());
+      snapshots = Snapshots.snapshotNames(f.listFiles());
     }
     assertEquals(2, snapshots.size());
     Path newest = dir.resolve(snapshots.get(1));
@@ -145,17 +146,17 @@
     bytes[bytes.length - 3] ^= 1;
     Files.write(newest, bytes);
     try (Journal j = new Journal(new Folder(dir))) {
-      assertEquals(24, holds(j.found(), 24, 24));
-      assertEquals(List.of(snapshots.get(1) + ": byte 28: is damaged; the one before is used"), j.found()
-          .remarks());
+      assertEquals(24, checkRecovered(j.recovered(), 24, 24));
+      assertEquals(List.of(snapshots.get(1) + ": byte 28: is damaged; the one before is used"), j.recovered()
+          .warnings());
     }
     Files.write(dir.resolve(snapshots.get(0)), new byte[]{1});
     assertThrows(StoreException.class, () -> new Journal(new Folder(dir)));
   }
 
   @Test
-  void afterAFailedWriteNothingIsAcknowledgedAnyMore() throws IOException {
-    CrashDisk disk = new CrashDisk(4);
+  void nothingIsAcknowledgedAfterAFailedWrite() throws IOException {
+    CrashingDirectory disk = new CrashingDirectory(4);
     Journal j = new Journal(disk);
     assertThrows(CompletionException.class, () -> {
       for (int i = 0; i < 5; i++) {
@@ -163,7 +164,7 @@
       }
     });
     assertThrows(CompletionException.class, () -> j.append(record(9)).join());
-    assertTrue(j.broken() != null);
+    assertTrue(j.failure() != null);
     j.close();
   }
 }
