--- a/src/main/java/hollyslip/admin/AdminServer.java
+++ b/src/main/java/hollyslip/admin/AdminServer.java
@@ -204,8 +204,7 @@
     }
     router.route()
         .handler(c -> sendProblem(c, new ApiException(404, "not found", null,
-            "there is nothing of this name here", Map
-                .of())));
+            "there is nothing of this name here", Map.of())));
     router.route().failureHandler(this::handleFailure);
     for (int code : List.of(400, 405)) {
       router.errorHandler(code, this::handleFailure);
@@ -254,8 +253,7 @@
         : AuthenticatedCaller.sha256Hex(q.method() + " " + q.path() + " " + java.util.HexFormat.of()
             .formatHex(bytes));
     return new Api.Request(q.getHeader("Authorization"), q.getHeader("If-Match"), q.getHeader(
-        "Idempotency-Key"),
-        body, digest, q.getParam("after"), q.getParam("limit"));
+        "Idempotency-Key"), body, digest, q.getParam("after"), q.getParam("limit"));
   }
 
   private void answer(RoutingContext c, OpenApi.Route r, List<String> names) {
@@ -287,8 +285,7 @@
     } catch (JsonProcessingException e) {
       var at = e.getLocation();
       throw ApiException.invalid("body", "is no JSON at line " + (at == null ? 0 : at.getLineNr())
-          + ", column "
-          + (at == null ? 0 : at.getColumnNr()) + ": " + e.getOriginalMessage());
+          + ", column " + (at == null ? 0 : at.getColumnNr()) + ": " + e.getOriginalMessage());
     } catch (IOException e) {
       throw ApiException.invalid("body", e.getMessage());
     }
--- a/src/main/java/hollyslip/admin/Api.java
+++ b/src/main/java/hollyslip/admin/Api.java
@@ -52,8 +52,7 @@
    * @param limit
    *          entries of a page; may be null */
   record Request(String authorization, String ifMatch, String idempotencyKey, JsonNode body, String digest,
-      String after,
-      String limit) {}
+      String after, String limit) {}
 
   /** An answer; {@code tag} 0: no ETag; {@code location} may be null. */
   record Response(int status, JsonNode body, long etag, String location) {
@@ -66,8 +65,7 @@
     AuthenticatedCaller a = AuthenticatedCaller.authenticate(r, c.authorization);
     if (a == null) {
       throw new ApiException(401, "unauthorized", "Authorization", "a bearer token of this gateway is needed",
-          Map
-              .of());
+          Map.of());
     }
     return a;
   }
@@ -139,8 +137,8 @@
       AuthenticatedCaller caller) {}
 
   private CompletableFuture<Response> change(Request c, boolean operators,
-      Function<CommandContext, ChangeSet> decide,
-      Function<Registry, JsonNode> current, BiFunction<Registry, ChangeSet, Response> view) {
+      Function<CommandContext, ChangeSet> decide, Function<Registry, JsonNode> current,
+      BiFunction<Registry, ChangeSet, Response> view) {
     return control.command((registrar, at) -> {
       Registry r = registrar.registry();
       AuthenticatedCaller who = operators ? requireOperator(r, c) : requireCaller(r, c);
@@ -150,9 +148,7 @@
         if (e.reason() == CommandRejectedException.Reason.STALE) {
           // Whoever comes second is shown what is there now.
           throw new ApiException(412, ProblemDetails.title(412), e.field(), e.getMessage(), Map.of("revision",
-              e
-                  .figures()
-                  .get("revision"), "current", current.apply(r)));
+              e.figures().get("revision"), "current", current.apply(r)));
         }
         throw e;
       }
@@ -161,8 +157,7 @@
 
   /** A creation, once for its key: done again it answers with what there is. */
   private CompletableFuture<Response> create(Request c, boolean operators,
-      Function<CommandContext, ChangeSet> decide,
-      BiFunction<Registry, String, Response> view) {
+      Function<CommandContext, ChangeSet> decide, BiFunction<Registry, String, Response> view) {
     String[] path = new String[1];
     return control.command((registrar, at) -> {
       Registry r = registrar.registry();
@@ -237,8 +232,7 @@
     return change(c, true, d -> {
       Plan old = plan(d.registry, name);
       return d.registrar.changePlan(d.at, d.caller.who(), name, expectedRevision(c), Views.plan(
-          JsonObjectReader.mergePatch(Views.spec(
-              old), c.body).put("name", name)).terms());
+          JsonObjectReader.mergePatch(Views.spec(old), c.body).put("name", name)).terms());
     }, r -> Views.plan(r.plan(name)), (r, e) -> Response.ok(Views.plan(r.plan(name)), r.plan(name)
         .revision()));
   }
@@ -344,8 +338,7 @@
     return change(c, false, d -> {
       HostedVolume old = volume(d.registry, tenant(d.registry, d.caller, tenant), name);
       return d.registrar.changeVolume(d.at, d.caller.who(), tenant, name, expectedRevision(c), Views.volume(
-          JsonObjectReader.mergePatch(
-              Views.spec(old), c.body)));
+          JsonObjectReader.mergePatch(Views.spec(old), c.body)));
     }, r -> Views.volume(r, r.volume(r.tenant(tenant).id(), name)), (r, e) -> {
       HostedVolume v = r.volume(r.tenant(tenant).id(), name);
       return Response.ok(Views.volume(r, v), v.revision());
--- a/src/main/java/hollyslip/admin/ApiClient.java
+++ b/src/main/java/hollyslip/admin/ApiClient.java
@@ -109,8 +109,7 @@
   private static Answer toResponse(HttpClientResponse r, Buffer body) {
     try {
       return new Answer(r.statusCode(), body.length() == 0 ? null : JSON.readTree(body.getBytes()), r
-          .getHeader(
-              "ETag"), r.getHeader("Location"));
+          .getHeader("ETag"), r.getHeader("Location"));
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
--- a/src/main/java/hollyslip/admin/AuthenticatedCaller.java
+++ b/src/main/java/hollyslip/admin/AuthenticatedCaller.java
@@ -57,8 +57,7 @@
     // Compared even where there is no such token, so that the time does not tell.
     String expected = known == null ? sha256Hex("") : known.hash();
     boolean same = MessageDigest.isEqual(expected.getBytes(StandardCharsets.US_ASCII), sha256Hex(token
-        .substring(
-            dot + 1)).getBytes(StandardCharsets.US_ASCII));
+        .substring(dot + 1)).getBytes(StandardCharsets.US_ASCII));
     return known != null && same ? new AuthenticatedCaller(known.id(), known.who(), known.tenant()) : null;
   }
 }
--- a/src/main/java/hollyslip/admin/OpenApi.java
+++ b/src/main/java/hollyslip/admin/OpenApi.java
@@ -28,8 +28,7 @@
    * @param handler
    *          what answers it */
   record Route(String method, String path, String summary, boolean operatorsOnly, String requestSchema,
-      String responseSchema,
-      List<Integer> statusCodes, boolean requiresIfMatch, Handler handler) {}
+      String responseSchema, List<Integer> statusCodes, boolean requiresIfMatch, Handler handler) {}
 
   /** Answers a call, with the path's parameters in order. */
   interface Handler {
@@ -70,11 +69,10 @@
             true, "Plan", (c, p) -> a.plan(c, p.get(0))), patch("/v1/plans/{plan}",
                 "Changes a plan, and all volumes on it", true, "Plan", (c, p) -> a.changePlan(c, p.get(0))),
         new Route("DELETE", "/v1/plans/{plan}", "Removes a plan that no volume is on", true, null, null,
-            DELETE_CODES,
-            true, (c, p) -> a.removePlan(c, p.get(0))), list("/v1/tenants", "Lists tenants", true, "Tenant", (
-                c, p) -> a.tenants(c)), create("/v1/tenants", "Creates a tenant", true, "Tenant", (c, p) -> a
-                    .createTenant(c)), read("/v1/tenants/{tenant}", "Shows a tenant", false, "Tenant", (c,
-                        p) -> a.tenant(c, p.get(0))), patch("/v1/tenants/{tenant}",
+            DELETE_CODES, true, (c, p) -> a.removePlan(c, p.get(0))), list("/v1/tenants", "Lists tenants",
+                true, "Tenant", (c, p) -> a.tenants(c)), create("/v1/tenants", "Creates a tenant", true,
+                    "Tenant", (c, p) -> a.createTenant(c)), read("/v1/tenants/{tenant}", "Shows a tenant",
+                        false, "Tenant", (c, p) -> a.tenant(c, p.get(0))), patch("/v1/tenants/{tenant}",
                             "Changes a tenant: its own administrator the members, operators all", false,
                             "Tenant", (c, p) -> a.changeTenant(c, p.get(0))), delete("/v1/tenants/{tenant}",
                                 "Begins to remove a tenant with its volumes", false, (c, p) -> a.removeTenant(
--- a/src/main/java/hollyslip/admin/Views.java
+++ b/src/main/java/hollyslip/admin/Views.java
@@ -107,8 +107,7 @@
     long volumes = q.integer("volumes", 1_000L);
     return new Wish.ForTenant(f.string("name"), f.number("weight", 1.0), new Tenant.Quota(q.number("reserve",
         null), q.integer("bytes", null), (int) Math.max(-1, Math.min(Integer.MAX_VALUE, volumes))), f
-            .integerMap(
-                "members"));
+            .integerMap("members"));
   }
 
   // Volumes.
@@ -146,13 +145,11 @@
 
   static Wish.ForVolume volume(JsonNode body) {
     JsonObjectReader f = new JsonObjectReader(body, "", Set.of("name", "plan", "bytes", "extent_bytes",
-        "reserve", "weight",
-        "limit", "limit_burst"));
+        "reserve", "weight", "limit", "limit_burst"));
     long bytes = f.integer("bytes", null);
     return new Wish.ForVolume(f.string("name"), f.string("plan"), new Terms.Overrides(f.number("reserve"), f
-        .number(
-            "weight"), f.number("limit"), f.number("limit_burst")), bytes, f.integer("extent_bytes",
-                4L << 20));
+        .number("weight"), f.number("limit"), f.number("limit_burst")), bytes, f.integer("extent_bytes",
+            4L << 20));
   }
 
   // The rest.
--- a/src/main/java/hollyslip/store/Frames.java
+++ b/src/main/java/hollyslip/store/Frames.java
@@ -52,8 +52,7 @@
     ByteBuffer b = ByteBuffer.wrap(file);
     int length = b.getInt(at);
     if (length < 0 || length > MAX_PAYLOAD_BYTES || length > file.length - at - HEADER || crc(file, at,
-        length) != b
-            .getInt(at + 4)) {
+        length) != b.getInt(at + 4)) {
       return null;
     }
     byte[] payload = new byte[length];
--- a/src/main/java/hollyslip/tenant/AuditRecord.java
+++ b/src/main/java/hollyslip/tenant/AuditRecord.java
@@ -1,22 +1,22 @@
 package hollyslip.tenant;
 
-/** A line of the audit trail.
+/** A record of the audit trail: one change and who made it.
  *
  * @param sequence
- *          number of the record in the store
+ *          sequence number of the change set in the store
  * @param at
- *          when, ms since 1970
+ *          time of the command, ms since the Unix epoch
  * @param who
- *          whose command
+ *          who issued the command
  * @param what
- *          the command
+ *          name of the command
  * @param target
- *          path of what it was about
+ *          path of the affected resource
  * @param tenant
- *          id of the tenant whose it is; 0: of none
+ *          id of the tenant that the change belongs to; 0: none
  * @param before
- *          value before, null: none
+ *          value before the change; null: none
  * @param after
- *          value after, null: none */
+ *          value after the change; null: none */
 public record AuditRecord(long sequence, long at, String who, String what, String target, long tenant,
     Object before, Object after) {}
--- a/src/main/java/hollyslip/tenant/Change.java
+++ b/src/main/java/hollyslip/tenant/Change.java
@@ -4,7 +4,8 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import hollyslip.HostScheduler.NodeState;
 
-/** What a decision changes: whole new values, so that applying it needs no decision again. */
+/** One change of a {@link ChangeSet}. It holds the complete new value, so that replaying it repeats no
+ * validation. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({@JsonSubTypes.Type(value = Change.PlanPut.class, name = "plan"),
     @JsonSubTypes.Type(value = Change.PlanRemoved.class, name = "plan-gone"),
@@ -30,7 +31,7 @@
 
   record VolumeRemoved(long id) implements Change {}
 
-  /** An administrator's word on a node, which stands against the settings'. */
+  /** A node state set by an administrator; it overrides the one in the settings. */
   record NodeStatePut(String node, long revision, NodeState state) implements Change {}
 
   record TaskPut(Task task) implements Change {}
@@ -39,21 +40,21 @@
 
   record TokenRemoved(String id) implements Change {}
 
-  /** A creation was done under a key: the same request again gets the same answer.
+  /** Records that a creation was done under an idempotency key: a repeated request gets the same response.
    *
    * @param key
-   *          the caller's key, with the caller
+   *          the caller's id and the key it sent
    * @param digest
-   *          of the request
+   *          hash of the request
    * @param path
-   *          of what was created
+   *          path of the created resource
    * @param at
-   *          when, ms since 1970 */
+   *          time of creation, ms since the Unix epoch */
   record IdempotencyKeyPut(String key, String digest, String path, long at) implements Change {}
 
-  /** Something that takes time: {@code doneAt} 0: it goes on. */
+  /** A long-running operation; {@code doneAt} is 0 while it is running. */
   record Task(long id, String kind, String target, long startedAt, long doneAt) {}
 
-  /** A bearer token: only its hash is kept. {@code tenant} 0: an operator's. */
+  /** A bearer token, of which only the hash is stored; {@code tenant} is 0 for an operator's token. */
   record Token(String id, String hash, long tenant, String who) {}
 }
--- a/src/main/java/hollyslip/tenant/ChangeSet.java
+++ b/src/main/java/hollyslip/tenant/ChangeSet.java
@@ -3,29 +3,29 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 
-/** One decision as it is recorded: all of its changes or none.
+/** The changes made by one command. They are recorded and applied as a unit.
  *
  * @param version
- *          version of the record's form
+ *          format version of the record
  * @param at
- *          when, ms since 1970
+ *          time of the command, ms since the Unix epoch
  * @param who
- *          whose command it was; "gateway" for its own steps
+ *          who issued the command; "gateway" for the gateway's own steps
  * @param what
- *          the command, in a word or two
+ *          name of the command
  * @param target
- *          path of what it was about
+ *          path of the affected resource
  * @param changes
- *          in order */
+ *          changes, in the order in which they apply */
 public record ChangeSet(@JsonProperty("v") int version, long at, String who, String what, String target,
     List<Change> changes) {
-  /** Form of the records written by this program. */
+  /** Format version of the records that this program writes. */
   public static final int FORMAT_VERSION = 1;
 
   public ChangeSet {
     if (version < 1 || version > FORMAT_VERSION) {
       throw new IllegalArgumentException("record: version " + version
-          + " is not known to this program, which knows " + FORMAT_VERSION);
+          + " is not supported; the latest supported version is " + FORMAT_VERSION);
     }
     changes = List.copyOf(changes);
   }
--- a/src/main/java/hollyslip/tenant/CommandRejectedException.java
+++ b/src/main/java/hollyslip/tenant/CommandRejectedException.java
@@ -3,23 +3,23 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A command that cannot be carried out: nothing has changed. */
+/** Thrown for a command that cannot be carried out; nothing has changed. */
 public final class CommandRejectedException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
-  /** What kind of obstacle it is. */
+  /** Why the command was rejected. */
   public enum Reason {
     /** A field is missing or out of range. */
     INVALID,
-    /** What is named is not there, or not this caller's to see. */
+    /** The named resource does not exist, or the caller may not see it. */
     UNKNOWN,
-    /** The name is taken, or the state does not allow it now. */
+    /** The name is taken, or the present state does not allow the command. */
     CONFLICT,
-    /** It would not fit; the figures say why and what would. */
+    /** Capacity or quota does not suffice; the figures say why and what would fit. */
     NO_ROOM,
-    /** The caller's revision is not the present one. */
+    /** The caller's revision is not the current one. */
     STALE,
-    /** The key of the request was used for another request. */
+    /** The idempotency key was used for a different request. */
     KEY_REUSED
   }
 
@@ -27,41 +27,41 @@
   private final String field;
   private final transient Map<String, Object> figures;
 
-  CommandRejectedException(Reason kind, String field, String what, Map<String, Object> figures) {
-    super(what, null, false, false);
+  CommandRejectedException(Reason kind, String field, String message, Map<String, Object> figures) {
+    super(message, null, false, false);
     this.reason = kind;
     this.field = field;
-    Map<String, Object> plain = new HashMap<>();
-    figures.forEach((name, figure) -> plain.put(name, figure instanceof Double d
+    Map<String, Object> formatted = new HashMap<>();
+    figures.forEach((name, figure) -> formatted.put(name, figure instanceof Double d
         ? Plain.toWholeIfExact(d)
         : figure));
-    this.figures = Map.copyOf(plain);
+    this.figures = Map.copyOf(formatted);
   }
 
-  static CommandRejectedException invalid(String field, String what) {
-    return new CommandRejectedException(Reason.INVALID, field, what, Map.of());
+  static CommandRejectedException invalid(String field, String message) {
+    return new CommandRejectedException(Reason.INVALID, field, message, Map.of());
   }
 
-  /** What is named is not there. */
+  /** The named resource does not exist. */
   public static CommandRejectedException unknown(String field, Object name) {
     return new CommandRejectedException(Reason.UNKNOWN, field, field + " " + name + " is not known", Map
         .of());
   }
 
-  static CommandRejectedException conflict(String field, String what) {
-    return new CommandRejectedException(Reason.CONFLICT, field, what, Map.of());
+  static CommandRejectedException conflict(String field, String message) {
+    return new CommandRejectedException(Reason.CONFLICT, field, message, Map.of());
   }
 
   public Reason reason() {
     return reason;
   }
 
-  /** Field that it is about. */
+  /** The field or header that caused the rejection. */
   public String field() {
     return field;
   }
 
-  /** Figures that say why, and what would fit; may be empty. */
+  /** Figures that say why the command was rejected and what would fit; may be empty. */
   public Map<String, Object> figures() {
     return figures;
   }
--- a/src/main/java/hollyslip/tenant/HostedVolume.java
+++ b/src/main/java/hollyslip/tenant/HostedVolume.java
@@ -4,28 +4,28 @@
 import hollyslip.volume.Volume;
 import java.util.List;
 
-/** A volume of a tenant.
+/** A volume of a tenant, as recorded in the registry.
  *
  * @param id
- *          never given twice; the module knows the volume by it
+ *          unique and never reused; the scheduler knows the volume by it
  * @param tenant
- *          id of its tenant
+ *          id of the tenant that owns the volume
  * @param name
  *          unique within the tenant
  * @param revision
- *          counts changes by administrators, from 1
+ *          number of changes by administrators, starting at 1
  * @param phase
- *          where it is
+ *          lifecycle phase
  * @param plan
- *          name of its plan
+ *          name of the volume's plan
  * @param overrides
- *          what it has otherwise than the plan
+ *          terms that differ from the plan's
  * @param bytes
- *          size
+ *          size in bytes
  * @param extentBytes
- *          size of its extents
+ *          extent size in bytes
  * @param extents
- *          where they lie: decided once, then only added to */
+ *          location of each extent; chosen once, later only extended */
 public record HostedVolume(long id, long tenant, String name, long revision, Phase phase, String plan,
     @JsonProperty("own") Terms.Overrides overrides, long bytes, long extentBytes,
     List<Volume.Extent> extents) {
--- a/src/main/java/hollyslip/tenant/Phase.java
+++ b/src/main/java/hollyslip/tenant/Phase.java
@@ -2,21 +2,22 @@
 
 import java.util.Set;
 
-/** States of a tenant and of a volume. Administrators bring about the first step of a change, the gateway
- * reports when it is carried out; both only along {@link #allowedNext}. */
+/** Lifecycle phases of tenants and volumes. An administrator's command starts a transition, and the gateway
+ * reports its completion; both follow {@link #allowedNext}. */
 public enum Phase {
-  /** Recorded, not served yet. */
+  /** Recorded but not served yet. */
   CREATING,
   /** Served as recorded. */
   ACTIVE,
-  /** Served; a change is recorded that the gateway has not carried out yet. */
+  /** Served, with a recorded change that the gateway has not applied yet. */
   CHANGING,
-  /** Takes nothing new; what it holds is being answered. */
+  /** Accepts no new requests; those in flight are being answered. */
   DRAINING,
-  /** Gone; only the audit trail knows of it. */
+  /** Removed; only the audit trail still mentions it. */
   REMOVED;
 
-  /** The legal steps from here. A change of what is still being created or changed is one more change. */
+  /** Phases that may follow this one. A tenant or volume that is still being created or changed may be
+   * changed again. */
   public Set<Phase> allowedNext() {
     return switch (this) {
       case CREATING -> Set.of(CREATING, ACTIVE, DRAINING);
@@ -27,11 +28,11 @@
     };
   }
 
-  public boolean canBecome(Phase to) {
-    return allowedNext().contains(to);
+  public boolean canBecome(Phase target) {
+    return allowedNext().contains(target);
   }
 
-  /** Where a change by an administrator leads from here. */
+  /** The phase that follows when an administrator changes the tenant or volume. */
   Phase afterChange() {
     return this == CREATING ? CREATING : CHANGING;
   }
--- a/src/main/java/hollyslip/tenant/Placement.java
+++ b/src/main/java/hollyslip/tenant/Placement.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Where the extents of a volume go. Extent by extent, to a shard with room for it: in the zone that has the
- * fewest extents of the volume for the shards it has, on the shard there with most free reserve after what
- * was placed so far, then with fewest extents of the volume. It is asked once for each extent; the answer is
- * recorded and never worked out again. */
+/** Chooses shards for the extents of a volume. Each extent goes to a shard with room for it: in the zone with
+ * the fewest extents of the volume per shard, there on the shard with the most free reserve after the extents
+ * placed so far, then on the one with the fewest extents of the volume. An extent is placed once; its
+ * location is recorded and never computed again. */
 final class Placement {
   private final ShardAllocations allocations;
   private final double reservePerExtent;
@@ -19,15 +19,15 @@
   private final Map<String, Integer> shardsByZone = new HashMap<>();
   private final Map<Integer, Integer> extentsByShard = new HashMap<>();
 
-  /** @param each
-   *          units a second that an extent brings with it
-   * @param size
-   *          bytes of an extent */
-  Placement(ShardAllocations ledger, double each, long size) {
-    this.allocations = ledger;
-    this.reservePerExtent = each;
-    this.extentBytes = size;
-    ledger.allocations().forEach(a -> shardsByZone.merge(a.shard.zone(), 1, Integer::sum));
+  /** @param reservePerExtent
+   *          reserve that each extent needs, units per second
+   * @param extentBytes
+   *          extent size in bytes */
+  Placement(ShardAllocations allocations, double reservePerExtent, long extentBytes) {
+    this.allocations = allocations;
+    this.reservePerExtent = reservePerExtent;
+    this.extentBytes = extentBytes;
+    allocations.allocations().forEach(a -> shardsByZone.merge(a.shard.zone(), 1, Integer::sum));
   }
 
   private double remainingReserve(ShardAllocations.Allocation a) {
@@ -47,14 +47,15 @@
     }
   }
 
-  /** Places so many more extents; the ledger's bytes are taken, its reserve is not.
+  /** Places {@code count} more extents. Their byte ranges are allocated; their reserve is not added.
    *
-   * @param before
-   *          extents that the volume has; their reserve is not in the ledger at this time
+   * @param existing
+   *          extents that the volume already has; their reserve must not be counted in the allocations at
+   *          this time
    * @throws CommandRejectedException
-   *           with the figures, and nothing is taken */
-  List<Volume.Extent> place(int count, List<Volume.Extent> before) {
-    ShardAllocations.extentsPerShard(before).forEach(this::countExtents);
+   *           the extents do not fit; nothing is allocated, and the figures say what would fit */
+  List<Volume.Extent> place(int count, List<Volume.Extent> existing) {
+    ShardAllocations.extentsPerShard(existing).forEach(this::countExtents);
     List<Volume.Extent> placed = new ArrayList<>(count);
     Comparator<ShardAllocations.Allocation> order = Comparator.comparingDouble(this::extentsPerZoneShard)
         .thenComparingDouble(a -> -remainingReserve(a))
@@ -86,11 +87,9 @@
         .mapToLong(ShardAllocations.Allocation::freeBytes)
         .sum();
     return new CommandRejectedException(CommandRejectedException.Reason.NO_ROOM, "bytes", "of " + count
-        + " extents of " + extentBytes + " bytes with "
-        + Plain.formatNumber(reservePerExtent) + " units a second each, " + fitted + " fit on the shards", Map
-            .of("extents",
-                count, "would_fit_extents", fitted, "would_fit_bytes", fitted * extentBytes, "free_reserve",
-                free,
-                "free_bytes", freeBytes));
+        + " extents of " + extentBytes + " bytes with " + Plain.formatNumber(reservePerExtent)
+        + " units per second each, " + fitted + " fit on the shards", Map.of("extents", count,
+            "would_fit_extents", fitted, "would_fit_bytes", fitted * extentBytes, "free_reserve", free,
+            "free_bytes", freeBytes));
   }
 }
--- a/src/main/java/hollyslip/tenant/Plan.java
+++ b/src/main/java/hollyslip/tenant/Plan.java
@@ -1,4 +1,4 @@
 package hollyslip.tenant;
 
-/** Named terms that volumes stand on. {@code revision} counts its changes from 1. */
+/** Named terms that volumes refer to. {@code revision} counts the plan's changes, starting at 1. */
 public record Plan(String name, long revision, Terms terms) {}
--- a/src/main/java/hollyslip/tenant/Registry.java
+++ b/src/main/java/hollyslip/tenant/Registry.java
@@ -17,21 +17,21 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** All that is recorded: plans, tenants, volumes, nodes' states, tasks, tokens, keys, and the end of the
- * audit trail. It changes by {@link #apply} alone, which decides nothing: equal records give equal
- * registries. Not safe for several threads. */
+/** The recorded state: plans, tenants, volumes, node states, tasks, tokens, idempotency keys, and the end of
+ * the audit trail. It changes through {@link #apply} alone, which validates nothing: equal records give equal
+ * registries. Not thread-safe. */
 public final class Registry {
-  /** Lines of the audit trail held here; the store's log has what it still keeps of the others. */
+  /** Number of audit records kept in memory; older ones are only in the store, as long as its log keeps
+   * them. */
   static final int MAX_AUDIT_RECORDS = 10_000;
 
-  /** Keys and ended tasks held: the oldest go first. */
+  /** Numbers of idempotency keys and completed tasks kept; the oldest are dropped first. */
   static final int MAX_IDEMPOTENCY_KEYS = 10_000, MAX_TASKS = 1_000;
 
-  /** All of a registry, for a snapshot. */
+  /** Complete contents of a registry, for a snapshot of the store. */
   public record Snapshot(@JsonProperty("v") int version, long nextId, List<Plan> plans, List<Tenant> tenants,
-      List<HostedVolume> volumes,
-      List<NodeStatePut> nodes, List<Task> tasks, List<Token> tokens, List<IdempotencyKeyPut> keys,
-      List<AuditRecord> trail) {}
+      List<HostedVolume> volumes, List<NodeStatePut> nodes, List<Task> tasks, List<Token> tokens,
+      List<IdempotencyKeyPut> keys, List<AuditRecord> trail) {}
 
   private final TreeMap<String, Plan> plans = new TreeMap<>();
   private final TreeMap<Long, Tenant> tenants = new TreeMap<>();
@@ -50,13 +50,13 @@
   private double quotaSum;
   private long nextId;
 
-  /** An empty one. {@code firstId}: ids from here on are given to tenants, volumes and tasks. */
+  /** Creates an empty registry. Ids from {@code firstId} on are given to tenants, volumes and tasks. */
   public Registry(Collection<Shard> shards, long firstId) {
     allocations = new ShardAllocations(shards);
     nextId = firstId;
   }
 
-  /** One from a snapshot. */
+  /** Restores a registry from a snapshot. */
   public Registry(Collection<Shard> shards, Snapshot image) {
     this(shards, image.nextId());
     image.plans().forEach(p -> plans.put(p.name(), p));
@@ -69,15 +69,14 @@
     trail.addAll(image.trail());
   }
 
-  /** All of it, as of now; what it names is immutable. */
+  /** Returns the current contents; the values in it are immutable. */
   public Snapshot snapshot() {
     return new Snapshot(ChangeSet.FORMAT_VERSION, nextId, List.copyOf(plans.values()), List.copyOf(tenants
-        .values()), List
-            .copyOf(volumes.values()), List.copyOf(nodes.values()), List.copyOf(tasks.values()), List.copyOf(
-                tokens.values()), List.copyOf(keys.values()), List.copyOf(trail));
+        .values()), List.copyOf(volumes.values()), List.copyOf(nodes.values()), List.copyOf(tasks.values()),
+        List.copyOf(tokens.values()), List.copyOf(keys.values()), List.copyOf(trail));
   }
 
-  // What is there.
+  // Queries.
 
   public Plan plan(String name) {
     return plans.get(name);
@@ -151,34 +150,33 @@
     return trail;
   }
 
-  /** Terms of a volume: its plan's, with its own over them. */
+  /** Returns the terms of a volume: its plan's, with its own overrides applied. */
   public Terms terms(HostedVolume v) {
     return v.overrides().applyTo(plans.get(v.plan()).terms());
   }
 
-  /** What the module is told of a volume. Its tenant is the group it shares with. */
+  /** Returns the scheduler's event for a volume. Its tenant is the group with which it shares. */
   public HostScheduler.VolumeChanged toVolumeChanged(HostedVolume v, int hosts) {
     return new HostScheduler.VolumeChanged(v.id(), hosts, terms(v).toSchedulerPlan(v.plan()), v.tenant(),
-        tenants.get(v
-            .tenant()).weight());
+        tenants.get(v.tenant()).weight());
   }
 
-  /** Units a second promised to a tenant's volumes together. */
+  /** Sum of the reserves of a tenant's volumes, units per second. */
   public double totalReserve(long tenant) {
     return totalReserve.getOrDefault(tenant, 0.0);
   }
 
-  /** Bytes of a tenant's volumes together. */
+  /** Sum of the sizes of a tenant's volumes, bytes. */
   public long totalBytes(long tenant) {
     return totalBytes.getOrDefault(tenant, 0L);
   }
 
-  /** Volumes on a plan. */
+  /** Number of volumes on a plan. */
   int volumesOnPlan(String plan) {
     return volumesPerPlan.getOrDefault(plan, 0);
   }
 
-  /** Sum of the tenants' quotas of reserve. */
+  /** Sum of the tenants' reserve quotas. */
   double quotaSum() {
     return quotaSum;
   }
@@ -191,15 +189,15 @@
     return nextId;
   }
 
-  // How it changes.
+  // Changes.
 
-  /** Takes on a recorded decision. */
+  /** Applies a recorded change set. */
   public void apply(long sequence, ChangeSet entry) {
-    apply(sequence, entry, line -> {});
+    apply(sequence, entry, auditRecord -> {});
   }
 
-  /** Takes on a recorded decision; {@code heard} gets its lines of the audit trail. */
-  public void apply(long sequence, ChangeSet entry, Consumer<AuditRecord> heard) {
+  /** Applies a recorded change set and passes its audit records to {@code auditListener}. */
+  public void apply(long sequence, ChangeSet entry, Consumer<AuditRecord> auditListener) {
     for (Change c : entry.changes()) {
       Object before = null;
       Object after = null;
@@ -225,10 +223,10 @@
         tenant = v.volume().tenant();
         put(v.volume());
       } else if (c instanceof Change.VolumeRemoved v) {
-        HostedVolume gone = volumes.get(v.id());
-        before = gone;
-        tenant = gone.tenant();
-        removeVolume(gone);
+        HostedVolume removed = volumes.get(v.id());
+        before = removed;
+        tenant = removed.tenant();
+        removeVolume(removed);
       } else if (c instanceof NodeStatePut n) {
         before = nodes.put(n.node(), n);
         after = n;
@@ -236,15 +234,15 @@
         applyUnaudited(c);
         continue;
       }
-      AuditRecord line = new AuditRecord(sequence, entry.at(), entry.who(), entry.what(), entry.target(),
-          tenant, before,
-          after);
-      addAuditRecord(line);
-      heard.accept(line);
+      AuditRecord auditRecord = new AuditRecord(sequence, entry.at(), entry.who(), entry.what(), entry
+          .target(), tenant, before, after);
+      addAuditRecord(auditRecord);
+      auditListener.accept(auditRecord);
     }
   }
 
-  /** Changes that say nothing of service. Tokens are in the trail by their command, never by their hash. */
+  /** Applies changes that do not affect service. They get no audit record with values, so that the hash of a
+   * token never appears in the audit trail; the command stands in the recorded change set. */
   private void applyUnaudited(Change c) {
     if (c instanceof Change.TaskPut t) {
       tasks.put(t.task().id(), t.task());
@@ -272,13 +270,13 @@
   }
 
   private void put(Plan next) {
-    List<HostedVolume> on = new ArrayList<>();
+    List<HostedVolume> affected = new ArrayList<>();
     if (plans.containsKey(next.name()) && volumesOnPlan(next.name()) > 0) {
-      volumes.values().stream().filter(v -> v.plan().equals(next.name())).forEach(on::add);
+      volumes.values().stream().filter(v -> v.plan().equals(next.name())).forEach(affected::add);
     }
-    on.forEach(v -> addToTotals(v, -1));
+    affected.forEach(v -> addToTotals(v, -1));
     plans.put(next.name(), next);
-    on.forEach(v -> addToTotals(v, 1));
+    affected.forEach(v -> addToTotals(v, 1));
   }
 
   private void put(Tenant t) {
@@ -320,7 +318,7 @@
     volumeNames.get(v.tenant()).remove(v.name());
   }
 
-  /** Enters a volume's reserve and bytes in the sums, or takes them out. */
+  /** Adds a volume's reserve and bytes to the totals ({@code sign} 1), or subtracts them (-1). */
   private void addToTotals(HostedVolume v, int sign) {
     double reserve = terms(v).reserve();
     allocations.addReserve(v, sign * reserve);
--- a/src/main/java/hollyslip/tenant/RegistryCommandHandler.java
+++ b/src/main/java/hollyslip/tenant/RegistryCommandHandler.java
@@ -9,22 +9,22 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** Decides on commands: what is recorded, or why not. It changes nothing itself, and gives equal answers for
- * equal registries. Commands of administrators carry the revision that they have seen; {@link #ANY_REVISION}:
- * any.
+/** Validates commands and returns the changes to record, or rejects them. It changes nothing itself and is
+ * deterministic: equal registries give equal results. Commands of administrators carry the revision that they
+ * expect, or {@link #ANY_REVISION}.
  *
  * <p>
- * Admission: the sum of tenants' quotas stays within the fleet's capacity, the sum of a tenant's reserves and
- * bytes within its quota, and on each shard the reserves of the volumes, by the part of their extents there,
- * within the shard's capacity. */
+ * Admission rules: the sum of all tenants' quotas stays within the fleet's capacity, the sum of a tenant's
+ * reserves and bytes stays within its quota, and on each shard the reserves of the volumes, in proportion to
+ * their extents there, stay within the shard's capacity. */
 public final class RegistryCommandHandler {
-  /** Stands for any revision. */
+  /** Matches any revision. */
   public static final long ANY_REVISION = -1;
 
-  /** Extents of a volume at most. */
+  /** Maximum number of extents of a volume. */
   static final int MAX_EXTENTS = 65_536;
 
-  /** Sums of parts are off by roundings; so much of a capacity is none. */
+  /** Relative tolerance for rounding errors in sums of reserves. */
   private static final double ROUNDING_TOLERANCE = 1e-9;
   private static final Pattern NAME_PATTERN = Pattern.compile("[a-z0-9]([a-z0-9-]{0,30}[a-z0-9])?");
   private static final int MAX_MEMBERS = 10_000;
@@ -35,7 +35,7 @@
     this.registry = registry;
   }
 
-  /** What it decides on; not to be changed. */
+  /** The registry that commands are validated against; callers must not change it. */
   public Registry registry() {
     return registry;
   }
@@ -43,59 +43,58 @@
   private static void requireName(String name, String field) {
     if (name == null || !NAME_PATTERN.matcher(name).matches()) {
       throw CommandRejectedException.invalid(field, field
-          + " must be 1 to 32 of a-z, 0-9 and '-', beginning and ending with a letter or digit, not " + name);
+          + " must be 1 to 32 characters of a-z, 0-9 and '-', starting and ending with a letter or digit, not "
+          + name);
     }
   }
 
-  private static void requireRevision(long revision, long seen, String what) {
-    if (seen != ANY_REVISION && seen != revision) {
-      throw new CommandRejectedException(CommandRejectedException.Reason.STALE, "If-Match", what
-          + " is at revision " + revision + ", not "
-          + seen, Map.of("revision", revision));
+  private static void requireRevision(long revision, long expectedRevision, String subject) {
+    if (expectedRevision != ANY_REVISION && expectedRevision != revision) {
+      throw new CommandRejectedException(CommandRejectedException.Reason.STALE, "If-Match", subject
+          + " is at revision " + revision + ", not " + expectedRevision, Map.of("revision", revision));
     }
   }
 
-  private static void requireNotRemoving(Phase phase, String what) {
+  private static void requireNotRemoving(Phase phase, String subject) {
     if (phase == Phase.DRAINING || phase == Phase.REMOVED) {
-      throw CommandRejectedException.conflict("phase", what + " is being removed");
+      throw CommandRejectedException.conflict("phase", subject + " is being removed");
     }
   }
 
   // Plans.
 
-  public ChangeSet createPlan(long at, String who, Wish.ForPlan wish) {
-    requireName(wish.name(), "name");
-    if (registry.plan(wish.name()) != null) {
-      throw CommandRejectedException.conflict("name", "plan " + wish.name() + " is there already");
+  public ChangeSet createPlan(long at, String who, Wish.ForPlan spec) {
+    requireName(spec.name(), "name");
+    if (registry.plan(spec.name()) != null) {
+      throw CommandRejectedException.conflict("name", "plan " + spec.name() + " already exists");
     }
-    return new ChangeSet(at, who, "create plan", "/v1/plans/" + wish.name(), List.of(new Change.PlanPut(
-        new Plan(
-            wish.name(), 1, wish.terms()))));
+    return new ChangeSet(at, who, "create plan", "/v1/plans/" + spec.name(), List.of(new Change.PlanPut(
+        new Plan(spec.name(), 1, spec.terms()))));
   }
 
-  /** A changed plan changes all volumes on it. */
-  public ChangeSet changePlan(long at, String who, String name, long seen, Terms terms) {
+  /** Changes a plan, which also changes all volumes on it. */
+  public ChangeSet changePlan(long at, String who, String name, long expectedRevision, Terms terms) {
     Plan old = plan(name);
-    requireRevision(old.revision(), seen, "plan " + name);
+    requireRevision(old.revision(), expectedRevision, "plan " + name);
     Plan next = new Plan(name, old.revision() + 1, terms);
     List<Change> changes = new ArrayList<>();
     changes.add(new Change.PlanPut(next));
-    ReserveCheck admission = new ReserveCheck();
+    ReserveCheck reserveCheck = new ReserveCheck();
     for (HostedVolume v : registry.volumes()) {
       if (v.plan().equals(name)) {
-        admission.moveReserve(v, registry.terms(v).reserve(), v.overrides().applyTo(terms).reserve());
+        reserveCheck.moveReserve(v, registry.terms(v).reserve(), v.overrides().applyTo(terms).reserve());
         if (v.phase() != Phase.DRAINING) {
           changes.add(new Change.VolumePut(v.withPhase(v.revision(), v.phase().afterChange())));
         }
       }
     }
-    admission.check();
+    reserveCheck.check();
     return new ChangeSet(at, who, "change plan", "/v1/plans/" + name, changes);
   }
 
-  public ChangeSet removePlan(long at, String who, String name, long seen) {
+  public ChangeSet removePlan(long at, String who, String name, long expectedRevision) {
     Plan old = plan(name);
-    requireRevision(old.revision(), seen, "plan " + name);
+    requireRevision(old.revision(), expectedRevision, "plan " + name);
     if (registry.volumesOnPlan(name) > 0) {
       throw CommandRejectedException.conflict("plan", registry.volumesOnPlan(name) + " volumes are on plan "
           + name);
@@ -113,27 +112,28 @@
 
   // Tenants.
 
-  public ChangeSet createTenant(long at, String who, Wish.ForTenant wish) {
-    requireName(wish.name(), "name");
-    if (registry.tenant(wish.name()) != null) {
-      throw CommandRejectedException.conflict("name", "tenant " + wish.name() + " is there already");
+  public ChangeSet createTenant(long at, String who, Wish.ForTenant spec) {
+    requireName(spec.name(), "name");
+    if (registry.tenant(spec.name()) != null) {
+      throw CommandRejectedException.conflict("name", "tenant " + spec.name() + " already exists");
     }
-    Tenant t = new Tenant(registry.nextId(), wish.name(), 1, Phase.ACTIVE, weight(wish), quota(wish, 0),
-        members(wish));
+    Tenant t = new Tenant(registry.nextId(), spec.name(), 1, Phase.ACTIVE, weight(spec), quota(spec, 0),
+        members(spec));
     return new ChangeSet(at, who, "create tenant", path(t), List.of(new Change.TenantPut(t)));
   }
 
-  /** A changed weight changes all volumes of the tenant. */
-  public ChangeSet changeTenant(long at, String who, String name, long seen, Wish.ForTenant wish) {
+  /** Changes a tenant. A new weight or new members also change all volumes of the tenant. */
+  public ChangeSet changeTenant(long at, String who, String name, long expectedRevision,
+      Wish.ForTenant spec) {
     Tenant old = tenant(name);
-    requireRevision(old.revision(), seen, "tenant " + name);
+    requireRevision(old.revision(), expectedRevision, "tenant " + name);
     requireNotRemoving(old.phase(), "tenant " + name);
-    if (!name.equals(wish.name())) {
+    if (!name.equals(spec.name())) {
       throw CommandRejectedException.invalid("name", "a tenant's name cannot be changed");
     }
-    Tenant next = new Tenant(old.id(), name, old.revision() + 1, Phase.ACTIVE, weight(wish), quota(wish, old
+    Tenant next = new Tenant(old.id(), name, old.revision() + 1, Phase.ACTIVE, weight(spec), quota(spec, old
         .quota()
-        .reserve()), members(wish));
+        .reserve()), members(spec));
     requireQuotaCovers(registry.totalReserve(old.id()), next.quota().reserve(), "quota.reserve",
         "reserves of its volumes");
     requireQuotaCovers(registry.totalBytes(old.id()), next.quota().bytes(), "quota.bytes",
@@ -152,10 +152,10 @@
     return new ChangeSet(at, who, "change tenant", path(next), changes);
   }
 
-  /** Begins a removal: the tenant takes nothing new, its volumes are drained. */
-  public ChangeSet removeTenant(long at, String who, String name, long seen) {
+  /** Starts the removal of a tenant: it accepts nothing new, and its volumes are drained. */
+  public ChangeSet removeTenant(long at, String who, String name, long expectedRevision) {
     Tenant old = tenant(name);
-    requireRevision(old.revision(), seen, "tenant " + name);
+    requireRevision(old.revision(), expectedRevision, "tenant " + name);
     requireNotRemoving(old.phase(), "tenant " + name);
     Tenant next = old.withPhase(old.revision() + 1, Phase.DRAINING);
     List<Change> changes = new ArrayList<>();
@@ -178,40 +178,39 @@
     return new Task(t.id(), t.kind(), t.target(), t.startedAt(), Math.max(1, at));
   }
 
-  private static double weight(Wish.ForTenant wish) {
-    Terms.requireInRange(wish.weight(), 0, "weight");
-    if (wish.weight() == 0) {
+  private static double weight(Wish.ForTenant spec) {
+    Terms.requireInRange(spec.weight(), 0, "weight");
+    if (spec.weight() == 0) {
       throw CommandRejectedException.invalid("weight", "weight must be above 0");
     }
-    return wish.weight();
+    return spec.weight();
   }
 
-  private Tenant.Quota quota(Wish.ForTenant wish, double before) {
-    if (wish.quota() == null) {
+  private Tenant.Quota quota(Wish.ForTenant spec, double before) {
+    if (spec.quota() == null) {
       throw CommandRejectedException.invalid("quota", "quota is missing");
     }
-    double others = registry.quotaSum() - before;
+    double quotaOfOthers = registry.quotaSum() - before;
     double capacity = registry.allocations().capacity();
-    if (others + wish.quota().reserve() > capacity * (1 + ROUNDING_TOLERANCE)) {
+    if (quotaOfOthers + spec.quota().reserve() > capacity * (1 + ROUNDING_TOLERANCE)) {
       throw new CommandRejectedException(CommandRejectedException.Reason.NO_ROOM, "quota.reserve",
-          "the fleet can promise " + Plain.formatNumber(capacity)
-              + " units a second, of which other tenants have " + Plain.formatNumber(others), Map.of(
-                  "capacity", capacity,
-                  "others", others, "asked", wish.quota().reserve(), "would_fit", Math.max(0, capacity
-                      - others)));
+          "the fleet can reserve " + Plain.formatNumber(capacity)
+              + " units per second, of which other tenants have " + Plain.formatNumber(quotaOfOthers), Map.of(
+                  "capacity", capacity, "others", quotaOfOthers, "asked", spec.quota().reserve(), "would_fit",
+                  Math.max(0, capacity - quotaOfOthers)));
     }
-    return wish.quota();
+    return spec.quota();
   }
 
-  private static Map<String, Long> members(Wish.ForTenant wish) {
-    Map<String, Long> members = wish.members() == null ? Map.of() : wish.members();
+  private static Map<String, Long> members(Wish.ForTenant spec) {
+    Map<String, Long> members = spec.members() == null ? Map.of() : spec.members();
     if (members.size() > MAX_MEMBERS) {
       throw CommandRejectedException.invalid("members", "more than " + MAX_MEMBERS + " members");
     }
     members.forEach((name, uid) -> {
       requireName(name, "members");
       if (uid == null || uid < 0 || uid > 0xffff_ffffL) {
-        throw CommandRejectedException.invalid("members", "the user number of " + name
+        throw CommandRejectedException.invalid("members", "the user id of " + name
             + " must be from 0 to 4294967295");
       }
     });
@@ -238,87 +237,84 @@
     return path(t) + "/volumes/" + v.name();
   }
 
-  private static void requireQuotaCovers(double used, double bound, String field, String what) {
+  private static void requireQuotaCovers(double used, double bound, String field, String subject) {
     if (used > bound * (1 + roundingTolerance(field))) {
       throw new CommandRejectedException(CommandRejectedException.Reason.NO_ROOM, field, field + " "
-          + formatFigure(field, bound) + " is below the "
-          + what + ", " + formatFigure(field, used), Map.of("used", used, "asked", bound));
+          + formatFigure(field, bound) + " is below the " + subject + ", " + formatFigure(field, used), Map
+              .of("used", used, "asked", bound));
     }
   }
 
   // Volumes.
 
-  public ChangeSet createVolume(long at, String who, String tenant, Wish.ForVolume wish) {
+  public ChangeSet createVolume(long at, String who, String tenant, Wish.ForVolume spec) {
     Tenant t = tenant(tenant);
     requireNotRemoving(t.phase(), "tenant " + tenant);
-    requireName(wish.name(), "name");
-    if (registry.volume(t.id(), wish.name()) != null) {
-      throw CommandRejectedException.conflict("name", "volume " + wish.name() + " is there already");
-    }
-    Terms terms = terms(wish);
-    int count = extentCount(wish);
-    quota(t, 1, terms.reserve(), wish.bytes());
-    List<Volume.Extent> placed = new Placement(registry.allocations(), terms.reserve() / count, wish
-        .extentBytes())
-        .place(count, List.of());
-    registry.allocations().release(placed, wish.extentBytes());
-    HostedVolume v = new HostedVolume(registry.nextId(), t.id(), wish.name(), 1, Phase.CREATING, wish.plan(),
-        overrides(wish), wish.bytes(), wish.extentBytes(), placed);
+    requireName(spec.name(), "name");
+    if (registry.volume(t.id(), spec.name()) != null) {
+      throw CommandRejectedException.conflict("name", "volume " + spec.name() + " already exists");
+    }
+    Terms terms = terms(spec);
+    int count = extentCount(spec);
+    quota(t, 1, terms.reserve(), spec.bytes());
+    List<Volume.Extent> placed = new Placement(registry.allocations(), terms.reserve() / count, spec
+        .extentBytes()).place(count, List.of());
+    registry.allocations().release(placed, spec.extentBytes());
+    HostedVolume v = new HostedVolume(registry.nextId(), t.id(), spec.name(), 1, Phase.CREATING, spec.plan(),
+        overrides(spec), spec.bytes(), spec.extentBytes(), placed);
     return new ChangeSet(at, who, "create volume", path(t, v), List.of(new Change.VolumePut(v)));
   }
 
-  /** Changes plan, own terms or size; a volume only grows, and what it has stays where it is. */
-  public ChangeSet changeVolume(long at, String who, String tenant, String name, long seen,
-      Wish.ForVolume wish) {
+  /** Changes a volume's plan, overrides or size. A volume can only grow, and its extents stay where they
+   * are. */
+  public ChangeSet changeVolume(long at, String who, String tenant, String name, long expectedRevision,
+      Wish.ForVolume spec) {
     Tenant t = tenant(tenant);
     HostedVolume old = volume(t, name);
-    requireRevision(old.revision(), seen, "volume " + name);
+    requireRevision(old.revision(), expectedRevision, "volume " + name);
     requireNotRemoving(old.phase(), "volume " + name);
-    if (!name.equals(wish.name()) || wish.extentBytes() != old.extentBytes()) {
-      throw CommandRejectedException.invalid(name.equals(wish.name()) ? "extent_bytes" : "name",
+    if (!name.equals(spec.name()) || spec.extentBytes() != old.extentBytes()) {
+      throw CommandRejectedException.invalid(name.equals(spec.name()) ? "extent_bytes" : "name",
           "name and extent_bytes of a volume cannot be changed");
     }
-    if (wish.bytes() < old.bytes()) {
+    if (spec.bytes() < old.bytes()) {
       throw CommandRejectedException.invalid("bytes", "a volume cannot shrink; it has " + old.bytes()
           + " bytes");
     }
     double before = registry.terms(old).reserve();
-    double after = terms(wish).reserve();
-    int count = extentCount(wish);
-    quota(t, 0, after - before, wish.bytes() - old.bytes());
+    double after = terms(spec).reserve();
+    int count = extentCount(spec);
+    quota(t, 0, after - before, spec.bytes() - old.bytes());
     List<Volume.Extent> extents = new ArrayList<>(old.extents());
     if (count > extents.size()) {
       registry.allocations().addReserve(old, -before);
       try {
-        List<Volume.Extent> more = new Placement(registry.allocations(), after / count, wish.extentBytes())
-            .place(
-                count - extents.size(), old.extents());
-        registry.allocations().release(more, wish.extentBytes());
-        extents.addAll(more);
+        List<Volume.Extent> added = new Placement(registry.allocations(), after / count, spec.extentBytes())
+            .place(count - extents.size(), old.extents());
+        registry.allocations().release(added, spec.extentBytes());
+        extents.addAll(added);
       } finally {
         registry.allocations().addReserve(old, before);
       }
     }
     HostedVolume next = new HostedVolume(old.id(), t.id(), name, old.revision() + 1, old.phase()
-        .afterChange(),
-        wish.plan(), overrides(wish), wish.bytes(), wish.extentBytes(), extents);
-    ReserveCheck admission = new ReserveCheck();
-    admission.moveReserve(old, before, 0);
-    admission.moveReserve(next, 0, after);
-    admission.check();
+        .afterChange(), spec.plan(), overrides(spec), spec.bytes(), spec.extentBytes(), extents);
+    ReserveCheck reserveCheck = new ReserveCheck();
+    reserveCheck.moveReserve(old, before, 0);
+    reserveCheck.moveReserve(next, 0, after);
+    reserveCheck.check();
     return new ChangeSet(at, who, "change volume", path(t, next), List.of(new Change.VolumePut(next)));
   }
 
-  /** Begins a removal. */
-  public ChangeSet removeVolume(long at, String who, String tenant, String name, long seen) {
+  /** Starts the removal of a volume. */
+  public ChangeSet removeVolume(long at, String who, String tenant, String name, long expectedRevision) {
     Tenant t = tenant(tenant);
     HostedVolume old = volume(t, name);
-    requireRevision(old.revision(), seen, "volume " + name);
+    requireRevision(old.revision(), expectedRevision, "volume " + name);
     requireNotRemoving(old.phase(), "volume " + name);
     return new ChangeSet(at, who, "remove volume", path(t, old), List.of(new Change.VolumePut(old.withPhase(
-        old
-            .revision() + 1, Phase.DRAINING)), new Change.TaskPut(new Task(registry.nextId(), "remove volume",
-                path(t, old), at, 0))));
+        old.revision() + 1, Phase.DRAINING)), new Change.TaskPut(new Task(registry.nextId(), "remove volume",
+            path(t, old), at, 0))));
   }
 
   private HostedVolume volume(Tenant t, String name) {
@@ -329,31 +325,32 @@
     return v;
   }
 
-  private static Terms.Overrides overrides(Wish.ForVolume wish) {
-    return wish.overrides() == null ? Terms.Overrides.NONE : wish.overrides();
+  private static Terms.Overrides overrides(Wish.ForVolume spec) {
+    return spec.overrides() == null ? Terms.Overrides.NONE : spec.overrides();
   }
 
-  /** A volume's own limit only narrows its plan's: a tenant may set it. */
-  private Terms terms(Wish.ForVolume wish) {
-    Terms plan = plan(wish.plan()).terms();
-    Terms all = overrides(wish).applyTo(plan);
-    if (plan.limit() > 0 && (all.limit() <= 0 || all.limit() > plan.limit() || all.limitBurst() > plan
-        .limitBurst())) {
+  /** Returns the terms of a volume. Its own limit may only be stricter than its plan's, since tenants may set
+   * it. */
+  private Terms terms(Wish.ForVolume spec) {
+    Terms plan = plan(spec.plan()).terms();
+    Terms effective = overrides(spec).applyTo(plan);
+    if (plan.limit() > 0 && (effective.limit() <= 0 || effective.limit() > plan.limit() || effective
+        .limitBurst() > plan.limitBurst())) {
       throw new CommandRejectedException(CommandRejectedException.Reason.INVALID, "limit",
-          "the plan's limit cannot be widened", Map.of("limit",
-              plan.limit(), "limit_burst", plan.limitBurst()));
+          "the plan's limit cannot be raised", Map.of("limit", plan.limit(), "limit_burst", plan
+              .limitBurst()));
     }
-    return all;
+    return effective;
   }
 
-  private static int extentCount(Wish.ForVolume wish) {
-    requireBlockMultiple(wish.bytes(), "bytes");
-    requireBlockMultiple(wish.extentBytes(), "extent_bytes");
-    long count = (wish.bytes() - 1) / wish.extentBytes() + 1;
+  private static int extentCount(Wish.ForVolume spec) {
+    requireBlockMultiple(spec.bytes(), "bytes");
+    requireBlockMultiple(spec.extentBytes(), "extent_bytes");
+    long count = (spec.bytes() - 1) / spec.extentBytes() + 1;
     if (count > MAX_EXTENTS) {
       throw new CommandRejectedException(CommandRejectedException.Reason.INVALID, "extent_bytes", count
-          + " extents; at most " + MAX_EXTENTS
-          + " are taken", Map.of("least_extent_bytes", (wish.bytes() - 1) / MAX_EXTENTS + 1));
+          + " extents; at most " + MAX_EXTENTS + " are allowed", Map.of("least_extent_bytes", (spec.bytes()
+              - 1) / MAX_EXTENTS + 1));
     }
     return (int) count;
   }
@@ -361,8 +358,7 @@
   private static void requireBlockMultiple(long bytes, String field) {
     if (bytes <= 0 || bytes % Volume.BLOCK_BYTES != 0) {
       throw CommandRejectedException.invalid(field, field + " must be a multiple of " + Volume.BLOCK_BYTES
-          + " above 0, not "
-          + bytes);
+          + " above 0, not " + bytes);
     }
   }
 
@@ -372,7 +368,7 @@
     requireQuotaRoom(t, "quota.bytes", registry.totalBytes(t.id()), bytes, t.quota().bytes());
   }
 
-  /** Bytes and counts are whole: they are not rounded. */
+  /** Bytes and counts are whole numbers and need no tolerance. */
   private static double roundingTolerance(String field) {
     return field.endsWith("reserve") ? ROUNDING_TOLERANCE : 0;
   }
@@ -381,17 +377,16 @@
     return field.endsWith("bytes") ? Plain.bytes((long) figure) : Plain.formatNumber(figure);
   }
 
-  private static void requireQuotaRoom(Tenant t, String field, double used, double more, double most) {
-    if (more > 0 && used + more > most * (1 + roundingTolerance(field))) {
+  private static void requireQuotaRoom(Tenant t, String field, double used, double added, double limit) {
+    if (added > 0 && used + added > limit * (1 + roundingTolerance(field))) {
       throw new CommandRejectedException(CommandRejectedException.Reason.NO_ROOM, field, "tenant " + t.name()
-          + " may have " + formatFigure(field, most)
-          + " and has " + formatFigure(field, used) + ", " + formatFigure(field, more) + " more are asked",
-          Map.of("quota",
-              most, "used", used, "asked", more, "would_fit", Math.max(0, most - used)));
+          + " may have " + formatFigure(field, limit) + " and has " + formatFigure(field, used) + ", "
+          + formatFigure(field, added) + " more are requested", Map.of("quota", limit, "used", used, "asked",
+              added, "would_fit", Math.max(0, limit - used)));
     }
   }
 
-  /** Whether reserves that move still fit the shards. */
+  /** Checks that changed reserves still fit on the shards. */
   private final class ReserveCheck {
     private final Map<Integer, Double> addedByShard = new HashMap<>();
     private double totalAdded;
@@ -403,19 +398,18 @@
               Double::sum));
     }
 
-    /** Only what grows must fit: what a fleet that shrank has promised too much can always be lowered. */
+    /** Only increases must fit: on a fleet that shrank below the reserves, they can still be lowered. */
     void check() {
-      addedByShard.forEach((shard, more) -> {
+      addedByShard.forEach((shard, added) -> {
         ShardAllocations.Allocation a = registry.allocations().allocation(shard);
         double free = a == null ? 0 : a.freeReserve();
-        if (more > ROUNDING_TOLERANCE && more > free * (1 + ROUNDING_TOLERANCE) + ROUNDING_TOLERANCE) {
+        if (added > ROUNDING_TOLERANCE && added > free * (1 + ROUNDING_TOLERANCE) + ROUNDING_TOLERANCE) {
           throw new CommandRejectedException(CommandRejectedException.Reason.NO_ROOM, "reserve", "shard "
-              + shard + " has " + Plain.formatNumber(free)
-              + " units a second left, " + Plain.formatNumber(more) + " more are asked of it", Map.of("shard",
-                  shard,
-                  "capacity", a == null ? 0.0 : a.shard.capacity(), "reserved", a == null
+              + shard + " has " + Plain.formatNumber(free) + " units per second left, " + Plain.formatNumber(
+                  added) + " more are requested", Map.of("shard", shard, "capacity", a == null
                       ? 0.0
-                      : a.reserved(), "asked", more, "would_fit", Math.max(0, totalAdded * free / more)));
+                      : a.shard.capacity(), "reserved", a == null ? 0.0 : a.reserved(), "asked", added,
+                      "would_fit", Math.max(0, totalAdded * free / added)));
         }
       });
     }
@@ -423,17 +417,16 @@
 
   // Nodes.
 
-  /** Has a node drained, or served again. */
-  public ChangeSet setNodeState(long at, String who, String node, long seen, NodeState state) {
+  /** Drains a node or puts it back into service. */
+  public ChangeSet setNodeState(long at, String who, String node, long expectedRevision, NodeState state) {
     Change.NodeStatePut old = registry.node(node);
     long revision = old == null ? 0 : old.revision();
-    requireRevision(revision, seen, "node " + node);
+    requireRevision(revision, expectedRevision, "node " + node);
     if (state != NodeState.ON && state != NodeState.DRAINING) {
       throw CommandRejectedException.invalid("state", "state must be on or draining");
     }
     return new ChangeSet(at, who, state == NodeState.ON ? "undrain node" : "drain node", "/v1/nodes/" + node,
-        List
-            .of(new Change.NodeStatePut(node, revision + 1, state)));
+        List.of(new Change.NodeStatePut(node, revision + 1, state)));
   }
 
   // Tokens and keys.
@@ -453,41 +446,41 @@
     return new ChangeSet(at, who, "remove token", "/v1/tokens/" + id, List.of(new Change.TokenRemoved(id)));
   }
 
-  /** The same entry with the caller's key recorded. */
+  /** Returns the change set with the caller's idempotency key added. */
   public ChangeSet withIdempotencyKey(ChangeSet e, String key, String digest) {
     List<Change> changes = new ArrayList<>(e.changes());
     changes.add(new Change.IdempotencyKeyPut(key, digest, e.target(), e.at()));
     return new ChangeSet(e.version(), e.at(), e.who(), e.what(), e.target(), changes);
   }
 
-  /** Path of what was created under a key before; null: the key is new.
+  /** Returns the path of the resource created under an idempotency key, or null if the key is new.
    *
    * @throws CommandRejectedException
-   *           the key came with another request */
+   *           the key was used for a different request */
   public String done(String key, String digest) {
     Change.IdempotencyKeyPut k = registry.key(key);
     if (k != null && !k.digest().equals(digest)) {
       throw new CommandRejectedException(CommandRejectedException.Reason.KEY_REUSED, "Idempotency-Key",
-          "the key was used for another request before", Map.of());
+          "the idempotency key was used for a different request", Map.of());
     }
     return k == null ? null : k.path();
   }
 
-  // Steps of the gateway.
+  // Steps of the gateway itself.
 
-  /** The gateway serves a volume as recorded at the revision and terms it was told; null: it has changed
-   * since, and is told again. */
-  public ChangeSet volumeServed(long at, HostedVolume told) {
-    HostedVolume v = registry.volume(told.id());
-    if (v == null || !v.equals(told) || v.phase() == Phase.ACTIVE || v.phase() == Phase.DRAINING) {
+  /** Marks a volume as served as recorded. Returns null if it has changed since the gateway was told of it;
+   * the gateway is then told again. */
+  public ChangeSet volumeServed(long at, HostedVolume served) {
+    HostedVolume v = registry.volume(served.id());
+    if (v == null || !v.equals(served) || v.phase() == Phase.ACTIVE || v.phase() == Phase.DRAINING) {
       return null;
     }
     return new ChangeSet(at, "gateway", "serve volume", path(registry.tenant(v.tenant()), v), List.of(
         new Change.VolumePut(v.withPhase(v.revision(), Phase.ACTIVE))));
   }
 
-  /** Nothing of a draining volume is in flight any more. With the last one its tenant goes. Null: it is gone
-   * already. */
+  /** Removes a drained volume, which has no requests in flight any more. With the last volume of a tenant
+   * that is being removed, the tenant goes too. Returns null if the volume is gone already. */
   public ChangeSet volumeDrained(long at, long volume) {
     HostedVolume v = registry.volume(volume);
     if (v == null || v.phase() != Phase.DRAINING) {
--- a/src/main/java/hollyslip/tenant/Shard.java
+++ b/src/main/java/hollyslip/tenant/Shard.java
@@ -2,20 +2,20 @@
 
 import java.util.List;
 
-/** A shard as the fleet states it.
+/** A shard and its capacity, from the settings of the fleet.
  *
  * @param number
- *          of the shard
+ *          number of the shard
  * @param zone
- *          where its node stands
+ *          zone of the shard's node
  * @param capacity
- *          units a second that may be promised on it
+ *          units per second that may be reserved on it
  * @param bytes
- *          its size
+ *          size in bytes
  * @param excludedRanges
- *          ranges that are not for hosted volumes: {@code from}, {@code to} */
+ *          byte ranges that hosted volumes must not use */
 public record Shard(int number, String zone, double capacity, long bytes, List<Range> excludedRanges) {
-  /** Bytes from, up to. */
+  /** A byte range from {@code from} (inclusive) to {@code to} (exclusive). */
   public record Range(long from, long to) {}
 
   public Shard {
--- a/src/main/java/hollyslip/tenant/ShardAllocations.java
+++ b/src/main/java/hollyslip/tenant/ShardAllocations.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What of each shard is given away: promised units a second and ranges of bytes. It follows from the volumes
- * alone, so it is never stored. */
+/** Reserve and byte ranges allocated on each shard. They follow from the volumes alone and are never
+ * stored. */
 final class ShardAllocations {
   private final Map<Integer, Allocation> allocations = new TreeMap<>();
 
-  /** One shard's. */
+  /** Allocations on one shard. */
   static final class Allocation {
     final Shard shard;
-    /** Free ranges: from, to. */
+    /** Free byte ranges: start (inclusive) to end (exclusive). */
     private final TreeMap<Long, Long> freeRanges = new TreeMap<>();
     private double reserved;
 
@@ -33,7 +33,7 @@
       return reserved;
     }
 
-    /** Where so many bytes in a row begin, the first that are free; -1: nowhere. */
+    /** Returns the offset of the first free range of at least {@code size} bytes, or -1 if there is none. */
     private long findFree(long size) {
       for (Map.Entry<Long, Long> e : freeRanges.entrySet()) {
         if (e.getValue() - e.getKey() >= size) {
@@ -54,7 +54,7 @@
     private void occupy(long from, long to) {
       Map.Entry<Long, Long> e = freeRanges.floorEntry(from);
       if (e == null || e.getValue() < to) {
-        // Taken already, wholly or in part: only the free part goes.
+        // The range is allocated already, in full or in part: allocate only what is free of it.
         freeRanges.subMap(from, to)
             .keySet()
             .stream()
@@ -81,13 +81,13 @@
     private void release(long from, long to) {
       long start = from;
       long end = to;
-      Map.Entry<Long, Long> before = freeRanges.floorEntry(from);
-      if (before != null && before.getValue() == from) {
-        start = before.getKey();
+      Map.Entry<Long, Long> preceding = freeRanges.floorEntry(from);
+      if (preceding != null && preceding.getValue() == from) {
+        start = preceding.getKey();
       }
-      Long behind = freeRanges.remove(to);
-      if (behind != null) {
-        end = behind;
+      Long followingEnd = freeRanges.remove(to);
+      if (followingEnd != null) {
+        end = followingEnd;
       }
       if (end > start) {
         freeRanges.put(start, end);
@@ -103,7 +103,7 @@
     return allocations.values();
   }
 
-  /** Null: the fleet does not have this shard (any more). */
+  /** Returns the allocations of a shard, or null if the fleet does not have it (any more). */
   Allocation allocation(int shard) {
     return allocations.get(shard);
   }
@@ -112,14 +112,15 @@
     return allocations.values().stream().mapToDouble(a -> a.shard.capacity()).sum();
   }
 
-  /** Extents by shard. */
+  /** Returns the number of extents on each shard. */
   static Map<Integer, Integer> extentsPerShard(List<Volume.Extent> extents) {
     Map<Integer, Integer> counts = new HashMap<>();
     extents.forEach(e -> counts.merge(e.shard(), 1, Integer::sum));
     return counts;
   }
 
-  /** Enters promised units of a volume on its shards; negative: takes them out. */
+  /** Adds a volume's reserve to its shards, in proportion to its extents there; a negative reserve is
+   * removed. */
   void addReserve(HostedVolume v, double reserve) {
     extentsPerShard(v.extents()).forEach((shard, n) -> {
       Allocation a = allocations.get(shard);
@@ -147,7 +148,7 @@
     }
   }
 
-  /** Takes the first free bytes of a shard. */
+  /** Allocates the first free range of {@code size} bytes on a shard. */
   Volume.Extent allocateExtent(int shard, long size) {
     Allocation a = allocations.get(shard);
     long at = a.findFree(size);
--- a/src/main/java/hollyslip/tenant/Tenant.java
+++ b/src/main/java/hollyslip/tenant/Tenant.java
@@ -3,26 +3,26 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A tenant.
+/** A tenant: an owner of volumes with a quota and members.
  *
  * @param id
- *          never given twice
+ *          unique and never reused
  * @param name
- *          unique among those that are not removed
+ *          name, unique among the tenants that are not removed
  * @param revision
- *          counts changes by administrators, from 1; steps of the gateway do not count
+ *          number of changes by administrators, starting at 1; the gateway's own steps do not count
  * @param phase
- *          where it is
+ *          lifecycle phase
  * @param weight
- *          share among tenants
+ *          share of the capacity relative to other tenants
  * @param quota
- *          what its volumes may have together
+ *          limits for all volumes of the tenant together
  * @param members
- *          its people: user numbers by name; they may attach to its volumes */
+ *          user ids by name of those who may attach to the tenant's volumes */
 public record Tenant(long id, String name, long revision, Phase phase, double weight, Quota quota,
     Map<String, Long> members) {
 
-  /** Bounds of a tenant: reserve in units a second, bytes, count of volumes. */
+  /** Limits of a tenant: reserve in units per second, bytes, and number of volumes. */
   public record Quota(double reserve, long bytes, int volumes) {
     public Quota {
       Terms.requireInRange(reserve, 0, "quota.reserve");
--- a/src/main/java/hollyslip/tenant/Terms.java
+++ b/src/main/java/hollyslip/tenant/Terms.java
@@ -2,25 +2,25 @@
 
 import hollyslip.HostScheduler;
 
-/** On what terms a volume is served; rates in units a second over all gateways and nodes.
+/** Terms on which a volume is served. Rates are in units per second over all gateways and nodes.
  *
  * @param rate
- *          expected
+ *          expected rate
  * @param reserve
- *          promised
+ *          reserved rate
  * @param weight
- *          share of what its tenant gets, against the tenant's other volumes
+ *          share of the tenant's rate relative to the tenant's other volumes
  * @param price
- *          worth of a unit
+ *          worth of one unit
  * @param limit
- *          strict; 0: none
+ *          hard rate limit; 0: none
  * @param limitBurst
- *          units at once on top
+ *          burst allowed on top of the limit, units
  * @param limitSlack
- *          units that the limit may be passed by */
+ *          units by which the limit may be exceeded */
 public record Terms(double rate, double reserve, double weight, double price, double limit, double limitBurst,
     double limitSlack) {
-  /** Largest figure taken: beyond it sums of many lose units. */
+  /** Largest accepted value; sums of many larger values would lose whole units to rounding. */
   private static final double MAX_VALUE = 1e12;
 
   public Terms {
@@ -43,31 +43,29 @@
     }
   }
 
-  static void requireInRange(double value, double least, String field) {
-    if (!(value >= least && value <= MAX_VALUE)) {
-      throw CommandRejectedException.invalid(field, field + " must be from " + Plain.formatNumber(least)
-          + " to " + Plain.formatNumber(MAX_VALUE)
-          + ", not " + Plain.formatNumber(value));
+  static void requireInRange(double value, double minimum, String field) {
+    if (!(value >= minimum && value <= MAX_VALUE)) {
+      throw CommandRejectedException.invalid(field, field + " must be from " + Plain.formatNumber(minimum)
+          + " to " + Plain.formatNumber(MAX_VALUE) + ", not " + Plain.formatNumber(value));
     }
   }
 
-  /** What a volume has otherwise than its plan; null: as the plan. */
+  /** Terms of a volume that differ from its plan; null means the plan's value. */
   public record Overrides(Double reserve, Double weight, Double limit, Double limitBurst) {
     public static final Overrides NONE = new Overrides(null, null, null, null);
 
-    /** The plan's terms with these instead. */
+    /** Returns the plan's terms with these overrides applied. */
     public Terms applyTo(Terms plan) {
       return new Terms(plan.rate, orDefault(reserve, plan.reserve), orDefault(weight, plan.weight),
-          plan.price, orDefault(limit,
-              plan.limit), orDefault(limitBurst, plan.limitBurst), plan.limitSlack);
+          plan.price, orDefault(limit, plan.limit), orDefault(limitBurst, plan.limitBurst), plan.limitSlack);
     }
 
-    private static double orDefault(Double own, double plan) {
-      return own == null ? plan : own;
+    private static double orDefault(Double override, double plan) {
+      return override == null ? plan : override;
     }
   }
 
-  /** As the module has them. */
+  /** Converts the terms to the scheduler's form of a plan. */
   public HostScheduler.Plan toSchedulerPlan(String name) {
     return new HostScheduler.Plan(name, rate, reserve, weight, price, limit, limitBurst, limitSlack);
   }
--- a/src/test/java/hollyslip/admin/AdminTest.java
+++ b/src/test/java/hollyslip/admin/AdminTest.java
@@ -249,7 +249,7 @@
     Response g = sendAsOperator("POST", "/v1/tenants/lee/volumes",
         "{\"name\":\"big\",\"plan\":\"gold\",\"bytes\":1073742336,\"extent_bytes\":1073742336}");
     assertEquals(409, g.status, () -> g.body.toString());
-    assertEquals("tenant lee may have 1 GiB and has 0 bytes, 1 GiB more are asked", g.body.get("detail")
+    assertEquals("tenant lee may have 1 GiB and has 0 bytes, 1 GiB more are requested", g.body.get("detail")
         .asText());
     assertEquals("1073741824", g.body.at("/figures/quota").toString());
     assertEquals("1073741824", g.body.at("/figures/would_fit").toString());
@@ -264,8 +264,7 @@
   void tenantTokenGrantsAccessToItsTenantOnly() {
     createTenantsWithVolumes();
     String token = sendAsOperator("POST", "/v1/tokens", "{\"who\":\"ann\",\"tenant\":\"lee\"}").body.get(
-        "token")
-        .asText();
+        "token").asText();
     assertEquals(200, send(token, "GET", "/v1/tenants/lee", null).status);
     assertEquals(200, send(token, "GET", "/v1/tenants/lee/volumes/stock", null).status);
     assertEquals(403, send(token, "PATCH", "/v1/tenants/lee", "{\"weight\":9}", "If-Match", "*").status);
@@ -353,8 +352,7 @@
     assertEquals(413, sendAsOperator("POST", "/v1/tenants", "x".repeat(AdminServer.MAX_BODY_BYTES
         + 1)).status);
     assertEquals(3, sendAsOperator("GET", "/v1/tenants?limit=1", null).body.size() + sendAsOperator("GET",
-        "/v1/tenants?after=lee",
-        null).body.get("items").size());
+        "/v1/tenants?after=lee", null).body.get("items").size());
     assertEquals(400, sendAsOperator("GET", "/v1/tenants?limit=0", null).status);
   }
 
--- a/src/test/java/hollyslip/store/JournalTest.java
+++ b/src/test/java/hollyslip/store/JournalTest.java
@@ -125,8 +125,7 @@
       whole.flipBits("log-0000000000000000000.wal", frames.get(n - 1).position() + Frames.HEADER + 2);
       String said = assertThrows(StoreException.class, () -> new Journal(whole)).getMessage();
       assertTrue(said.startsWith("log-0000000000000000000.wal: byte " + frames.get(n - 1).position()
-          + ": record "
-          + n + " is damaged"), said);
+          + ": record " + n + " is damaged"), said);
     }
   }
 
--- a/src/test/java/hollyslip/tenant/RegistryCommandHandlerModelTest.java
+++ b/src/test/java/hollyslip/tenant/RegistryCommandHandlerModelTest.java
@@ -18,14 +18,14 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** The registrar against a plain reference: for any commands in any order both say yes to the same ones, and
- * what is recorded always fits. */
+/** Compares the command handler with a simple model: for any sequence of commands both accept the same ones,
+ * and the recorded state always stays within quotas and capacity. */
 class RegistryCommandHandlerModelTest {
   private static final long MIB = 1 << 20;
   private static final List<Shard> SHARDS = List.of(new Shard(0, "a", 300, 8 * MIB, List.of()), new Shard(1,
       "a", 300, 8 * MIB, List.of(new Shard.Range(MIB, 2 * MIB))), new Shard(2, "b", 300, 8 * MIB, List.of()));
 
-  /** A command; {@code stale}: with a revision that was never given out. */
+  /** A command; {@code staleRevision}: it carries a revision that never existed. */
   record Command(int action, int tenant, int volume, int amount, boolean staleRevision) {}
 
   private static final class ModelVolume {
@@ -42,7 +42,7 @@
     final Map<String, ModelVolume> volumes = new TreeMap<>();
 
     double totalReserve() {
-      return volumes.values().stream().mapToDouble(v -> v.reserve).sum();
+      return volumes.values().stream().mapToDouble(volumeName -> volumeName.reserve).sum();
     }
   }
 
@@ -54,27 +54,30 @@
   Arbitrary<List<Command>> commands() {
     return Combinators.combine(Arbitraries.integers().between(0, 7), Arbitraries.integers().between(0, 2),
         Arbitraries.integers().between(0, 2), Arbitraries.integers().between(1, 12), Arbitraries.integers()
-            .between(0, 9)).as((verb, t, v, f, s) -> new Command(verb, t, v, f, s == 0)).list().ofMaxSize(60);
+            .between(0, 9))
+        .as((verb, tenantName, volumeName, f, command) -> new Command(verb, tenantName, volumeName, f,
+            command == 0))
+        .list()
+        .ofMaxSize(60);
   }
 
   @Property(tries = 300, seed = "4711", edgeCases = EdgeCasesMode.NONE)
-  void registryMatchesModel(@ForAll("commands") List<Command> steps) {
+  void registryMatchesModel(@ForAll("commands") List<Command> commands) {
     model.clear();
     registry = new Registry(SHARDS, 1);
     sequence = 0;
     apply(new RegistryCommandHandler(registry).createPlan(1, "x", new Wish.ForPlan("p", new Terms(0, 0, 1, 1,
-        0, 0,
-        0))));
-    for (Command s : steps) {
-      execute(s);
+        0, 0, 0))));
+    for (Command command : commands) {
+      execute(command);
       checkRegistry();
     }
-    Registry again = new Registry(SHARDS, registry.snapshot());
-    assertEquals(registry.snapshot().tenants(), again.snapshot().tenants());
-    assertEquals(new HashSet<>(registry.snapshot().volumes()), new HashSet<>(again.snapshot().volumes()));
+    Registry restored = new Registry(SHARDS, registry.snapshot());
+    assertEquals(registry.snapshot().tenants(), restored.snapshot().tenants());
+    assertEquals(new HashSet<>(registry.snapshot().volumes()), new HashSet<>(restored.snapshot().volumes()));
     for (ShardAllocations.Allocation a : registry.allocations().allocations()) {
-      assertEquals(a.reserved(), again.allocations().allocation(a.shard.number()).reserved(), 1e-6);
-      assertEquals(a.freeBytes(), again.allocations().allocation(a.shard.number()).freeBytes());
+      assertEquals(a.reserved(), restored.allocations().allocation(a.shard.number()).reserved(), 1e-6);
+      assertEquals(a.freeBytes(), restored.allocations().allocation(a.shard.number()).freeBytes());
     }
   }
 
@@ -82,7 +85,7 @@
     registry.apply(++sequence, e);
   }
 
-  /** Whether the registrar says yes. */
+  /** Returns whether the command handler accepts the command, and applies the result. */
   private boolean isAccepted(java.util.function.Function<RegistryCommandHandler, ChangeSet> decide) {
     try {
       ChangeSet e = decide.apply(new RegistryCommandHandler(registry));
@@ -97,95 +100,102 @@
     }
   }
 
-  private void execute(Command s) {
-    String t = "t" + s.tenant;
-    String v = "v" + s.volume;
-    ModelTenant ten = model.get(t);
-    ModelVolume vol = ten == null ? null : ten.volumes.get(v);
-    long seen = s.staleRevision
+  private void execute(Command command) {
+    String tenantName = "t" + command.tenant;
+    String volumeName = "v" + command.volume;
+    ModelTenant tenant = model.get(tenantName);
+    ModelVolume volume = tenant == null ? null : tenant.volumes.get(volumeName);
+    long revision = command.staleRevision
         ? 999
-        : ten == null ? 1 : s.action == 1 || s.action == 2 ? ten.revision : vol == null ? 1 : vol.revision;
-    boolean live = ten != null && !ten.draining;
-    switch (s.action) {
+        : tenant == null
+            ? 1
+            : command.action == 1 || command.action == 2
+                ? tenant.revision
+                : volume == null ? 1 : volume.revision;
+    boolean active = tenant != null && !tenant.draining;
+    switch (command.action) {
       case 0 -> {
         double others = model.values().stream().mapToDouble(x -> x.quota).sum();
-        boolean yes = ten == null && others + s.amount * 50 <= 900;
-        assertEquals(yes, isAccepted(r -> r.createTenant(1, "x", new Wish.ForTenant(t, 1, new Tenant.Quota(
-            s.amount
-                * 50, 16 * MIB, 2), Map.of()))));
-        if (yes) {
-          ModelTenant fresh = new ModelTenant();
-          fresh.quota = s.amount * 50;
-          model.put(t, fresh);
+        boolean accepted = tenant == null && others + command.amount * 50 <= 900;
+        assertEquals(accepted, isAccepted(r -> r.createTenant(1, "x", new Wish.ForTenant(tenantName, 1,
+            new Tenant.Quota(command.amount * 50, 16 * MIB, 2), Map.of()))));
+        if (accepted) {
+          ModelTenant created = new ModelTenant();
+          created.quota = command.amount * 50;
+          model.put(tenantName, created);
         }
       }
       case 1 -> {
-        double others = model.values().stream().mapToDouble(x -> x.quota).sum() - (ten == null
+        double others = model.values().stream().mapToDouble(x -> x.quota).sum() - (tenant == null
             ? 0
-            : ten.quota);
-        boolean yes = live && !s.staleRevision && others + s.amount * 50 <= 900 && ten
-            .totalReserve() <= s.amount * 50;
-        assertEquals(yes, isAccepted(r -> r.changeTenant(1, "x", t, seen, new Wish.ForTenant(t, 1,
-            new Tenant.Quota(s.amount * 50, 16 * MIB, 2), Map.of()))));
-        if (yes) {
-          ten.quota = s.amount * 50;
-          ten.revision++;
+            : tenant.quota);
+        boolean accepted = active && !command.staleRevision && others + command.amount * 50 <= 900 && tenant
+            .totalReserve() <= command.amount * 50;
+        assertEquals(accepted, isAccepted(r -> r.changeTenant(1, "x", tenantName, revision,
+            new Wish.ForTenant(tenantName, 1, new Tenant.Quota(command.amount * 50, 16 * MIB, 2), Map
+                .of()))));
+        if (accepted) {
+          tenant.quota = command.amount * 50;
+          tenant.revision++;
         }
       }
       case 2 -> {
-        boolean yes = live && !s.staleRevision;
-        assertEquals(yes, isAccepted(r -> r.removeTenant(1, "x", t, seen)));
-        if (yes) {
-          ten.draining = true;
-          ten.revision++;
-          ten.volumes.values().stream().filter(x -> x.phase != Phase.DRAINING).forEach(x -> {
+        boolean accepted = active && !command.staleRevision;
+        assertEquals(accepted, isAccepted(r -> r.removeTenant(1, "x", tenantName, revision)));
+        if (accepted) {
+          tenant.draining = true;
+          tenant.revision++;
+          tenant.volumes.values().stream().filter(x -> x.phase != Phase.DRAINING).forEach(x -> {
             x.phase = Phase.DRAINING;
             x.revision++;
           });
-          if (ten.volumes.isEmpty()) {
-            model.remove(t);
+          if (tenant.volumes.isEmpty()) {
+            model.remove(tenantName);
           }
         }
       }
-      case 3 -> create(s, t, v, ten, vol, live);
+      case 3 -> create(command, tenantName, volumeName, tenant, volume, active);
       case 4 -> {
-        boolean fits = vol != null && ten.totalReserve() - vol.reserve + s.amount * 20 <= Math.max(ten.quota,
-            ten
-                .totalReserve());
-        boolean yes = isAccepted(r -> r.changeVolume(1, "x", t, v, seen, new Wish.ForVolume(v, "p",
-            new Terms.Overrides(
-                s.amount * 20.0, null, null, null), vol == null ? MIB : vol.mib * MIB, MIB)));
-        // The shards may refuse what the quota allows, never the other way round.
-        assertTrue(!yes || live && vol != null && !s.staleRevision && vol.phase != Phase.DRAINING && fits, s
-            + "");
-        if (yes) {
-          vol.reserve = s.amount * 20;
-          vol.phase = vol.phase.afterChange();
-          vol.revision++;
+        boolean fits = volume != null && tenant.totalReserve() - volume.reserve + command.amount * 20 <= Math
+            .max(tenant.quota, tenant.totalReserve());
+        boolean accepted = isAccepted(r -> r.changeVolume(1, "x", tenantName, volumeName, revision,
+            new Wish.ForVolume(volumeName, "p", new Terms.Overrides(command.amount * 20.0, null, null, null),
+                volume == null ? MIB : volume.mib * MIB, MIB)));
+        // The shards may reject what the quota allows, never the other way round.
+        assertTrue(!accepted || active && volume != null && !command.staleRevision
+            && volume.phase != Phase.DRAINING && fits, command + "");
+        if (accepted) {
+          volume.reserve = command.amount * 20;
+          volume.phase = volume.phase.afterChange();
+          volume.revision++;
         }
       }
       case 5 -> {
-        boolean yes = live && vol != null && !s.staleRevision && vol.phase != Phase.DRAINING;
-        assertEquals(yes, isAccepted(r -> r.removeVolume(1, "x", t, v, seen)));
-        if (yes) {
-          vol.phase = Phase.DRAINING;
-          vol.revision++;
+        boolean accepted = active && volume != null && !command.staleRevision
+            && volume.phase != Phase.DRAINING;
+        assertEquals(accepted, isAccepted(r -> r.removeVolume(1, "x", tenantName, volumeName, revision)));
+        if (accepted) {
+          volume.phase = Phase.DRAINING;
+          volume.revision++;
         }
       }
       case 6 -> {
-        boolean yes = vol != null && (vol.phase == Phase.CREATING || vol.phase == Phase.CHANGING);
-        assertEquals(yes, vol != null && isAccepted(r -> r.volumeServed(1, volume(t, v))));
-        if (yes) {
-          vol.phase = Phase.ACTIVE;
+        boolean accepted = volume != null && (volume.phase == Phase.CREATING
+            || volume.phase == Phase.CHANGING);
+        assertEquals(accepted, volume != null && isAccepted(r -> r.volumeServed(1, volume(tenantName,
+            volumeName))));
+        if (accepted) {
+          volume.phase = Phase.ACTIVE;
         }
       }
       default -> {
-        boolean yes = vol != null && vol.phase == Phase.DRAINING;
-        assertEquals(yes, vol != null && isAccepted(r -> r.volumeDrained(1, volume(t, v).id())));
-        if (yes) {
-          ten.volumes.remove(v);
-          if (ten.draining && ten.volumes.isEmpty()) {
-            model.remove(t);
+        boolean accepted = volume != null && volume.phase == Phase.DRAINING;
+        assertEquals(accepted, volume != null && isAccepted(r -> r.volumeDrained(1, volume(tenantName,
+            volumeName).id())));
+        if (accepted) {
+          tenant.volumes.remove(volumeName);
+          if (tenant.draining && tenant.volumes.isEmpty()) {
+            model.remove(tenantName);
           }
         }
       }
@@ -196,21 +206,21 @@
     return registry.volume(registry.tenant(tenant).id(), volume);
   }
 
-  private void create(Command s, String t, String v, ModelTenant ten, ModelVolume vol, boolean live) {
-    boolean may = live && vol == null && ten.volumes.size() < 2 && ten.totalReserve() + s.amount
-        * 10 <= ten.quota
-        && ten.volumes.values().stream().mapToLong(x -> x.mib).sum() + s.amount <= 16;
-    boolean yes = isAccepted(r -> r.createVolume(1, "x", t, new Wish.ForVolume(v, "p", new Terms.Overrides(
-        s.amount
-            * 10.0, null, null, null), s.amount * MIB, MIB)));
-    assertTrue(!yes || may, s + "");
-    if (yes) {
-      ModelVolume made = new ModelVolume();
-      made.reserve = s.amount * 10;
-      made.mib = s.amount;
-      ten.volumes.put(v, made);
-    } else if (may) {
-      // Only full shards may be in the way.
+  private void create(Command command, String tenantName, String volumeName, ModelTenant tenant,
+      ModelVolume volume, boolean active) {
+    boolean allowed = active && volume == null && tenant.volumes.size() < 2 && tenant.totalReserve()
+        + command.amount * 10 <= tenant.quota && tenant.volumes.values().stream().mapToLong(x -> x.mib).sum()
+            + command.amount <= 16;
+    boolean accepted = isAccepted(r -> r.createVolume(1, "x", tenantName, new Wish.ForVolume(volumeName, "p",
+        new Terms.Overrides(command.amount * 10.0, null, null, null), command.amount * MIB, MIB)));
+    assertTrue(!accepted || allowed, command + "");
+    if (accepted) {
+      ModelVolume created = new ModelVolume();
+      created.reserve = command.amount * 10;
+      created.mib = command.amount;
+      tenant.volumes.put(volumeName, created);
+    } else if (allowed) {
+      // Only full shards may be the reason.
       long free = registry.allocations().allocations().stream().mapToLong(a -> a.freeBytes() / MIB).sum();
       double tightest = registry.allocations()
           .allocations()
@@ -218,36 +228,36 @@
           .mapToDouble(ShardAllocations.Allocation::freeReserve)
           .min()
           .orElseThrow();
-      assertTrue(free < s.amount || tightest < s.amount * 10, s + " with " + free + " MiB and " + tightest
-          + " free");
+      assertTrue(free < command.amount || tightest < command.amount * 10, command + " with " + free
+          + " MiB and " + tightest + " free");
     }
   }
 
-  /** What is recorded is what the reference has; no shard has promised too much; no bytes are given twice. */
+  /** The registry equals the model, no shard is over-reserved, and no byte range is allocated twice. */
   private void checkRegistry() {
     assertEquals(model.keySet(), registry.tenantNames().keySet());
-    Set<Volume.Extent> given = new HashSet<>();
-    Map<Integer, Double> promised = new HashMap<>();
-    model.forEach((name, ten) -> {
-      Tenant t = registry.tenant(name);
-      assertEquals(ten.revision, t.revision());
-      assertEquals(ten.draining, t.phase() == Phase.DRAINING);
-      assertEquals(ten.volumes.keySet(), registry.volumeNames(t.id()).keySet());
-      assertEquals(ten.totalReserve(), registry.totalReserve(t.id()), 1e-6);
-      ten.volumes.forEach((v, vol) -> {
-        HostedVolume h = registry.volume(t.id(), v);
-        assertEquals(vol.phase, h.phase());
-        assertEquals(vol.revision, h.revision());
-        assertEquals(vol.mib, h.extents().size());
-        h.extents().forEach(e -> {
-          assertTrue(given.add(e), "given twice: " + e);
+    Set<Volume.Extent> allocated = new HashSet<>();
+    Map<Integer, Double> reservedByShard = new HashMap<>();
+    model.forEach((name, tenant) -> {
+      Tenant recordedTenant = registry.tenant(name);
+      assertEquals(tenant.revision, recordedTenant.revision());
+      assertEquals(tenant.draining, recordedTenant.phase() == Phase.DRAINING);
+      assertEquals(tenant.volumes.keySet(), registry.volumeNames(recordedTenant.id()).keySet());
+      assertEquals(tenant.totalReserve(), registry.totalReserve(recordedTenant.id()), 1e-6);
+      tenant.volumes.forEach((volumeName, volume) -> {
+        HostedVolume recordedVolume = registry.volume(recordedTenant.id(), volumeName);
+        assertEquals(volume.phase, recordedVolume.phase());
+        assertEquals(volume.revision, recordedVolume.revision());
+        assertEquals(volume.mib, recordedVolume.extents().size());
+        recordedVolume.extents().forEach(e -> {
+          assertTrue(allocated.add(e), "allocated twice: " + e);
           assertTrue(e.offset() + MIB <= 8 * MIB && !(e.shard() == 1 && e.offset() == MIB), e + "");
-          promised.merge(e.shard(), vol.reserve / vol.mib, Double::sum);
+          reservedByShard.merge(e.shard(), volume.reserve / volume.mib, Double::sum);
         });
       });
     });
-    promised.forEach((shard, p) -> {
-      assertTrue(p <= 300 + 1e-6, "shard " + shard + " has promised " + p);
+    reservedByShard.forEach((shard, p) -> {
+      assertTrue(p <= 300 + 1e-6, "shard " + shard + " has reserved " + p);
       assertEquals(p, registry.allocations().allocation(shard).reserved(), 1e-6);
     });
   }
