--- a/src/main/java/hollyslip/store/Folder.java
+++ b/src/main/java/hollyslip/store/Folder.java
@@ -12,18 +12,18 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the file system. One process holds it at a time. */
+/** A store directory on the file system, locked by one process at a time. */
 public final class Folder implements StoreDirectory {
   private static final String LOCK_FILE = "lock";
 
-  private final Path dir;
+  private final Path directory;
   private final FileChannel lockChannel;
 
   /** @throws IOException
-   *           also if another process holds the folder */
-  public Folder(Path dir) throws IOException {
-    this.dir = Files.createDirectories(dir);
-    lockChannel = FileChannel.open(dir.resolve(LOCK_FILE), StandardOpenOption.CREATE,
+   *           the directory cannot be opened, or another process has locked it */
+  public Folder(Path directory) throws IOException {
+    this.directory = Files.createDirectories(directory);
+    lockChannel = FileChannel.open(directory.resolve(LOCK_FILE), StandardOpenOption.CREATE,
         StandardOpenOption.WRITE);
     FileLock lock;
     try {
@@ -33,68 +33,68 @@
     }
     if (lock == null) {
       lockChannel.close();
-      throw new IOException(dir + ": another process holds this store");
+      throw new IOException(directory + ": store is locked by another process");
     }
   }
 
   @Override
   public List<String> listFiles() throws IOException {
-    try (Stream<Path> all = Files.list(dir)) {
-      return all.map(p -> p.getFileName().toString()).filter(n -> !n.equals(LOCK_FILE)).sorted().toList();
+    try (Stream<Path> files = Files.list(directory)) {
+      return files.map(p -> p.getFileName().toString()).filter(n -> !n.equals(LOCK_FILE)).sorted().toList();
     }
   }
 
   @Override
   public byte[] read(String name) throws IOException {
-    return Files.readAllBytes(dir.resolve(name));
+    return Files.readAllBytes(directory.resolve(name));
   }
 
   @Override
   public AppendableFile append(String name) throws IOException {
-    FileChannel c = FileChannel.open(dir.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-        StandardOpenOption.APPEND);
+    FileChannel channel = FileChannel.open(directory.resolve(name), StandardOpenOption.CREATE,
+        StandardOpenOption.WRITE, StandardOpenOption.APPEND);
     return new AppendableFile() {
       @Override
       public void write(ByteBuffer bytes) throws IOException {
         while (bytes.hasRemaining()) {
-          c.write(bytes);
+          channel.write(bytes);
         }
       }
 
       @Override
       public void sync() throws IOException {
-        c.force(false);
+        channel.force(false);
       }
 
       @Override
       public void close() throws IOException {
-        c.close();
+        channel.close();
       }
     };
   }
 
   @Override
   public void truncate(String name, long size) throws IOException {
-    try (FileChannel c = FileChannel.open(dir.resolve(name), StandardOpenOption.WRITE)) {
-      c.truncate(size);
-      c.force(true);
+    try (FileChannel channel = FileChannel.open(directory.resolve(name), StandardOpenOption.WRITE)) {
+      channel.truncate(size);
+      channel.force(true);
     }
   }
 
   @Override
   public void rename(String from, String to) throws IOException {
-    Files.move(dir.resolve(from), dir.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+    Files.move(directory.resolve(from), directory.resolve(to), StandardCopyOption.ATOMIC_MOVE);
   }
 
   @Override
   public void delete(String name) throws IOException {
-    Files.deleteIfExists(dir.resolve(name));
+    Files.deleteIfExists(directory.resolve(name));
   }
 
   @Override
   public void syncDirectory() throws IOException {
-    try (FileChannel c = FileChannel.open(dir)) {
-      c.force(true);
+    try (FileChannel channel = FileChannel.open(directory)) {
+      channel.force(true);
     }
   }
 
--- a/src/main/java/hollyslip/store/Frames.java
+++ b/src/main/java/hollyslip/store/Frames.java
@@ -5,86 +5,88 @@
 import java.util.List;
 import java.util.zip.CRC32C;
 
-/** Frames of the log: length of the payload (4 bytes), CRC32C of all that follows (4), sequence (8), the last
- * sequence known to be synced when this was written (8), payload; big-endian. A frame without payload is a
- * mark: it brings only the word of what is synced.
+/** Frame format of the log, big-endian: payload length (4 bytes), CRC32C of the rest of the frame and the
+ * length (4), sequence (8), last sequence known to be synced when the frame was written (8), payload. A frame
+ * without payload is a sync mark: it only carries the last synced sequence.
  *
  * <p>
- * That word tells a torn tail from damage. After a crash any part of what was not synced may be there, in any
- * order; so a broken frame is a torn tail only if no whole frame behind it says that it had been synced. */
+ * The synced sequence distinguishes a torn tail from damage. After a crash any part of the unsynced data may
+ * be on disk, in any order; a broken frame is therefore a torn tail only if no valid frame after it says that
+ * its sequence had been synced. */
 final class Frames {
   static final int HEADER = 24;
 
-  /** Largest payload, bytes: a bound against lengths that are noise. */
+  /** Maximum payload size, bytes; rejects lengths read from garbage. */
   static final int MAX_PAYLOAD_BYTES = 64 << 20;
 
   private Frames() {}
 
-  /** A frame found in a file. */
+  /** A frame read from a file. */
   record Frame(int position, long sequence, long syncedSequence, byte[] payload) {
     int end() {
       return position + HEADER + payload.length;
     }
   }
 
-  /** What a file holds: whole frames from its start, where they end, and what is wrong behind them, if it
-   * cannot have come from a crash; else null. */
-  record Scan(List<Frame> frames, int end, String damage) {}
+  /** Result of scanning a file: the valid frames from its start, the position where they end, and a
+   * description of damage behind them that a crash cannot explain; null if there is none. */
+  record Scan(List<Frame> frames, int endPosition, String damage) {}
 
   static ByteBuffer encode(long sequence, long synced, byte[] payload) {
-    ByteBuffer b = ByteBuffer.allocate(HEADER + payload.length);
-    b.putInt(0, payload.length).putLong(8, sequence).putLong(16, synced).put(HEADER, payload);
-    return b.putInt(4, crc(b.array(), 0, payload.length));
+    ByteBuffer buffer = ByteBuffer.allocate(HEADER + payload.length);
+    buffer.putInt(0, payload.length).putLong(8, sequence).putLong(16, synced).put(HEADER, payload);
+    return buffer.putInt(4, crc(buffer.array(), 0, payload.length));
   }
 
-  private static int crc(byte[] file, int at, int length) {
-    CRC32C c = new CRC32C();
-    c.update(file, at, 4);
-    c.update(file, at + 8, HEADER - 8 + length);
-    return (int) c.getValue();
+  private static int crc(byte[] file, int position, int length) {
+    CRC32C crc = new CRC32C();
+    crc.update(file, position, 4);
+    crc.update(file, position + 8, HEADER - 8 + length);
+    return (int) crc.getValue();
   }
 
-  /** The whole frame at a place, or null. */
-  static Frame at(byte[] file, int at) {
-    if (file.length - at < HEADER) {
+  /** Returns the frame at a position, or null if there is no valid one. */
+  static Frame parseFrame(byte[] file, int position) {
+    if (file.length - position < HEADER) {
       return null;
     }
-    ByteBuffer b = ByteBuffer.wrap(file);
-    int length = b.getInt(at);
-    if (length < 0 || length > MAX_PAYLOAD_BYTES || length > file.length - at - HEADER || crc(file, at,
-        length) != b.getInt(at + 4)) {
+    ByteBuffer buffer = ByteBuffer.wrap(file);
+    int length = buffer.getInt(position);
+    if (length < 0 || length > MAX_PAYLOAD_BYTES || length > file.length - position - HEADER || crc(file,
+        position, length) != buffer.getInt(position + 4)) {
       return null;
     }
     byte[] payload = new byte[length];
-    b.get(at + HEADER, payload);
-    return new Frame(at, b.getLong(at + 8), b.getLong(at + 16), payload);
+    buffer.get(position + HEADER, payload);
+    return new Frame(position, buffer.getLong(position + 8), buffer.getLong(position + 16), payload);
   }
 
-  /** Reads a file from {@code from} on; {@code next} is the sequence that must come first. */
-  static Scan scan(byte[] file, int from, long next) {
+  /** Scans a file from position {@code from} on; the first record must have sequence
+   * {@code firstSequence}. */
+  static Scan scan(byte[] file, int from, long firstSequence) {
     List<Frame> frames = new ArrayList<>();
-    int at = from;
-    long expected = next;
-    Frame f = at(file, at);
-    while (f != null && f.sequence == (f.payload.length == 0 ? expected - 1 : expected)) {
-      if (f.payload.length > 0) {
-        frames.add(f);
+    int position = from;
+    long expected = firstSequence;
+    Frame frame = parseFrame(file, position);
+    while (frame != null && frame.sequence == (frame.payload.length == 0 ? expected - 1 : expected)) {
+      if (frame.payload.length > 0) {
+        frames.add(frame);
         expected++;
       }
-      at = f.end();
-      f = at(file, at);
+      position = frame.end();
+      frame = parseFrame(file, position);
     }
-    if (f != null) {
-      return new Scan(frames, at, "byte " + at + ": sequence " + f.sequence + " stands where " + expected
-          + " should");
+    if (frame != null) {
+      return new Scan(frames, position, "byte " + position + ": sequence " + frame.sequence + " where "
+          + expected + " was expected");
     }
-    for (int i = at + 1; i <= file.length - HEADER; i++) {
-      Frame later = at(file, i);
+    for (int i = position + 1; i <= file.length - HEADER; i++) {
+      Frame later = parseFrame(file, i);
       if (later != null && later.syncedSequence >= expected) {
-        return new Scan(frames, at, "byte " + at + ": record " + expected
-            + " is damaged, yet the one at byte " + i + " says that it was synced");
+        return new Scan(frames, position, "byte " + position + ": record " + expected
+            + " is damaged, but the frame at byte " + i + " says that it had been synced");
       }
     }
-    return new Scan(frames, at, null);
+    return new Scan(frames, position, null);
   }
 }
--- a/src/main/java/hollyslip/store/Journal.java
+++ b/src/main/java/hollyslip/store/Journal.java
@@ -14,22 +14,22 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A write-ahead log with snapshots. Records are numbered from 1 without gaps and are there after a crash
- * once their future is complete; many that wait are synced at once (group commit). Segments of the log begin
- * at a snapshot; the newest two snapshots are kept with all that came after the older one.
+/** A write-ahead log with snapshots. Records are numbered from 1 without gaps and are durable once their
+ * future completes; waiting records are synced together (group commit). Each segment of the log starts at a
+ * snapshot. The newest two snapshots are kept, with all records after the older one.
  *
  * <p>
- * A write or sync that fails is the end: what the system has kept of it cannot be known any more, so every
- * later record fails too, until the store is opened again. */
+ * A failed write or sync is final: it is unknown how much of it reached the disk, so all later appends fail
+ * until the store is opened again. */
 public final class Journal implements Closeable {
   private static final Logger LOG = LoggerFactory.getLogger(Journal.class);
   private static final String SEGMENT_PREFIX = "log-", SEGMENT_SUFFIX = ".wal";
 
-  /** Bytes of records synced together at most. */
+  /** Payload bytes after which a group is synced without waiting for more records. */
   private static final int MAX_BATCH_BYTES = 8 << 20;
 
-  /** What was found: the state as of {@code sequence}, null: none; the records after it, in order; what was
-   * odd, for the operator. */
+  /** State read when the store was opened: the newest valid snapshot as of {@code sequence} (null: none), the
+   * records after it in order, and warnings for the operator. */
   public record RecoveredState(byte[] state, long sequence, List<byte[]> records, List<String> warnings) {}
 
   private sealed interface WriterTask permits AppendTask, SnapshotTask, CloseTask {}
@@ -59,17 +59,17 @@
   private boolean closing;
   private volatile Throwable failure;
 
-  /** Opens the store and reads all there is.
+  /** Opens the store and reads its contents.
    *
    * @throws StoreException
-   *           a record that had been synced is damaged; nothing is changed then */
-  public Journal(StoreDirectory disk) throws IOException {
-    this.directory = disk;
-    recovered = new StoreRecovery(disk).recover();
+   *           a synced record is damaged; no file is changed in this case */
+  public Journal(StoreDirectory directory) throws IOException {
+    this.directory = directory;
+    recovered = new StoreRecovery(directory).recover();
     lastSequence = recovered.sequence + recovered.records.size();
     syncedSequence = lastSequence;
-    segmentFile = disk.append(segmentToWrite());
-    disk.syncDirectory();
+    segmentFile = directory.append(segmentToWrite());
+    directory.syncDirectory();
     writer = new Thread(this::runWriter, "journal");
     writer.setDaemon(true);
     writer.start();
@@ -80,29 +80,29 @@
     return segments.isEmpty() ? segmentName(lastSequence) : segments.get(segments.size() - 1);
   }
 
-  static String segmentName(long after) {
-    return String.format("%s%019d%s", SEGMENT_PREFIX, after, SEGMENT_SUFFIX);
+  static String segmentName(long sequenceBefore) {
+    return String.format("%s%019d%s", SEGMENT_PREFIX, sequenceBefore, SEGMENT_SUFFIX);
   }
 
   static List<String> segmentNames(List<String> names) {
     return names.stream()
-        .filter(n -> n.startsWith(SEGMENT_PREFIX) && n.endsWith(SEGMENT_SUFFIX))
+        .filter(name -> name.startsWith(SEGMENT_PREFIX) && name.endsWith(SEGMENT_SUFFIX))
         .sorted()
         .toList();
   }
 
-  /** Sequence after which a segment begins. */
+  /** Returns the sequence after which a segment starts. */
   static long sequenceBefore(String name) {
     return Long.parseLong(name.substring(SEGMENT_PREFIX.length(), name.length() - SEGMENT_SUFFIX.length()));
   }
 
-  /** What was found at the opening. */
+  /** Returns the state read when the store was opened. */
   public RecoveredState recovered() {
     return recovered;
   }
 
-  /** Appends a record; complete with its sequence once it is synced. Records are numbered in the order of the
-   * calls. */
+  /** Appends a record. The future completes with its sequence once it is synced. Records are numbered in the
+   * order of the calls. */
   public synchronized CompletableFuture<Long> append(byte[] payload) {
     if (payload.length == 0 || payload.length > Frames.MAX_PAYLOAD_BYTES) {
       throw new IllegalArgumentException("record: " + payload.length + " bytes");
@@ -116,17 +116,17 @@
     return done;
   }
 
-  /** Sequence of the last record appended; it need not be synced. */
+  /** Returns the sequence of the last appended record, which may not be synced yet. */
   public synchronized long lastSequence() {
     return lastSequence;
   }
 
-  /** Keeps the state as of a sequence, so that what came before is not needed any more. The state must be
-   * that after exactly the records up to {@code sequence}, which must be the last that was appended; it is
-   * asked for later, on another thread. */
+  /** Writes a snapshot, which replaces all records up to {@code sequence}. That must be the last appended
+   * record, and the state must be the one after exactly these records. The supplier is called later, on
+   * another thread. */
   public synchronized CompletableFuture<Long> snapshot(long sequence, Supplier<byte[]> state) {
     if (sequence != lastSequence) {
-      throw new IllegalArgumentException("sequence: " + sequence + " is not the last, " + lastSequence);
+      throw new IllegalArgumentException("sequence: " + sequence + " is not the last one, " + lastSequence);
     }
     CompletableFuture<Long> done = new CompletableFuture<>();
     if (closing) {
@@ -137,7 +137,7 @@
     return done;
   }
 
-  /** Why nothing can be written any more; null: it can. */
+  /** Returns the error after which nothing can be written any more, or null. */
   public Throwable failure() {
     return failure;
   }
@@ -160,8 +160,8 @@
   private boolean write(List<WriterTask> batch) {
     List<AppendTask> group = new ArrayList<>();
     int bytes = 0;
-    for (WriterTask l : batch) {
-      if (l instanceof AppendTask e) {
+    for (WriterTask task : batch) {
+      if (task instanceof AppendTask e) {
         group.add(e);
         bytes += e.payload.length;
         if (bytes > MAX_BATCH_BYTES) {
@@ -171,9 +171,9 @@
       } else {
         commit(group);
         bytes = 0;
-        if (l instanceof SnapshotTask c) {
-          startSegment(c);
-        } else if (l instanceof CloseTask e) {
+        if (task instanceof SnapshotTask snapshot) {
+          startSegment(snapshot);
+        } else if (task instanceof CloseTask e) {
           shutDown(e);
           return false;
         }
@@ -183,7 +183,7 @@
     return true;
   }
 
-  /** Writes and syncs a group, then tells those who wait. */
+  /** Writes and syncs a group of records, then completes their futures. */
   private void commit(List<AppendTask> group) {
     if (group.isEmpty()) {
       return;
@@ -191,9 +191,9 @@
     try {
       if (failure == null) {
         int size = group.stream().mapToInt(e -> Frames.HEADER + e.payload.length).sum();
-        ByteBuffer all = ByteBuffer.allocate(size);
-        group.forEach(e -> all.put(Frames.encode(e.sequence, syncedSequence, e.payload)));
-        segmentFile.write(all.flip());
+        ByteBuffer buffer = ByteBuffer.allocate(size);
+        group.forEach(e -> buffer.put(Frames.encode(e.sequence, syncedSequence, e.payload)));
+        segmentFile.write(buffer.flip());
         segmentFile.sync();
         syncedSequence = group.get(group.size() - 1).sequence;
         writeSyncMark();
@@ -211,7 +211,8 @@
     group.clear();
   }
 
-  /** Notes, without a sync, what is synced: damage to the last record is told from a torn tail by it. */
+  /** Writes, without a sync, a frame with the last synced sequence. It lets recovery distinguish damage to
+   * the last record from a torn tail. */
   private void writeSyncMark() throws IOException {
     if (tasks.isEmpty()) {
       segmentFile.write(Frames.encode(syncedSequence, syncedSequence, new byte[0]));
@@ -223,15 +224,16 @@
     LOG.atError().setCause(e).log("store.broken");
   }
 
-  /** Begins a new segment; the state is packed and written beside, while records go on. */
-  private void startSegment(SnapshotTask c) {
+  /** Starts a new segment. The snapshot is compressed and written in the background while appends
+   * continue. */
+  private void startSegment(SnapshotTask snapshot) {
     try {
       if (failure != null) {
         throw new StoreException("the store cannot be written", failure);
       }
-      // The last mark is not synced yet; a segment that another follows must have no torn tail.
+      // The last sync mark is not synced yet, and a segment followed by another must not have a torn tail.
       segmentFile.sync();
-      StoreDirectory.AppendableFile next = directory.append(segmentName(c.sequence));
+      StoreDirectory.AppendableFile next = directory.append(segmentName(snapshot.sequence));
       directory.syncDirectory();
       segmentFile.close();
       segmentFile = next;
@@ -239,18 +241,18 @@
       if (failure == null) {
         markFailed(e);
       }
-      c.done.completeExceptionally(e);
+      snapshot.done.completeExceptionally(e);
       return;
     }
     snapshots.execute(() -> {
       try {
-        Snapshots.write(directory, c.sequence, c.state.get());
+        Snapshots.write(directory, snapshot.sequence, snapshot.state.get());
         deleteObsoleteFiles();
-        c.done.complete(c.sequence);
+        snapshot.done.complete(snapshot.sequence);
       } catch (IOException | RuntimeException e) {
-        // The log holds all of it still; the next snapshot may succeed.
+        // The log still holds all records; the next snapshot may succeed.
         LOG.atError().setCause(e).log("store.snapshot");
-        c.done.completeExceptionally(e);
+        snapshot.done.completeExceptionally(e);
       }
     });
   }
@@ -258,13 +260,13 @@
   private void deleteObsoleteFiles() throws IOException {
     List<String> names = directory.listFiles();
     List<String> kept = Snapshots.snapshotNames(names);
-    long oldest = kept.size() < 2 ? 0 : Snapshots.sequence(kept.get(kept.size() - 2));
-    for (String n : Snapshots.obsolete(names)) {
-      directory.delete(n);
+    long oldestNeeded = kept.size() < 2 ? 0 : Snapshots.sequence(kept.get(kept.size() - 2));
+    for (String name : Snapshots.obsolete(names)) {
+      directory.delete(name);
     }
-    for (String n : segmentNames(names)) {
-      if (sequenceBefore(n) < oldest) {
-        directory.delete(n);
+    for (String name : segmentNames(names)) {
+      if (sequenceBefore(name) < oldestNeeded) {
+        directory.delete(name);
       }
     }
     directory.syncDirectory();
@@ -277,12 +279,12 @@
       segmentFile.close();
       directory.close();
       e.done.complete(null);
-    } catch (IOException | InterruptedException x) {
-      e.done.completeExceptionally(x);
+    } catch (IOException | InterruptedException error) {
+      e.done.completeExceptionally(error);
     }
   }
 
-  /** Ends after what was appended is written. */
+  /** Closes the store after all appended records are written. */
   @Override
   public void close() {
     CompletableFuture<Void> done = new CompletableFuture<>();
--- a/src/main/java/hollyslip/store/StoreDirectory.java
+++ b/src/main/java/hollyslip/store/StoreDirectory.java
@@ -5,34 +5,34 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** Files of one folder, as far as the store needs them: what a crash may take is what was not synced. */
+/** The directory in which the store keeps its files. Only what was not synced may be lost in a crash. */
 public interface StoreDirectory extends Closeable {
-  /** A file that only grows. */
+  /** A file open for appending. */
   interface AppendableFile extends Closeable {
-    /** Appends all that remains in {@code bytes}. */
+    /** Appends all remaining bytes of the buffer. */
     void write(ByteBuffer bytes) throws IOException;
 
-    /** What was written before is there after a crash, once this returns. */
+    /** Makes all earlier writes durable before it returns. */
     void sync() throws IOException;
   }
 
-  /** Names of the files, sorted. */
+  /** Returns the names of the files, sorted. */
   List<String> listFiles() throws IOException;
 
-  /** All bytes of a file. */
+  /** Returns the contents of a file. */
   byte[] read(String name) throws IOException;
 
-  /** Opens a file at its end; a new one if there is none. */
+  /** Opens a file for appending, and creates it if it does not exist. */
   AppendableFile append(String name) throws IOException;
 
-  /** Cuts a file; the cut is synced. */
+  /** Truncates a file and syncs it. */
   void truncate(String name, long size) throws IOException;
 
-  /** Replaces {@code to} by {@code from} in one step. */
+  /** Renames a file atomically, replacing an existing {@code to}. */
   void rename(String from, String to) throws IOException;
 
   void delete(String name) throws IOException;
 
-  /** Makes what was created, renamed and deleted outlive a crash. */
+  /** Makes earlier creations, renames and deletions of files durable. */
   void syncDirectory() throws IOException;
 }
--- a/src/main/java/hollyslip/store/StoreException.java
+++ b/src/main/java/hollyslip/store/StoreException.java
@@ -1,14 +1,14 @@
 package hollyslip.store;
 
-/** The store is damaged or cannot go on; the text names file and place. */
+/** Thrown if the store is damaged or cannot be written. For damage the message names file and position. */
 public final class StoreException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
-  StoreException(String what) {
-    super(what);
+  StoreException(String message) {
+    super(message);
   }
 
-  StoreException(String what, Throwable cause) {
-    super(what, cause);
+  StoreException(String message, Throwable cause) {
+    super(message, cause);
   }
 }
--- a/src/main/java/hollyslip/store/StoreRecovery.java
+++ b/src/main/java/hollyslip/store/StoreRecovery.java
@@ -4,44 +4,47 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads a store after a stop or a crash: the newest snapshot that is whole, all records behind it, the torn
- * tail cut. Damage that no crash explains stops it, with file and place. */
+/** Reads a store after a shutdown or a crash: the newest valid snapshot and all records after it. A torn tail
+ * is truncated. Damage that a crash cannot explain ends recovery with an error that names file and
+ * position. */
 final class StoreRecovery {
   private final StoreDirectory directory;
   private final List<String> warnings = new ArrayList<>();
   private byte[] state;
   private long snapshotSequence;
 
-  StoreRecovery(StoreDirectory disk) {
-    this.directory = disk;
+  StoreRecovery(StoreDirectory directory) {
+    this.directory = directory;
   }
 
   Journal.RecoveredState recover() throws IOException {
-    for (String n : directory.listFiles()) {
-      if (n.endsWith(Snapshots.PARTIAL_SUFFIX)) {
-        directory.delete(n);
+    for (String name : directory.listFiles()) {
+      if (name.endsWith(Snapshots.PARTIAL_SUFFIX)) {
+        directory.delete(name);
       }
     }
     loadSnapshot(Snapshots.snapshotNames(directory.listFiles()));
     List<byte[]> records = new ArrayList<>();
     List<String> segments = Journal.segmentNames(directory.listFiles());
-    long next = snapshotSequence + 1;
+    long nextSequence = snapshotSequence + 1;
     for (int i = 0; i < segments.size(); i++) {
-      long first = Journal.sequenceBefore(segments.get(i)) + 1;
-      boolean needed = i + 1 == segments.size() || Journal.sequenceBefore(segments.get(i + 1)) >= next;
+      long firstSequence = Journal.sequenceBefore(segments.get(i)) + 1;
+      boolean needed = i + 1 == segments.size() || Journal.sequenceBefore(segments.get(i
+          + 1)) >= nextSequence;
       if (!needed) {
         continue;
       }
-      if (first > next) {
-        throw new StoreException(segments.get(i) + ": begins with record " + first + ", but " + next
-            + " is missing");
+      if (firstSequence > nextSequence) {
+        throw new StoreException(segments.get(i) + ": starts with record " + firstSequence + ", but "
+            + nextSequence + " is missing");
       }
-      next = readSegment(segments.get(i), first, next, i + 1 == segments.size(), records);
+      nextSequence = readSegment(segments.get(i), firstSequence, nextSequence, i + 1 == segments.size(),
+          records);
     }
     return new Journal.RecoveredState(state, snapshotSequence, records, warnings);
   }
 
-  /** The newest whole one. An older one serves as well: the records behind it are kept. */
+  /** Loads the newest valid snapshot. An older one works as well, since the records after it are kept. */
   private void loadSnapshot(List<String> names) throws IOException {
     StoreException damage = null;
     for (int i = names.size() - 1; i >= 0; i--) {
@@ -50,7 +53,7 @@
         snapshotSequence = Snapshots.sequence(names.get(i));
         return;
       } catch (StoreException e) {
-        warnings.add(e.getMessage() + "; the one before is used");
+        warnings.add(e.getMessage() + "; using the previous snapshot");
         damage = e;
       }
     }
@@ -59,28 +62,29 @@
     }
   }
 
-  private long readSegment(String name, long first, long next, boolean last, List<byte[]> records)
-      throws IOException {
+  private long readSegment(String name, long firstSequence, long nextSequence, boolean isLast,
+      List<byte[]> records) throws IOException {
     byte[] file = directory.read(name);
-    Frames.Scan scan = Frames.scan(file, 0, first);
+    Frames.Scan scan = Frames.scan(file, 0, firstSequence);
     if (scan.damage() != null) {
       throw new StoreException(name + ": " + scan.damage());
     }
-    long after = first + scan.frames().size();
+    long endSequence = firstSequence + scan.frames().size();
     for (Frames.Frame f : scan.frames()) {
-      if (f.sequence() >= next) {
+      if (f.sequence() >= nextSequence) {
         records.add(f.payload());
       }
     }
-    if (scan.end() < file.length) {
-      if (!last) {
-        // A segment is followed by another only after all of it was synced.
-        throw new StoreException(name + ": byte " + scan.end() + ": is damaged, and a later segment follows");
+    if (scan.endPosition() < file.length) {
+      if (!isLast) {
+        // A new segment is started only after all of the previous one was synced.
+        throw new StoreException(name + ": byte " + scan.endPosition()
+            + ": segment is damaged and is followed by another");
       }
-      warnings.add(name + ": torn tail of " + (file.length - scan.end()) + " bytes cut at byte " + scan
-          .end());
-      directory.truncate(name, scan.end());
+      warnings.add(name + ": torn tail of " + (file.length - scan.endPosition()) + " bytes truncated at byte "
+          + scan.endPosition());
+      directory.truncate(name, scan.endPosition());
     }
-    return Math.max(next, after);
+    return Math.max(nextSequence, endSequence);
   }
 }
--- a/src/test/java/hollyslip/store/CrashingDirectory.java
+++ b/src/test/java/hollyslip/store/CrashingDirectory.java
@@ -9,10 +9,10 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** Files in memory that can crash before any write, sync or change of a name. What was not synced is then
- * kept, dropped or torn, each write for itself, so that later ones may be there without earlier ones. */
+/** An in-memory directory that can crash before any write, sync or change of a name. Each unsynced write is
+ * then kept, dropped or torn independently, so that a later write may survive without an earlier one. */
 final class CrashingDirectory implements StoreDirectory {
-  /** A file: synced bytes, then writes that are not. */
+  /** A file: synced bytes followed by unsynced writes. */
   private static final class Content {
     byte[] synced = new byte[0];
     final List<byte[]> unsynced = new ArrayList<>();
@@ -47,10 +47,10 @@
   private long stepsUntilCrash;
   long steps;
 
-  /** @param left
-   *          steps until the crash; negative: none */
-  CrashingDirectory(long left) {
-    this.stepsUntilCrash = left;
+  /** @param stepsUntilCrash
+   *          steps until the crash; negative: no crash */
+  CrashingDirectory(long stepsUntilCrash) {
+    this.stepsUntilCrash = stepsUntilCrash;
   }
 
   private synchronized void step() throws IOException {
@@ -61,21 +61,22 @@
     }
   }
 
-  /** What is there after the crash; it crashes again after so many steps. */
-  synchronized CrashingDirectory afterCrash(SplittableRandom random, long next) {
-    CrashingDirectory d = new CrashingDirectory(next);
+  /** Returns the directory as it is after the crash; it crashes again after {@code stepsUntilNextCrash}
+   * steps. */
+  synchronized CrashingDirectory afterCrash(SplittableRandom random, long stepsUntilNextCrash) {
+    CrashingDirectory result = new CrashingDirectory(stepsUntilNextCrash);
     int applied = random.nextInt(pendingNameChanges.size() + 1);
     pendingNameChanges.subList(0, applied).forEach(Runnable::run);
-    durable.forEach((name, c) -> {
-      Content k = new Content();
-      k.synced = c.afterCrash(random);
-      d.current.put(name, k);
-      d.durable.put(name, k);
+    durable.forEach((name, content) -> {
+      Content survivor = new Content();
+      survivor.synced = content.afterCrash(random);
+      result.current.put(name, survivor);
+      result.durable.put(name, survivor);
     });
-    return d;
+    return result;
   }
 
-  /** Turns over bits of one byte. */
+  /** Flips bits of one synced byte. */
   synchronized void flipBits(String name, int at) {
     current.get(name).synced[at] ^= 0x15;
   }
@@ -93,10 +94,10 @@
   @Override
   public synchronized AppendableFile append(String name) throws IOException {
     step();
-    Content c = current.computeIfAbsent(name, k -> {
-      Content fresh = new Content();
-      pendingNameChanges.add(() -> durable.put(name, fresh));
-      return fresh;
+    Content content = current.computeIfAbsent(name, survivor -> {
+      Content created = new Content();
+      pendingNameChanges.add(() -> durable.put(name, created));
+      return created;
     });
     return new AppendableFile() {
       @Override
@@ -105,7 +106,7 @@
         byte[] b = new byte[bytes.remaining()];
         bytes.get(b);
         synchronized (CrashingDirectory.this) {
-          c.unsynced.add(b);
+          content.unsynced.add(b);
         }
       }
 
@@ -113,8 +114,8 @@
       public void sync() throws IOException {
         step();
         synchronized (CrashingDirectory.this) {
-          c.synced = c.allBytes();
-          c.unsynced.clear();
+          content.synced = content.allBytes();
+          content.unsynced.clear();
         }
       }
 
@@ -126,19 +127,19 @@
   @Override
   public synchronized void truncate(String name, long size) throws IOException {
     step();
-    Content c = current.get(name);
-    c.synced = java.util.Arrays.copyOf(c.allBytes(), (int) size);
-    c.unsynced.clear();
+    Content content = current.get(name);
+    content.synced = java.util.Arrays.copyOf(content.allBytes(), (int) size);
+    content.unsynced.clear();
   }
 
   @Override
   public synchronized void rename(String from, String to) throws IOException {
     step();
-    Content c = current.remove(from);
-    current.put(to, c);
+    Content content = current.remove(from);
+    current.put(to, content);
     pendingNameChanges.add(() -> {
       durable.remove(from);
-      durable.put(to, c);
+      durable.put(to, content);
     });
   }
 
--- a/src/test/java/hollyslip/store/JournalTest.java
+++ b/src/test/java/hollyslip/store/JournalTest.java
@@ -24,130 +24,130 @@
     return ("record " + i + " ".repeat((int) (i * 37 % 90))).getBytes(StandardCharsets.UTF_8);
   }
 
-  /** A state that is a count of records: what a snapshot after record {@code i} holds. */
+  /** The state that a snapshot after record {@code i} holds. */
   private static byte[] state(long i) {
     return ("state " + i).getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Writes records in groups, with snapshots between, until the disk crashes or 24 are there; the last that
-   * was acknowledged. */
-  private static long appendWithSnapshots(Journal j, long from) {
+  /** Appends 24 records in groups, with snapshots in between, or fewer if the directory crashes; returns the
+   * last acknowledged sequence. */
+  private static long appendWithSnapshots(Journal journal, long from) {
     long acknowledged = from;
     for (long i = from + 1; i <= from + 24; i += 3) {
       List<CompletableFuture<Long>> group = new ArrayList<>();
       for (long k = i; k < i + 3; k++) {
-        group.add(j.append(record(k)));
+        group.add(journal.append(record(k)));
       }
-      for (CompletableFuture<Long> f : group) {
+      for (CompletableFuture<Long> future : group) {
         try {
-          acknowledged = f.join();
+          acknowledged = future.join();
         } catch (CompletionException e) {
           return acknowledged;
         }
       }
       if (i % 2 == 0) {
         byte[] state = state(i + 2);
-        j.snapshot(i + 2, () -> state).exceptionally(e -> 0L).join();
+        journal.snapshot(i + 2, () -> state).exceptionally(e -> 0L).join();
       }
     }
     return acknowledged;
   }
 
-  /** Everything acknowledged is there, nothing in part, nothing that was never written. */
-  private static long checkRecovered(Journal.RecoveredState f, long acknowledged, long appended) {
-    long all = f.sequence() + f.records().size();
-    assertTrue(all >= acknowledged, all + " records are there, " + acknowledged + " were acknowledged");
+  /** Checks that all acknowledged records are present and intact, and that no record was never appended. */
+  private static long checkRecovered(Journal.RecoveredState recovered, long acknowledged, long appended) {
+    long all = recovered.sequence() + recovered.records().size();
+    assertTrue(all >= acknowledged, all + " records are present, " + acknowledged + " were acknowledged");
     assertTrue(all <= appended);
-    if (f.sequence() > 0) {
-      assertArrayEquals(state(f.sequence()), f.state());
+    if (recovered.sequence() > 0) {
+      assertArrayEquals(state(recovered.sequence()), recovered.state());
     }
-    for (int i = 0; i < f.records().size(); i++) {
-      assertArrayEquals(record(f.sequence() + i + 1), f.records().get(i));
+    for (int i = 0; i < recovered.records().size(); i++) {
+      assertArrayEquals(record(recovered.sequence() + i + 1), recovered.records().get(i));
     }
     return all;
   }
 
-  /** A crash at every write, sync and change of a name, with several outcomes of each, and then another crash
+  /** Crashes at every write, sync and change of a name, with several outcomes of each, and crashes once more
    * in the work that follows. */
   @Test
   void acknowledgedRecordsSurviveACrashAtAnyStep() throws IOException {
-    CrashingDirectory calm = new CrashingDirectory(-1);
-    try (Journal j = new Journal(calm)) {
-      assertEquals(24, appendWithSnapshots(j, 0));
+    CrashingDirectory uninterrupted = new CrashingDirectory(-1);
+    try (Journal journal = new Journal(uninterrupted)) {
+      assertEquals(24, appendWithSnapshots(journal, 0));
     }
     SplittableRandom random = new SplittableRandom(11);
     int points = 0;
-    for (long at = 0; at < calm.steps; at++) {
+    for (long at = 0; at < uninterrupted.steps; at++) {
       for (int variant = 0; variant < 20; variant++) {
-        CrashingDirectory disk = new CrashingDirectory(at);
+        CrashingDirectory directory = new CrashingDirectory(at);
         long acknowledged = 0;
         long appended = 0;
         for (int crash = 0; crash < 2; crash++) {
           try {
-            Journal j = new Journal(disk);
-            long there = checkRecovered(j.recovered(), acknowledged, appended);
-            appended = there + 24;
-            acknowledged = Math.max(there, appendWithSnapshots(j, there));
-            j.close();
+            Journal journal = new Journal(directory);
+            long recordCount = checkRecovered(journal.recovered(), acknowledged, appended);
+            appended = recordCount + 24;
+            acknowledged = Math.max(recordCount, appendWithSnapshots(journal, recordCount));
+            journal.close();
           } catch (IOException e) {
             assertEquals("crash", e.getMessage());
           }
-          disk = disk.afterCrash(random, crash == 0 ? random.nextInt(40) : -1);
+          directory = directory.afterCrash(random, crash == 0 ? random.nextInt(40) : -1);
           points++;
         }
-        try (Journal j = new Journal(disk)) {
-          checkRecovered(j.recovered(), acknowledged, appended);
+        try (Journal journal = new Journal(directory)) {
+          checkRecovered(journal.recovered(), acknowledged, appended);
         }
       }
     }
     assertTrue(points > 2_000, points + " crashes");
   }
 
-  /** A damaged record is never taken for a torn tail: not in the middle, and not the last one either, since
-   * the mark behind it tells that it was synced. */
+  /** A damaged record is never mistaken for a torn tail: neither in the middle of the log, nor at its end,
+   * where the sync mark after the record says that it was synced. */
   @Test
   void damagedRecordIsReportedWithItsPosition() throws IOException {
     for (int n = 1; n <= 5; n++) {
-      CrashingDirectory disk = new CrashingDirectory(-1);
-      Journal j = new Journal(disk);
+      CrashingDirectory directory = new CrashingDirectory(-1);
+      Journal journal = new Journal(directory);
       for (long i = 1; i <= 5; i++) {
-        j.append(record(i)).join();
+        journal.append(record(i)).join();
       }
-      j.close();
-      CrashingDirectory whole = new CrashingDirectory(-1);
-      try (StoreDirectory.AppendableFile out = whole.append("log-0000000000000000000.wal")) {
-        out.write(java.nio.ByteBuffer.wrap(disk.read("log-0000000000000000000.wal")));
+      journal.close();
+      CrashingDirectory copy = new CrashingDirectory(-1);
+      try (StoreDirectory.AppendableFile out = copy.append("log-0000000000000000000.wal")) {
+        out.write(java.nio.ByteBuffer.wrap(directory.read("log-0000000000000000000.wal")));
         out.sync();
       }
-      byte[] file = whole.read("log-0000000000000000000.wal");
+      byte[] file = copy.read("log-0000000000000000000.wal");
       List<Frames.Frame> frames = Frames.scan(file, 0, 1).frames();
       assertEquals(5, frames.size());
-      whole.flipBits("log-0000000000000000000.wal", frames.get(n - 1).position() + Frames.HEADER + 2);
-      String said = assertThrows(StoreException.class, () -> new Journal(whole)).getMessage();
-      assertTrue(said.startsWith("log-0000000000000000000.wal: byte " + frames.get(n - 1).position()
-          + ": record " + n + " is damaged"), said);
+      copy.flipBits("log-0000000000000000000.wal", frames.get(n - 1).position() + Frames.HEADER + 2);
+      String message = assertThrows(StoreException.class, () -> new Journal(copy)).getMessage();
+      assertTrue(message.startsWith("log-0000000000000000000.wal: byte " + frames.get(n - 1).position()
+          + ": record " + n + " is damaged"), message);
     }
   }
 
   @Test
   void damagedSnapshotFallsBackToThePreviousOne(@TempDir Path dir) throws IOException {
-    try (Journal j = new Journal(new Folder(dir))) {
-      assertEquals(24, appendWithSnapshots(j, 0));
+    try (Journal journal = new Journal(new Folder(dir))) {
+      assertEquals(24, appendWithSnapshots(journal, 0));
     }
     List<String> snapshots;
-    try (Folder f = new Folder(dir)) {
+    try (Folder directory = new Folder(dir)) {
       assertThrows(IOException.class, () -> new Folder(dir));
-      snapshots = Snapshots.snapshotNames(f.listFiles());
+      snapshots = Snapshots.snapshotNames(directory.listFiles());
     }
     assertEquals(2, snapshots.size());
     Path newest = dir.resolve(snapshots.get(1));
     byte[] bytes = Files.readAllBytes(newest);
     bytes[bytes.length - 3] ^= 1;
     Files.write(newest, bytes);
-    try (Journal j = new Journal(new Folder(dir))) {
-      assertEquals(24, checkRecovered(j.recovered(), 24, 24));
-      assertEquals(List.of(snapshots.get(1) + ": byte 28: is damaged; the one before is used"), j.recovered()
-          .warnings());
+    try (Journal journal = new Journal(new Folder(dir))) {
+      assertEquals(24, checkRecovered(journal.recovered(), 24, 24));
+      assertEquals(List.of(snapshots.get(1) + ": byte 28: snapshot is damaged; using the previous snapshot"),
+          journal.recovered().warnings());
     }
     Files.write(dir.resolve(snapshots.get(0)), new byte[]{1});
     assertThrows(StoreException.class, () -> new Journal(new Folder(dir)));
@@ -155,15 +155,15 @@
 
   @Test
   void nothingIsAcknowledgedAfterAFailedWrite() throws IOException {
-    CrashingDirectory disk = new CrashingDirectory(4);
-    Journal j = new Journal(disk);
+    CrashingDirectory directory = new CrashingDirectory(4);
+    Journal journal = new Journal(directory);
     assertThrows(CompletionException.class, () -> {
       for (int i = 0; i < 5; i++) {
-        j.append(record(i + 1)).join();
+        journal.append(record(i + 1)).join();
       }
     });
-    assertThrows(CompletionException.class, () -> j.append(record(9)).join());
-    assertTrue(j.failure() != null);
-    j.close();
+    assertThrows(CompletionException.class, () -> journal.append(record(9)).join());
+    assertTrue(journal.failure() != null);
+    journal.close();
   }
 }
