--- a/src/main/java/hollyslip/admin/AdminServer.java
+++ b/src/main/java/hollyslip/admin/AdminServer.java
@@ -33,18 +33,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The administration API over HTTP, on a Unix socket and, if wanted, a loopback port with TLS. */
+/** Serves the administration API over HTTP on a Unix socket and, optionally, on a loopback port with TLS. */
 public final class AdminServer implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(AdminServer.class);
 
-  /** Longest body, bytes: a tenant with 1,000 members is 30 KB. */
+  /** Maximum size of a request body, bytes; a tenant with 1,000 members takes 30 KB. */
   static final int MAX_BODY_BYTES = 512 << 10;
 
-  /** How long a client may take for one request, and how long a connection may be quiet, ms. */
+  /** Time limit for receiving one request, and idle timeout of a connection, ms. */
   private static final long REQUEST_TIMEOUT_MS = 10_000;
   private static final int IDLE_TIMEOUT_MS = 60_000;
 
-  /** Connections at a time: guards the process's descriptors, which the rings need too. */
+  /** Maximum number of connections; protects the process's file descriptors, which the rings need too. */
   private static final int MAX_CONNECTIONS = 256;
   private static final int MAX_STREAMS = 64, STREAM_BUFFER_BYTES = 1 << 20;
   private static final ObjectMapper STRICT_JSON = new ObjectMapper().enable(
@@ -56,24 +56,24 @@
   private final List<HttpServer> servers = new ArrayList<>();
   private final Path certFile, keyFile;
   private final int port;
-  /** Connections that have not brought a request yet, with their timers; event loop, of which there is
-   * one. */
+  /** Timers of connections that have not sent a complete request head yet; used on the single event loop
+   * only. */
   private final Map<HttpConnection, Long> firstRequestTimers = new HashMap<>();
   private int connections;
   private int streams;
 
   /** @param socket
-   *          path of the Unix socket; a file left there is replaced
+   *          path of the Unix socket; an existing file is replaced
    * @param port
-   *          on the loopback address; 0: a free one, -1: none
-   * @param cert
+   *          port on the loopback address; 0: any free port, -1: none
+   * @param certFile
    *          certificate chain for the port, PEM; null: no TLS
-   * @param key
-   *          its private key, PEM */
-  public AdminServer(Control control, Path socket, int port, Path cert, Path key) throws IOException {
+   * @param keyFile
+   *          private key of the certificate, PEM */
+  public AdminServer(Control control, Path socket, int port, Path certFile, Path keyFile) throws IOException {
     this.control = control;
-    this.certFile = cert;
-    this.keyFile = key;
+    this.certFile = certFile;
+    this.keyFile = keyFile;
     api = new Api(control);
     vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1)
         .setWorkerPoolSize(1)
@@ -83,11 +83,13 @@
       Files.deleteIfExists(socket);
       listen(router, serverOptions(), SocketAddress.domainSocketAddress(socket.toString()));
       Files.setPosixFilePermissions(socket, PosixFilePermissions.fromString("rw-------"));
-      HttpServerOptions tls = serverOptions();
-      if (cert != null) {
-        tls.setSsl(true).setKeyCertOptions(keyCertOptions());
+      HttpServerOptions tcpOptions = serverOptions();
+      if (certFile != null) {
+        tcpOptions.setSsl(true).setKeyCertOptions(keyCertOptions());
       }
-      this.port = port < 0 ? -1 : listen(router, tls, SocketAddress.inetSocketAddress(port, "127.0.0.1"));
+      this.port = port < 0
+          ? -1
+          : listen(router, tcpOptions, SocketAddress.inetSocketAddress(port, "127.0.0.1"));
     } catch (IOException | RuntimeException e) {
       close();
       throw e;
@@ -95,23 +97,24 @@
     LOG.atInfo()
         .addKeyValue("socket", socket)
         .addKeyValue("port", this.port)
-        .addKeyValue("tls", cert != null)
+        .addKeyValue("tls", certFile != null)
         .log("admin.started");
   }
 
-  /** Makes the first operator's token and writes it, readable by the owner alone, unless some operator has
-   * one. */
+  /** Creates the first operator token and writes it to a file that only the owner can read, unless an
+   * operator token exists. */
   public static void bootstrap(Control control, Path file) throws IOException {
-    boolean needed = control.read(r -> r.tokens().stream().noneMatch(t -> t.tenant() == 0)).join();
+    boolean needed = control.read(route -> route.tokens().stream().noneMatch(t -> t.tenant() == 0)).join();
     if (needed) {
-      AuthenticatedCaller.IssuedToken made = AuthenticatedCaller.issueToken("operator", 0);
-      Path half = file.resolveSibling(file.getFileName() + ".half");
-      Files.deleteIfExists(half);
-      Files.createFile(half, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString(
+      AuthenticatedCaller.IssuedToken issued = AuthenticatedCaller.issueToken("operator", 0);
+      Path temporaryFile = file.resolveSibling(file.getFileName() + ".half");
+      Files.deleteIfExists(temporaryFile);
+      Files.createFile(temporaryFile, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString(
           "rw-------")));
-      Files.writeString(half, made.token() + "\n");
-      Files.move(half, file, java.nio.file.StandardCopyOption.ATOMIC_MOVE);
-      control.command((r, at) -> r.putToken(at, "gateway", made.recorded()), r -> null).join();
+      Files.writeString(temporaryFile, issued.token() + "\n");
+      Files.move(temporaryFile, file, java.nio.file.StandardCopyOption.ATOMIC_MOVE);
+      control.command((route, address) -> route.createToken(address, "gateway", issued.storedToken()),
+          route -> null).join();
     }
   }
 
@@ -120,8 +123,8 @@
   }
 
   private static HttpServerOptions serverOptions() {
-    // A client that changes a clear connection over to HTTP/2 with its first request may never see the
-    // answer.
+    // A client that upgrades a cleartext connection to HTTP/2 with its first request may never receive the
+    // response.
     return new HttpServerOptions().setHttp2ClearTextEnabled(false)
         .setIdleTimeout(IDLE_TIMEOUT_MS)
         .setIdleTimeoutUnit(TimeUnit.MILLISECONDS)
@@ -129,37 +132,37 @@
         .setMaxHeaderSize(8192);
   }
 
-  private int listen(Router router, HttpServerOptions options, SocketAddress at) throws IOException {
-    HttpServer s = vertx.createHttpServer(options).requestHandler(router).connectionHandler(c -> {
+  private int listen(Router router, HttpServerOptions options, SocketAddress address) throws IOException {
+    HttpServer server = vertx.createHttpServer(options).requestHandler(router).connectionHandler(context -> {
       if (++connections > MAX_CONNECTIONS) {
-        c.close();
+        context.close();
       }
-      // A client that sends its first request slowly, a byte now and then, is never idle: it is cut off here.
-      firstRequestTimers.put(c, vertx.setTimer(REQUEST_TIMEOUT_MS, t -> c.close()));
-      c.closeHandler(v -> {
+      // A client that sends its first request byte by byte is never idle; this timer closes its connection.
+      firstRequestTimers.put(context, vertx.setTimer(REQUEST_TIMEOUT_MS, t -> context.close()));
+      context.closeHandler(v -> {
         connections--;
-        cancelFirstRequestTimer(c);
+        cancelFirstRequestTimer(context);
       });
     });
     try {
-      s.listen(at).toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
+      server.listen(address).toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      throw new IOException("administration API at " + at + ": " + e.getMessage(), e);
+      throw new IOException("administration API at " + address + ": " + e.getMessage(), e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted", e);
     }
-    servers.add(s);
-    return s.actualPort();
+    servers.add(server);
+    return server.actualPort();
   }
 
-  /** Port on the loopback address; -1: none. */
+  /** Returns the port on the loopback address, or -1 if there is none. */
   public int port() {
     return port;
   }
 
-  /** Takes on key and certificate from their files again; connections that stand go on. False: they cannot be
-   * used, and the ones before stay. */
+  /** Reloads key and certificate from their files. Existing connections continue. Returns false if the new
+   * ones cannot be used; the previous ones then stay in use. */
   public boolean reloadKeys() {
     if (certFile == null) {
       return true;
@@ -188,23 +191,23 @@
         .getBytes(java.nio.charset.StandardCharsets.UTF_8);
     router.route().handler(this::limitRequestTime);
     router.get("/openapi.json")
-        .handler(c -> c.response()
+        .handler(context -> context.response()
             .putHeader("Content-Type", "application/json")
             .end(io.vertx.core.buffer.Buffer.buffer(description)));
     router.get("/v1/events").handler(this::streamEvents);
     router.route().handler(BodyHandler.create(false).setBodyLimit(MAX_BODY_BYTES));
-    for (OpenApi.Route r : routes) {
+    for (OpenApi.Route route : routes) {
       List<String> names = new ArrayList<>();
-      var m = java.util.regex.Pattern.compile("\\{(\\w+)}").matcher(r.path());
-      while (m.find()) {
-        names.add(m.group(1));
+      var matcher = java.util.regex.Pattern.compile("\\{(\\w+)}").matcher(route.path());
+      while (matcher.find()) {
+        names.add(matcher.group(1));
       }
-      router.route(HttpMethod.valueOf(r.method()), r.path().replaceAll("\\{(\\w+)}", ":$1"))
-          .handler(c -> answer(c, r, names));
+      router.route(HttpMethod.valueOf(route.method()), route.path().replaceAll("\\{(\\w+)}", ":$1"))
+          .handler(context -> answer(context, route, names));
     }
     router.route()
-        .handler(c -> sendProblem(c, new ApiException(404, "not found", null,
-            "there is nothing of this name here", Map.of())));
+        .handler(context -> sendProblem(context, new ApiException(404, "not found", null, "no such resource",
+            Map.of())));
     router.route().failureHandler(this::handleFailure);
     for (int code : List.of(400, 405)) {
       router.errorHandler(code, this::handleFailure);
@@ -212,165 +215,172 @@
     return router;
   }
 
-  /** What went wrong outside the routes: a body that is too large, a client that left. */
-  private void handleFailure(RoutingContext c) {
-    int code = c.statusCode() < 400 ? 500 : c.statusCode();
-    if (c.response().closed()) {
+  /** Handles failures outside the routes, such as a body that is too large or a client that disconnected. */
+  private void handleFailure(RoutingContext context) {
+    int code = context.statusCode() < 400 ? 500 : context.statusCode();
+    if (context.response().closed()) {
       return;
     }
     if (code == 500) {
-      LOG.atError().setCause(c.failure()).log("admin.fault");
+      LOG.atError().setCause(context.failure()).log("admin.fault");
     }
-    sendProblem(c, new ApiException(code, ProblemDetails.title(code), code == 413 ? "body" : null, code == 413
-        ? "a body may have " + MAX_BODY_BYTES + " bytes"
-        : ProblemDetails.title(code), Map.of()));
+    sendProblem(context, new ApiException(code, ProblemDetails.title(code), code == 413 ? "body" : null,
+        code == 413 ? "a body must not exceed " + MAX_BODY_BYTES + " bytes" : ProblemDetails.title(code), Map
+            .of()));
   }
 
-  private void cancelFirstRequestTimer(HttpConnection c) {
-    Long timer = firstRequestTimers.remove(c);
+  private void cancelFirstRequestTimer(HttpConnection context) {
+    Long timer = firstRequestTimers.remove(context);
     if (timer != null) {
       vertx.cancelTimer(timer);
     }
   }
 
-  /** A request that is not there whole in time ends its connection. */
-  private void limitRequestTime(RoutingContext c) {
-    cancelFirstRequestTimer(c.request().connection());
+  /** Closes the connection of a request that is not received completely in time. */
+  private void limitRequestTime(RoutingContext context) {
+    cancelFirstRequestTimer(context.request().connection());
     long timer = vertx.setTimer(REQUEST_TIMEOUT_MS, t -> {
-      if (!c.request().isEnded()) {
-        c.request().connection().close();
+      if (!context.request().isEnded()) {
+        context.request().connection().close();
       }
     });
-    c.addEndHandler(v -> vertx.cancelTimer(timer));
-    c.next();
+    context.addEndHandler(v -> vertx.cancelTimer(timer));
+    context.next();
   }
 
-  private Api.Request toApiRequest(RoutingContext c, JsonNode body) {
-    var q = c.request();
-    byte[] bytes = c.body() == null || c.body().buffer() == null ? new byte[0] : c.body().buffer().getBytes();
-    String digest = q.getHeader("Idempotency-Key") == null
+  private Api.Request toApiRequest(RoutingContext context, JsonNode body) {
+    var request = context.request();
+    byte[] bytes = context.body() == null || context.body().buffer() == null
+        ? new byte[0]
+        : context.body().buffer().getBytes();
+    String digest = request.getHeader("Idempotency-Key") == null
         ? ""
-        : AuthenticatedCaller.sha256Hex(q.method() + " " + q.path() + " " + java.util.HexFormat.of()
+        : AuthenticatedCaller.sha256Hex(request.method() + " " + request.path() + " " + java.util.HexFormat
+            .of()
             .formatHex(bytes));
-    return new Api.Request(q.getHeader("Authorization"), q.getHeader("If-Match"), q.getHeader(
-        "Idempotency-Key"), body, digest, q.getParam("after"), q.getParam("limit"));
+    return new Api.Request(request.getHeader("Authorization"), request.getHeader("If-Match"), request
+        .getHeader("Idempotency-Key"), body, digest, request.getParam("after"), request.getParam("limit"));
   }
 
-  private void answer(RoutingContext c, OpenApi.Route r, List<String> names) {
+  private void answer(RoutingContext context, OpenApi.Route route, List<String> names) {
     try {
-      JsonNode body = r.requestSchema() == null ? null : parseBody(c);
-      List<String> parameters = names.stream().map(c::pathParam).toList();
-      r.handler()
-          .handle(toApiRequest(c, body), parameters)
-          .whenComplete((reply, error) -> c.vertx().runOnContext(v -> {
+      JsonNode body = route.requestSchema() == null ? null : parseBody(context);
+      List<String> parameters = names.stream().map(context::pathParam).toList();
+      route.handler()
+          .handle(toApiRequest(context, body), parameters)
+          .whenComplete((response, error) -> context.vertx().runOnContext(v -> {
             if (error != null) {
-              sendProblem(c, error);
+              sendProblem(context, error);
             } else {
-              send(c, reply);
+              send(context, response);
             }
           }));
     } catch (ApiException e) {
-      sendProblem(c, e);
+      sendProblem(context, e);
     }
   }
 
-  private static JsonNode parseBody(RoutingContext c) {
-    byte[] bytes = c.body().buffer() == null ? new byte[0] : c.body().buffer().getBytes();
+  private static JsonNode parseBody(RoutingContext context) {
+    byte[] bytes = context.body().buffer() == null ? new byte[0] : context.body().buffer().getBytes();
     try {
-      JsonNode n = STRICT_JSON.readTree(bytes);
-      if (n == null || !n.isObject()) {
+      JsonNode node = STRICT_JSON.readTree(bytes);
+      if (node == null || !node.isObject()) {
         throw ApiException.invalid("body", "must be a JSON object");
       }
-      return n;
+      return node;
     } catch (JsonProcessingException e) {
-      var at = e.getLocation();
-      throw ApiException.invalid("body", "is no JSON at line " + (at == null ? 0 : at.getLineNr())
-          + ", column " + (at == null ? 0 : at.getColumnNr()) + ": " + e.getOriginalMessage());
+      var address = e.getLocation();
+      throw ApiException.invalid("body", "is not valid JSON at line " + (address == null
+          ? 0
+          : address.getLineNr()) + ", column " + (address == null ? 0 : address.getColumnNr()) + ": " + e
+              .getOriginalMessage());
     } catch (IOException e) {
       throw ApiException.invalid("body", e.getMessage());
     }
   }
 
-  private static void send(RoutingContext c, Api.Response r) {
-    HttpServerResponse out = c.response();
+  private static void send(RoutingContext context, Api.Response route) {
+    HttpServerResponse out = context.response();
     if (out.ended() || out.closed()) {
       return;
     }
-    out.setStatusCode(r.status());
-    if (r.etag() != 0) {
-      out.putHeader("ETag", "\"" + Math.max(0, r.etag()) + "\"");
+    out.setStatusCode(route.status());
+    if (route.etag() != 0) {
+      out.putHeader("ETag", "\"" + Math.max(0, route.etag()) + "\"");
     }
-    if (r.location() != null) {
-      out.putHeader("Location", r.location());
+    if (route.location() != null) {
+      out.putHeader("Location", route.location());
     }
-    if (r.body() == null) {
+    if (route.body() == null) {
       out.end();
     } else {
-      out.putHeader("Content-Type", "application/json").end(r.body().toString());
+      out.putHeader("Content-Type", "application/json").end(route.body().toString());
     }
   }
 
-  private void sendProblem(RoutingContext c, Throwable e) {
-    ApiException p = ProblemDetails.toApiException(e);
-    if (p.status == 500) {
+  private void sendProblem(RoutingContext context, Throwable e) {
+    ApiException problem = ProblemDetails.toApiException(e);
+    if (problem.status == 500) {
       LOG.atError().setCause(e).log("admin.fault");
     }
-    HttpServerResponse out = c.response();
+    HttpServerResponse out = context.response();
     if (out.ended() || out.closed() || out.headWritten()) {
       return;
     }
-    if (p.status == 401) {
+    if (problem.status == 401) {
       out.putHeader("WWW-Authenticate", "Bearer");
     }
-    if (p.figures != null && p.figures.get("revision") != null && p.status == 412) {
-      out.putHeader("ETag", "\"" + p.figures.get("revision") + "\"");
+    if (problem.figures != null && problem.figures.get("revision") != null && problem.status == 412) {
+      out.putHeader("ETag", "\"" + problem.figures.get("revision") + "\"");
     }
-    out.setStatusCode(p.status)
+    out.setStatusCode(problem.status)
         .putHeader("Content-Type", "application/problem+json")
-        .end(ProblemDetails.toJson(p).toString());
+        .end(ProblemDetails.toJson(problem).toString());
   }
 
-  /** Server-sent events (WHATWG HTML, 9.2). A client that does not read is cut off, so that nothing piles
-   * up. */
-  private void streamEvents(RoutingContext c) {
-    c.request().pause();
-    api.eventScope(toApiRequest(c, null)).whenComplete((tenant, error) -> c.vertx().runOnContext(v -> {
-      c.request().resume();
-      if (error != null) {
-        sendProblem(c, error);
-      } else if (streams >= MAX_STREAMS) {
-        sendProblem(c, new ApiException(503, ProblemDetails.title(503), null, "too many streams", Map.of()));
-      } else {
-        streamEvents(c, tenant);
-      }
-    }));
+  /** Streams server-sent events (WHATWG HTML, 9.2). A client that does not read is disconnected, which bounds
+   * the memory that its events take. */
+  private void streamEvents(RoutingContext context) {
+    context.request().pause();
+    api.eventScope(toApiRequest(context, null))
+        .whenComplete((tenant, error) -> context.vertx().runOnContext(v -> {
+          context.request().resume();
+          if (error != null) {
+            sendProblem(context, error);
+          } else if (streams >= MAX_STREAMS) {
+            sendProblem(context, new ApiException(503, ProblemDetails.title(503), null, "too many streams",
+                Map.of()));
+          } else {
+            streamEvents(context, tenant);
+          }
+        }));
   }
 
-  private void streamEvents(RoutingContext c, long tenant) {
-    HttpServerResponse out = c.response()
+  private void streamEvents(RoutingContext context, long tenant) {
+    HttpServerResponse out = context.response()
         .setChunked(true)
         .putHeader("Content-Type", "text/event-stream")
         .putHeader("Cache-Control", "no-store");
     out.setWriteQueueMaxSize(STREAM_BUFFER_BYTES);
     out.write(": begin\n\n");
     streams++;
-    var context = vertx.getOrCreateContext();
-    Consumer<AuditRecord> listener = t -> context.runOnContext(v -> {
+    var eventLoop = vertx.getOrCreateContext();
+    Consumer<AuditRecord> listener = t -> eventLoop.runOnContext(v -> {
       if (tenant != 0 && t.tenant() != tenant || out.closed()) {
         return;
       }
       if (out.writeQueueFull()) {
-        c.request().connection().close();
+        context.request().connection().close();
       } else {
         out.write("id: " + t.sequence() + "\nevent: change\ndata: " + Views.auditRecord(t) + "\n\n");
       }
     });
-    // A comment now and then keeps the connection from being idle, and finds out clients that are gone.
-    long beat = vertx.setPeriodic(IDLE_TIMEOUT_MS / 4, t -> out.write(": \n\n"));
+    // A periodic comment keeps the connection from becoming idle and detects clients that have disconnected.
+    long keepAliveTimer = vertx.setPeriodic(IDLE_TIMEOUT_MS / 4, t -> out.write(": \n\n"));
     control.addAuditListener(listener);
     out.closeHandler(v -> {
       streams--;
-      vertx.cancelTimer(beat);
+      vertx.cancelTimer(keepAliveTimer);
       control.removeAuditListener(listener);
     });
   }
--- a/src/main/java/hollyslip/admin/ApiClient.java
+++ b/src/main/java/hollyslip/admin/ApiClient.java
@@ -20,14 +20,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** Asks the administration API, over its Unix socket or a port with TLS. */
+/** Client of the administration API, over its Unix socket or a loopback port, optionally with TLS. */
 public final class ApiClient implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final long TIMEOUT_S = 30;
 
-  /** An answer; {@code body} null: none, {@code tag} and {@code location} may be null. */
+  /** A response; a body or header that was not sent is null. */
   public record Answer(int status, JsonNode body, String tag, String location) {
-    /** Whether it says that it was done. */
+    /** Whether the request succeeded. */
     public boolean good() {
       return status < 300;
     }
@@ -41,35 +41,35 @@
   private final boolean tls;
   private final String token;
 
-  private ApiClient(SocketAddress server, Path trusted, String token) {
+  private ApiClient(SocketAddress server, Path trustedCertificates, String token) {
     this.server = server;
     this.token = token;
-    tls = trusted != null;
+    tls = trustedCertificates != null;
     HttpClientOptions options = new HttpClientOptions();
     if (tls) {
-      options.setSsl(true).setTrustOptions(new PemTrustOptions().addCertPath(trusted.toString()));
+      options.setSsl(true).setTrustOptions(new PemTrustOptions().addCertPath(trustedCertificates.toString()));
     }
     http = vertx.createHttpClient(options);
   }
 
-  /** Over the gateway's Unix socket. */
+  /** Creates a client for the gateway's Unix socket. */
   public static ApiClient at(Path socket, String token) {
     return new ApiClient(SocketAddress.domainSocketAddress(socket.toString()), null, token);
   }
 
-  /** Over a loopback port; {@code trusted}: certificates that are believed, PEM; null: without TLS. */
-  public static ApiClient at(int port, Path trusted, String token) {
-    return new ApiClient(SocketAddress.inetSocketAddress(port, "localhost"), trusted, token);
+  /** Creates a client for a loopback port; {@code trustedCertificates} is a PEM file, or null for no TLS. */
+  public static ApiClient at(int port, Path trustedCertificates, String token) {
+    return new ApiClient(SocketAddress.inetSocketAddress(port, "localhost"), trustedCertificates, token);
   }
 
-  /** Asks and waits.
+  /** Sends a request and waits for the response.
    *
    * @param body
-   *          null: none
+   *          request body; null: none
    * @param headers
-   *          besides the token
+   *          headers besides Authorization
    * @throws IOException
-   *           no answer came */
+   *           no response was received */
   public Answer ask(String method, String path, JsonNode body, Map<String, String> headers)
       throws IOException {
     RequestOptions options = new RequestOptions().setServer(server)
@@ -86,19 +86,18 @@
           : "application/json");
     }
     CompletableFuture<Answer> answer = new CompletableFuture<>();
-    // All on the client's own thread: where this one asked for the body, the end of the answer could have
-    // passed
-    // by then, and the body never came.
+    // Everything runs on the client's event loop. If this thread asked for the body, the response could have
+    // ended before, and the body would never arrive.
     vertx.runOnContext(v -> http.request(options)
-        .compose(q -> body == null ? q.send() : q.send(Buffer.buffer(body.toString())))
-        .compose(r -> r.body().map(b -> toResponse(r, b)))
+        .compose(request -> body == null ? request.send() : request.send(Buffer.buffer(body.toString())))
+        .compose(response -> response.body().map(b -> toResponse(response, b)))
         .onSuccess(answer::complete)
         .onFailure(answer::completeExceptionally));
     try {
       return answer.get(TIMEOUT_S, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
       throw new IOException(e.getCause() == null
-          ? "no answer in " + TIMEOUT_S + " s"
+          ? "no response within " + TIMEOUT_S + " s"
           : e.getCause().getMessage(), e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -106,10 +105,10 @@
     }
   }
 
-  private static Answer toResponse(HttpClientResponse r, Buffer body) {
+  private static Answer toResponse(HttpClientResponse response, Buffer body) {
     try {
-      return new Answer(r.statusCode(), body.length() == 0 ? null : JSON.readTree(body.getBytes()), r
-          .getHeader("ETag"), r.getHeader("Location"));
+      return new Answer(response.statusCode(), body.length() == 0 ? null : JSON.readTree(body.getBytes()),
+          response.getHeader("ETag"), response.getHeader("Location"));
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
--- a/src/main/java/hollyslip/admin/ApiException.java
+++ b/src/main/java/hollyslip/admin/ApiException.java
@@ -2,8 +2,8 @@
 
 import java.util.Map;
 
-/** An error as the API answers it (RFC 9457, problem details): status, a title, what is wrong, the field that
- * it is about, and figures. */
+/** An error of the API, returned as problem details (RFC 9457): status, title, detail, the field that caused
+ * it, and figures. */
 final class ApiException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
@@ -24,8 +24,8 @@
     return new ApiException(400, "invalid", field, detail, Map.of());
   }
 
-  /** The same for what is not there and what is not the caller's. */
+  /** The response both for a resource that does not exist and for one that the caller may not access. */
   static ApiException notFound() {
-    return new ApiException(404, "not found", null, "there is nothing of this name here", Map.of());
+    return new ApiException(404, "not found", null, "no such resource", Map.of());
   }
 }
--- a/src/main/java/hollyslip/admin/AuthenticatedCaller.java
+++ b/src/main/java/hollyslip/admin/AuthenticatedCaller.java
@@ -8,20 +8,21 @@
 import java.security.SecureRandom;
 import java.util.HexFormat;
 
-/** Bearer tokens (RFC 6750): {@code id.secret}, the secret 256 random bits, of which the store has the
- * SHA-256 alone. A hash made slow is for secrets that people choose; these cannot be guessed.
+/** A caller authenticated by a bearer token (RFC 6750). Tokens have the form {@code id.secret}; the secret
+ * has 256 random bits, and only its SHA-256 is stored. A slow password hash would add nothing, since the
+ * secrets cannot be guessed.
  *
  * @param id
- *          of the token
+ *          id of the token
  * @param who
- *          whose it is
+ *          name of the caller
  * @param tenant
- *          the one tenant that it opens; 0: an operator's, which opens all */
+ *          the only tenant that the caller may access; 0: an operator, who may access all */
 record AuthenticatedCaller(String id, String who, long tenant) {
   private static final SecureRandom RANDOM = new SecureRandom();
 
-  /** A new token and what is recorded of it. */
-  record IssuedToken(String token, Change.Token recorded) {}
+  /** A new token and the form of it that is stored. */
+  record IssuedToken(String token, Change.Token storedToken) {}
 
   boolean isOperator() {
     return tenant == 0;
@@ -32,9 +33,10 @@
     byte[] secret = new byte[32];
     RANDOM.nextBytes(id);
     RANDOM.nextBytes(secret);
-    String name = HexFormat.of().formatHex(id);
-    String word = HexFormat.of().formatHex(secret);
-    return new IssuedToken(name + "." + word, new Change.Token(name, sha256Hex(word), tenant, who));
+    String idHex = HexFormat.of().formatHex(id);
+    String secretHex = HexFormat.of().formatHex(secret);
+    return new IssuedToken(idHex + "." + secretHex, new Change.Token(idHex, sha256Hex(secretHex), tenant,
+        who));
   }
 
   static String sha256Hex(String text) {
@@ -46,18 +48,20 @@
     }
   }
 
-  /** Who comes with an Authorization header; null: nobody known. */
-  static AuthenticatedCaller authenticate(Registry r, String header) {
+  /** Authenticates the caller by an Authorization header; returns null if the token is not valid. */
+  static AuthenticatedCaller authenticate(Registry registry, String header) {
     if (header == null || !header.startsWith("Bearer ")) {
       return null;
     }
     String token = header.substring(7).trim();
     int dot = token.indexOf('.');
-    Change.Token known = dot < 0 ? null : r.token(token.substring(0, dot));
-    // Compared even where there is no such token, so that the time does not tell.
-    String expected = known == null ? sha256Hex("") : known.hash();
-    boolean same = MessageDigest.isEqual(expected.getBytes(StandardCharsets.US_ASCII), sha256Hex(token
+    Change.Token stored = dot < 0 ? null : registry.token(token.substring(0, dot));
+    // Compare even if there is no such token, so that the response time does not reveal it.
+    String expected = stored == null ? sha256Hex("") : stored.hash();
+    boolean matches = MessageDigest.isEqual(expected.getBytes(StandardCharsets.US_ASCII), sha256Hex(token
         .substring(dot + 1)).getBytes(StandardCharsets.US_ASCII));
-    return known != null && same ? new AuthenticatedCaller(known.id(), known.who(), known.tenant()) : null;
+    return stored != null && matches
+        ? new AuthenticatedCaller(stored.id(), stored.who(), stored.tenant())
+        : null;
   }
 }
--- a/src/main/java/hollyslip/admin/Carrier.java
+++ b/src/main/java/hollyslip/admin/Carrier.java
@@ -6,20 +6,22 @@
 import hollyslip.tenant.Tenant;
 import java.util.concurrent.CompletableFuture;
 
-/** What carries recorded decisions out. Calls come in the order of the records, on one thread. */
+/** Carries out recorded changes. Calls arrive on one thread, in the order of the records. */
 public interface Carrier {
-  /** Serves a volume, or serves it on other terms or larger; complete when that holds. */
+  /** Serves a volume, or applies new terms or a new size to it. The future completes when this is in
+   * effect. */
   CompletableFuture<Void> serve(HostedVolume volume, Tenant tenant, VolumeChanged terms);
 
-  /** Takes nothing more for a volume; complete when all of it is answered and nothing of it is left. */
+  /** Stops accepting requests for a volume. The future completes when all its requests are answered and its
+   * resources are released. */
   CompletableFuture<Void> drain(HostedVolume volume, Tenant tenant);
 
-  /** The administrators' word on a node. */
+  /** Sets the state that administrators chose for a node. */
   void node(String name, NodeState state);
 
-  /** Names of the nodes that there are, with what is known of them. */
+  /** Returns the known nodes by name. */
   java.util.Map<String, NodeView> nodes();
 
-  /** A node as listed. */
+  /** A node as shown to administrators. */
   record NodeView(long id, int shard, String zone, NodeState state) {}
 }
--- a/src/main/java/hollyslip/admin/Control.java
+++ b/src/main/java/hollyslip/admin/Control.java
@@ -30,21 +30,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The one place where the registry changes. Commands come one after the other on one thread: decided,
- * recorded, applied; they are answered, and carried out, once their record is synced. What reads sees is
- * synced too before they are answered. When the store cannot be written nothing changes any more; what is
- * served goes on. */
+/** Control plane of the gateway, the only place where the registry changes. Commands run one after the other
+ * on one thread: each is validated, recorded and applied. It is answered and carried out once its record is
+ * synced; reads are answered once everything that they saw is synced. If the store cannot be written, nothing
+ * changes any more, while volumes continue to be served. */
 public final class Control implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Control.class);
 
-  /** Bytes of records after which a snapshot is taken. */
+  /** Size of the records after which a snapshot is taken, bytes. */
   private static final long SNAPSHOT_BYTES = 8 << 20;
 
-  /** Pause before something that could not be carried out is tried again. */
+  /** Delay before a failed step is retried, ms. */
   private static final long RETRY_MS = 500;
 
   private final Registry registry;
-  private final RegistryCommandHandler registrar;
+  private final RegistryCommandHandler commandHandler;
   private final Journal journal;
   private final Carrier provisioner;
   private final int hosts;
@@ -59,35 +59,35 @@
   private long bytesSinceSnapshot;
   private volatile boolean closing;
 
-  /** What a record asks of the carrier. */
+  /** A change to a volume that the provisioner has to carry out. */
   private record ProvisioningStep(HostedVolume volume, Tenant tenant, VolumeChanged terms) {}
 
-  /** Opens the store and carries out what it holds.
+  /** Opens the store and restores the registry from it.
    *
    * @param firstId
-   *          ids from here on are given away
+   *          first id for tenants, volumes and tasks
    * @param hosts
-   *          gateways of the deployment
+   *          number of gateways of the deployment
    * @param clock
-   *          ms since 1970 */
-  public Control(StoreDirectory disk, Collection<Shard> shards, long firstId, int hosts, Carrier carrier,
-      LongSupplier clock) throws IOException {
-    this.provisioner = carrier;
+   *          wall clock, ms since the Unix epoch */
+  public Control(StoreDirectory directory, Collection<Shard> shards, long firstId, int hosts,
+      Carrier provisioner, LongSupplier clock) throws IOException {
+    this.provisioner = provisioner;
     this.hosts = hosts;
     this.clock = clock;
-    journal = new Journal(disk);
+    journal = new Journal(directory);
     try {
-      Journal.RecoveredState found = journal.recovered();
-      found.warnings().forEach(r -> LOG.atWarn().addKeyValue("remark", r).log("store.opened"));
-      registry = found.state() == null
+      Journal.RecoveredState recovered = journal.recovered();
+      recovered.warnings().forEach(r -> LOG.atWarn().addKeyValue("remark", r).log("store.opened"));
+      registry = recovered.state() == null
           ? new Registry(shards, firstId)
-          : new Registry(shards, RegistryCodec.decodeSnapshot(found.state()));
-      long sequence = found.sequence();
-      for (byte[] record : found.records()) {
+          : new Registry(shards, RegistryCodec.decodeSnapshot(recovered.state()));
+      long sequence = recovered.sequence();
+      for (byte[] record : recovered.records()) {
         registry.apply(++sequence, RegistryCodec.decodeChangeSet(record));
         bytesSinceSnapshot += record.length;
       }
-      registrar = new RegistryCommandHandler(registry);
+      commandHandler = new RegistryCommandHandler(registry);
       LOG.atInfo()
           .addKeyValue("tenants", registry.tenantNames().size())
           .addKeyValue("volumes", registry.volumes().size())
@@ -99,34 +99,35 @@
     }
   }
 
-  /** Carries out all that is recorded; complete when each volume was served, or it was logged why it is not
-   * yet: it is tried again then. */
+  /** Carries out all recorded state. The future completes when each volume is served, or the reason why it is
+   * not is logged; such volumes are retried. */
   public CompletableFuture<Void> start() {
-    CompletableFuture<Void> tried = new CompletableFuture<>();
-    submit(tried, () -> {
+    CompletableFuture<Void> attempted = new CompletableFuture<>();
+    submit(attempted, () -> {
       registry.nodes().forEach(n -> provisioner.node(n.node(), n.state()));
       List<CompletableFuture<Void>> all = new ArrayList<>();
       registry.volumes()
           .stream()
           .sorted((a, b) -> Long.compare(a.id(), b.id()))
           .forEach(v -> all.add(provision(toStep(v)).exceptionally(e -> null)));
-      CompletableFuture.allOf(all.toArray(new CompletableFuture<?>[0])).thenRun(() -> tried.complete(null));
+      CompletableFuture.allOf(all.toArray(new CompletableFuture<?>[0]))
+          .thenRun(() -> attempted.complete(null));
     });
-    return tried;
+    return attempted;
   }
 
   private ProvisioningStep toStep(HostedVolume v) {
     return new ProvisioningStep(v, registry.tenant(v.tenant()), registry.toVolumeChanged(v, hosts));
   }
 
-  /** A command: decided on the registry as it then stands; complete, with the view after it, once it is
-   * synced. A decision of null changes nothing and is no error. */
+  /** Executes a command on the current registry. The future completes, with the view of the registry after
+   * it, once the change set is synced. A change set of null means no change and is not an error. */
   public <T> CompletableFuture<T> command(BiFunction<RegistryCommandHandler, Long, ChangeSet> decide,
       Function<Registry, T> view) {
-    return command(decide, (r, entry) -> view.apply(r));
+    return command(decide, (r, changeSet) -> view.apply(r));
   }
 
-  /** As the other, with the entry for the view. */
+  /** As above, with the change set passed to the view. */
   <T> CompletableFuture<T> command(BiFunction<RegistryCommandHandler, Long, ChangeSet> decide,
       BiFunction<Registry, ChangeSet, T> view) {
     CompletableFuture<T> answer = new CompletableFuture<>();
@@ -134,16 +135,16 @@
       if (journal.failure() != null) {
         throw storeFailedException();
       }
-      ChangeSet entry = decide.apply(registrar, clock.getAsLong());
-      if (entry != null) {
-        record(entry);
+      ChangeSet changeSet = decide.apply(commandHandler, clock.getAsLong());
+      if (changeSet != null) {
+        record(changeSet);
       }
-      completeWhenSynced(answer, view.apply(registry, entry));
+      completeWhenSynced(answer, view.apply(registry, changeSet));
     });
     return answer;
   }
 
-  /** Something read from the registry; complete once all that it may have seen is synced. */
+  /** Reads from the registry. The future completes once everything that the read may have seen is synced. */
   public <T> CompletableFuture<T> read(Function<Registry, T> view) {
     CompletableFuture<T> answer = new CompletableFuture<>();
     submit(answer, () -> completeWhenSynced(answer, view.apply(registry)));
@@ -174,37 +175,38 @@
         }
       });
     } catch (java.util.concurrent.RejectedExecutionException e) {
-      answer.completeExceptionally(new IllegalStateException("the gateway ends"));
+      answer.completeExceptionally(new IllegalStateException("the gateway is shutting down"));
     }
   }
 
-  private void record(ChangeSet entry) {
-    byte[] bytes = RegistryCodec.encode(entry);
-    CompletableFuture<Long> write = journal.append(bytes);
+  private void record(ChangeSet changeSet) {
+    byte[] bytes = RegistryCodec.encode(changeSet);
+    CompletableFuture<Long> append = journal.append(bytes);
     long sequence = journal.lastSequence();
-    lastAppend = write;
-    List<AuditRecord> before = new ArrayList<>();
-    Consumer<AuditRecord> collect = before::add;
-    registry.apply(sequence, entry, collect);
+    lastAppend = append;
+    List<AuditRecord> auditRecords = new ArrayList<>();
+    Consumer<AuditRecord> collect = auditRecords::add;
+    registry.apply(sequence, changeSet, collect);
     List<ProvisioningStep> steps = new ArrayList<>();
     List<Change.NodeStatePut> nodes = new ArrayList<>();
-    for (Change c : entry.changes()) {
+    for (Change c : changeSet.changes()) {
       if (c instanceof Change.VolumePut v && v.volume().phase() != Phase.ACTIVE) {
         steps.add(toStep(v.volume()));
       } else if (c instanceof Change.NodeStatePut n) {
         nodes.add(n);
       }
     }
-    CompletableFuture<Void> carried = new CompletableFuture<>();
-    carried.exceptionally(e -> {
-      // What could not be begun is not tried again before the next start; it must not pass unseen.
-      LOG.atError().setCause(e).addKeyValue("target", entry.target()).log("volume.fault");
+    CompletableFuture<Void> provisioned = new CompletableFuture<>();
+    provisioned.exceptionally(e -> {
+      // A step that could not be started is not retried before the next start of the gateway, so log it as an
+      // error.
+      LOG.atError().setCause(e).addKeyValue("target", changeSet.target()).log("volume.fault");
       return null;
     });
-    write.thenRun(() -> submit(carried, () -> {
+    append.thenRun(() -> submit(provisioned, () -> {
       steps.forEach(this::provision);
       nodes.forEach(n -> provisioner.node(n.node(), n.state()));
-      before.forEach(t -> listeners.forEach(l -> l.accept(t)));
+      auditRecords.forEach(t -> listeners.forEach(l -> l.accept(t)));
     }));
     bytesSinceSnapshot += bytes.length;
     if (bytesSinceSnapshot > SNAPSHOT_BYTES) {
@@ -214,11 +216,11 @@
   }
 
   private CompletableFuture<Long> snapshot() {
-    Registry.Snapshot image = registry.snapshot();
-    return journal.snapshot(journal.lastSequence(), () -> RegistryCodec.encode(image));
+    Registry.Snapshot snapshot = registry.snapshot();
+    return journal.snapshot(journal.lastSequence(), () -> RegistryCodec.encode(snapshot));
   }
 
-  /** Keeps the present state as a snapshot. */
+  /** Writes a snapshot of the current state. */
   public CompletableFuture<Long> keep() {
     CompletableFuture<Long> done = new CompletableFuture<>();
     submit(done, () -> snapshot().whenComplete((n, e) -> {
@@ -231,40 +233,41 @@
     return done;
   }
 
-  private CompletableFuture<Void> provision(ProvisioningStep s) {
-    HostedVolume v = s.volume;
+  private CompletableFuture<Void> provision(ProvisioningStep step) {
+    HostedVolume v = step.volume;
     return v.phase() == Phase.DRAINING
-        ? whenDone(provisioner.drain(v, s.tenant), s, (r, at) -> r.volumeDrained(at, v.id()))
-        : whenDone(provisioner.serve(v, s.tenant, s.terms), s, (r, at) -> r.volumeServed(at, v));
+        ? recordWhenDone(provisioner.drain(v, step.tenant), step, (r, at) -> r.volumeDrained(at, v.id()))
+        : recordWhenDone(provisioner.serve(v, step.tenant, step.terms), step, (r, at) -> r.volumeServed(at,
+            v));
   }
 
-  private CompletableFuture<Void> whenDone(CompletableFuture<Void> done, ProvisioningStep s,
-      BiFunction<RegistryCommandHandler, Long, ChangeSet> then) {
+  private CompletableFuture<Void> recordWhenDone(CompletableFuture<Void> done, ProvisioningStep step,
+      BiFunction<RegistryCommandHandler, Long, ChangeSet> decide) {
     return done.whenComplete((ok, error) -> {
       if (closing) {
         return;
       }
       if (error == null) {
-        command(then, r -> null);
+        command(decide, r -> null);
       } else {
         LOG.atWarn()
-            .addKeyValue("volume", s.volume.name())
+            .addKeyValue("volume", step.volume.name())
             .addKeyValue("why", error.getMessage())
             .log("volume.step");
-        executor.schedule(() -> retry(s), RETRY_MS, TimeUnit.MILLISECONDS);
+        executor.schedule(() -> retry(step), RETRY_MS, TimeUnit.MILLISECONDS);
       }
     });
   }
 
-  /** Once more, with what is recorded by now. */
-  private void retry(ProvisioningStep s) {
-    HostedVolume v = registry.volume(s.volume.id());
+  /** Retries a step with the current state of its volume. */
+  private void retry(ProvisioningStep step) {
+    HostedVolume v = registry.volume(step.volume.id());
     if (v != null && !closing) {
       provision(toStep(v));
     }
   }
 
-  /** Hears every line of the audit trail from now on, once it is synced; must not block. */
+  /** Adds a listener that gets each new audit record once it is synced; it must not block. */
   public void addAuditListener(Consumer<AuditRecord> listener) {
     listeners.add(listener);
   }
@@ -273,7 +276,7 @@
     listeners.remove(listener);
   }
 
-  /** Why nothing can be changed any more; null: it can. */
+  /** Returns the error after which nothing can be changed any more, or null. */
   public Throwable storeFailure() {
     return journal.failure();
   }
@@ -282,7 +285,7 @@
     return provisioner;
   }
 
-  /** Ends; what was recorded is synced. */
+  /** Closes the control plane; everything recorded is synced. */
   @Override
   public void close() {
     closing = true;
--- a/src/main/java/hollyslip/admin/JsonObjectReader.java
+++ b/src/main/java/hollyslip/admin/JsonObjectReader.java
@@ -6,17 +6,19 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Reads a JSON object field by field and names the field that is wrong. Fields that are not known are
- * refused: a misspelt one must not pass for one that is left out. */
+/** Reads the fields of a JSON object and names the invalid one in errors. Unknown fields are rejected, so
+ * that a misspelled field is not mistaken for an omitted one. */
 record JsonObjectReader(JsonNode object, String path) {
-  JsonObjectReader(JsonNode object, String prefix, Set<String> known) {
-    this(object, prefix);
+  JsonObjectReader(JsonNode object, String path, Set<String> knownFields) {
+    this(object, path);
     if (object == null || !object.isObject()) {
-      throw ApiException.invalid(prefix.isEmpty() ? "body" : prefix, "must be an object");
+      throw ApiException.invalid(path.isEmpty() ? "body" : path, "must be an object");
     }
-    object.fieldNames().forEachRemaining(f -> {
-      if (!known.contains(f)) {
-        throw ApiException.invalid(pathOf(f), "is not known; known are " + known.stream().sorted().toList());
+    object.fieldNames().forEachRemaining(field -> {
+      if (!knownFields.contains(field)) {
+        throw ApiException.invalid(pathOf(field), "is unknown; known fields are " + knownFields.stream()
+            .sorted()
+            .toList());
       }
     });
   }
@@ -26,64 +28,66 @@
   }
 
   private JsonNode get(String field) {
-    JsonNode n = object.get(field);
-    return n == null || n.isNull() ? null : n;
+    JsonNode node = object.get(field);
+    return node == null || node.isNull() ? null : node;
   }
 
   String string(String field) {
-    JsonNode n = get(field);
-    if (n == null || !n.isTextual()) {
-      throw ApiException.invalid(pathOf(field), n == null ? "is missing" : "must be a text");
+    JsonNode node = get(field);
+    if (node == null || !node.isTextual()) {
+      throw ApiException.invalid(pathOf(field), node == null ? "is missing" : "must be a string");
     }
-    return n.asText();
+    return node.asText();
   }
 
-  double number(String field, Double standard) {
-    Double d = number(field);
-    if (d == null && standard == null) {
+  double number(String field, Double defaultValue) {
+    Double value = number(field);
+    if (value == null && defaultValue == null) {
       throw ApiException.invalid(pathOf(field), "is missing");
     }
-    return d == null ? standard : d;
+    return value == null ? defaultValue : value;
   }
 
-  /** Null: not given. */
+  /** Returns null if the field is missing. */
   Double number(String field) {
-    JsonNode n = get(field);
-    if (n != null && (!n.isNumber() || Double.isInfinite(n.asDouble()) || Double.isNaN(n.asDouble()))) {
+    JsonNode node = get(field);
+    if (node != null && (!node.isNumber() || Double.isInfinite(node.asDouble()) || Double.isNaN(node
+        .asDouble()))) {
       throw ApiException.invalid(pathOf(field), "must be a number");
     }
-    return n == null ? null : n.asDouble();
+    return node == null ? null : node.asDouble();
   }
 
-  long integer(String field, Long standard) {
-    JsonNode n = get(field);
-    if (n == null && standard == null || n != null && !(n.isIntegralNumber() && n.canConvertToLong())) {
-      throw ApiException.invalid(pathOf(field), n == null ? "is missing" : "must be a whole number");
+  long integer(String field, Long defaultValue) {
+    JsonNode node = get(field);
+    if (node == null && defaultValue == null || node != null && !(node.isIntegralNumber() && node
+        .canConvertToLong())) {
+      throw ApiException.invalid(pathOf(field), node == null ? "is missing" : "must be a whole number");
     }
-    return n == null ? standard : n.asLong();
+    return node == null ? defaultValue : node.asLong();
   }
 
-  JsonObjectReader object(String field, Set<String> known) {
+  JsonObjectReader object(String field, Set<String> knownFields) {
     if (get(field) == null) {
       throw ApiException.invalid(pathOf(field), "is missing");
     }
-    return new JsonObjectReader(get(field), pathOf(field), known);
+    return new JsonObjectReader(get(field), pathOf(field), knownFields);
   }
 
-  /** Whole numbers by name. */
+  /** Returns an object of integers as a map; empty if the field is missing. */
   Map<String, Long> integerMap(String field) {
     Map<String, Long> map = new TreeMap<>();
-    JsonNode n = get(field);
-    if (n != null) {
+    JsonNode node = get(field);
+    if (node != null) {
       Set<String> names = new java.util.HashSet<>();
-      n.fieldNames().forEachRemaining(names::add);
-      JsonObjectReader inner = new JsonObjectReader(n, pathOf(field), names);
-      names.forEach(name -> map.put(name, inner.integer(name, null)));
+      node.fieldNames().forEachRemaining(names::add);
+      JsonObjectReader reader = new JsonObjectReader(node, pathOf(field), names);
+      names.forEach(name -> map.put(name, reader.integer(name, null)));
     }
     return map;
   }
 
-  /** Lays a merge patch (RFC 7396) over an object. */
+  /** Applies a merge patch (RFC 7396) to an object. */
   static ObjectNode mergePatch(ObjectNode target, JsonNode patch) {
     if (patch == null || !patch.isObject()) {
       throw ApiException.invalid("body", "must be an object");
--- a/src/main/java/hollyslip/admin/OpenApi.java
+++ b/src/main/java/hollyslip/admin/OpenApi.java
@@ -5,62 +5,67 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 
-/** The routes, once: the router is built from this list, and so is the OpenAPI 3.1 description. */
+/** Defines the routes; both the router and the OpenAPI 3.1 description are built from this list. */
 final class OpenApi {
   /** One route.
    *
    * @param method
    *          GET, POST, PATCH or DELETE
    * @param path
-   *          with parameters in braces
+   *          path with parameters in braces
    * @param summary
-   *          it does
+   *          what the route does
    * @param operatorsOnly
-   *          whether only operators find it
+   *          whether the route exists for operators only
    * @param requestSchema
-   *          name of the schema of the body; null: none
+   *          name of the request body's schema; null: no body
    * @param responseSchema
-   *          name of the schema of the answer; null: none
+   *          name of the response body's schema; null: no body
    * @param statusCodes
-   *          answers, besides 401, 404 and 500
+   *          status codes besides 401, 404 and 503, which every route has
    * @param requiresIfMatch
-   *          whether If-Match must be given
+   *          whether the If-Match header is required
    * @param handler
-   *          what answers it */
+   *          handler of the route */
   record Route(String method, String path, String summary, boolean operatorsOnly, String requestSchema,
       String responseSchema, List<Integer> statusCodes, boolean requiresIfMatch, Handler handler) {}
 
-  /** Answers a call, with the path's parameters in order. */
+  /** Handles a request; {@code parameters} are the path parameters in order. */
   interface Handler {
-    java.util.concurrent.CompletableFuture<Api.Response> handle(Api.Request call, List<String> parameters);
+    java.util.concurrent.CompletableFuture<Api.Response> handle(Api.Request request, List<String> parameters);
   }
 
   private static final List<Integer> READ_CODES = List.of(200), CREATE_CODES = List.of(201, 400, 409, 413,
       422);
   private static final List<Integer> PATCH_CODES = List.of(200, 400, 403, 409, 412, 413, 428);
-  private static final List<Integer> REMOVE_CODES = List.of(202, 403, 409, 412, 428);
+  private static final List<Integer> ASYNC_DELETE_CODES = List.of(202, 403, 409, 412, 428);
   private static final List<Integer> DELETE_CODES = List.of(204, 409, 412, 428);
 
   private OpenApi() {}
 
-  private static Route list(String path, String what, boolean operators, String gives, Handler h) {
-    return new Route("GET", path, what, operators, null, gives, List.of(200, 400), false, h);
+  private static Route list(String path, String summary, boolean operatorsOnly, String responseSchema,
+      Handler handler) {
+    return new Route("GET", path, summary, operatorsOnly, null, responseSchema, List.of(200, 400), false,
+        handler);
   }
 
-  private static Route read(String path, String what, boolean operators, String gives, Handler h) {
-    return new Route("GET", path, what, operators, null, gives, READ_CODES, false, h);
+  private static Route read(String path, String summary, boolean operatorsOnly, String responseSchema,
+      Handler handler) {
+    return new Route("GET", path, summary, operatorsOnly, null, responseSchema, READ_CODES, false, handler);
   }
 
-  private static Route create(String path, String what, boolean operators, String schema, Handler h) {
-    return new Route("POST", path, what, operators, schema, schema, CREATE_CODES, false, h);
+  private static Route create(String path, String summary, boolean operatorsOnly, String schema,
+      Handler handler) {
+    return new Route("POST", path, summary, operatorsOnly, schema, schema, CREATE_CODES, false, handler);
   }
 
-  private static Route patch(String path, String what, boolean operators, String schema, Handler h) {
-    return new Route("PATCH", path, what, operators, schema, schema, PATCH_CODES, true, h);
+  private static Route patch(String path, String summary, boolean operatorsOnly, String schema,
+      Handler handler) {
+    return new Route("PATCH", path, summary, operatorsOnly, schema, schema, PATCH_CODES, true, handler);
   }
 
-  private static Route delete(String path, String what, boolean operators, Handler h) {
-    return new Route("DELETE", path, what, operators, null, "Task", REMOVE_CODES, true, h);
+  private static Route delete(String path, String summary, boolean operatorsOnly, Handler handler) {
+    return new Route("DELETE", path, summary, operatorsOnly, null, "Task", ASYNC_DELETE_CODES, true, handler);
   }
 
   static List<Route> routes(Api a) {
@@ -115,48 +120,49 @@
                                                 p) -> a.audit(c)));
   }
 
-  /** The description. */
+  /** Builds the OpenAPI description. */
   static JsonNode description(List<Route> routes) {
-    ObjectNode d = Views.JSON.createObjectNode().put("openapi", "3.1.0");
-    d.putObject("info").put("title", "hollyslip administration").put("version", "1");
-    ObjectNode paths = d.putObject("paths");
-    for (Route r : routes) {
-      ObjectNode path = paths.withObjectProperty(r.path);
-      ObjectNode o = path.putObject(r.method.toLowerCase(java.util.Locale.ROOT)).put("summary", r.summary);
-      addParameters(r, o.putArray("parameters"));
-      if (r.requestSchema != null) {
-        String type = r.method.equals("PATCH") ? "application/merge-patch+json" : "application/json";
+    ObjectNode document = Views.JSON.createObjectNode().put("openapi", "3.1.0");
+    document.putObject("info").put("title", "hollyslip administration").put("version", "1");
+    ObjectNode paths = document.putObject("paths");
+    for (Route route : routes) {
+      ObjectNode path = paths.withObjectProperty(route.path);
+      ObjectNode o = path.putObject(route.method.toLowerCase(java.util.Locale.ROOT))
+          .put("summary", route.summary);
+      addParameters(route, o.putArray("parameters"));
+      if (route.requestSchema != null) {
+        String type = route.method.equals("PATCH") ? "application/merge-patch+json" : "application/json";
         o.putObject("requestBody")
             .put("required", true)
             .putObject("content")
             .putObject(type)
             .putObject("schema")
-            .put("$ref", "#/components/schemas/" + r.requestSchema);
+            .put("$ref", "#/components/schemas/" + route.requestSchema);
       }
-      ObjectNode answers = o.putObject("responses");
-      r.statusCodes.forEach(code -> addResponse(answers, code, r));
-      List.of(401, 404, 503).forEach(code -> addResponse(answers, code, r));
+      ObjectNode responses = o.putObject("responses");
+      route.statusCodes.forEach(code -> addResponse(responses, code, route));
+      List.of(401, 404, 503).forEach(code -> addResponse(responses, code, route));
       o.putArray("security").addObject().putArray("token");
     }
     addEventsPath(paths);
-    ObjectNode components = d.putObject("components");
+    ObjectNode components = document.putObject("components");
     components.putObject("securitySchemes").putObject("token").put("type", "http").put("scheme", "bearer");
     addSchemas(components.putObject("schemas"));
-    return d;
+    return document;
   }
 
-  private static void addParameters(Route r, ArrayNode to) {
-    var m = java.util.regex.Pattern.compile("\\{(\\w+)}").matcher(r.path);
-    while (m.find()) {
-      addParameter(to, m.group(1), "path", true);
+  private static void addParameters(Route route, ArrayNode to) {
+    var matcher = java.util.regex.Pattern.compile("\\{(\\w+)}").matcher(route.path);
+    while (matcher.find()) {
+      addParameter(to, matcher.group(1), "path", true);
     }
-    if (r.requiresIfMatch) {
+    if (route.requiresIfMatch) {
       addParameter(to, "If-Match", "header", true);
     }
-    if (r.method.equals("POST")) {
+    if (route.method.equals("POST")) {
       addParameter(to, "Idempotency-Key", "header", false);
     }
-    if (r.statusCodes.contains(200) && r.statusCodes.contains(400) && r.method.equals("GET")) {
+    if (route.statusCodes.contains(200) && route.statusCodes.contains(400) && route.method.equals("GET")) {
       addParameter(to, "after", "query", false);
       addParameter(to, "limit", "query", false);
     }
@@ -171,18 +177,18 @@
         .put("type", "string");
   }
 
-  private static void addResponse(ObjectNode to, int code, Route r) {
+  private static void addResponse(ObjectNode to, int code, Route route) {
     ObjectNode a = to.putObject(Integer.toString(code)).put("description", ProblemDetails.title(code));
     if (code >= 400) {
       a.putObject("content")
           .putObject("application/problem+json")
           .putObject("schema")
           .put("$ref", "#/components/schemas/Problem");
-    } else if (r.responseSchema != null) {
+    } else if (route.responseSchema != null) {
       a.putObject("content")
           .putObject("application/json")
           .putObject("schema")
-          .put("$ref", "#/components/schemas/" + r.responseSchema);
+          .put("$ref", "#/components/schemas/" + route.responseSchema);
     }
   }
 
--- a/src/main/java/hollyslip/admin/ProblemDetails.java
+++ b/src/main/java/hollyslip/admin/ProblemDetails.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletionException;
 
-/** Status and problem details of what went wrong. */
+/** Maps errors to status codes and problem details. */
 final class ProblemDetails {
   private ProblemDetails() {}
 
@@ -35,8 +35,8 @@
     Throwable e = thrown instanceof CompletionException && thrown.getCause() != null
         ? thrown.getCause()
         : thrown;
-    if (e instanceof ApiException p) {
-      return p;
+    if (e instanceof ApiException exception) {
+      return exception;
     }
     if (e instanceof CommandRejectedException r) {
       int status = switch (r.reason()) {
@@ -54,18 +54,18 @@
     return new ApiException(500, title(500), null, "see the gateway's log", Map.of());
   }
 
-  static ObjectNode toJson(ApiException p) {
-    ObjectNode n = Views.JSON.createObjectNode()
+  static ObjectNode toJson(ApiException exception) {
+    ObjectNode node = Views.JSON.createObjectNode()
         .put("type", "about:blank")
-        .put("title", p.title)
-        .put("status", p.status)
-        .put("detail", p.getMessage());
-    if (p.field != null) {
-      n.put("field", p.field);
+        .put("title", exception.title)
+        .put("status", exception.status)
+        .put("detail", exception.getMessage());
+    if (exception.field != null) {
+      node.put("field", exception.field);
     }
-    if (!p.figures.isEmpty()) {
-      n.set("figures", Views.JSON.valueToTree(p.figures));
+    if (!exception.figures.isEmpty()) {
+      node.set("figures", Views.JSON.valueToTree(exception.figures));
     }
-    return n;
+    return node;
   }
 }
--- a/src/main/java/hollyslip/admin/RegistryCodec.java
+++ b/src/main/java/hollyslip/admin/RegistryCodec.java
@@ -8,8 +8,8 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Records and snapshots as bytes: CBOR with names of fields, so that a later form may add some. A record of
- * a version that is not known is refused whole by {@link ChangeSet}. */
+/** Encodes change sets and registry snapshots as CBOR with field names, so that later versions may add
+ * fields. {@link ChangeSet} rejects records of an unknown format version. */
 final class RegistryCodec {
   private static final ObjectMapper CBOR = new CBORMapper().configure(
       DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false);
--- a/src/main/java/hollyslip/admin/Views.java
+++ b/src/main/java/hollyslip/admin/Views.java
@@ -20,17 +20,18 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The API's JSON forms of what is recorded, and back: of each the part that administrators may change is
- * read back from a form with a patch laid over it. */
+/** Converts recorded values to the JSON of the API, and JSON to the part that administrators may change. For
+ * a PATCH, the latter is read from the current JSON with the merge patch applied. */
 final class Views {
-  /** Whole figures are written as such, also where the code has a double: never 1.0E7. */
+  /** Writes whole numbers without decimal point or exponent (never 1.0E7), even where the code has a
+   * double. */
   static final ObjectMapper JSON = new ObjectMapper().setNodeFactory(new JsonNodeFactory() {
     private static final long serialVersionUID = 1;
 
     @Override
-    public NumericNode numberNode(double figure) {
-      Number plain = Plain.toWholeIfExact(figure);
-      return plain instanceof Long whole ? super.numberNode(whole.longValue()) : super.numberNode(figure);
+    public NumericNode numberNode(double value) {
+      Number number = Plain.toWholeIfExact(value);
+      return number instanceof Long whole ? super.numberNode(whole.longValue()) : super.numberNode(value);
     }
   });
   private static final Set<String> TERM_FIELDS = Set.of("rate", "reserve", "weight", "price", "limit",
@@ -59,12 +60,12 @@
   }
 
   static ObjectNode plan(Plan p) {
-    ObjectNode n = node().put("name", p.name()).put("revision", p.revision());
-    n.setAll(terms(p.terms()));
-    return n;
+    ObjectNode node = node().put("name", p.name()).put("revision", p.revision());
+    node.setAll(terms(p.terms()));
+    return node;
   }
 
-  /** What of a plan can be wished for. */
+  /** Returns the fields of a plan that administrators may set. */
   static ObjectNode spec(Plan p) {
     return plan(p).without(Set.of("revision"));
   }
@@ -72,130 +73,130 @@
   static Wish.ForPlan plan(JsonNode body) {
     Set<String> known = new java.util.HashSet<>(TERM_FIELDS);
     known.add("name");
-    JsonObjectReader f = new JsonObjectReader(body, "", known);
-    return new Wish.ForPlan(f.string("name"), new Terms(f.number("rate", 0.0), f.number("reserve", 0.0), f
-        .number("weight", null), f.number("price", 1.0), f.number("limit", 0.0), f.number("limit_burst", 0.0),
-        f.number("limit_slack", 0.0)));
+    JsonObjectReader fields = new JsonObjectReader(body, "", known);
+    return new Wish.ForPlan(fields.string("name"), new Terms(fields.number("rate", 0.0), fields.number(
+        "reserve", 0.0), fields.number("weight", null), fields.number("price", 1.0), fields.number("limit",
+            0.0), fields.number("limit_burst", 0.0), fields.number("limit_slack", 0.0)));
   }
 
   // Tenants.
 
-  static ObjectNode tenant(Registry r, Tenant t) {
-    ObjectNode n = spec(t);
-    n.put("revision", t.revision()).put("phase", lowerCaseName(t.phase()));
-    n.putObject("used")
-        .put("reserve", r.totalReserve(t.id()))
-        .put("bytes", r.totalBytes(t.id()))
-        .put("volumes", r.volumeNames(t.id()).size());
-    return n;
+  static ObjectNode tenant(Registry registry, Tenant t) {
+    ObjectNode node = spec(t);
+    node.put("revision", t.revision()).put("phase", lowerCaseName(t.phase()));
+    node.putObject("used")
+        .put("reserve", registry.totalReserve(t.id()))
+        .put("bytes", registry.totalBytes(t.id()))
+        .put("volumes", registry.volumeNames(t.id()).size());
+    return node;
   }
 
   static ObjectNode spec(Tenant t) {
-    ObjectNode n = node().put("name", t.name()).put("weight", t.weight());
-    n.putObject("quota")
+    ObjectNode node = node().put("name", t.name()).put("weight", t.weight());
+    node.putObject("quota")
         .put("reserve", t.quota().reserve())
         .put("bytes", t.quota().bytes())
         .put("volumes", t.quota().volumes());
-    ObjectNode members = n.putObject("members");
+    ObjectNode members = node.putObject("members");
     t.members().forEach(members::put);
-    return n;
+    return node;
   }
 
   static Wish.ForTenant tenant(JsonNode body) {
-    JsonObjectReader f = new JsonObjectReader(body, "", Set.of("name", "weight", "quota", "members"));
-    JsonObjectReader q = f.object("quota", Set.of("reserve", "bytes", "volumes"));
-    long volumes = q.integer("volumes", 1_000L);
-    return new Wish.ForTenant(f.string("name"), f.number("weight", 1.0), new Tenant.Quota(q.number("reserve",
-        null), q.integer("bytes", null), (int) Math.max(-1, Math.min(Integer.MAX_VALUE, volumes))), f
-            .integerMap("members"));
+    JsonObjectReader fields = new JsonObjectReader(body, "", Set.of("name", "weight", "quota", "members"));
+    JsonObjectReader quota = fields.object("quota", Set.of("reserve", "bytes", "volumes"));
+    long volumes = quota.integer("volumes", 1_000L);
+    return new Wish.ForTenant(fields.string("name"), fields.number("weight", 1.0), new Tenant.Quota(quota
+        .number("reserve", null), quota.integer("bytes", null), (int) Math.max(-1, Math.min(Integer.MAX_VALUE,
+            volumes))), fields.integerMap("members"));
   }
 
   // Volumes.
 
-  static ObjectNode volume(Registry r, HostedVolume v) {
-    ObjectNode n = spec(v);
-    n.put("tenant", r.tenant(v.tenant()).name())
+  static ObjectNode volume(Registry registry, HostedVolume v) {
+    ObjectNode node = spec(v);
+    node.put("tenant", registry.tenant(v.tenant()).name())
         .put("revision", v.revision())
         .put("phase", lowerCaseName(v.phase()));
-    n.set("terms", terms(r.terms(v)));
+    node.set("terms", terms(registry.terms(v)));
     Map<Integer, Integer> counts = new TreeMap<>();
     v.extents().forEach(e -> counts.merge(e.shard(), 1, Integer::sum));
-    ArrayNode shards = n.putArray("shards");
+    ArrayNode shards = node.putArray("shards");
     counts.forEach((shard, extents) -> shards.addObject().put("shard", shard).put("extents", extents));
-    return n;
+    return node;
   }
 
   static ObjectNode spec(HostedVolume v) {
-    ObjectNode n = node().put("name", v.name())
+    ObjectNode node = node().put("name", v.name())
         .put("plan", v.plan())
         .put("bytes", v.bytes())
         .put("extent_bytes", v.extentBytes());
-    putIfPresent(n, "reserve", v.overrides().reserve());
-    putIfPresent(n, "weight", v.overrides().weight());
-    putIfPresent(n, "limit", v.overrides().limit());
-    putIfPresent(n, "limit_burst", v.overrides().limitBurst());
-    return n;
+    putIfPresent(node, "reserve", v.overrides().reserve());
+    putIfPresent(node, "weight", v.overrides().weight());
+    putIfPresent(node, "limit", v.overrides().limit());
+    putIfPresent(node, "limit_burst", v.overrides().limitBurst());
+    return node;
   }
 
-  private static void putIfPresent(ObjectNode n, String field, Double value) {
+  private static void putIfPresent(ObjectNode node, String field, Double value) {
     if (value != null) {
-      n.put(field, value);
+      node.put(field, value);
     }
   }
 
   static Wish.ForVolume volume(JsonNode body) {
-    JsonObjectReader f = new JsonObjectReader(body, "", Set.of("name", "plan", "bytes", "extent_bytes",
+    JsonObjectReader fields = new JsonObjectReader(body, "", Set.of("name", "plan", "bytes", "extent_bytes",
         "reserve", "weight", "limit", "limit_burst"));
-    long bytes = f.integer("bytes", null);
-    return new Wish.ForVolume(f.string("name"), f.string("plan"), new Terms.Overrides(f.number("reserve"), f
-        .number("weight"), f.number("limit"), f.number("limit_burst")), bytes, f.integer("extent_bytes",
-            4L << 20));
+    long bytes = fields.integer("bytes", null);
+    return new Wish.ForVolume(fields.string("name"), fields.string("plan"), new Terms.Overrides(fields.number(
+        "reserve"), fields.number("weight"), fields.number("limit"), fields.number("limit_burst")), bytes,
+        fields.integer("extent_bytes", 4L << 20));
   }
 
-  // The rest.
+  // Nodes, tasks, tokens and audit records.
 
-  static ObjectNode nodeOf(String name, Carrier.NodeView v, Change.NodeStatePut said) {
+  static ObjectNode nodeOf(String name, Carrier.NodeView v, Change.NodeStatePut recorded) {
     return node().put("name", name)
         .put("id", v.id())
         .put("shard", v.shard())
         .put("zone", v.zone())
         .put("state", lowerCaseName(v.state()))
-        .put("revision", said == null ? 0 : said.revision());
+        .put("revision", recorded == null ? 0 : recorded.revision());
   }
 
-  static ObjectNode task(Registry r, Change.Task t) {
-    ObjectNode n = node().put("id", t.id())
+  static ObjectNode task(Registry registry, Change.Task t) {
+    ObjectNode node = node().put("id", t.id())
         .put("kind", t.kind())
         .put("target", t.target())
         .put("state", t.doneAt() > 0 ? "done" : "running")
         .put("started_at", t.startedAt());
     if (t.doneAt() > 0) {
-      n.put("done_at", t.doneAt());
+      node.put("done_at", t.doneAt());
     } else if (t.kind().equals("remove tenant")) {
-      Tenant tenant = r.tenant(t.target().substring(t.target().lastIndexOf('/') + 1));
-      n.put("volumes_left", tenant == null ? 0 : r.volumeNames(tenant.id()).size());
+      Tenant tenant = registry.tenant(t.target().substring(t.target().lastIndexOf('/') + 1));
+      node.put("volumes_left", tenant == null ? 0 : registry.volumeNames(tenant.id()).size());
     }
-    return n;
+    return node;
   }
 
-  static ObjectNode token(Registry r, Change.Token t) {
-    ObjectNode n = node().put("id", t.id())
+  static ObjectNode token(Registry registry, Change.Token t) {
+    ObjectNode node = node().put("id", t.id())
         .put("who", t.who())
         .put("scope", t.tenant() == 0 ? "operator" : "tenant");
     if (t.tenant() != 0) {
-      n.put("tenant", r.tenant(t.tenant()).name());
+      node.put("tenant", registry.tenant(t.tenant()).name());
     }
-    return n;
+    return node;
   }
 
   static ObjectNode auditRecord(AuditRecord t) {
-    ObjectNode n = node().put("sequence", t.sequence())
+    ObjectNode node = node().put("sequence", t.sequence())
         .put("at", t.at())
         .put("who", t.who())
         .put("what", t.what())
         .put("target", t.target());
-    n.set("before", JSON.valueToTree(t.before()));
-    n.set("after", JSON.valueToTree(t.after()));
-    return n;
+    node.set("before", JSON.valueToTree(t.before()));
+    node.set("after", JSON.valueToTree(t.after()));
+    return node;
   }
 }
--- a/src/main/java/hollyslip/tenant/RegistryCommandHandler.java
+++ b/src/main/java/hollyslip/tenant/RegistryCommandHandler.java
@@ -169,12 +169,12 @@
     changes.add(new Change.TaskPut(task));
     if (volumesOf(old.id()).isEmpty()) {
       changes.add(new Change.TenantRemoved(old.id()));
-      changes.add(new Change.TaskPut(done(task, at)));
+      changes.add(new Change.TaskPut(completed(task, at)));
     }
     return new ChangeSet(at, who, "remove tenant", path(old), changes);
   }
 
-  private static Task done(Task t, long at) {
+  private static Task completed(Task t, long at) {
     return new Task(t.id(), t.kind(), t.target(), t.startedAt(), Math.max(1, at));
   }
 
@@ -431,7 +431,7 @@
 
   // Tokens and keys.
 
-  public ChangeSet putToken(long at, String who, Change.Token token) {
+  public ChangeSet createToken(long at, String who, Change.Token token) {
     if (token.tenant() != 0 && registry.tenant(token.tenant()) == null) {
       throw CommandRejectedException.unknown("tenant", token.tenant());
     }
@@ -457,7 +457,7 @@
    *
    * @throws CommandRejectedException
    *           the key was used for a different request */
-  public String done(String key, String digest) {
+  public String findCreatedPath(String key, String digest) {
     Change.IdempotencyKeyPut k = registry.key(key);
     if (k != null && !k.digest().equals(digest)) {
       throw new CommandRejectedException(CommandRejectedException.Reason.KEY_REUSED, "Idempotency-Key",
@@ -500,7 +500,7 @@
   private void completeTasks(String target, long at, List<Change> changes) {
     for (Task t : registry.tasks().values()) {
       if (t.doneAt() == 0 && t.target().equals(target)) {
-        changes.add(new Change.TaskPut(done(t, at)));
+        changes.add(new Change.TaskPut(completed(t, at)));
       }
     }
   }
--- a/src/test/java/hollyslip/admin/AdminTest.java
+++ b/src/test/java/hollyslip/admin/AdminTest.java
@@ -51,7 +51,7 @@
   private static final String TENANT = "{\"name\":\"%s\",\"quota\":{\"reserve\":500,\"bytes\":2199023255552}}";
   private static final String VOLUME = "{\"name\":\"%s\",\"plan\":\"gold\",\"bytes\":8388608}";
 
-  /** Carries out nothing, but holds drains up if told to. */
+  /** Serves volumes at once, and completes drains only when the test completes {@code drained}. */
   private static final class FakeProvisioner implements Carrier {
     final Map<String, NodeState> nodes = new ConcurrentHashMap<>(Map.of("n0", NodeState.ON, "n1",
         NodeState.ON));
@@ -137,8 +137,8 @@
   }
 
   private void create(String path, String body) {
-    Response g = sendAsOperator("POST", path, body);
-    assertEquals(201, g.status, () -> g.body.toString());
+    Response response = sendAsOperator("POST", path, body);
+    assertEquals(201, response.status, () -> response.body.toString());
   }
 
   private void createTenantsWithVolumes() {
@@ -149,52 +149,55 @@
     create("/v1/tenants/shannon/volumes", String.format(VOLUME, "orders"));
   }
 
-  /** Reads, changes, and begins again where it comes second; how often it came second. */
+  /** Reads and changes a resource, and retries when another change came first; returns the number of
+   * retries. */
   private int patchUntilAccepted(String path, SplittableRandom random, UnaryOperator<JsonNode> patch) {
     Response seen = sendAsOperator("GET", path, null);
-    for (int late = 0;; late++) {
+    for (int conflicts = 0;; conflicts++) {
       if (random.nextInt(3) == 0) {
         Thread.yield();
       }
-      Response g = sendAsOperator("PATCH", path, patch.apply(seen.body).toString(), "If-Match", seen.etag);
-      if (g.status == 200) {
-        return late;
+      Response response = sendAsOperator("PATCH", path, patch.apply(seen.body).toString(), "If-Match",
+          seen.etag);
+      if (response.status == 200) {
+        return conflicts;
       }
-      assertEquals(412, g.status, () -> g.body.toString());
-      JsonNode current = g.body.at("/figures/current");
+      assertEquals(412, response.status, () -> response.body.toString());
+      JsonNode current = response.body.at("/figures/current");
       assertNotEquals(seen.body.get("revision"), current.get("revision"));
-      seen = new Response(200, current, g.etag, null);
+      seen = new Response(200, current, response.etag, null);
     }
   }
 
-  /** Two administrators raise the same figure by one, five hundred times each: none of the thousand is lost,
-   * so the outcome is that of some order of them. */
+  /** Guards against lost updates: two administrators increment the same value 500 times each, and all 1,000
+   * increments must take effect. */
   @Test
   void concurrentUpdatesAreNotLost() throws Exception {
     createTenantsWithVolumes();
-    AtomicInteger late = new AtomicInteger();
-    List<Throwable> wrong = java.util.Collections.synchronizedList(new ArrayList<>());
-    List<Thread> both = new ArrayList<>();
+    AtomicInteger conflicts = new AtomicInteger();
+    List<Throwable> failures = java.util.Collections.synchronizedList(new ArrayList<>());
+    List<Thread> administrators = new ArrayList<>();
     for (int who = 0; who < 2; who++) {
       SplittableRandom random = new SplittableRandom(who);
-      both.add(new Thread(() -> {
+      administrators.add(new Thread(() -> {
         for (int i = 0; i < 500; i++) {
-          late.addAndGet(patchUntilAccepted("/v1/tenants/lee", random, old -> Views.JSON.createObjectNode()
+          conflicts.addAndGet(patchUntilAccepted("/v1/tenants/lee", random, old -> Views.JSON
+              .createObjectNode()
               .set("quota", Views.JSON.createObjectNode()
                   .put("volumes", old.at("/quota/volumes").asInt() + 1))));
         }
       }));
     }
-    both.forEach(t -> t.setUncaughtExceptionHandler((x, e) -> wrong.add(e)));
-    both.forEach(Thread::start);
-    for (Thread t : both) {
+    administrators.forEach(t -> t.setUncaughtExceptionHandler((x, e) -> failures.add(e)));
+    administrators.forEach(Thread::start);
+    for (Thread t : administrators) {
       t.join();
     }
-    assertEquals(List.of(), wrong);
-    JsonNode end = sendAsOperator("GET", "/v1/tenants/lee", null).body;
-    assertEquals(2_000, end.at("/quota/volumes").asInt());
-    assertEquals(1_001, end.get("revision").asInt());
-    assertTrue(late.get() > 0, "they met");
+    assertEquals(List.of(), failures);
+    JsonNode result = sendAsOperator("GET", "/v1/tenants/lee", null).body;
+    assertEquals(2_000, result.at("/quota/volumes").asInt());
+    assertEquals(1_001, result.get("revision").asInt());
+    assertTrue(conflicts.get() > 0, "no concurrent changes conflicted");
   }
 
   @Test
@@ -205,9 +208,9 @@
         "\"7\"").status);
     assertEquals(400, sendAsOperator("PATCH", "/v1/tenants/lee", "{\"weight\":2}", "If-Match",
         "seven").status);
-    Response g = sendAsOperator("PATCH", "/v1/tenants/lee", "{\"weight\":2}", "If-Match", "\"1\"");
-    assertEquals("\"2\"", g.etag);
-    assertEquals(2, g.body.get("weight").asDouble());
+    Response response = sendAsOperator("PATCH", "/v1/tenants/lee", "{\"weight\":2}", "If-Match", "\"1\"");
+    assertEquals("\"2\"", response.etag);
+    assertEquals(2, response.body.get("weight").asDouble());
   }
 
   @Test
@@ -226,40 +229,42 @@
   @Test
   void excessRequestIsRejectedWithFigures() {
     createTenantsWithVolumes();
-    Response g = sendAsOperator("POST", "/v1/tenants/lee/volumes",
+    Response response = sendAsOperator("POST", "/v1/tenants/lee/volumes",
         "{\"name\":\"big\",\"plan\":\"gold\",\"bytes\":8388608,\"reserve\":450}");
-    assertEquals(409, g.status);
-    assertEquals("quota.reserve", g.body.get("field").asText());
-    assertEquals(400, g.body.at("/figures/would_fit").asDouble());
+    assertEquals(409, response.status);
+    assertEquals("quota.reserve", response.body.get("field").asText());
+    assertEquals(400, response.body.at("/figures/would_fit").asDouble());
     assertEquals(409, sendAsOperator("POST", "/v1/tenants", String.format(TENANT, "tom")
         .replace("500", "1001")).status);
     create("/v1/tenants", String.format(TENANT, "tom").replace("500", "1000"));
-    // 900 a volume of one extent: each shard has at most 1,000, of which 200 are given away.
+    // A reserve of 950 on one extent: each of the two shards has a capacity of 1,000, and the existing
+    // volumes
+    // reserve 200 on them together, so 900 are free on each.
     Response shard = sendAsOperator("POST", "/v1/tenants/tom/volumes",
         "{\"name\":\"one\",\"plan\":\"gold\",\"bytes\":4194304,\"reserve\":950}");
     assertEquals(409, shard.status, () -> shard.body.toString());
     assertEquals(0, shard.body.at("/figures/would_fit_extents").asInt());
   }
 
-  /** Figures came as 1.073741824E9 and 1048576.0. */
+  /** Guards against figures in the form 1.073741824E9 and 1048576.0. */
   @Test
   void numbersHaveNoExponentAndBytesHaveAUnit() {
     create("/v1/plans", PLAN);
     create("/v1/tenants", "{\"name\":\"lee\",\"quota\":{\"reserve\":500,\"bytes\":1073741824}}");
-    Response g = sendAsOperator("POST", "/v1/tenants/lee/volumes",
+    Response response = sendAsOperator("POST", "/v1/tenants/lee/volumes",
         "{\"name\":\"big\",\"plan\":\"gold\",\"bytes\":1073742336,\"extent_bytes\":1073742336}");
-    assertEquals(409, g.status, () -> g.body.toString());
-    assertEquals("tenant lee may have 1 GiB and has 0 bytes, 1 GiB more are requested", g.body.get("detail")
-        .asText());
-    assertEquals("1073741824", g.body.at("/figures/quota").toString());
-    assertEquals("1073741824", g.body.at("/figures/would_fit").toString());
+    assertEquals(409, response.status, () -> response.body.toString());
+    assertEquals("tenant lee may have 1 GiB and has 0 bytes, 1 GiB more are requested", response.body.get(
+        "detail").asText());
+    assertEquals("1073741824", response.body.at("/figures/quota").toString());
+    assertEquals("1073741824", response.body.at("/figures/would_fit").toString());
     Response plan = sendAsOperator("GET", "/v1/plans/gold", null);
     assertEquals("100", plan.body.get("reserve").toString());
     assertEquals("1.5 KiB", Plain.bytes(1536));
     assertEquals("10000000.125", Plain.formatNumber(10_000_000.1251));
   }
 
-  /** Whatever is another tenant's, or an operator's, is not there for a tenant's token. */
+  /** With a tenant's token, resources of other tenants and of operators do not exist. */
   @Test
   void tenantTokenGrantsAccessToItsTenantOnly() {
     createTenantsWithVolumes();
@@ -293,8 +298,8 @@
     assertEquals(401, send(token, "GET", "/v1/tenants/lee", null).status);
   }
 
-  /** Clients that offer HTTP/2 with their first request, as the JDK's do: some waited for ever on a
-   * connection that had changed over to it. */
+  /** Clients such as the JDK's offer an upgrade to HTTP/2 with their first request. Some of them waited
+   * forever on a connection that had been upgraded. */
   @Test
   void clientsThatOfferHttp2AreAnswered() {
     URI uri = URI.create("http://127.0.0.1:" + server.port() + "/openapi.json");
@@ -311,13 +316,13 @@
     });
   }
 
-  /** The description and the code name the same routes. */
+  /** The OpenAPI description and the router have the same routes. */
   @Test
   void openApiDescriptionMatchesTheRoutes() {
-    JsonNode d = send(null, "GET", "/openapi.json", null).body;
-    assertEquals("3.1.0", d.get("openapi").asText());
+    JsonNode description = send(null, "GET", "/openapi.json", null).body;
+    assertEquals("3.1.0", description.get("openapi").asText());
     int described = 0;
-    for (var path : (Iterable<Map.Entry<String, JsonNode>>) () -> d.get("paths").fields()) {
+    for (var path : (Iterable<Map.Entry<String, JsonNode>>) () -> description.get("paths").fields()) {
       String url = path.getKey().replaceAll("\\{\\w+}", "x");
       for (String method : List.of("GET", "POST", "PATCH", "DELETE", "PUT")) {
         boolean named = path.getValue().has(method.toLowerCase(java.util.Locale.ROOT));
@@ -327,27 +332,29 @@
       }
     }
     assertEquals(OpenApi.routes(new Api(control)).size() + 1, described);
-    d.findValuesAsText("$ref").forEach(ref -> assertFalse(d.at(ref.substring(1)).isMissingNode(), ref));
+    description.findValuesAsText("$ref")
+        .forEach(ref -> assertFalse(description.at(ref.substring(1)).isMissingNode(), ref));
   }
 
   @Test
   void invalidFieldIsNamed() {
     createTenantsWithVolumes();
-    Map<String, String> faults = new TreeMap<>();
-    faults.put("{\"name\":\"Lee!\",\"quota\":{\"reserve\":1,\"bytes\":1}}", "name");
-    faults.put("{\"name\":\"x\",\"quota\":{\"reserve\":-1,\"bytes\":1}}", "quota.reserve");
-    faults.put("{\"name\":\"x\",\"quota\":{\"reserve\":\"1\",\"bytes\":1}}", "quota.reserve");
-    faults.put("{\"name\":\"x\",\"quota\":{\"reserve\":1,\"bytes\":1.5}}", "quota.bytes");
-    faults.put("{\"name\":\"x\",\"quota\":{\"reserve\":1,\"bytes\":1},\"wieght\":1}", "wieght");
-    faults.put("{\"name\":\"x\",\"quota\":{\"reserve\":1,\"bytes\":1},\"members\":{\"a\":-1}}", "members");
-    faults.put("{\"name\":\"x\"}", "quota");
-    faults.put("{\"name\":\"x\"", "body");
-    faults.put("[]", "body");
-    faults.put("{}{}", "body");
-    faults.forEach((body, field) -> {
-      Response g = sendAsOperator("POST", "/v1/tenants", body);
-      assertEquals(400, g.status, body);
-      assertEquals(field, g.body.get("field").asText(), body);
+    Map<String, String> fieldsByBody = new TreeMap<>();
+    fieldsByBody.put("{\"name\":\"Lee!\",\"quota\":{\"reserve\":1,\"bytes\":1}}", "name");
+    fieldsByBody.put("{\"name\":\"x\",\"quota\":{\"reserve\":-1,\"bytes\":1}}", "quota.reserve");
+    fieldsByBody.put("{\"name\":\"x\",\"quota\":{\"reserve\":\"1\",\"bytes\":1}}", "quota.reserve");
+    fieldsByBody.put("{\"name\":\"x\",\"quota\":{\"reserve\":1,\"bytes\":1.5}}", "quota.bytes");
+    fieldsByBody.put("{\"name\":\"x\",\"quota\":{\"reserve\":1,\"bytes\":1},\"wieght\":1}", "wieght");
+    fieldsByBody.put("{\"name\":\"x\",\"quota\":{\"reserve\":1,\"bytes\":1},\"members\":{\"a\":-1}}",
+        "members");
+    fieldsByBody.put("{\"name\":\"x\"}", "quota");
+    fieldsByBody.put("{\"name\":\"x\"", "body");
+    fieldsByBody.put("[]", "body");
+    fieldsByBody.put("{}{}", "body");
+    fieldsByBody.forEach((body, field) -> {
+      Response response = sendAsOperator("POST", "/v1/tenants", body);
+      assertEquals(400, response.status, body);
+      assertEquals(field, response.body.get("field").asText(), body);
     });
     assertEquals(413, sendAsOperator("POST", "/v1/tenants", "x".repeat(AdminServer.MAX_BODY_BYTES
         + 1)).status);
@@ -356,14 +363,14 @@
     assertEquals(400, sendAsOperator("GET", "/v1/tenants?limit=0", null).status);
   }
 
-  /** Noise on the socket: whatever comes, the next client is served. */
+  /** Sends corrupted requests; afterwards the next client must still be served. */
   @Test
   void malformedRequestsDoNotAffectOtherClients() throws IOException {
     SplittableRandom random = new SplittableRandom(5);
-    String whole = "POST /v1/tenants HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + operatorToken
+    String originalRequest = "POST /v1/tenants HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + operatorToken
         + "\r\nContent-Length: 20\r\n\r\n{\"name\":\"x\",\"quota\"}";
     for (int i = 0; i < 200; i++) {
-      byte[] bytes = whole.getBytes(java.nio.charset.StandardCharsets.UTF_8);
+      byte[] bytes = originalRequest.getBytes(java.nio.charset.StandardCharsets.UTF_8);
       for (int k = random.nextInt(8); k >= 0; k--) {
         bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
       }
@@ -374,7 +381,7 @@
     assertEquals(200, sendAsOperator("GET", "/v1/tenants", null).status);
   }
 
-  /** A removal is a task with progress, and nothing of it is lost over a restart; the stream tells of it. */
+  /** A removal is a task with progress that survives a restart and appears in the event stream. */
   @Test
   void removalContinuesAfterARestart() throws Exception {
     createTenantsWithVolumes();
@@ -383,14 +390,14 @@
         .header("Authorization", "Bearer " + operatorToken)
         .build(), HttpResponse.BodyHandlers.ofLines()).thenAccept(r -> r.body().forEach(events::add));
     assertEquals(": begin", events.poll(10, TimeUnit.SECONDS));
-    Response begun = sendAsOperator("DELETE", "/v1/tenants/lee", null, "If-Match", "\"1\"");
-    assertEquals(202, begun.status);
+    Response started = sendAsOperator("DELETE", "/v1/tenants/lee", null, "If-Match", "\"1\"");
+    assertEquals(202, started.status);
     String line = "";
     while (!line.startsWith("data:")) {
       line = events.poll(10, TimeUnit.SECONDS);
     }
     assertTrue(line.contains("\"what\":\"remove tenant\""), line);
-    JsonNode task = sendAsOperator("GET", begun.location, null).body;
+    JsonNode task = sendAsOperator("GET", started.location, null).body;
     assertEquals("running", task.get("state").asText());
     assertEquals(1, task.get("volumes_left").asInt());
     assertEquals("draining", sendAsOperator("GET", "/v1/tenants/lee", null).body.get("phase").asText());
@@ -398,11 +405,11 @@
     assertEquals(409, sendAsOperator("PATCH", "/v1/tenants/lee", "{\"weight\":2}", "If-Match", "*").status);
     stop();
     start();
-    assertEquals("running", sendAsOperator("GET", begun.location, null).body.get("state").asText());
+    assertEquals("running", sendAsOperator("GET", started.location, null).body.get("state").asText());
     provisioner.drained.complete(null);
     Awaitility.await()
         .atMost(20, TimeUnit.SECONDS)
-        .until(() -> sendAsOperator("GET", begun.location, null).body.get("state").asText().equals("done"));
+        .until(() -> sendAsOperator("GET", started.location, null).body.get("state").asText().equals("done"));
     assertEquals(404, sendAsOperator("GET", "/v1/tenants/lee", null).status);
     assertEquals(200, sendAsOperator("GET", "/v1/tenants/shannon/volumes/orders", null).status);
     JsonNode used = sendAsOperator("GET", "/v1/tenants/shannon", null).body.get("used");
@@ -424,7 +431,7 @@
         "\"0\"").status);
   }
 
-  /** A key and its certificate for localhost, as two PEM files. */
+  /** Creates a key and a certificate for localhost as two PEM files. */
   private void createKeyPair(String name, Path cert, Path key) throws Exception {
     Path store = dir.resolve(name + ".p12");
     Process p = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "keytool").toString(),
@@ -434,9 +441,9 @@
         .redirectOutput(dir.resolve(name + ".log").toFile())
         .start();
     assertEquals(0, p.waitFor());
-    KeyStore ks = KeyStore.getInstance(store.toFile(), "changeit".toCharArray());
-    Files.writeString(key, pem("PRIVATE KEY", ks.getKey("k", "changeit".toCharArray()).getEncoded()));
-    Files.writeString(cert, pem("CERTIFICATE", ks.getCertificate("k").getEncoded()));
+    KeyStore keyStore = KeyStore.getInstance(store.toFile(), "changeit".toCharArray());
+    Files.writeString(key, pem("PRIVATE KEY", keyStore.getKey("k", "changeit".toCharArray()).getEncoded()));
+    Files.writeString(cert, pem("CERTIFICATE", keyStore.getCertificate("k").getEncoded()));
   }
 
   private static String pem(String what, byte[] bytes) {
@@ -444,12 +451,11 @@
         .encodeToString(bytes) + "\n-----END " + what + "-----\n";
   }
 
-  private ApiClient connectOverTls(int port, Path trusted) {
-    return ApiClient.at(port, trusted, operatorToken);
+  private ApiClient connectOverTls(int port, Path trustedCertificates) {
+    return ApiClient.at(port, trustedCertificates, operatorToken);
   }
 
-  /** New keys are used for new connections; one that stands goes on; keys that cannot be used change
-   * nothing. */
+  /** New keys are used for new connections only, existing ones continue, and unusable keys change nothing. */
   @Test
   void certificateIsReloadedInService() throws Exception {
     Path cert = dir.resolve("cert.pem");
@@ -457,12 +463,12 @@
     createKeyPair("first", cert, key);
     Path first = Files.copy(cert, dir.resolve("first.pem"));
     try (AdminServer tls = new AdminServer(control, dir.resolve("tls.sock"), 0, cert, key);
-        ApiClient standing = connectOverTls(tls.port(), first)) {
-      assertEquals(200, standing.ask("GET", "/v1/tenants", null, Map.of()).status());
+        ApiClient existing = connectOverTls(tls.port(), first)) {
+      assertEquals(200, existing.ask("GET", "/v1/tenants", null, Map.of()).status());
       createKeyPair("second", cert, key);
       assertTrue(tls.reloadKeys());
-      // The pool has one connection, whose far end only knows the first key.
-      assertEquals(200, standing.ask("GET", "/v1/tenants", null, Map.of()).status());
+      // The pool's only connection was set up with the first key.
+      assertEquals(200, existing.ask("GET", "/v1/tenants", null, Map.of()).status());
       try (ApiClient fresh = connectOverTls(tls.port(), cert);
           ApiClient old = connectOverTls(tls.port(), first)) {
         assertEquals(200, fresh.ask("GET", "/v1/tenants", null, Map.of()).status());
@@ -477,27 +483,28 @@
     }
   }
 
-  /** One answer in some hundred was never seen on a busy machine: its body was asked for after its end. */
+  /** On a busy machine one response in some hundred never arrived, since its body was requested after its
+   * end. */
   @Test
   void clientReceivesEveryResponse() throws Exception {
-    AtomicBoolean over = new AtomicBoolean();
-    List<Thread> busy = new ArrayList<>();
+    AtomicBoolean done = new AtomicBoolean();
+    List<Thread> spinners = new ArrayList<>();
     try (ApiClient api = ApiClient.at(dir.resolve("admin.sock"), operatorToken)) {
       for (int i = 0; i < 2 * Runtime.getRuntime().availableProcessors(); i++) {
         Thread t = new Thread(() -> {
-          while (!over.get()) {
+          while (!done.get()) {
             Thread.onSpinWait();
           }
         });
         t.start();
-        busy.add(t);
+        spinners.add(t);
       }
       for (int i = 0; i < 1_500; i++) {
         assertEquals(200, api.ask("GET", "/v1/plans", null, Map.of()).status());
       }
     } finally {
-      over.set(true);
-      for (Thread t : busy) {
+      done.set(true);
+      for (Thread t : spinners) {
         t.join();
       }
     }
