--- a/src/main/java/hollyslip/tenant/Registry.java
+++ b/src/main/java/hollyslip/tenant/Registry.java
@@ -241,8 +241,8 @@
     }
   }
 
-  /** Applies changes that do not affect service. They get no audit record with values, so that the hash of a
-   * token never appears in the audit trail; the command stands in the recorded change set. */
+  /** Applies changes that do not affect service. They add no audit record, so that the hash of a token never
+   * appears in the audit trail. */
   private void applyUnaudited(Change c) {
     if (c instanceof Change.TaskPut t) {
       tasks.put(t.task().id(), t.task());
