--- a/src/main/java/hollyslip/admin/Control.java
+++ b/src/main/java/hollyslip/admin/Control.java
@@ -1,18 +1,18 @@
 package hollyslip.admin;
 
 import hollyslip.HostScheduler.VolumeChanged;
-import hollyslip.store.Disk;
+import hollyslip.store.StoreDirectory;
 import hollyslip.store.Journal;
 import hollyslip.store.StoreException;
 import hollyslip.tenant.Change;
-import hollyslip.tenant.Entry;
+import hollyslip.tenant.ChangeSet;
 import hollyslip.tenant.HostedVolume;
 import hollyslip.tenant.Phase;
-import hollyslip.tenant.Registrar;
+import hollyslip.tenant.RegistryCommandHandler;
 import hollyslip.tenant.Registry;
 import hollyslip.tenant.Shard;
 import hollyslip.tenant.Tenant;
-import hollyslip.tenant.Trail;
+import hollyslip.tenant.AuditRecord;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -30,64 +30,64 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The one place where the registry changes. Commands come one after the other on one thread: decided,
- * recorded, applied; they are answered, and carried out, once their record is synced. What reads sees is
- * synced too before they are answered. When the store cannot be written nothing changes any more; what is
- * served goes on. */
+/** Control plane of the gateway, the only place where the registry changes. Commands run one after the other
+ * on one thread: each is validated, recorded and applied. It is answered and carried out once its record is
+ * synced; reads are answered once everything that they saw is synced. If the store cannot be written, nothing
+ * changes any more, while volumes continue to be served. */
 public final class Control implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Control.class);
 
-  /** Bytes of records after which a snapshot is taken. */
+  /** Size of the records after which a snapshot is taken, bytes. */
   private static final long SNAPSHOT_BYTES = 8 << 20;
 
-  /** Pause before something that could not be carried out is tried again. */
+  /** Delay before a failed step is retried, ms. */
   private static final long RETRY_MS = 500;
 
   private final Registry registry;
-  private final Registrar registrar;
+  private final RegistryCommandHandler commandHandler;
   private final Journal journal;
-  private final Carrier carrier;
+  private final Carrier provisioner;
   private final int hosts;
   private final LongSupplier clock;
-  private final Set<Consumer<Trail>> listeners = ConcurrentHashMap.newKeySet();
-  private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(r -> {
+  private final Set<Consumer<AuditRecord>> listeners = ConcurrentHashMap.newKeySet();
+  private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(r -> {
     Thread t = new Thread(r, "control");
     t.setDaemon(true);
     return t;
   });
-  private CompletableFuture<Long> lastWrite = CompletableFuture.completedFuture(0L);
-  private long bytesSince;
+  private CompletableFuture<Long> lastAppend = CompletableFuture.completedFuture(0L);
+  private long bytesSinceSnapshot;
   private volatile boolean closing;
 
-  /** What a record asks of the carrier. */
-  private record Step(HostedVolume volume, Tenant tenant, VolumeChanged terms) {}
+  /** A change to a volume that the provisioner has to carry out. */
+  private record ProvisioningStep(HostedVolume volume, Tenant tenant, VolumeChanged terms) {}
 
-  /** Opens the store and carries out what it holds.
+  /** Opens the store and restores the registry from it.
    *
    * @param firstId
-   *          ids from here on are given away
+   *          first id for tenants, volumes and tasks
    * @param hosts
-   *          gateways of the deployment
+   *          number of gateways of the deployment
    * @param clock
-   *          ms since 1970 */
-  public Control(Disk disk, Collection<Shard> shards, long firstId, int hosts, Carrier carrier,
-      LongSupplier clock) throws IOException {
-    this.carrier = carrier;
+   *          wall clock, ms since the Unix epoch */
+  public Control(StoreDirectory directory, Collection<Shard> shards, long firstId, int hosts,
+      Carrier provisioner, LongSupplier clock) throws IOException {
+    this.provisioner = provisioner;
     this.hosts = hosts;
     this.clock = clock;
-    journal = new Journal(disk);
+    journal = new Journal(directory);
     try {
-      Journal.Found found = journal.found();
-      found.remarks().forEach(r -> LOG.atWarn().addKeyValue("remark", r).log("store.opened"));
-      registry = found.state() == null
+      Journal.RecoveredState recovered = journal.recovered();
+      recovered.warnings().forEach(r -> LOG.atWarn().addKeyValue("remark", r).log("store.opened"));
+      registry = recovered.state() == null
           ? new Registry(shards, firstId)
-          : new Registry(shards, Records.image(found.state()));
-      long sequence = found.sequence();
-      for (byte[] record : found.records()) {
-        registry.apply(++sequence, Records.entry(record));
-        bytesSince += record.length;
+          : new Registry(shards, RegistryCodec.decodeSnapshot(recovered.state()));
+      long sequence = recovered.sequence();
+      for (byte[] record : recovered.records()) {
+        registry.apply(++sequence, RegistryCodec.decodeChangeSet(record));
+        bytesSinceSnapshot += record.length;
       }
-      registrar = new Registrar(registry);
+      commandHandler = new RegistryCommandHandler(registry);
       LOG.atInfo()
           .addKeyValue("tenants", registry.tenantNames().size())
           .addKeyValue("volumes", registry.volumes().size())
@@ -99,74 +99,75 @@
     }
   }
 
-  /** Carries out all that is recorded; complete when each volume was served, or it was logged why it is not
-   * yet: it is tried again then. */
+  /** Carries out all recorded state. The future completes when each volume is served, or the reason why it is
+   * not is logged; such volumes are retried. */
   public CompletableFuture<Void> start() {
-    CompletableFuture<Void> tried = new CompletableFuture<>();
-    run(tried, () -> {
-      registry.nodes().forEach(n -> carrier.node(n.node(), n.state()));
+    CompletableFuture<Void> attempted = new CompletableFuture<>();
+    submit(attempted, () -> {
+      registry.nodes().forEach(n -> provisioner.node(n.node(), n.state()));
       List<CompletableFuture<Void>> all = new ArrayList<>();
       registry.volumes()
           .stream()
           .sorted((a, b) -> Long.compare(a.id(), b.id()))
-          .forEach(v -> all.add(carry(step(v)).exceptionally(e -> null)));
-      CompletableFuture.allOf(all.toArray(new CompletableFuture<?>[0])).thenRun(() -> tried.complete(null));
+          .forEach(v -> all.add(provision(toStep(v)).exceptionally(e -> null)));
+      CompletableFuture.allOf(all.toArray(new CompletableFuture<?>[0]))
+          .thenRun(() -> attempted.complete(null));
     });
-    return tried;
+    return attempted;
   }
 
-  private Step step(HostedVolume v) {
-    return new Step(v, registry.tenant(v.tenant()), registry.told(v, hosts));
+  private ProvisioningStep toStep(HostedVolume v) {
+    return new ProvisioningStep(v, registry.tenant(v.tenant()), registry.toVolumeChanged(v, hosts));
   }
 
-  /** A command: decided on the registry as it then stands; complete, with the view after it, once it is
-   * synced. A decision of null changes nothing and is no error. */
-  public <T> CompletableFuture<T> command(BiFunction<Registrar, Long, Entry> decide,
+  /** Executes a command on the current registry. The future completes, with the view of the registry after
+   * it, once the change set is synced. A change set of null means no change and is not an error. */
+  public <T> CompletableFuture<T> command(BiFunction<RegistryCommandHandler, Long, ChangeSet> decide,
       Function<Registry, T> view) {
-    return command(decide, (r, entry) -> view.apply(r));
+    return command(decide, (r, changeSet) -> view.apply(r));
   }
 
-  /** As the other, with the entry for the view. */
-  <T> CompletableFuture<T> command(BiFunction<Registrar, Long, Entry> decide,
-      BiFunction<Registry, Entry, T> view) {
+  /** As above, with the change set passed to the view. */
+  <T> CompletableFuture<T> command(BiFunction<RegistryCommandHandler, Long, ChangeSet> decide,
+      BiFunction<Registry, ChangeSet, T> view) {
     CompletableFuture<T> answer = new CompletableFuture<>();
-    run(answer, () -> {
-      if (journal.broken() != null) {
-        throw unwritable();
+    submit(answer, () -> {
+      if (journal.failure() != null) {
+        throw storeFailedException();
       }
-      Entry entry = decide.apply(registrar, clock.getAsLong());
-      if (entry != null) {
-        record(entry);
+      ChangeSet changeSet = decide.apply(commandHandler, clock.getAsLong());
+      if (changeSet != null) {
+        record(changeSet);
       }
-      answerWith(answer, view.apply(registry, entry));
+      completeWhenSynced(answer, view.apply(registry, changeSet));
     });
     return answer;
   }
 
-  /** Something read from the registry; complete once all that it may have seen is synced. */
+  /** Reads from the registry. The future completes once everything that the read may have seen is synced. */
   public <T> CompletableFuture<T> read(Function<Registry, T> view) {
     CompletableFuture<T> answer = new CompletableFuture<>();
-    run(answer, () -> answerWith(answer, view.apply(registry)));
+    submit(answer, () -> completeWhenSynced(answer, view.apply(registry)));
     return answer;
   }
 
-  private <T> void answerWith(CompletableFuture<T> answer, T value) {
-    lastWrite.whenComplete((done, error) -> {
+  private <T> void completeWhenSynced(CompletableFuture<T> answer, T value) {
+    lastAppend.whenComplete((done, error) -> {
       if (error == null) {
         answer.complete(value);
       } else {
-        answer.completeExceptionally(unwritable());
+        answer.completeExceptionally(storeFailedException());
       }
     });
   }
 
-  private static RuntimeException unwritable() {
+  private static RuntimeException storeFailedException() {
     return new IllegalStateException("the store cannot be written; see the log");
   }
 
-  private void run(CompletableFuture<?> answer, Runnable task) {
+  private void submit(CompletableFuture<?> answer, Runnable task) {
     try {
-      thread.execute(() -> {
+      executor.execute(() -> {
         try {
           task.run();
         } catch (RuntimeException e) {
@@ -174,54 +175,55 @@
         }
       });
     } catch (java.util.concurrent.RejectedExecutionException e) {
-      answer.completeExceptionally(new IllegalStateException("the gateway ends"));
+      answer.completeExceptionally(new IllegalStateException("the gateway is shutting down"));
     }
   }
 
-  private void record(Entry entry) {
-    byte[] bytes = Records.bytes(entry);
-    CompletableFuture<Long> write = journal.append(bytes);
-    long sequence = journal.last();
-    lastWrite = write;
-    List<Trail> before = new ArrayList<>();
-    Consumer<Trail> collect = before::add;
-    registry.apply(sequence, entry, collect);
-    List<Step> steps = new ArrayList<>();
-    List<Change.NodePut> nodes = new ArrayList<>();
-    for (Change c : entry.changes()) {
+  private void record(ChangeSet changeSet) {
+    byte[] bytes = RegistryCodec.encode(changeSet);
+    CompletableFuture<Long> append = journal.append(bytes);
+    long sequence = journal.lastSequence();
+    lastAppend = append;
+    List<AuditRecord> auditRecords = new ArrayList<>();
+    Consumer<AuditRecord> collect = auditRecords::add;
+    registry.apply(sequence, changeSet, collect);
+    List<ProvisioningStep> steps = new ArrayList<>();
+    List<Change.NodeStatePut> nodes = new ArrayList<>();
+    for (Change c : changeSet.changes()) {
       if (c instanceof Change.VolumePut v && v.volume().phase() != Phase.ACTIVE) {
-        steps.add(step(v.volume()));
-      } else if (c instanceof Change.NodePut n) {
+        steps.add(toStep(v.volume()));
+      } else if (c instanceof Change.NodeStatePut n) {
         nodes.add(n);
       }
     }
-    CompletableFuture<Void> carried = new CompletableFuture<>();
-    carried.exceptionally(e -> {
-      // What could not be begun is not tried again before the next start; it must not pass unseen.
-      LOG.atError().setCause(e).addKeyValue("target", entry.target()).log("volume.fault");
+    CompletableFuture<Void> provisioned = new CompletableFuture<>();
+    provisioned.exceptionally(e -> {
+      // A step that could not be started is not retried before the next start of the gateway, so log it as an
+      // error.
+      LOG.atError().setCause(e).addKeyValue("target", changeSet.target()).log("volume.fault");
       return null;
     });
-    write.thenRun(() -> run(carried, () -> {
-      steps.forEach(this::carry);
-      nodes.forEach(n -> carrier.node(n.node(), n.state()));
-      before.forEach(t -> listeners.forEach(l -> l.accept(t)));
+    append.thenRun(() -> submit(provisioned, () -> {
+      steps.forEach(this::provision);
+      nodes.forEach(n -> provisioner.node(n.node(), n.state()));
+      auditRecords.forEach(t -> listeners.forEach(l -> l.accept(t)));
     }));
-    bytesSince += bytes.length;
-    if (bytesSince > SNAPSHOT_BYTES) {
-      bytesSince = 0;
+    bytesSinceSnapshot += bytes.length;
+    if (bytesSinceSnapshot > SNAPSHOT_BYTES) {
+      bytesSinceSnapshot = 0;
       snapshot();
     }
   }
 
   private CompletableFuture<Long> snapshot() {
-    Registry.Image image = registry.image();
-    return journal.snapshot(journal.last(), () -> Records.bytes(image));
+    Registry.Snapshot snapshot = registry.snapshot();
+    return journal.snapshot(journal.lastSequence(), () -> RegistryCodec.encode(snapshot));
   }
 
-  /** Keeps the present state as a snapshot. */
+  /** Writes a snapshot of the current state. */
   public CompletableFuture<Long> keep() {
     CompletableFuture<Long> done = new CompletableFuture<>();
-    run(done, () -> snapshot().whenComplete((n, e) -> {
+    submit(done, () -> snapshot().whenComplete((n, e) -> {
       if (e == null) {
         done.complete(n);
       } else {
@@ -231,64 +233,65 @@
     return done;
   }
 
-  private CompletableFuture<Void> carry(Step s) {
-    HostedVolume v = s.volume;
+  private CompletableFuture<Void> provision(ProvisioningStep step) {
+    HostedVolume v = step.volume;
     return v.phase() == Phase.DRAINING
-        ? whenDone(carrier.drain(v, s.tenant), s, (r, at) -> r.drained(at, v.id()))
-        : whenDone(carrier.serve(v, s.tenant, s.terms), s, (r, at) -> r.settled(at, v));
+        ? recordWhenDone(provisioner.drain(v, step.tenant), step, (r, at) -> r.volumeDrained(at, v.id()))
+        : recordWhenDone(provisioner.serve(v, step.tenant, step.terms), step, (r, at) -> r.volumeServed(at,
+            v));
   }
 
-  private CompletableFuture<Void> whenDone(CompletableFuture<Void> done, Step s,
-      BiFunction<Registrar, Long, Entry> then) {
+  private CompletableFuture<Void> recordWhenDone(CompletableFuture<Void> done, ProvisioningStep step,
+      BiFunction<RegistryCommandHandler, Long, ChangeSet> decide) {
     return done.whenComplete((ok, error) -> {
       if (closing) {
         return;
       }
       if (error == null) {
-        command(then, r -> null);
+        command(decide, r -> null);
       } else {
         LOG.atWarn()
-            .addKeyValue("volume", s.volume.name())
+            .addKeyValue("volume", step.volume.name())
             .addKeyValue("why", error.getMessage())
             .log("volume.step");
-        thread.schedule(() -> again(s), RETRY_MS, TimeUnit.MILLISECONDS);
+        executor.schedule(() -> retry(step), RETRY_MS, TimeUnit.MILLISECONDS);
       }
     });
   }
 
-  /** Once more, with what is recorded by now. */
-  private void again(Step s) {
-    HostedVolume v = registry.volume(s.volume.id());
+  /** Retries a step with the current state of its volume. */
+  private void retry(ProvisioningStep step) {
+    HostedVolume v = registry.volume(step.volume.id());
     if (v != null && !closing) {
-      carry(step(v));
+      provision(toStep(v));
     }
   }
 
-  /** Hears every line of the audit trail from now on, once it is synced; must not block. */
-  public void listen(Consumer<Trail> listener) {
+  /** Adds a listener that gets each new audit record once it is synced; it must not block. */
+  public void addAuditListener(Consumer<AuditRecord> listener) {
     listeners.add(listener);
   }
 
-  public void forget(Consumer<Trail> listener) {
+  public void removeAuditListener(Consumer<AuditRecord> listener) {
     listeners.remove(listener);
   }
 
-  /** Why nothing can be changed any more; null: it can. */
-  public Throwable broken() {
-    return journal.broken();
+  /** Returns the error after which nothing can be changed any more, or null. */
+  public Throwable storeFailure() {
+    return journal.failure();
   }
 
-  Carrier carrier() {
-    return carrier;
+  Carrier provisioner() {
+    return provisioner;
   }
 
-  /** Ends; what was recorded is synced. */
+  /** Closes the control plane; everything recorded is synced. */
   @Override
   public void close() {
     closing = true;
-    thread.shutdown();
+    executor.shutdown();
     try {
-      thread.awaitTermination(5, TimeUnit.SECONDS);
+      executor.awaitTermination(5, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/hollyslip/admin/OpenApi.java
+++ b/src/main/java/hollyslip/admin/OpenApi.java
@@ -5,79 +5,85 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 
-/** The routes, once: the router is built from this list, and so is the OpenAPI 3.1 description. */
+/** Defines the routes; both the router and the OpenAPI 3.1 description are built from this list. */
 final class OpenApi {
   /** One route.
    *
    * @param method
    *          GET, POST, PATCH or DELETE
    * @param path
-   *          with parameters in braces
-   * @param what
-   *          it does
-   * @param operators
-   *          whether only operators find it
-   * @param takes
-   *          name of the schema of the body; null: none
-   * @param gives
-   *          name of the schema of the answer; null: none
-   * @param codes
-   *          answers, besides 401, 404 and 500
-   * @param matches
-   *          whether If-Match must be given
+   *          path with parameters in braces
+   * @param summary
+   *          what the route does
+   * @param operatorsOnly
+   *          whether the route exists for operators only
+   * @param requestSchema
+   *          name of the request body's schema; null: no body
+   * @param responseSchema
+   *          name of the response body's schema; null: no body
+   * @param statusCodes
+   *          status codes besides 401, 404 and 503, which every route has
+   * @param requiresIfMatch
+   *          whether the If-Match header is required
    * @param handler
-   *          what answers it */
-  record Route(String method, String path, String what, boolean operators, String takes, String gives,
-      List<Integer> codes, boolean matches, Handler handler) {}
+   *          handler of the route */
+  record Route(String method, String path, String summary, boolean operatorsOnly, String requestSchema,
+      String responseSchema, List<Integer> statusCodes, boolean requiresIfMatch, Handler handler) {}
 
-  /** Answers a call, with the path's parameters in order. */
+  /** Handles a request; {@code parameters} are the path parameters in order. */
   interface Handler {
-    java.util.concurrent.CompletableFuture<Api.Reply> answer(Api.Call call, List<String> parameters);
+    java.util.concurrent.CompletableFuture<Api.Response> handle(Api.Request request, List<String> parameters);
   }
 
-  private static final List<Integer> READ = List.of(200), MADE = List.of(201, 400, 409, 413, 422);
-  private static final List<Integer> CHANGED = List.of(200, 400, 403, 409, 412, 413, 428);
-  private static final List<Integer> BEGUN = List.of(202, 403, 409, 412, 428);
-  private static final List<Integer> GONE = List.of(204, 409, 412, 428);
+  private static final List<Integer> READ_CODES = List.of(200), CREATE_CODES = List.of(201, 400, 409, 413,
+      422);
+  private static final List<Integer> PATCH_CODES = List.of(200, 400, 403, 409, 412, 413, 428);
+  private static final List<Integer> ASYNC_DELETE_CODES = List.of(202, 403, 409, 412, 428);
+  private static final List<Integer> DELETE_CODES = List.of(204, 409, 412, 428);
 
   private OpenApi() {}
 
-  private static Route list(String path, String what, boolean operators, String gives, Handler h) {
-    return new Route("GET", path, what, operators, null, gives, List.of(200, 400), false, h);
+  private static Route list(String path, String summary, boolean operatorsOnly, String responseSchema,
+      Handler handler) {
+    return new Route("GET", path, summary, operatorsOnly, null, responseSchema, List.of(200, 400), false,
+        handler);
   }
 
-  private static Route read(String path, String what, boolean operators, String gives, Handler h) {
-    return new Route("GET", path, what, operators, null, gives, READ, false, h);
+  private static Route read(String path, String summary, boolean operatorsOnly, String responseSchema,
+      Handler handler) {
+    return new Route("GET", path, summary, operatorsOnly, null, responseSchema, READ_CODES, false, handler);
   }
 
-  private static Route make(String path, String what, boolean operators, String schema, Handler h) {
-    return new Route("POST", path, what, operators, schema, schema, MADE, false, h);
+  private static Route create(String path, String summary, boolean operatorsOnly, String schema,
+      Handler handler) {
+    return new Route("POST", path, summary, operatorsOnly, schema, schema, CREATE_CODES, false, handler);
   }
 
-  private static Route patch(String path, String what, boolean operators, String schema, Handler h) {
-    return new Route("PATCH", path, what, operators, schema, schema, CHANGED, true, h);
+  private static Route patch(String path, String summary, boolean operatorsOnly, String schema,
+      Handler handler) {
+    return new Route("PATCH", path, summary, operatorsOnly, schema, schema, PATCH_CODES, true, handler);
   }
 
-  private static Route end(String path, String what, boolean operators, Handler h) {
-    return new Route("DELETE", path, what, operators, null, "Task", BEGUN, true, h);
+  private static Route delete(String path, String summary, boolean operatorsOnly, Handler handler) {
+    return new Route("DELETE", path, summary, operatorsOnly, null, "Task", ASYNC_DELETE_CODES, true, handler);
   }
 
   static List<Route> routes(Api a) {
-    return List.of(list("/v1/plans", "Lists plans", true, "Plan", (c, p) -> a.plans(c)), make("/v1/plans",
+    return List.of(list("/v1/plans", "Lists plans", true, "Plan", (c, p) -> a.plans(c)), create("/v1/plans",
         "Creates a plan", true, "Plan", (c, p) -> a.createPlan(c)), read("/v1/plans/{plan}", "Shows a plan",
             true, "Plan", (c, p) -> a.plan(c, p.get(0))), patch("/v1/plans/{plan}",
                 "Changes a plan, and all volumes on it", true, "Plan", (c, p) -> a.changePlan(c, p.get(0))),
-        new Route("DELETE", "/v1/plans/{plan}", "Removes a plan that no volume is on", true, null, null, GONE,
-            true, (c, p) -> a.removePlan(c, p.get(0))), list("/v1/tenants", "Lists tenants", true, "Tenant", (
-                c, p) -> a.tenants(c)), make("/v1/tenants", "Creates a tenant", true, "Tenant", (c, p) -> a
-                    .createTenant(c)), read("/v1/tenants/{tenant}", "Shows a tenant", false, "Tenant", (c,
-                        p) -> a.tenant(c, p.get(0))), patch("/v1/tenants/{tenant}",
+        new Route("DELETE", "/v1/plans/{plan}", "Removes a plan that no volume is on", true, null, null,
+            DELETE_CODES, true, (c, p) -> a.removePlan(c, p.get(0))), list("/v1/tenants", "Lists tenants",
+                true, "Tenant", (c, p) -> a.tenants(c)), create("/v1/tenants", "Creates a tenant", true,
+                    "Tenant", (c, p) -> a.createTenant(c)), read("/v1/tenants/{tenant}", "Shows a tenant",
+                        false, "Tenant", (c, p) -> a.tenant(c, p.get(0))), patch("/v1/tenants/{tenant}",
                             "Changes a tenant: its own administrator the members, operators all", false,
-                            "Tenant", (c, p) -> a.changeTenant(c, p.get(0))), end("/v1/tenants/{tenant}",
+                            "Tenant", (c, p) -> a.changeTenant(c, p.get(0))), delete("/v1/tenants/{tenant}",
                                 "Begins to remove a tenant with its volumes", false, (c, p) -> a.removeTenant(
                                     c, p.get(0))), list("/v1/tenants/{tenant}/volumes",
                                         "Lists a tenant's volumes", false, "Volume", (c, p) -> a.volumes(c, p
-                                            .get(0))), make("/v1/tenants/{tenant}/volumes",
+                                            .get(0))), create("/v1/tenants/{tenant}/volumes",
                                                 "Creates a volume", false, "Volume", (c, p) -> a.createVolume(
                                                     c, p.get(0))), read(
                                                         "/v1/tenants/{tenant}/volumes/{volume}",
@@ -86,7 +92,7 @@
                                                                 "/v1/tenants/{tenant}/volumes/{volume}",
                                                                 "Changes plan, reserve, weight, limit or size",
                                                                 false, "Volume", (c, p) -> a.changeVolume(c, p
-                                                                    .get(0), p.get(1))), end(
+                                                                    .get(0), p.get(1))), delete(
                                                                         "/v1/tenants/{tenant}/volumes/{volume}",
                                                                         "Begins to remove a volume", false, (
                                                                             c, p) -> a.removeVolume(c, p.get(
@@ -105,7 +111,7 @@
             .changeNode(c, p.get(0))), list("/v1/tasks", "Lists what takes time", true, "Task", (c, p) -> a
                 .tasks(c)), read("/v1/tasks/{task}", "Shows how far a task is", false, "Task", (c, p) -> a
                     .task(c, p.get(0))), list("/v1/tokens", "Lists tokens, without their secrets", true,
-                        "Token", (c, p) -> a.tokens(c)), make("/v1/tokens",
+                        "Token", (c, p) -> a.tokens(c)), create("/v1/tokens",
                             "Creates a token; its secret is in this answer only", true, "Token", (c, p) -> a
                                 .createToken(c)), new Route("DELETE", "/v1/tokens/{token}",
                                     "Takes a token back", true, null, null, List.of(204), false, (c, p) -> a
@@ -114,54 +120,55 @@
                                                 p) -> a.audit(c)));
   }
 
-  /** The description. */
+  /** Builds the OpenAPI description. */
   static JsonNode description(List<Route> routes) {
-    ObjectNode d = Views.JSON.createObjectNode().put("openapi", "3.1.0");
-    d.putObject("info").put("title", "hollyslip administration").put("version", "1");
-    ObjectNode paths = d.putObject("paths");
-    for (Route r : routes) {
-      ObjectNode path = paths.withObjectProperty(r.path);
-      ObjectNode o = path.putObject(r.method.toLowerCase(java.util.Locale.ROOT)).put("summary", r.what);
-      parameters(r, o.putArray("parameters"));
-      if (r.takes != null) {
-        String type = r.method.equals("PATCH") ? "application/merge-patch+json" : "application/json";
+    ObjectNode document = Views.JSON.createObjectNode().put("openapi", "3.1.0");
+    document.putObject("info").put("title", "hollyslip administration").put("version", "1");
+    ObjectNode paths = document.putObject("paths");
+    for (Route route : routes) {
+      ObjectNode path = paths.withObjectProperty(route.path);
+      ObjectNode o = path.putObject(route.method.toLowerCase(java.util.Locale.ROOT))
+          .put("summary", route.summary);
+      addParameters(route, o.putArray("parameters"));
+      if (route.requestSchema != null) {
+        String type = route.method.equals("PATCH") ? "application/merge-patch+json" : "application/json";
         o.putObject("requestBody")
             .put("required", true)
             .putObject("content")
             .putObject(type)
             .putObject("schema")
-            .put("$ref", "#/components/schemas/" + r.takes);
+            .put("$ref", "#/components/schemas/" + route.requestSchema);
       }
-      ObjectNode answers = o.putObject("responses");
-      r.codes.forEach(code -> answer(answers, code, r));
-      List.of(401, 404, 503).forEach(code -> answer(answers, code, r));
+      ObjectNode responses = o.putObject("responses");
+      route.statusCodes.forEach(code -> addResponse(responses, code, route));
+      List.of(401, 404, 503).forEach(code -> addResponse(responses, code, route));
       o.putArray("security").addObject().putArray("token");
     }
-    events(paths);
-    ObjectNode components = d.putObject("components");
+    addEventsPath(paths);
+    ObjectNode components = document.putObject("components");
     components.putObject("securitySchemes").putObject("token").put("type", "http").put("scheme", "bearer");
-    schemas(components.putObject("schemas"));
-    return d;
+    addSchemas(components.putObject("schemas"));
+    return document;
   }
 
-  private static void parameters(Route r, ArrayNode to) {
-    var m = java.util.regex.Pattern.compile("\\{(\\w+)}").matcher(r.path);
-    while (m.find()) {
-      parameter(to, m.group(1), "path", true);
+  private static void addParameters(Route route, ArrayNode to) {
+    var matcher = java.util.regex.Pattern.compile("\\{(\\w+)}").matcher(route.path);
+    while (matcher.find()) {
+      addParameter(to, matcher.group(1), "path", true);
     }
-    if (r.matches) {
-      parameter(to, "If-Match", "header", true);
+    if (route.requiresIfMatch) {
+      addParameter(to, "If-Match", "header", true);
     }
-    if (r.method.equals("POST")) {
-      parameter(to, "Idempotency-Key", "header", false);
+    if (route.method.equals("POST")) {
+      addParameter(to, "Idempotency-Key", "header", false);
     }
-    if (r.codes.contains(200) && r.codes.contains(400) && r.method.equals("GET")) {
-      parameter(to, "after", "query", false);
-      parameter(to, "limit", "query", false);
+    if (route.statusCodes.contains(200) && route.statusCodes.contains(400) && route.method.equals("GET")) {
+      addParameter(to, "after", "query", false);
+      addParameter(to, "limit", "query", false);
     }
   }
 
-  private static void parameter(ArrayNode to, String name, String in, boolean required) {
+  private static void addParameter(ArrayNode to, String name, String in, boolean required) {
     to.addObject()
         .put("name", name)
         .put("in", in)
@@ -170,22 +177,22 @@
         .put("type", "string");
   }
 
-  private static void answer(ObjectNode to, int code, Route r) {
-    ObjectNode a = to.putObject(Integer.toString(code)).put("description", Statuses.title(code));
+  private static void addResponse(ObjectNode to, int code, Route route) {
+    ObjectNode a = to.putObject(Integer.toString(code)).put("description", ProblemDetails.title(code));
     if (code >= 400) {
       a.putObject("content")
           .putObject("application/problem+json")
           .putObject("schema")
           .put("$ref", "#/components/schemas/Problem");
-    } else if (r.gives != null) {
+    } else if (route.responseSchema != null) {
       a.putObject("content")
           .putObject("application/json")
           .putObject("schema")
-          .put("$ref", "#/components/schemas/" + r.gives);
+          .put("$ref", "#/components/schemas/" + route.responseSchema);
     }
   }
 
-  private static void events(ObjectNode paths) {
+  private static void addEventsPath(ObjectNode paths) {
     ObjectNode o = paths.putObject("/v1/events")
         .putObject("get")
         .put("summary", "Streams the audit trail as it grows, as server-sent events");
@@ -199,26 +206,26 @@
     o.putArray("security").addObject().putArray("token");
   }
 
-  private static void schemas(ObjectNode s) {
-    object(s, "Plan", "name:string", "revision:integer", "rate:number", "reserve:number", "weight:number",
+  private static void addSchemas(ObjectNode s) {
+    addSchema(s, "Plan", "name:string", "revision:integer", "rate:number", "reserve:number", "weight:number",
         "price:number", "limit:number", "limit_burst:number", "limit_slack:number");
-    object(s, "Tenant", "name:string", "revision:integer", "phase:string", "weight:number", "quota:object",
+    addSchema(s, "Tenant", "name:string", "revision:integer", "phase:string", "weight:number", "quota:object",
         "members:object", "used:object");
-    object(s, "Volume", "name:string", "tenant:string", "revision:integer", "phase:string", "plan:string",
+    addSchema(s, "Volume", "name:string", "tenant:string", "revision:integer", "phase:string", "plan:string",
         "bytes:integer", "extent_bytes:integer", "reserve:number", "weight:number", "limit:number",
         "limit_burst:number", "terms:object", "shards:array");
-    object(s, "Node", "name:string", "id:integer", "shard:integer", "zone:string", "state:string",
+    addSchema(s, "Node", "name:string", "id:integer", "shard:integer", "zone:string", "state:string",
         "revision:integer");
-    object(s, "Task", "id:integer", "kind:string", "target:string", "state:string", "started_at:integer",
+    addSchema(s, "Task", "id:integer", "kind:string", "target:string", "state:string", "started_at:integer",
         "done_at:integer", "volumes_left:integer");
-    object(s, "Token", "id:string", "who:string", "scope:string", "tenant:string", "token:string");
-    object(s, "Trail", "sequence:integer", "at:integer", "who:string", "what:string", "target:string",
+    addSchema(s, "Token", "id:string", "who:string", "scope:string", "tenant:string", "token:string");
+    addSchema(s, "Trail", "sequence:integer", "at:integer", "who:string", "what:string", "target:string",
         "before:object", "after:object");
-    object(s, "Problem", "type:string", "title:string", "status:integer", "detail:string", "field:string",
+    addSchema(s, "Problem", "type:string", "title:string", "status:integer", "detail:string", "field:string",
         "figures:object");
   }
 
-  private static void object(ObjectNode schemas, String name, String... fields) {
+  private static void addSchema(ObjectNode schemas, String name, String... fields) {
     ObjectNode p = schemas.putObject(name).put("type", "object").putObject("properties");
     for (String f : fields) {
       p.putObject(f.substring(0, f.indexOf(':'))).put("type", f.substring(f.indexOf(':') + 1));
--- a/src/main/java/hollyslip/store/Journal.java
+++ b/src/main/java/hollyslip/store/Journal.java
@@ -14,160 +14,167 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A write-ahead log with snapshots. Records are numbered from 1 without gaps and are there after a crash
- * once their future is complete; many that wait are synced at once (group commit). Segments of the log begin
- * at a snapshot; the newest two snapshots are kept with all that came after the older one.
+/** A write-ahead log with snapshots. Records are numbered from 1 without gaps and are durable once their
+ * future completes; waiting records are synced together (group commit). Each segment of the log starts at a
+ * snapshot. The newest two snapshots are kept, with all records after the older one.
  *
  * <p>
- * A write or sync that fails is the end: what the system has kept of it cannot be known any more, so every
- * later record fails too, until the store is opened again. */
+ * A failed write or sync is final: it is unknown how much of it reached the disk, so all later appends fail
+ * until the store is opened again. */
 public final class Journal implements Closeable {
   private static final Logger LOG = LoggerFactory.getLogger(Journal.class);
-  private static final String PREFIX = "log-", SUFFIX = ".wal";
+  private static final String SEGMENT_PREFIX = "log-", SEGMENT_SUFFIX = ".wal";
 
-  /** Bytes of records synced together at most. */
-  private static final int MOST_BATCH = 8 << 20;
+  /** Payload bytes after which a group is synced without waiting for more records. */
+  private static final int MAX_BATCH_BYTES = 8 << 20;
 
-  /** What was found: the state as of {@code sequence}, null: none; the records after it, in order; what was
-   * odd, for the operator. */
-  public record Found(byte[] state, long sequence, List<byte[]> records, List<String> remarks) {}
+  /** State read when the store was opened: the newest valid snapshot as of {@code sequence} (null: none), the
+   * records after it in order, and warnings for the operator. */
+  public record RecoveredState(byte[] state, long sequence, List<byte[]> records, List<String> warnings) {}
 
-  private sealed interface Letter permits Entry, Cut, End {}
+  private sealed interface WriterTask permits AppendTask, SnapshotTask, CloseTask {}
 
-  private record Entry(long sequence, byte[] payload, CompletableFuture<Long> done) implements Letter {}
+  private record AppendTask(long sequence, byte[] payload, CompletableFuture<Long> done)
+      implements
+        WriterTask {}
 
-  private record Cut(long sequence, Supplier<byte[]> state, CompletableFuture<Long> done) implements Letter {}
+  private record SnapshotTask(long sequence, Supplier<byte[]> state, CompletableFuture<Long> done)
+      implements
+        WriterTask {}
 
-  private record End(CompletableFuture<Void> done) implements Letter {}
+  private record CloseTask(CompletableFuture<Void> done) implements WriterTask {}
 
-  private final Disk disk;
+  private final StoreDirectory directory;
   private final Thread writer;
-  private final LinkedBlockingQueue<Letter> letters = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<WriterTask> tasks = new LinkedBlockingQueue<>();
   private final ExecutorService snapshots = Executors.newSingleThreadExecutor(r -> {
     Thread t = new Thread(r, "snapshot");
     t.setDaemon(true);
     return t;
   });
-  private final Found found;
-  private Disk.Out out;
-  private long synced;
-  private long last;
+  private final RecoveredState recovered;
+  private StoreDirectory.AppendableFile segmentFile;
+  private long syncedSequence;
+  private long lastSequence;
   private boolean closing;
-  private volatile Throwable broken;
+  private volatile Throwable failure;
 
-  /** Opens the store and reads all there is.
+  /** Opens the store and reads its contents.
    *
    * @throws StoreException
-   *           a record that had been synced is damaged; nothing is changed then */
-  public Journal(Disk disk) throws IOException {
-    this.disk = disk;
-    found = new Opening(disk).read();
-    last = found.sequence + found.records.size();
-    synced = last;
-    out = disk.append(segmentToWrite());
-    disk.syncNames();
-    writer = new Thread(this::run, "journal");
+   *           a synced record is damaged; no file is changed in this case */
+  public Journal(StoreDirectory directory) throws IOException {
+    this.directory = directory;
+    recovered = new StoreRecovery(directory).recover();
+    lastSequence = recovered.sequence + recovered.records.size();
+    syncedSequence = lastSequence;
+    segmentFile = directory.append(segmentToWrite());
+    directory.syncDirectory();
+    writer = new Thread(this::runWriter, "journal");
     writer.setDaemon(true);
     writer.start();
   }
 
   private String segmentToWrite() throws IOException {
-    List<String> segments = segments(disk.names());
-    return segments.isEmpty() ? segment(last) : segments.get(segments.size() - 1);
+    List<String> segments = segmentNames(directory.listFiles());
+    return segments.isEmpty() ? segmentName(lastSequence) : segments.get(segments.size() - 1);
   }
 
-  static String segment(long after) {
-    return String.format("%s%019d%s", PREFIX, after, SUFFIX);
+  static String segmentName(long sequenceBefore) {
+    return String.format("%s%019d%s", SEGMENT_PREFIX, sequenceBefore, SEGMENT_SUFFIX);
   }
 
-  static List<String> segments(List<String> names) {
-    return names.stream().filter(n -> n.startsWith(PREFIX) && n.endsWith(SUFFIX)).sorted().toList();
+  static List<String> segmentNames(List<String> names) {
+    return names.stream()
+        .filter(name -> name.startsWith(SEGMENT_PREFIX) && name.endsWith(SEGMENT_SUFFIX))
+        .sorted()
+        .toList();
   }
 
-  /** Sequence after which a segment begins. */
-  static long after(String name) {
-    return Long.parseLong(name.substring(PREFIX.length(), name.length() - SUFFIX.length()));
+  /** Returns the sequence after which a segment starts. */
+  static long sequenceBefore(String name) {
+    return Long.parseLong(name.substring(SEGMENT_PREFIX.length(), name.length() - SEGMENT_SUFFIX.length()));
   }
 
-  /** What was found at the opening. */
-  public Found found() {
-    return found;
+  /** Returns the state read when the store was opened. */
+  public RecoveredState recovered() {
+    return recovered;
   }
 
-  /** Appends a record; complete with its sequence once it is synced. Records are numbered in the order of the
-   * calls. */
+  /** Appends a record. The future completes with its sequence once it is synced. Records are numbered in the
+   * order of the calls. */
   public synchronized CompletableFuture<Long> append(byte[] payload) {
-    if (payload.length == 0 || payload.length > Frames.MOST) {
+    if (payload.length == 0 || payload.length > Frames.MAX_PAYLOAD_BYTES) {
       throw new IllegalArgumentException("record: " + payload.length + " bytes");
     }
     CompletableFuture<Long> done = new CompletableFuture<>();
     if (closing) {
       done.completeExceptionally(new StoreException("the store is closed"));
     } else {
-      letters.add(new Entry(++last, payload, done));
+      tasks.add(new AppendTask(++lastSequence, payload, done));
     }
     return done;
   }
 
-  /** Sequence of the last record appended; it need not be synced. */
-  public synchronized long last() {
-    return last;
+  /** Returns the sequence of the last appended record, which may not be synced yet. */
+  public synchronized long lastSequence() {
+    return lastSequence;
   }
 
-  /** Keeps the state as of a sequence, so that what came before is not needed any more. The state must be
-   * that after exactly the records up to {@code sequence}, which must be the last that was appended; it is
-   * asked for later, on another thread. */
+  /** Writes a snapshot, which replaces all records up to {@code sequence}. That must be the last appended
+   * record, and the state must be the one after exactly these records. The supplier is called later, on
+   * another thread. */
   public synchronized CompletableFuture<Long> snapshot(long sequence, Supplier<byte[]> state) {
-    if (sequence != last) {
-      throw new IllegalArgumentException("sequence: " + sequence + " is not the last, " + last);
+    if (sequence != lastSequence) {
+      throw new IllegalArgumentException("sequence: " + sequence + " is not the last one, " + lastSequence);
     }
     CompletableFuture<Long> done = new CompletableFuture<>();
     if (closing) {
       done.completeExceptionally(new StoreException("the store is closed"));
     } else {
-      letters.add(new Cut(sequence, state, done));
+      tasks.add(new SnapshotTask(sequence, state, done));
     }
     return done;
   }
 
-  /** Why nothing can be written any more; null: it can. */
-  public Throwable broken() {
-    return broken;
+  /** Returns the error after which nothing can be written any more, or null. */
+  public Throwable failure() {
+    return failure;
   }
 
-  private void run() {
-    List<Letter> batch = new ArrayList<>();
+  private void runWriter() {
+    List<WriterTask> batch = new ArrayList<>();
     boolean open = true;
     while (open) {
       batch.clear();
       try {
-        batch.add(letters.take());
+        batch.add(tasks.take());
       } catch (InterruptedException e) {
         return;
       }
-      letters.drainTo(batch);
+      tasks.drainTo(batch);
       open = write(batch);
     }
   }
 
-  private boolean write(List<Letter> batch) {
-    List<Entry> group = new ArrayList<>();
+  private boolean write(List<WriterTask> batch) {
+    List<AppendTask> group = new ArrayList<>();
     int bytes = 0;
-    for (Letter l : batch) {
-      if (l instanceof Entry e) {
+    for (WriterTask task : batch) {
+      if (task instanceof AppendTask e) {
         group.add(e);
         bytes += e.payload.length;
-        if (bytes > MOST_BATCH) {
+        if (bytes > MAX_BATCH_BYTES) {
           commit(group);
           bytes = 0;
         }
       } else {
         commit(group);
         bytes = 0;
-        if (l instanceof Cut c) {
-          cut(c);
-        } else if (l instanceof End e) {
-          end(e);
+        if (task instanceof SnapshotTask snapshot) {
+          startSegment(snapshot);
+        } else if (task instanceof CloseTask e) {
+          shutDown(e);
           return false;
         }
       }
@@ -176,106 +183,108 @@
     return true;
   }
 
-  /** Writes and syncs a group, then tells those who wait. */
-  private void commit(List<Entry> group) {
+  /** Writes and syncs a group of records, then completes their futures. */
+  private void commit(List<AppendTask> group) {
     if (group.isEmpty()) {
       return;
     }
     try {
-      if (broken == null) {
+      if (failure == null) {
         int size = group.stream().mapToInt(e -> Frames.HEADER + e.payload.length).sum();
-        ByteBuffer all = ByteBuffer.allocate(size);
-        group.forEach(e -> all.put(Frames.encode(e.sequence, synced, e.payload)));
-        out.write(all.flip());
-        out.sync();
-        synced = group.get(group.size() - 1).sequence;
-        mark();
+        ByteBuffer buffer = ByteBuffer.allocate(size);
+        group.forEach(e -> buffer.put(Frames.encode(e.sequence, syncedSequence, e.payload)));
+        segmentFile.write(buffer.flip());
+        segmentFile.sync();
+        syncedSequence = group.get(group.size() - 1).sequence;
+        writeSyncMark();
       }
     } catch (IOException | RuntimeException e) {
-      fail(e);
+      markFailed(e);
     }
-    for (Entry e : group) {
-      if (e.sequence <= synced) {
+    for (AppendTask e : group) {
+      if (e.sequence <= syncedSequence) {
         e.done.complete(e.sequence);
       } else {
-        e.done.completeExceptionally(new StoreException("the store cannot be written", broken));
+        e.done.completeExceptionally(new StoreException("the store cannot be written", failure));
       }
     }
     group.clear();
   }
 
-  /** Notes, without a sync, what is synced: damage to the last record is told from a torn tail by it. */
-  private void mark() throws IOException {
-    if (letters.isEmpty()) {
-      out.write(Frames.encode(synced, synced, new byte[0]));
+  /** Writes, without a sync, a frame with the last synced sequence. It lets recovery distinguish damage to
+   * the last record from a torn tail. */
+  private void writeSyncMark() throws IOException {
+    if (tasks.isEmpty()) {
+      segmentFile.write(Frames.encode(syncedSequence, syncedSequence, new byte[0]));
     }
   }
 
-  private void fail(Throwable e) {
-    broken = e;
+  private void markFailed(Throwable e) {
+    failure = e;
     LOG.atError().setCause(e).log("store.broken");
   }
 
-  /** Begins a new segment; the state is packed and written beside, while records go on. */
-  private void cut(Cut c) {
+  /** Starts a new segment. The snapshot is compressed and written in the background while appends
+   * continue. */
+  private void startSegment(SnapshotTask snapshot) {
     try {
-      if (broken != null) {
-        throw new StoreException("the store cannot be written", broken);
+      if (failure != null) {
+        throw new StoreException("the store cannot be written", failure);
       }
-      // The last mark is not synced yet; a segment that another follows must have no torn tail.
-      out.sync();
-      Disk.Out next = disk.append(segment(c.sequence));
-      disk.syncNames();
-      out.close();
-      out = next;
+      // The last sync mark is not synced yet, and a segment followed by another must not have a torn tail.
+      segmentFile.sync();
+      StoreDirectory.AppendableFile next = directory.append(segmentName(snapshot.sequence));
+      directory.syncDirectory();
+      segmentFile.close();
+      segmentFile = next;
     } catch (IOException | RuntimeException e) {
-      if (broken == null) {
-        fail(e);
+      if (failure == null) {
+        markFailed(e);
       }
-      c.done.completeExceptionally(e);
+      snapshot.done.completeExceptionally(e);
       return;
     }
     snapshots.execute(() -> {
       try {
-        Snapshots.write(disk, c.sequence, c.state.get());
-        tidy();
-        c.done.complete(c.sequence);
+        Snapshots.write(directory, snapshot.sequence, snapshot.state.get());
+        deleteObsoleteFiles();
+        snapshot.done.complete(snapshot.sequence);
       } catch (IOException | RuntimeException e) {
-        // The log holds all of it still; the next snapshot may succeed.
+        // The log still holds all records; the next snapshot may succeed.
         LOG.atError().setCause(e).log("store.snapshot");
-        c.done.completeExceptionally(e);
+        snapshot.done.completeExceptionally(e);
       }
     });
   }
 
-  private void tidy() throws IOException {
-    List<String> names = disk.names();
-    List<String> kept = Snapshots.of(names);
-    long oldest = kept.size() < 2 ? 0 : Snapshots.sequence(kept.get(kept.size() - 2));
-    for (String n : Snapshots.old(names)) {
-      disk.delete(n);
+  private void deleteObsoleteFiles() throws IOException {
+    List<String> names = directory.listFiles();
+    List<String> kept = Snapshots.snapshotNames(names);
+    long oldestNeeded = kept.size() < 2 ? 0 : Snapshots.sequence(kept.get(kept.size() - 2));
+    for (String name : Snapshots.obsolete(names)) {
+      directory.delete(name);
     }
-    for (String n : segments(names)) {
-      if (after(n) < oldest) {
-        disk.delete(n);
+    for (String name : segmentNames(names)) {
+      if (sequenceBefore(name) < oldestNeeded) {
+        directory.delete(name);
       }
     }
-    disk.syncNames();
+    directory.syncDirectory();
   }
 
-  private void end(End e) {
+  private void shutDown(CloseTask e) {
     snapshots.shutdown();
     try {
       snapshots.awaitTermination(1, TimeUnit.MINUTES);
-      out.close();
-      disk.close();
+      segmentFile.close();
+      directory.close();
       e.done.complete(null);
-    } catch (IOException | InterruptedException x) {
-      e.done.completeExceptionally(x);
+    } catch (IOException | InterruptedException error) {
+      e.done.completeExceptionally(error);
     }
   }
 
-  /** Ends after what was appended is written. */
+  /** Closes the store after all appended records are written. */
   @Override
   public void close() {
     CompletableFuture<Void> done = new CompletableFuture<>();
@@ -284,7 +293,7 @@
         return;
       }
       closing = true;
-      letters.add(new End(done));
+      tasks.add(new CloseTask(done));
     }
     done.join();
   }
--- a/src/main/java/hollyslip/tenant/Placement.java
+++ b/src/main/java/hollyslip/tenant/Placement.java
@@ -7,81 +7,89 @@
 import java.util.List;
 import java.util.Map;
 
-/** Where the extents of a volume go. Extent by extent, to a shard with room for it: in the zone that has the
- * fewest extents of the volume for the shards it has, on the shard there with most free reserve after what
- * was placed so far, then with fewest extents of the volume. It is asked once for each extent; the answer is
- * recorded and never worked out again. */
+/** Chooses shards for the extents of a volume. Each extent goes to a shard with room for it: in the zone with
+ * the fewest extents of the volume per shard, there on the shard with the most free reserve after the extents
+ * placed so far, then on the one with the fewest extents of the volume. An extent is placed once; its
+ * location is recorded and never computed again. */
 final class Placement {
-  private final Ledger ledger;
-  private final double each;
-  private final long size;
-  private final Map<String, Integer> inZone = new HashMap<>();
-  private final Map<String, Integer> shardsOf = new HashMap<>();
-  private final Map<Integer, Integer> onShard = new HashMap<>();
+  private final ShardAllocations allocations;
+  private final double reservePerExtent;
+  private final long extentBytes;
+  private final Map<String, Integer> extentsByZone = new HashMap<>();
+  private final Map<String, Integer> shardsByZone = new HashMap<>();
+  private final Map<Integer, Integer> extentsByShard = new HashMap<>();
 
-  /** @param each
-   *          units a second that an extent brings with it
-   * @param size
-   *          bytes of an extent */
-  Placement(Ledger ledger, double each, long size) {
-    this.ledger = ledger;
-    this.each = each;
-    this.size = size;
-    ledger.accounts().forEach(a -> shardsOf.merge(a.shard.zone(), 1, Integer::sum));
+  /** @param reservePerExtent
+   *          reserve that each extent needs, units per second
+   * @param extentBytes
+   *          extent size in bytes */
+  Placement(ShardAllocations allocations, double reservePerExtent, long extentBytes) {
+    this.allocations = allocations;
+    this.reservePerExtent = reservePerExtent;
+    this.extentBytes = extentBytes;
+    allocations.allocations().forEach(a -> shardsByZone.merge(a.shard.zone(), 1, Integer::sum));
   }
 
-  private double left(Ledger.Account a) {
-    return a.free() - each * onShard.getOrDefault(a.shard.number(), 0);
+  private double remainingReserve(ShardAllocations.Allocation a) {
+    return a.freeReserve() - reservePerExtent * extentsByShard.getOrDefault(a.shard.number(), 0);
   }
 
-  private double crowd(Ledger.Account a) {
+  private double extentsPerZoneShard(ShardAllocations.Allocation a) {
     String zone = a.shard.zone();
-    return (double) inZone.getOrDefault(zone, 0) / shardsOf.get(zone);
+    return (double) extentsByZone.getOrDefault(zone, 0) / shardsByZone.get(zone);
   }
 
-  private void note(int shard, int n) {
-    Ledger.Account a = ledger.account(shard);
-    onShard.merge(shard, n, Integer::sum);
+  private void countExtents(int shard, int n) {
+    ShardAllocations.Allocation a = allocations.allocation(shard);
+    extentsByShard.merge(shard, n, Integer::sum);
     if (a != null) {
-      inZone.merge(a.shard.zone(), n, Integer::sum);
+      extentsByZone.merge(a.shard.zone(), n, Integer::sum);
     }
   }
 
-  /** Places so many more extents; the ledger's bytes are taken, its reserve is not.
+  /** Places {@code count} more extents. Their byte ranges are allocated; their reserve is not added.
    *
-   * @param before
-   *          extents that the volume has; their reserve is not in the ledger at this time
-   * @throws Refusal
-   *           with the figures, and nothing is taken */
-  List<Volume.Extent> place(int count, List<Volume.Extent> before) {
-    Ledger.counts(before).forEach(this::note);
+   * @param existing
+   *          extents that the volume already has; their reserve must not be counted in the allocations at
+   *          this time
+   * @throws CommandRejectedException
+   *           the extents do not fit; nothing is allocated, and the figures say what would fit */
+  List<Volume.Extent> place(int count, List<Volume.Extent> existing) {
+    ShardAllocations.extentsPerShard(existing).forEach(this::countExtents);
     List<Volume.Extent> placed = new ArrayList<>(count);
-    Comparator<Ledger.Account> order = Comparator.comparingDouble(this::crowd)
-        .thenComparingDouble(a -> -left(a))
-        .thenComparingInt(a -> onShard.getOrDefault(a.shard.number(), 0))
+    Comparator<ShardAllocations.Allocation> order = Comparator.comparingDouble(this::extentsPerZoneShard)
+        .thenComparingDouble(a -> -remainingReserve(a))
+        .thenComparingInt(a -> extentsByShard.getOrDefault(a.shard.number(), 0))
         .thenComparingInt(a -> a.shard.number());
     for (int i = 0; i < count; i++) {
-      Ledger.Account best = ledger.accounts()
+      ShardAllocations.Allocation best = allocations.allocations()
           .stream()
-          .filter(a -> left(a) >= each && a.roomFor(size))
+          .filter(a -> remainingReserve(a) >= reservePerExtent && a.hasRoomFor(extentBytes))
           .min(order)
           .orElse(null);
       if (best == null) {
-        ledger.give(placed, size);
-        throw noRoom(count, i);
+        allocations.release(placed, extentBytes);
+        throw doesNotFit(count, i);
       }
-      placed.add(ledger.take(best.shard.number(), size));
-      note(best.shard.number(), 1);
+      placed.add(allocations.allocateExtent(best.shard.number(), extentBytes));
+      countExtents(best.shard.number(), 1);
     }
     return placed;
   }
 
-  private Refusal noRoom(int count, int fitted) {
-    double free = ledger.accounts().stream().mapToDouble(Ledger.Account::free).sum();
-    long freeBytes = ledger.accounts().stream().mapToLong(Ledger.Account::freeBytes).sum();
-    return new Refusal(Refusal.Kind.NO_ROOM, "bytes", "of " + count + " extents of " + size + " bytes with "
-        + Plain.text(each) + " units a second each, " + fitted + " fit on the shards", Map.of("extents",
-            count, "would_fit_extents", fitted, "would_fit_bytes", fitted * size, "free_reserve", free,
+  private CommandRejectedException doesNotFit(int count, int fitted) {
+    double free = allocations.allocations()
+        .stream()
+        .mapToDouble(ShardAllocations.Allocation::freeReserve)
+        .sum();
+    long freeBytes = allocations.allocations()
+        .stream()
+        .mapToLong(ShardAllocations.Allocation::freeBytes)
+        .sum();
+    return new CommandRejectedException(CommandRejectedException.Reason.NO_ROOM, "bytes", "of " + count
+        + " extents of " + extentBytes + " bytes with " + Plain.formatNumber(reservePerExtent)
+        + " units per second each, " + fitted + " fit on the shards", Map.of("extents", count,
+            "would_fit_extents", fitted, "would_fit_bytes", fitted * extentBytes, "free_reserve", free,
             "free_bytes", freeBytes));
   }
 }
--- a/src/main/java/hollyslip/tenant/Shard.java
+++ b/src/main/java/hollyslip/tenant/Shard.java
@@ -2,23 +2,23 @@
 
 import java.util.List;
 
-/** A shard as the fleet states it.
+/** A shard and its capacity, from the settings of the fleet.
  *
  * @param number
- *          of the shard
+ *          number of the shard
  * @param zone
- *          where its node stands
+ *          zone of the shard's node
  * @param capacity
- *          units a second that may be promised on it
+ *          units per second that may be reserved on it
  * @param bytes
- *          its size
- * @param taken
- *          ranges that are not for hosted volumes: {@code from}, {@code to} */
-public record Shard(int number, String zone, double capacity, long bytes, List<Range> taken) {
-  /** Bytes from, up to. */
+ *          size in bytes
+ * @param excludedRanges
+ *          byte ranges that hosted volumes must not use */
+public record Shard(int number, String zone, double capacity, long bytes, List<Range> excludedRanges) {
+  /** A byte range from {@code from} (inclusive) to {@code to} (exclusive). */
   public record Range(long from, long to) {}
 
   public Shard {
-    taken = List.copyOf(taken);
+    excludedRanges = List.copyOf(excludedRanges);
   }
 }
