--- a/src/main/java/hollyslip/emulator/Caller.java
+++ b/src/main/java/hollyslip/emulator/EmulatedClient.java
@@ -5,7 +5,7 @@
 import hollyslip.engine.Answer;
 import hollyslip.engine.Engine;
 import hollyslip.engine.IoRequest;
-import hollyslip.load.Arrivals;
+import hollyslip.load.ArrivalProcess;
 import hollyslip.load.Day;
 import hollyslip.load.RequestMix;
 import hollyslip.node.Nbd;
@@ -20,12 +20,12 @@
 
 /** A client of a volume at one gateway: asks on a schedule that does not wait for answers. What its ring has
  * no room for waits with it, and its time runs from when it was due. */
-final class Caller {
+final class EmulatedClient {
   final Day.Load load;
   private final World world;
-  private final Site site;
+  private final EmulatedGateway site;
   private final String name;
-  private final Arrivals arrivals;
+  private final ArrivalProcess arrivals;
   private final RequestMix mix;
   private final ArrayDeque<Ask> backlog = new ArrayDeque<>();
   private final Set<Ask> out = new LinkedHashSet<>();
@@ -109,19 +109,19 @@
     }
   }
 
-  Caller(World world, Site site, Day.Load load, int number, int all, long volumeBytes, long seed) {
+  EmulatedClient(World world, EmulatedGateway site, Day.Load load, int number, int all, long volumeBytes, long seed) {
     this.world = world;
     this.site = site;
     this.load = load;
     name = load.volume() + "-" + number;
     SplittableRandom seeds = new SplittableRandom(seed);
     mix = new RequestMix(load, number, all, volumeBytes, seeds.nextLong());
-    arrivals = new Arrivals(load.shape(), load.rate() / all, seeds.nextLong());
+    arrivals = new ArrivalProcess(load.shape(), load.rate() / all, seeds.nextLong());
   }
 
   /** Begins its schedule. */
   void begin() {
-    long at = Sequence.START + arrivals.next(speed);
+    long at = EventQueue.START + arrivals.next(speed);
     if (!ended) {
       world.time.at(at, () -> {
         if (!ended) {
--- a/src/main/java/hollyslip/emulator/Link.java
+++ b/src/main/java/hollyslip/emulator/EmulatedConnection.java
@@ -8,21 +8,21 @@
 
 /** A connection of one gateway process to one node: in order both ways, like TCP; what is sent while the
  * network is cut arrives when it is whole again. */
-final class Link {
+final class EmulatedConnection {
   private enum State {
     CONNECTING, READY, CLOSED
   }
 
   final long serial;
-  final Disk disk;
-  private final Net net;
-  private final Sequence time;
+  final EmulatedNode disk;
+  private final EmulatedTransport net;
+  private final EventQueue time;
   private State state = State.CONNECTING;
-  private final List<Flight> waiting = new ArrayList<>();
-  private final Set<Flight> sent = new LinkedHashSet<>();
+  private final List<InFlightCommand> waiting = new ArrayList<>();
+  private final Set<InFlightCommand> sent = new LinkedHashSet<>();
   private long lastThere, lastBack;
 
-  Link(Net net, Disk disk, long serial, Sequence time) {
+  EmulatedConnection(EmulatedTransport net, EmulatedNode disk, long serial, EventQueue time) {
     this.net = net;
     this.disk = disk;
     this.serial = serial;
@@ -88,7 +88,7 @@
     waiting.clear();
   }
 
-  void add(Flight f) {
+  void add(InFlightCommand f) {
     if (state == State.READY) {
       transmit(f);
     } else {
@@ -96,7 +96,7 @@
     }
   }
 
-  private void transmit(Flight f) {
+  private void transmit(InFlightCommand f) {
     f.sentUs = time.now();
     sent.add(f);
     toDisk(() -> {
@@ -108,7 +108,7 @@
   }
 
   /** What came of a command, on its way back. */
-  void reply(Flight f, Result result) {
+  void reply(InFlightCommand f, Result result) {
     toGateway(() -> {
       if (state != State.CLOSED && sent.remove(f)) {
         if (f.withdrawn) {
@@ -121,7 +121,7 @@
   }
 
   /** Takes back one that has not left; false: it has. */
-  boolean takeBack(Flight f) {
+  boolean takeBack(InFlightCommand f) {
     return waiting.remove(f);
   }
 
@@ -135,8 +135,8 @@
       toDisk(() -> disk.disconnected(this));
     }
     waiting.forEach(f -> net.outcome(f, Result.CONNECT_FAILED));
-    List<Flight> doubt = new ArrayList<>();
-    for (Flight f : sent) {
+    List<InFlightCommand> doubt = new ArrayList<>();
+    for (InFlightCommand f : sent) {
       if (!f.withdrawn) {
         net.outcome(f, Result.RESET);
       }
--- a/src/main/java/hollyslip/emulator/Site.java
+++ b/src/main/java/hollyslip/emulator/EmulatedGateway.java
@@ -18,7 +18,7 @@
 
 /** A gateway: the product's engine and module, started and killed as often as the run wants, in virtual
  * time. */
-final class Site {
+final class EmulatedGateway {
   /** Longest command, bytes: as the gateway's own. */
   private static final int MOST_COMMAND = 1 << 20;
 
@@ -30,20 +30,20 @@
   private final SplittableRandom random;
   /** Until when each node is out of reach. */
   private final long[] cutUntil;
-  private final List<Caller> callers = new ArrayList<>();
+  private final List<EmulatedClient> callers = new ArrayList<>();
   /** Those that come through it alone: each gateway with all of them is what would limit the size of
    * worlds. */
   private final Map<String, Volume> volumes = new TreeMap<>();
   private long epoch;
   private Engine engine;
-  private Net net;
+  private EmulatedTransport net;
   private Membership membership;
   private boolean alive;
   private long wakeAt;
   private double busyUntil;
   private boolean stepping;
 
-  Site(World world, int index, RequestClassifier classifier, SplittableRandom random) {
+  EmulatedGateway(World world, int index, RequestClassifier classifier, SplittableRandom random) {
     this.world = world;
     this.index = index;
     this.classifier = classifier;
@@ -56,7 +56,7 @@
     cutUntil = new long[world.disks().size()];
   }
 
-  void add(Caller caller) {
+  void add(EmulatedClient caller) {
     callers.add(caller);
     volumes.put(caller.load.volume(), world.volumes().get(caller.load.volume()));
   }
@@ -83,7 +83,7 @@
     alive = true;
     wakeAt = Long.MAX_VALUE;
     busyUntil = world.time.now();
-    net = new Net(this, ++epoch);
+    net = new EmulatedTransport(this, ++epoch);
     engine = new Engine(new Engine.Config(settings, classifier, new ExtentSplitter(MOST_COMMAND), g
         .mostRequests(),
         g
@@ -102,18 +102,18 @@
     alive = false;
     net.close();
     engine = null;
-    callers.forEach(Caller::abandoned);
+    callers.forEach(EmulatedClient::abandoned);
   }
 
   /** When something that leaves now arrives at the other end. */
-  long arrival(Disk disk) {
+  long arrival(EmulatedNode disk) {
     long mean = world.day.nodes().netUs();
     long delay = mean / 2 + (mean > 0 ? random.nextLong(mean + 1) : 0);
     return Math.max(world.time.now(), cutUntil[disk.index]) + delay;
   }
 
   /** A node is out of reach for so long. */
-  void cut(Disk disk, long us) {
+  void cut(EmulatedNode disk, long us) {
     cutUntil[disk.index] = world.time.now() + us;
   }
 
@@ -152,7 +152,7 @@
     }
   }
 
-  boolean started(Disk disk, long boot, long ageUs) {
+  boolean started(EmulatedNode disk, long boot, long ageUs) {
     return membership.recordStart(disk.index + 1, boot, ageUs, world.time.now());
   }
 
--- a/src/main/java/hollyslip/emulator/Disk.java
+++ b/src/main/java/hollyslip/emulator/EmulatedNode.java
@@ -14,17 +14,17 @@
 
 /** A storage node as a model: the service times of the stand-ins, their faults and their fences, without
  * sockets and without bytes. */
-final class Disk {
+final class EmulatedNode {
   final String name;
   final int index;
   final Faults faults = new Faults();
-  private final Sequence time;
+  private final EventQueue time;
   private final ServiceModel.Config config;
   private final SplittableRandom random;
   private final List<Command> log = new ArrayList<>();
   /** Commands taken and not done. */
-  private final Set<Flight> pending = new LinkedHashSet<>();
-  private final Set<Link> links = new LinkedHashSet<>();
+  private final Set<InFlightCommand> pending = new LinkedHashSet<>();
+  private final Set<EmulatedConnection> links = new LinkedHashSet<>();
   /** Newest connection of each client: the older ones' commands have no effect any more. */
   private final Map<String, Long> fences = new HashMap<>();
   private ServiceModel model;
@@ -32,7 +32,7 @@
   private long boot = 1;
   private long bornUs;
 
-  Disk(int index, Sequence time, ServiceModel.Config config, SplittableRandom random, long ageUs) {
+  EmulatedNode(int index, EventQueue time, ServiceModel.Config config, SplittableRandom random, long ageUs) {
     name = "store-" + index;
     this.index = index;
     this.time = time;
@@ -68,7 +68,7 @@
     pending.forEach(f -> note(f, 0, Command.Result.SWALLOWED));
     pending.clear();
     fences.clear();
-    List<Link> broken = List.copyOf(links);
+    List<EmulatedConnection> broken = List.copyOf(links);
     links.clear();
     broken.forEach(l -> l.toGateway(() -> l.close(true)));
   }
@@ -85,21 +85,21 @@
   }
 
   /** A connection is made; it is the fence of the client's older ones. */
-  void connected(Link link) {
+  void connected(EmulatedConnection link) {
     links.add(link);
     fences.merge(link.client(), link.serial, Math::max);
   }
 
-  boolean knows(Link link) {
+  boolean knows(EmulatedConnection link) {
     return links.contains(link);
   }
 
-  void disconnected(Link link) {
+  void disconnected(EmulatedConnection link) {
     links.remove(link);
   }
 
   /** A command has come in. */
-  void receive(Flight f) {
+  void receive(InFlightCommand f) {
     f.receivedUs = time.now();
     if (faults.silent) {
       note(f, 0, Command.Result.SWALLOWED);
@@ -117,7 +117,7 @@
     time.at(at + (f.kind == Nbd.CMD_WRITE ? faults.lateWriteUs : 0), () -> finish(f));
   }
 
-  private void finish(Flight f) {
+  private void finish(InFlightCommand f) {
     if (!pending.remove(f)) {
       return;
     }
@@ -135,7 +135,7 @@
     }
   }
 
-  private void note(Flight f, long done, Command.Result result) {
+  private void note(InFlightCommand f, long done, Command.Result result) {
     log.add(new Command(name, boot, f.link.process(), f.link.serial, f.cookie, f.export, f.kind, f.offset,
         f.length, f.receivedUs, done, f.mark, result, f.sentUs));
   }
--- a/src/main/java/hollyslip/emulator/Net.java
+++ b/src/main/java/hollyslip/emulator/EmulatedTransport.java
@@ -9,21 +9,21 @@
 
 /** The nodes as one start of a gateway's engine reaches them, in place of the product's connections: a link
  * each, made when it is needed, fences by making a newer one. */
-final class Net implements NodeTransport {
-  private final Site site;
+final class EmulatedTransport implements NodeTransport {
+  private final EmulatedGateway site;
   private final long epoch;
-  private final Link[] links;
+  private final EmulatedConnection[] links;
   /** Changes of dead links that may still run, by node and serial. */
-  private final List<TreeMap<Long, List<Flight>>> doubts;
+  private final List<TreeMap<Long, List<InFlightCommand>>> doubts;
   private long serials;
   /** The process is gone: nothing reaches it any more. */
   private boolean dead;
 
-  Net(Site site, long epoch) {
+  EmulatedTransport(EmulatedGateway site, long epoch) {
     this.site = site;
     this.epoch = epoch;
-    links = new Link[site.world.disks().size()];
-    doubts = site.world.disks().stream().map(d -> new TreeMap<Long, List<Flight>>()).toList();
+    links = new EmulatedConnection[site.world.disks().size()];
+    doubts = site.world.disks().stream().map(d -> new TreeMap<Long, List<InFlightCommand>>()).toList();
   }
 
   String client() {
@@ -35,7 +35,7 @@
   }
 
   /** When something that leaves now arrives. */
-  long arrival(Disk disk) {
+  long arrival(EmulatedNode disk) {
     return site.arrival(disk);
   }
 
@@ -46,31 +46,31 @@
     }
   }
 
-  boolean started(Disk disk, long boot, long ageUs) {
+  boolean started(EmulatedNode disk, long boot, long ageUs) {
     return site.started(disk, boot, ageUs);
   }
 
-  void outcome(Flight f, Result result) {
+  void outcome(InFlightCommand f, Result result) {
     f.told = true;
     site.engine().attemptEnded(f.attempt, result, null);
   }
 
-  void resolved(Flight f) {
+  void resolved(InFlightCommand f) {
     site.engine().attemptResolved(f.attempt);
   }
 
-  private Disk disk(long node) {
+  private EmulatedNode disk(long node) {
     return site.world.disks().get((int) node - 1);
   }
 
   @Override
   public void send(Attempt attempt) {
-    Disk disk = disk(attempt.node());
-    Link link = links[disk.index];
+    EmulatedNode disk = disk(attempt.node());
+    EmulatedConnection link = links[disk.index];
     if (link == null || link.isClosed()) {
       link = open(disk);
     }
-    Flight f = new Flight(attempt, link);
+    InFlightCommand f = new InFlightCommand(attempt, link);
     attempt.handle = f;
     if (link.size() >= site.mostOut()) {
       outcome(f, Result.FULL);
@@ -79,8 +79,8 @@
     }
   }
 
-  private Link open(Disk disk) {
-    Link link = new Link(this, disk, epoch << 32 | ++serials, site.world.time);
+  private EmulatedConnection open(EmulatedNode disk) {
+    EmulatedConnection link = new EmulatedConnection(this, disk, epoch << 32 | ++serials, site.world.time);
     links[disk.index] = link;
     link.connect(site.connectTimeoutUs());
     return link;
@@ -88,7 +88,7 @@
 
   @Override
   public WithdrawResult withdraw(Attempt attempt) {
-    Flight f = (Flight) attempt.handle;
+    InFlightCommand f = (InFlightCommand) attempt.handle;
     if (f.told) {
       return WithdrawResult.ENDED;
     }
@@ -103,7 +103,7 @@
 
   @Override
   public void fence(Attempt attempt) {
-    Flight f = (Flight) attempt.handle;
+    InFlightCommand f = (InFlightCommand) attempt.handle;
     if (!f.link.isClosed()) {
       f.link.close(false);
     } else {
@@ -112,15 +112,15 @@
   }
 
   /** A newer link was made: what older ones brought can have no effect any more. */
-  void fenced(Disk disk, long serial) {
+  void fenced(EmulatedNode disk, long serial) {
     var older = doubts.get(disk.index).headMap(serial);
-    List<Flight> over = older.values().stream().flatMap(List::stream).toList();
+    List<InFlightCommand> over = older.values().stream().flatMap(List::stream).toList();
     older.clear();
     over.forEach(this::resolved);
   }
 
   /** A link has ended with these changes out. */
-  void lost(Link link, List<Flight> doubt) {
+  void lost(EmulatedConnection link, List<InFlightCommand> doubt) {
     if (links[link.disk.index] == link) {
       links[link.disk.index] = null;
     }
@@ -132,7 +132,7 @@
     }
   }
 
-  private void reopen(Disk disk) {
+  private void reopen(EmulatedNode disk) {
     if (!doubts.get(disk.index).isEmpty() && links[disk.index] == null) {
       open(disk);
     }
@@ -140,7 +140,7 @@
 
   @Override
   public void probe(long node) {
-    Disk disk = disk(node);
+    EmulatedNode disk = disk(node);
     long from = site.world.time.now();
     boolean up = disk.isUp() && !disk.faults.silent;
     site.world.time.at(arrival(disk) * 2 - from, () -> told(() -> site.engine()
--- a/src/main/java/hollyslip/emulator/Sequence.java
+++ b/src/main/java/hollyslip/emulator/EventQueue.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 
 /** Virtual time, us, and what is to happen: in order of time, then in the order in which it was put in. */
-final class Sequence {
+final class EventQueue {
   /** Not 0, since a birth at 0 means "long ago" to the module. */
   static final long START = 10_000_000_000L;
 
--- a/src/main/java/hollyslip/emulator/Flight.java
+++ b/src/main/java/hollyslip/emulator/InFlightCommand.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /** An attempt on its way to a node and back. */
-final class Flight {
+final class InFlightCommand {
   final Attempt attempt;
-  final Link link;
+  final EmulatedConnection link;
   final long cookie;
   final int kind;
   final long offset;
@@ -24,7 +24,7 @@
   /** Whether the engine has given it up. */
   boolean withdrawn;
 
-  Flight(Attempt attempt, Link link) {
+  InFlightCommand(Attempt attempt, EmulatedConnection link) {
     this.attempt = attempt;
     this.link = link;
     cookie = attempt.requestId() << 12 | attempt.number();
--- a/src/main/java/hollyslip/emulator/World.java
+++ b/src/main/java/hollyslip/emulator/World.java
@@ -7,7 +7,7 @@
 import hollyslip.audit.Auditor;
 import hollyslip.audit.Told;
 import hollyslip.load.Day;
-import hollyslip.load.DaySettings;
+import hollyslip.load.ScenarioSettings;
 import hollyslip.node.Nbd;
 import hollyslip.settings.Deployment;
 import hollyslip.settings.Loader;
@@ -43,14 +43,14 @@
   private static final long AFTER_US = 2_000_000;
 
   final Day day;
-  final Sequence time = new Sequence();
+  final EventQueue time = new EventQueue();
   private final Deployment deployment;
   private final Map<String, Volume> volumes;
   private final RequestClassifier classifier;
   private final SplittableRandom random;
-  private final List<Disk> disks = new ArrayList<>();
-  private final List<Site> sites = new ArrayList<>();
-  private final List<Caller> callers = new ArrayList<>();
+  private final List<EmulatedNode> disks = new ArrayList<>();
+  private final List<EmulatedGateway> sites = new ArrayList<>();
+  private final List<EmulatedClient> callers = new ArrayList<>();
   private final NodeState[] states;
   private final List<Asked> asked = new ArrayList<>();
   private final List<Told> told = new ArrayList<>();
@@ -88,9 +88,9 @@
     try {
       Path dir = Files.createTempDirectory("hollyslip-emulate");
       try {
-        Files.writeString(dir.resolve("fleet.star"), DaySettings.fleet(day.nodes().count(), i -> 1 + i,
+        Files.writeString(dir.resolve("fleet.star"), ScenarioSettings.fleet(day.nodes().count(), i -> 1 + i,
             i -> NodeState.ON));
-        Path file = Files.writeString(dir.resolve("gateway-0.star"), DaySettings.text(day, 0));
+        Path file = Files.writeString(dir.resolve("gateway-0.star"), ScenarioSettings.text(day, 0));
         Loader.Loaded loaded = Loader.load(file);
         if (!loaded.faults().isEmpty()) {
           throw new IllegalArgumentException("settings of the day: " + loaded.faults());
@@ -111,19 +111,19 @@
   private void build() {
     var n = day.nodes();
     for (int i = 0; i < n.count(); i++) {
-      disks.add(new Disk(i, time, ServiceModel.timed(n.cores(), n.queue(), n.baseUs()), random.split(),
+      disks.add(new EmulatedNode(i, time, ServiceModel.timed(n.cores(), n.queue(), n.baseUs()), random.split(),
           AGE_US));
     }
     for (int i = 0; i < day.gateways(); i++) {
-      sites.add(new Site(this, i, classifier, random.split()));
+      sites.add(new EmulatedGateway(this, i, classifier, random.split()));
     }
     // Drawn as the generator of load does: both ask the same at the same times.
     SplittableRandom clients = new SplittableRandom(day.seed());
     for (Day.Load v : day.volumes()) {
       int all = day.clients(v);
       for (int c = 0; c < all; c++) {
-        Site site = sites.get(day.gateway(v, c));
-        Caller caller = new Caller(this, site, v, c, all, volumes.get(v.volume()).bytes(), clients
+        EmulatedGateway site = sites.get(day.gateway(v, c));
+        EmulatedClient caller = new EmulatedClient(this, site, v, c, all, volumes.get(v.volume()).bytes(), clients
             .nextLong());
         site.add(caller);
         callers.add(caller);
@@ -133,22 +133,22 @@
       told.add(new Told.Started(s.name, time.now()));
       s.start();
     });
-    callers.forEach(Caller::begin);
+    callers.forEach(EmulatedClient::begin);
   }
 
   private Outcome run() {
-    long end = Sequence.START + (long) (day.seconds() * 1e6);
+    long end = EventQueue.START + (long) (day.seconds() * 1e6);
     time.until(end);
-    callers.forEach(Caller::end);
+    callers.forEach(EmulatedClient::end);
     time.until(end + AFTER_US + deployment.classes()
         .stream()
         .mapToLong(RequestClass::deadlineUs)
         .max()
         .orElseThrow());
-    callers.forEach(Caller::finish);
+    callers.forEach(EmulatedClient::finish);
     List<Command> commands = new ArrayList<>();
     disks.forEach(d -> commands.addAll(d.log()));
-    return new Outcome(Auditor.check(DaySettings.figures(deployment, 0, 0), asked, commands, told), tallies,
+    return new Outcome(Auditor.check(ScenarioSettings.figures(deployment, 0, 0), asked, commands, told), tallies,
         kinds, timeline, time
             .played());
   }
@@ -163,7 +163,7 @@
     return volumes;
   }
 
-  List<Disk> disks() {
+  List<EmulatedNode> disks() {
     return disks;
   }
 
@@ -198,7 +198,7 @@
   }
 
   /** A gateway was told so. */
-  void told(Site site, List<NodeEntry> list) {
+  void told(EmulatedGateway site, List<NodeEntry> list) {
     for (NodeEntry l : list) {
       String key = site.name + "/" + l.node();
       NodeState before = lastTold.getOrDefault(key, NodeState.ON);
@@ -214,7 +214,7 @@
     tally(plan).add(a.answer(), a.left(), a.answeredUs() - dueUs, aimUs);
     kinds.computeIfAbsent(plan + (a.kind() == Nbd.CMD_READ ? ".read" : ".write"), k -> new Outcome.Tally())
         .add(a.answer(), a.left(), a.answeredUs() - dueUs, aimUs);
-    int interval = (int) ((dueUs - Sequence.START) / Outcome.INTERVAL_US);
+    int interval = (int) ((dueUs - EventQueue.START) / Outcome.INTERVAL_US);
     while (timeline.size() <= interval) {
       timeline.add(new Outcome.Tally());
     }
@@ -232,7 +232,7 @@
   // Trouble.
 
   private void at(double seconds, Runnable what) {
-    time.at(Sequence.START + (long) (seconds * 1e6), what);
+    time.at(EventQueue.START + (long) (seconds * 1e6), what);
   }
 
   private void trouble(Day.Trouble t) {
@@ -261,14 +261,14 @@
         list(d, NodeState.ON);
       });
       case "partition" -> {
-        List<Site> cut = sites.stream().filter(s -> random.nextDouble() < t.size()).toList();
+        List<EmulatedGateway> cut = sites.stream().filter(s -> random.nextDouble() < t.size()).toList();
         nodes(t, d -> cut.forEach(s -> s.cut(d, (long) (t.seconds() * 1e6))), d -> {});
       }
       case "burst" -> loads(t, c -> true);
       case "plan-burst" -> loads(t, c -> c.load.plan().equals(t.target()));
       case "volume-burst" -> loads(t, c -> c.load.volume().equals(t.target()));
       case "hot-volumes", "scan" -> {
-        List<Caller> hot = callers.stream().filter(c -> random.nextDouble() < t.part()).toList();
+        List<EmulatedClient> hot = callers.stream().filter(c -> random.nextDouble() < t.part()).toList();
         loads(t, hot::contains);
         boolean scan = t.kind().equals("scan");
         at(t.at(), () -> hot.forEach(c -> c.readsOnly(scan)));
@@ -280,8 +280,8 @@
       }
       case "reconnect" -> at(t.at(), () -> callers.stream()
           .filter(c -> random.nextDouble() < t.part())
-          .forEach(Caller::drop));
-      case "client-vanish" -> at(t.at(), () -> of(t).stream().limit(1).forEach(Caller::drop));
+          .forEach(EmulatedClient::drop));
+      case "client-vanish" -> at(t.at(), () -> of(t).stream().limit(1).forEach(EmulatedClient::drop));
       case "list-down" -> {
         at(t.at(), () -> listDown = true);
         at(end, () -> {
@@ -294,7 +294,7 @@
     }
   }
 
-  private void crash(Site site, Day.Trouble t) {
+  private void crash(EmulatedGateway site, Day.Trouble t) {
     at(t.at(), () -> {
       if (site.isAlive()) {
         site.kill();
@@ -308,47 +308,47 @@
     });
   }
 
-  private void nodes(Day.Trouble t, Consumer<Disk> begin, Consumer<Disk> end) {
-    for (Disk d : struck(t)) {
+  private void nodes(Day.Trouble t, Consumer<EmulatedNode> begin, Consumer<EmulatedNode> end) {
+    for (EmulatedNode d : struck(t)) {
       at(t.at(), () -> begin.accept(d));
       at(t.at() + t.seconds(), () -> end.accept(d));
     }
   }
 
-  private List<Disk> struck(Day.Trouble t) {
+  private List<EmulatedNode> struck(Day.Trouble t) {
     if (!t.target().isEmpty()) {
       return disks.stream().filter(d -> d.name.equals(t.target())).toList();
     }
-    List<Disk> left = new ArrayList<>(disks);
-    List<Disk> chosen = new ArrayList<>();
+    List<EmulatedNode> left = new ArrayList<>(disks);
+    List<EmulatedNode> chosen = new ArrayList<>();
     for (long n = Math.max(1, Math.round(t.part() * disks.size())); n > 0 && !left.isEmpty(); n--) {
       chosen.add(left.remove(random.nextInt(left.size())));
     }
     return chosen;
   }
 
-  private List<Caller> of(Day.Trouble t) {
+  private List<EmulatedClient> of(Day.Trouble t) {
     return callers.stream()
         .filter(c -> c.load.volume().equals(t.target()) || c.load.plan().equals(t.target()))
         .toList();
   }
 
-  private void loads(Day.Trouble t, Predicate<Caller> which) {
+  private void loads(Day.Trouble t, Predicate<EmulatedClient> which) {
     at(t.at(), () -> callers.stream().filter(which).forEach(c -> c.speed(t.size())));
     at(t.at() + t.seconds(), () -> callers.stream().filter(which).forEach(c -> c.speed(1)));
   }
 
-  private void restart(Disk d) {
+  private void restart(EmulatedNode d) {
     d.faults.clear();
     d.start();
     told.add(new Told.Born(d.name, time.now()));
   }
 
-  private void list(Disk d, NodeState state) {
+  private void list(EmulatedNode d, NodeState state) {
     states[d.index] = state;
     if (!listDown) {
       NodeEntry l = listed(d.index);
-      sites.stream().filter(Site::isAlive).forEach(s -> time.in(listDelay(random), () -> {
+      sites.stream().filter(EmulatedGateway::isAlive).forEach(s -> time.in(listDelay(random), () -> {
         if (s.isAlive() && states[d.index] == state) {
           s.state(l);
         }
--- a/src/main/java/hollyslip/load/Arrivals.java
+++ b/src/main/java/hollyslip/load/ArrivalProcess.java
@@ -6,7 +6,7 @@
 
 /** When requests are due: a schedule that depends on the shape, the rate and the seed alone, never on
  * answers. Free of I/O and clock. */
-public final class Arrivals {
+public final class ArrivalProcess {
   /** Rates count as constant over so long, us. */
   private static final long SLICE = 10_000;
   /** Tail of the on and off times of {@link Kind#ONOFF}: below 2, so that their variance has no end. */
@@ -89,7 +89,7 @@
 
   /** @param rate
    *          requests a second in the mean */
-  public Arrivals(Shape shape, double rate, long seed) {
+  public ArrivalProcess(Shape shape, double rate, long seed) {
     this.shape = shape;
     perUs = rate / 1e6;
     random = new SplittableRandom(seed);
--- a/src/main/java/hollyslip/load/BenchSite.java
+++ b/src/main/java/hollyslip/load/BenchDeployment.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 
 /** The deployment that measurements run on: one gateway, one class for everything, stand-ins as nodes. */
-final class BenchSite {
+final class BenchDeployment {
   private static final String HEAD = """
       rules(drain_grace = seconds(1), cold_from = 0.2, cold = seconds(5), fall_multiple = 3, fall = seconds(2), settle = ms(300))
       store(mean_units = 1, most_units = 256)
@@ -15,7 +15,7 @@
       plan("p", rate = 1e6, reserve = 1e6, weight = 1)
       """;
 
-  private BenchSite() {}
+  private BenchDeployment() {}
 
   /** The deployment, its folders in {@code dir}.
    *
--- a/src/main/java/hollyslip/load/Stamps.java
+++ b/src/main/java/hollyslip/load/BlockStamps.java
@@ -6,14 +6,14 @@
 /** A client's reference copy of what it has written, block by block: which bytes a read may return. Every
  * block that is written bears the number of its write; numbers grow. A read may return the newest write that
  * was answered before the read was asked, or any later one of which it is not known that it never ran. */
-final class Stamps {
+final class BlockStamps {
   static final int BLOCK = 4096;
   private static final long MARK = 0x5354414d50454421L;
 
   private final long who;
   private final TreeMap<Long, long[]> served = new TreeMap<>();
 
-  Stamps(long who) {
+  BlockStamps(long who) {
     this.who = who;
   }
 
--- a/src/main/java/hollyslip/load/CoresBench.java
+++ b/src/main/java/hollyslip/load/CoresBench.java
@@ -114,7 +114,7 @@
             "volume('v%d', tenant = 't%d', plan = 'p', size = 2 * MiB, extent = 64 * "
                 + "KiB, shards = list(range(%d)), at = %d * MiB)%n", v, v, nodes, 2 * v / nodes));
       }
-      Deployment d = BenchSite.load(dir, started.stream().mapToInt(n -> n.address.getPort()).toArray(),
+      Deployment d = BenchDeployment.load(dir, started.stream().mapToInt(n -> n.address.getPort()).toArray(),
           ", cores = " + cores, volumes.toString());
       Gateway gateway = new Gateway(d);
       Row[] rows = new Row[VOLUMES];
--- a/src/main/java/hollyslip/load/Day.java
+++ b/src/main/java/hollyslip/load/Day.java
@@ -38,7 +38,7 @@
   /** A volume and what its clients ask: {@code rate} requests a second over all its gateways, {@code hosts}
    * of them (0: all) from the {@code first} on; {@code spread}: over how many shards it lies, 0: all. */
   public record Load(String volume, String plan, int sizeMib, double rate, double reads, int mostBlocks,
-      int depth, int clients, Arrivals.Shape shape, int hosts, int spread, int first) {
+      int depth, int clients, ArrivalProcess.Shape shape, int hosts, int spread, int first) {
     private Load times(double factor) {
       return new Load(volume, plan, sizeMib, rate * factor, reads, mostBlocks, depth, clients, shape, hosts,
           spread,
@@ -264,11 +264,11 @@
 
     private void volume(String[] w) {
       String plan = take(w, "plan");
-      Arrivals.Shape shape;
+      ArrivalProcess.Shape shape;
       String word = take(w, "shape");
       Map<String, Double> f = figures(w, 2, VOLUME_WORDS);
       try {
-        shape = Arrivals.Shape.of(word, f.getOrDefault("period", 0.0), f.getOrDefault("swing", 0.0));
+        shape = ArrivalProcess.Shape.of(word, f.getOrDefault("period", 0.0), f.getOrDefault("swing", 0.0));
       } catch (IllegalArgumentException e) {
         throw new Wrong(line, "volume " + w[1] + ": " + e.getMessage());
       }
--- a/src/main/java/hollyslip/load/DayRunner.java
+++ b/src/main/java/hollyslip/load/DayRunner.java
@@ -338,7 +338,7 @@
     }
     List<Asked> asked = clients.stream().flatMap(c -> c.load().records().stream()).toList();
     List<Command> commands = disks.stream().flatMap(d -> d.commands().stream()).toList();
-    Figures figures = DaySettings.figures(deployments.get(0), slackUs, 50_000);
+    Figures figures = ScenarioSettings.figures(deployments.get(0), slackUs, 50_000);
     Witness.figures(dir, figures);
     Witness.asked(dir, "clients", asked);
     Witness.commands(dir, "nodes", commands);
--- a/src/main/java/hollyslip/load/LoadBench.java
+++ b/src/main/java/hollyslip/load/LoadBench.java
@@ -67,14 +67,14 @@
   }
 
   private void one(int rate, int round) throws InterruptedException {
-    Day.Load load = new Day.Load("v", "p", 64, rate, 0.5, 4, 64, threads, Arrivals.Shape.POISSON, 0, 0, 0);
+    Day.Load load = new Day.Load("v", "p", 64, rate, 0.5, 4, 64, threads, ArrivalProcess.Shape.POISSON, 0, 0, 0);
     long start = LoadRun.soon();
     List<OpenLoop.Ran> ran = new ArrayList<>();
     List<Thread> all = new ArrayList<>();
     for (int t = 0; t < threads; t++) {
       long seed = 100L * round + t;
       LatencyLog log = new LatencyLog();
-      OpenLoop loop = new OpenLoop(new Arrivals(load.shape(), (double) rate / threads, seed), new RequestMix(
+      OpenLoop loop = new OpenLoop(new ArrivalProcess(load.shape(), (double) rate / threads, seed), new RequestMix(
           load, t,
           threads, 64 << 20, seed), new Echo(), false, d -> log.add("p", (d.dueUs() - start) / 1_000_000, d
               .tookUs()));
--- a/src/main/java/hollyslip/load/LoadRun.java
+++ b/src/main/java/hollyslip/load/LoadRun.java
@@ -52,7 +52,7 @@
       target = new RingTarget(socket, v.depth(), v.mostBlocks() * 4_096);
       SplittableRandom seeds = new SplittableRandom(seed);
       RequestMix mix = new RequestMix(v, number, all, (long) v.sizeMib() << 20, seeds.nextLong());
-      Arrivals arrivals = new Arrivals(v.shape(), v.rate() / all, seeds.nextLong());
+      ArrivalProcess arrivals = new ArrivalProcess(v.shape(), v.rate() / all, seeds.nextLong());
       String reads = v.plan() + ".read";
       String writes = v.plan() + ".write";
       loop = new OpenLoop(arrivals, mix, target, config.closed(), d -> {
--- a/src/main/java/hollyslip/load/ModuleBench.java
+++ b/src/main/java/hollyslip/load/ModuleBench.java
@@ -40,7 +40,7 @@
 
   /** As many come as are answered, so that as many wait all the time. */
   private static double measure(int volumes, int held) throws IOException {
-    TokenBorrowingScheduler choice = new TokenBorrowingScheduler(BenchSite.load(Files.createTempDirectory(
+    TokenBorrowingScheduler choice = new TokenBorrowingScheduler(BenchDeployment.load(Files.createTempDirectory(
         "hollyslip-bench-"), new int[]{1, 2},
         ", hosted = True", "").module());
     List<HostScheduler.Action> actions = new ArrayList<>();
--- a/src/main/java/hollyslip/load/OpenLoop.java
+++ b/src/main/java/hollyslip/load/OpenLoop.java
@@ -79,7 +79,7 @@
   /** How long answers are waited for after the last request, us. */
   private static final long PATIENCE_US = 10_000_000;
 
-  private final Arrivals arrivals;
+  private final ArrivalProcess arrivals;
   private final RequestMix mix;
   private final Target target;
   private final boolean closed;
@@ -93,7 +93,7 @@
    *          the baseline that hides stalls: one request at a time, and its latency from when it was sent
    * @param keeper
    *          hears of every answer */
-  public OpenLoop(Arrivals arrivals, RequestMix mix, Target target, boolean closed, Consumer<Done> keeper) {
+  public OpenLoop(ArrivalProcess arrivals, RequestMix mix, Target target, boolean closed, Consumer<Done> keeper) {
     this.arrivals = arrivals;
     this.mix = mix;
     this.target = target;
--- a/src/main/java/hollyslip/load/RingComparison.java
+++ b/src/main/java/hollyslip/load/RingComparison.java
@@ -60,7 +60,7 @@
       for (int i = 0; i < nodes; i++) {
         started.add(new Node("node-" + i));
       }
-      Deployment d = BenchSite.load(dir, started.stream().mapToInt(n -> n.address.getPort()).toArray(), "",
+      Deployment d = BenchDeployment.load(dir, started.stream().mapToInt(n -> n.address.getPort()).toArray(), "",
           String.format(
               "volume('v', plan = 'p', size = 16 * MiB, extent = %d, shards = list(range(%d)), at = 0)%n",
               Math
--- a/src/main/java/hollyslip/load/RingLoad.java
+++ b/src/main/java/hollyslip/load/RingLoad.java
@@ -54,7 +54,7 @@
   private final Path socket;
   private final RingClient client;
   private final SplittableRandom random;
-  private final Stamps stamps;
+  private final BlockStamps stamps;
   private final List<Open> open = new ArrayList<>();
   private final List<Asked> records = new ArrayList<>();
   private final List<String> wrong = new ArrayList<>();
@@ -127,10 +127,10 @@
     this.plan = plan;
     this.socket = socket;
     int size = Integer.highestOneBit(Math.max(4, plan.depth() * 2 - 1));
-    client = new RingClient(RingClient.Options.usual(1, size, plan.mostBlocks() * Stamps.BLOCK));
+    client = new RingClient(RingClient.Options.usual(1, size, plan.mostBlocks() * BlockStamps.BLOCK));
     random = new SplittableRandom(plan.seed());
-    stamps = new Stamps(plan.seed() * 1_000_003 + plan.name().hashCode());
-    scratch = ByteBuffer.allocate(plan.mostBlocks() * Stamps.BLOCK).order(ByteOrder.LITTLE_ENDIAN);
+    stamps = new BlockStamps(plan.seed() * 1_000_003 + plan.name().hashCode());
+    scratch = ByteBuffer.allocate(plan.mostBlocks() * BlockStamps.BLOCK).order(ByteOrder.LITTLE_ENDIAN);
   }
 
   private static long crc(ByteBuffer data, int length) {
@@ -267,10 +267,10 @@
 
   private void one() {
     int blocks = 1 + random.nextInt(plan.mostBlocks());
-    long room = plan.bytes() / Stamps.BLOCK - blocks;
-    long offset = plan.from() + random.nextLong(room + 1) * Stamps.BLOCK;
+    long room = plan.bytes() / BlockStamps.BLOCK - blocks;
+    long offset = plan.from() + random.nextLong(room + 1) * BlockStamps.BLOCK;
     boolean read = random.nextDouble() < plan.reads() || readsOnly;
-    int length = blocks * Stamps.BLOCK;
+    int length = blocks * BlockStamps.BLOCK;
     if (!read && overlapsWrite(offset, length)) {
       read = true;
     }
@@ -291,7 +291,7 @@
 
   /** A client does not write blocks while it waits for another write to them. */
   private boolean overlapsWrite(long offset, int length) {
-    long most = (long) plan.mostBlocks() * Stamps.BLOCK;
+    long most = (long) plan.mostBlocks() * BlockStamps.BLOCK;
     return !writing.subSet(offset - most + 1, offset + length).isEmpty();
   }
 
--- a/src/main/java/hollyslip/load/DaySettings.java
+++ b/src/main/java/hollyslip/load/ScenarioSettings.java
@@ -17,8 +17,8 @@
 
 /** The settings scripts of a {@link Day}, and the figures by which it is audited: the same for gateways on
  * sockets and for the emulator. */
-public final class DaySettings {
-  private DaySettings() {}
+public final class ScenarioSettings {
+  private ScenarioSettings() {}
 
   /** The script {@code fleet.star}: the nodes, one shard each. */
   public static String fleet(int nodes, IntUnaryOperator port, IntFunction<NodeState> state) {
@@ -32,7 +32,7 @@
 
   /** The script of one gateway; it loads {@code fleet.star}. */
   public static String text(Day day, int gateway) throws IOException {
-    try (InputStream in = DaySettings.class.getResourceAsStream("/hollyslip/example.star")) {
+    try (InputStream in = ScenarioSettings.class.getResourceAsStream("/hollyslip/example.star")) {
       String example = new String(in.readAllBytes(), StandardCharsets.UTF_8).replace("\"gateway-a\"",
           "\"gateway-" + gateway + "\"")
           .replace("\"run\"", "\"run-" + gateway + "\"")
--- a/src/main/java/hollyslip/load/Stage.java
+++ b/src/main/java/hollyslip/load/Stage.java
@@ -44,7 +44,7 @@
     Arrays.fill(on, NodeState.ON);
     writeFleet(on);
     for (int g = 0; g < day.gateways(); g++) {
-      Files.writeString(settings(g), DaySettings.text(day, g));
+      Files.writeString(settings(g), ScenarioSettings.text(day, g));
       Loader.Loaded loaded = Loader.load(settings(g));
       if (!loaded.faults().isEmpty()) {
         throw new IOException("settings of the day: " + loaded.faults());
@@ -66,7 +66,7 @@
   /** Replaces the gateways' list of nodes. */
   void writeFleet(NodeState[] states) throws IOException {
     Path fresh = dir.resolve("fleet.star.new");
-    Files.writeString(fresh, DaySettings.fleet(disks.size(), i -> disks.get(i).address().getPort(),
+    Files.writeString(fresh, ScenarioSettings.fleet(disks.size(), i -> disks.get(i).address().getPort(),
         i -> states[i]));
     Files.move(fresh, dir.resolve("fleet.star"), StandardCopyOption.ATOMIC_MOVE);
   }
--- a/src/main/java/hollyslip/load/TenantBench.java
+++ b/src/main/java/hollyslip/load/TenantBench.java
@@ -192,7 +192,7 @@
   // Over sockets.
 
   private static Deployment deployment(Path dir, int... ports) throws IOException {
-    return BenchSite.load(dir, ports, ", hosted = True", "");
+    return BenchDeployment.load(dir, ports, ", hosted = True", "");
   }
 
   private static void ask(ApiClient api, String method, String path, String body) throws IOException {
--- a/src/test/java/hollyslip/emulator/WorldTest.java
+++ b/src/test/java/hollyslip/emulator/EmulationTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The emulator: repeatable, as hard as it says, and under the same audit as runs over sockets. */
-class WorldTest {
+class EmulationTest {
   private static final String SITE = """
       day %s
       seed %d
--- a/src/test/java/hollyslip/load/OpenLoopTest.java
+++ b/src/test/java/hollyslip/load/OpenLoopTest.java
@@ -20,7 +20,7 @@
 /** The generator in virtual time, against targets whose delays are known to the microsecond. */
 class OpenLoopTest {
   private static final Day.Load LOAD = new Day.Load("v", "p", 4, 1_000, 0.5, 2, 64, 1,
-      Arrivals.Shape.POISSON, 0, 0, 0);
+      ArrivalProcess.Shape.POISSON, 0, 0, 0);
 
   @TempDir
   Path dir;
@@ -74,7 +74,7 @@
   }
 
   private static OpenLoop.Ran run(Fake f, boolean closed, double rate, double seconds, Histogram latency) {
-    Arrivals a = new Arrivals(LOAD.shape(), rate, 5);
+    ArrivalProcess a = new ArrivalProcess(LOAD.shape(), rate, 5);
     return new OpenLoop(a, new RequestMix(LOAD, 0, 1, 4 << 20, 6), f, closed, d -> latency.recordValue(d
         .tookUs()))
         .run(0, (long) (seconds * 1e6));
@@ -89,7 +89,7 @@
     assertTrue(ran.valid(1_000));
     assertEquals(ran.due(), ran.answered());
     // What the schedule says fell due in the stall, more than 1 ms before its end.
-    Arrivals again = new Arrivals(LOAD.shape(), 1_000, 5);
+    ArrivalProcess again = new ArrivalProcess(LOAD.shape(), 1_000, 5);
     long due = 0;
     for (long at = again.next(1); at < 10_000_000; at = again.next(1)) {
       due += at >= 4_000_000 && at < 5_999_000 ? 1 : 0;
@@ -142,9 +142,9 @@
 
   @Test
   void shapesKeepTheirMeanRate() {
-    for (Arrivals.Kind kind : Arrivals.Kind.values()) {
-      double swing = kind == Arrivals.Kind.BURST ? 5 : kind == Arrivals.Kind.CURVE ? 0.8 : 0;
-      Arrivals a = new Arrivals(new Arrivals.Shape(kind, 0.5, swing), 1_000, 11);
+    for (ArrivalProcess.Kind kind : ArrivalProcess.Kind.values()) {
+      double swing = kind == ArrivalProcess.Kind.BURST ? 5 : kind == ArrivalProcess.Kind.CURVE ? 0.8 : 0;
+      ArrivalProcess a = new ArrivalProcess(new ArrivalProcess.Shape(kind, 0.5, swing), 1_000, 11);
       long n = 0;
       long before = 0;
       for (long at = a.next(1); at < 400_000_000; at = a.next(1)) {
@@ -153,7 +153,7 @@
         n++;
       }
       // On and off times have no finite variance: their mean takes long to show.
-      assertEquals(400_000, n, kind == Arrivals.Kind.ONOFF ? 100_000 : 4_000, kind.name());
+      assertEquals(400_000, n, kind == ArrivalProcess.Kind.ONOFF ? 100_000 : 4_000, kind.name());
     }
   }
 
--- a/src/test/java/hollyslip/load/DayTest.java
+++ b/src/test/java/hollyslip/load/ScenarioTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Day files, and a short day played whole. */
-class DayTest {
+class ScenarioTest {
   private static final String SHORT = """
       day 5
       seed 3
