--- a/src/main/java/hollyslip/emulator/BadDays.java
+++ b/src/main/java/hollyslip/emulator/BadDays.java
@@ -2,7 +2,7 @@
 
 import hollyslip.audit.Auditor;
 import hollyslip.load.Day;
-import hollyslip.load.Day.Trouble;
+import hollyslip.load.Day.Disturbance;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -16,8 +16,8 @@
  * what breaks a rule as small as it gets. Days are played on all cores; what is found depends on the seed
  * alone. */
 public final class BadDays {
-  private static final int MOST_TROUBLES = 6;
-  private static final double SHORTEST_S = 0.1;
+  private static final int MAX_DISTURBANCES = 6;
+  private static final double MIN_DURATION_S = 0.1;
   private static final List<String> KINDS = List.copyOf(new TreeSet<>(Day.KINDS));
 
   private final Day base;
@@ -49,8 +49,8 @@
         boolean bred = !all.isEmpty() && i % 2 == 0;
         days.add(base.with(random.nextLong(1L << 40))
             .with(bred
-                ? varied(all.get(random.nextInt(Math.min(each, all.size()))).day().troubles())
-                : drawn()));
+                ? mutate(all.get(random.nextInt(Math.min(each, all.size()))).day().troubles())
+                : randomDisturbances()));
       }
       all.addAll(IntStream.range(0, each).parallel().mapToObj(i -> play(days.get(i))).toList());
       played += each;
@@ -86,18 +86,18 @@
       return still;
     };
     for (boolean smaller = true; smaller;) {
-      Optional<Day> next = simpler(smallest[0].day()).stream().filter(breaks).findFirst();
+      Optional<Day> next = simplifications(smallest[0].day()).stream().filter(breaks).findFirst();
       smaller = next.isPresent();
     }
     return smallest[0];
   }
 
   /** Every day that is one step simpler, the largest steps first. */
-  static List<Day> simpler(Day day) {
+  static List<Day> simplifications(Day day) {
     List<Day> all = new ArrayList<>();
-    List<Trouble> t = day.troubles();
+    List<Disturbance> t = day.troubles();
     for (int i = 0; i < t.size(); i++) {
-      List<Trouble> fewer = new ArrayList<>(t);
+      List<Disturbance> fewer = new ArrayList<>(t);
       fewer.remove(i);
       all.add(day.with(fewer));
     }
@@ -108,14 +108,16 @@
       }
     }
     for (int i = 0; i < t.size(); i++) {
-      Trouble x = t.get(i);
-      if (x.seconds() >= 2 * SHORTEST_S) {
-        all.add(day.with(replaced(t, i, new Trouble(x.at(), x.kind(), x.target(), half(x.seconds()), x.part(),
+      Disturbance x = t.get(i);
+      if (x.seconds() >= 2 * MIN_DURATION_S) {
+        all.add(day.with(withReplaced(t, i, new Disturbance(x.at(), x.kind(), x.target(), halved(x.seconds()),
+            x.fraction(),
             x
                 .size()))));
       }
-      if (x.part() > 0.05) {
-        all.add(day.with(replaced(t, i, new Trouble(x.at(), x.kind(), x.target(), x.seconds(), half(x.part()),
+      if (x.fraction() > 0.05) {
+        all.add(day.with(withReplaced(t, i, new Disturbance(x.at(), x.kind(), x.target(), x.seconds(), halved(
+            x.fraction()),
             x
                 .size()))));
       }
@@ -123,54 +125,58 @@
     return all;
   }
 
-  private static double half(double x) {
+  private static double halved(double x) {
     return Math.round(x * 500) / 1_000.0;
   }
 
-  private static List<Trouble> replaced(List<Trouble> all, int i, Trouble by) {
-    List<Trouble> next = new ArrayList<>(all);
+  private static List<Disturbance> withReplaced(List<Disturbance> all, int i, Disturbance by) {
+    List<Disturbance> next = new ArrayList<>(all);
     next.set(i, by);
     return next;
   }
 
-  private List<Trouble> drawn() {
-    return IntStream.rangeClosed(0, random.nextInt(MOST_TROUBLES)).mapToObj(i -> trouble()).toList();
+  private List<Disturbance> randomDisturbances() {
+    return IntStream.rangeClosed(0, random.nextInt(MAX_DISTURBANCES))
+        .mapToObj(i -> randomDisturbance())
+        .toList();
   }
 
   /** One trouble changed, one more or one less. */
-  private List<Trouble> varied(List<Trouble> of) {
-    List<Trouble> next = new ArrayList<>(of);
+  private List<Disturbance> mutate(List<Disturbance> of) {
+    List<Disturbance> next = new ArrayList<>(of);
     int step = random.nextInt(3);
     if (step == 0 && next.size() > 1) {
       next.remove(random.nextInt(next.size()));
-    } else if (step == 1 && next.size() < 2 * MOST_TROUBLES) {
-      next.add(trouble());
+    } else if (step == 1 && next.size() < 2 * MAX_DISTURBANCES) {
+      next.add(randomDisturbance());
     } else {
-      next.set(random.nextInt(next.size()), trouble());
+      next.set(random.nextInt(next.size()), randomDisturbance());
     }
     return next;
   }
 
-  private Trouble trouble() {
+  private Disturbance randomDisturbance() {
     String kind = KINDS.get(random.nextInt(KINDS.size()));
-    double at = tenth(random.nextDouble(base.seconds() * 0.8));
-    double lasts = Math.max(SHORTEST_S, tenth(random.nextDouble(base.seconds() / 3)));
-    double part = Math.max(0.05, tenth(random.nextDouble()));
+    double at = roundToTenth(random.nextDouble(base.seconds() * 0.8));
+    double lasts = Math.max(MIN_DURATION_S, roundToTenth(random.nextDouble(base.seconds() / 3)));
+    double part = Math.max(0.05, roundToTenth(random.nextDouble()));
     double size = switch (kind) {
-      case "answer-lost", "fast-errors", "partition" -> Math.max(0.1, tenth(random.nextDouble()));
-      case "slow", "burst", "plan-burst", "volume-burst", "hot-volumes", "scan" -> 1 + tenth(random
+      case "answer-lost", "fast-errors", "partition" -> Math.max(0.1, roundToTenth(random.nextDouble()));
+      case "slow", "burst", "plan-burst", "volume-burst", "hot-volumes", "scan" -> 1 + roundToTenth(random
           .nextDouble(9));
-      case "heavy-tail" -> 1 + tenth(random.nextDouble(100));
-      case "late-write" -> Math.max(0.1, tenth(random.nextDouble(3)));
+      case "heavy-tail" -> 1 + roundToTenth(random.nextDouble(100));
+      case "late-write" -> Math.max(0.1, roundToTenth(random.nextDouble(3)));
       default -> 1;
     };
-    List<Day.Load> v = base.volumes();
-    return new Trouble(at, kind, Day.AT_LOAD.contains(kind) ? v.get(random.nextInt(v.size())).volume() : "",
+    List<Day.VolumeLoad> v = base.volumes();
+    return new Disturbance(at, kind, Day.LOAD_KINDS.contains(kind)
+        ? v.get(random.nextInt(v.size())).volume()
+        : "",
         lasts,
         part, size);
   }
 
-  private static double tenth(double x) {
+  private static double roundToTenth(double x) {
     return Math.round(x * 10) / 10.0;
   }
 }
--- a/src/main/java/hollyslip/emulator/EmulatedClient.java
+++ b/src/main/java/hollyslip/emulator/EmulatedClient.java
@@ -21,78 +21,78 @@
 /** A client of a volume at one gateway: asks on a schedule that does not wait for answers. What its ring has
  * no room for waits with it, and its time runs from when it was due. */
 final class EmulatedClient {
-  final Day.Load load;
-  private final World world;
-  private final EmulatedGateway site;
+  final Day.VolumeLoad load;
+  private final World emulation;
+  private final EmulatedGateway gateway;
   private final String name;
   private final ArrivalProcess arrivals;
   private final RequestMix mix;
-  private final ArrayDeque<Ask> backlog = new ArrayDeque<>();
-  private final Set<Ask> out = new LinkedHashSet<>();
-  private double speed = 1;
-  private boolean readsOnly, abusive, blocked, ended;
-  private long number;
+  private final ArrayDeque<PendingRequest> backlog = new ArrayDeque<>();
+  private final Set<PendingRequest> outstanding = new LinkedHashSet<>();
+  private double rateFactor = 1;
+  private boolean readsOnly, retryImmediately, awaitingCapacity, ended;
+  private long requestCount;
 
   /** A request, from when it is due to its end. */
-  private final class Ask implements IoRequest.CompletionListener {
+  private final class PendingRequest implements IoRequest.CompletionListener {
     final long id;
     final IoKind kind;
     final long offset, length, dueUs;
-    final long mark;
-    final RequestClass rules;
+    final long writeId;
+    final RequestClass requestClass;
     long askedUs, deadlineUs;
-    IoRequest io;
-    private boolean taken, over, left;
+    IoRequest ioRequest;
+    private boolean accepted, answered, abandoned;
     /** Whether a process that was killed had taken it. */
-    private boolean begun;
+    private boolean mayHaveStarted;
 
-    Ask(IoKind kind, long offset, long length) {
-      id = ++number;
+    PendingRequest(IoKind kind, long offset, long length) {
+      id = ++requestCount;
       this.kind = kind;
       this.offset = offset;
       this.length = length;
-      dueUs = world.time.now();
-      mark = kind.modifiesData() ? world.nextMark() : 0;
-      rules = world.rules(kind, length);
+      dueUs = emulation.events.now();
+      writeId = kind.modifiesData() ? emulation.nextWriteId() : 0;
+      requestClass = emulation.requestClass(kind, length);
     }
 
-    void handIn() {
+    void submit() {
       List<ByteBuffer> data = kind.modifiesData()
-          ? List.of(ByteBuffer.allocate(Long.BYTES).putLong(0, mark))
+          ? List.of(ByteBuffer.allocate(Long.BYTES).putLong(0, writeId))
           : List.of();
-      IoRequest mine = new IoRequest(load.volume(), kind, offset, length, data, 0, this, begun);
-      io = mine;
-      out.add(this);
-      site.offer(mine, room -> {
-        taken = room;
+      IoRequest mine = new IoRequest(load.volume(), kind, offset, length, data, 0, this, mayHaveStarted);
+      ioRequest = mine;
+      outstanding.add(this);
+      gateway.offer(mine, room -> {
+        accepted = room;
         if (room) {
-          askedUs = world.time.now();
-          deadlineUs = askedUs + rules.deadlineUs();
+          askedUs = emulation.events.now();
+          deadlineUs = askedUs + requestClass.deadlineUs();
         } else {
-          out.remove(this);
-          blocked = true;
-          keep(this);
+          outstanding.remove(this);
+          awaitingCapacity = true;
+          requeue(this);
         }
       });
     }
 
     @Override
     public void onAnswer(Answer answer) {
-      if (left) {
+      if (abandoned) {
         return;
       }
-      if (over) {
-        note(2, Asked.Answer.NONE, false);
+      if (answered) {
+        recordOutcome(2, Asked.Answer.NONE, false);
         return;
       }
-      over = true;
-      out.remove(this);
+      answered = true;
+      outstanding.remove(this);
       Asked.Answer kindOfAnswer = Asked.Answer.valueOf(answer.kind().name());
-      note(1, kindOfAnswer, false);
-      if (abusive && kindOfAnswer != Asked.Answer.SERVED && !ended) {
-        due();
+      recordOutcome(1, kindOfAnswer, false);
+      if (retryImmediately && kindOfAnswer != Asked.Answer.SERVED && !ended) {
+        addDueRequest();
       }
-      pump();
+      submitBacklog();
     }
 
     @Override
@@ -100,18 +100,21 @@
       // There is no memory to free.
     }
 
-    void note(int answers, Asked.Answer answer, boolean left) {
-      long now = world.time.now();
-      world.note(new Asked(name, site.name, load.volume(), id, kind == IoKind.READ
+    void recordOutcome(int answers, Asked.Answer answer, boolean left) {
+      long now = emulation.events.now();
+      emulation.recordRequest(new Asked(name, gateway.name, load.volume(), id, kind == IoKind.READ
           ? Nbd.CMD_READ
-          : Nbd.CMD_WRITE, offset, length, 0, -1, mark, askedUs, deadlineUs, answers, answers > 0 ? now : 0,
-          answer, left), load.plan(), dueUs, rules.aimUs());
+          : Nbd.CMD_WRITE, offset, length, 0, -1, writeId, askedUs, deadlineUs, answers, answers > 0
+              ? now
+              : 0,
+          answer, left), load.plan(), dueUs, requestClass.aimUs());
     }
   }
 
-  EmulatedClient(World world, EmulatedGateway site, Day.Load load, int number, int all, long volumeBytes, long seed) {
-    this.world = world;
-    this.site = site;
+  EmulatedClient(World world, EmulatedGateway site, Day.VolumeLoad load, int number, int all,
+      long volumeBytes, long seed) {
+    this.emulation = world;
+    this.gateway = site;
     this.load = load;
     name = load.volume() + "-" + number;
     SplittableRandom seeds = new SplittableRandom(seed);
@@ -120,98 +123,99 @@
   }
 
   /** Begins its schedule. */
-  void begin() {
-    long at = EventQueue.START + arrivals.next(speed);
+  void scheduleNextArrival() {
+    long at = EventQueue.START_US + arrivals.nextDueUs(rateFactor);
     if (!ended) {
-      world.time.at(at, () -> {
+      emulation.events.schedule(at, () -> {
         if (!ended) {
-          due();
-          begin();
+          addDueRequest();
+          scheduleNextArrival();
         }
       });
     }
   }
 
   /** Asks nothing new from now on, nor what still waits with it. */
-  void end() {
+  void endLoad() {
     ended = true;
-    world.never(load.plan(), backlog.size());
+    emulation.never(load.plan(), backlog.size());
     backlog.clear();
   }
 
-  void speed(double factor) {
-    speed = factor;
+  void rateFactor(double factor) {
+    rateFactor = factor;
   }
 
   void readsOnly(boolean on) {
     readsOnly = on;
   }
 
-  void abusive(boolean on) {
-    abusive = on;
+  void retryImmediately(boolean on) {
+    retryImmediately = on;
   }
 
-  private void due() {
-    RequestMix.Ask next = mix.next(readsOnly);
-    backlog.add(new Ask(next.kind(), next.offset(), next.length()));
-    pump();
+  private void addDueRequest() {
+    RequestMix.Operation next = mix.next(readsOnly);
+    backlog.add(new PendingRequest(next.kind(), next.offset(), next.length()));
+    submitBacklog();
   }
 
-  private void pump() {
-    while (site.isAlive() && !blocked && out.size() < load.depth() && !backlog.isEmpty()) {
-      backlog.poll().handIn();
+  private void submitBacklog() {
+    while (gateway.isAlive() && !awaitingCapacity && outstanding.size() < load.depth() && !backlog
+        .isEmpty()) {
+      backlog.poll().submit();
     }
   }
 
   /** A gateway serves its volume from now on. */
-  void arrived(Engine engine) {
-    blocked = false;
+  void onGatewayStarted(Engine engine) {
+    awaitingCapacity = false;
     engine.addCapacityListener(() -> {
-      blocked = false;
-      pump();
+      awaitingCapacity = false;
+      submitBacklog();
     });
-    pump();
+    submitBacklog();
   }
 
   /** The gateway was killed: what is out is asked again when there is one. */
-  void abandoned() {
-    List<Ask> again = new ArrayList<>(out);
-    out.clear();
+  void onGatewayKilled() {
+    List<PendingRequest> again = new ArrayList<>(outstanding);
+    outstanding.clear();
     for (int i = again.size() - 1; i >= 0; i--) {
-      again.get(i).begun |= again.get(i).taken;
-      again.get(i).taken = false;
-      keep(again.get(i));
+      again.get(i).mayHaveStarted |= again.get(i).accepted;
+      again.get(i).accepted = false;
+      requeue(again.get(i));
     }
   }
 
-  private void keep(Ask ask) {
+  private void requeue(PendingRequest ask) {
     if (ended) {
-      world.never(load.plan(), 1);
+      emulation.never(load.plan(), 1);
     } else {
       backlog.addFirst(ask);
     }
   }
 
   /** Leaves with everything out, and goes on as a new one. */
-  void drop() {
-    for (Ask a : List.copyOf(out)) {
-      if (a.taken) {
-        a.left = true;
-        out.remove(a);
-        a.note(0, Asked.Answer.NONE, true);
-        site.depart(a.io);
+  void reconnect() {
+    for (PendingRequest a : List.copyOf(outstanding)) {
+      if (a.accepted) {
+        a.abandoned = true;
+        outstanding.remove(a);
+        a.recordOutcome(0, Asked.Answer.NONE, true);
+        gateway.abandon(a.ioRequest);
       }
     }
-    pump();
+    submitBacklog();
   }
 
   /** The run is over. */
-  void finish() {
-    out.forEach(a -> {
-      if (a.taken) {
-        a.note(0, Asked.Answer.NONE, false);
+  void recordUnanswered() {
+    outstanding.forEach(a -> {
+      if (a.accepted) {
+        a.recordOutcome(0, Asked.Answer.NONE, false);
       }
     });
-    world.never(load.plan(), out.stream().filter(a -> !a.taken).count());
+    emulation.never(load.plan(), outstanding.stream().filter(a -> !a.accepted).count());
   }
 }
--- a/src/main/java/hollyslip/emulator/EmulatedConnection.java
+++ b/src/main/java/hollyslip/emulator/EmulatedConnection.java
@@ -14,76 +14,76 @@
   }
 
   final long serial;
-  final EmulatedNode disk;
-  private final EmulatedTransport net;
-  private final EventQueue time;
+  final EmulatedNode node;
+  private final EmulatedTransport transport;
+  private final EventQueue events;
   private State state = State.CONNECTING;
   private final List<InFlightCommand> waiting = new ArrayList<>();
   private final Set<InFlightCommand> sent = new LinkedHashSet<>();
-  private long lastThere, lastBack;
+  private long lastArrivalAtNode, lastArrivalAtGateway;
 
   EmulatedConnection(EmulatedTransport net, EmulatedNode disk, long serial, EventQueue time) {
-    this.net = net;
-    this.disk = disk;
+    this.transport = net;
+    this.node = disk;
     this.serial = serial;
-    this.time = time;
+    this.events = time;
   }
 
   String client() {
-    return net.client();
+    return transport.client();
   }
 
   String process() {
-    return net.process();
+    return transport.process();
   }
 
   boolean isClosed() {
     return state == State.CLOSED;
   }
 
-  int size() {
+  int commandCount() {
     return waiting.size() + sent.size();
   }
 
-  private void toDisk(Runnable what) {
-    lastThere = Math.max(lastThere, net.arrival(disk));
-    time.at(lastThere, what);
+  private void deliverToNode(Runnable what) {
+    lastArrivalAtNode = Math.max(lastArrivalAtNode, transport.arrivalTime(node));
+    events.schedule(lastArrivalAtNode, what);
   }
 
-  void toGateway(Runnable what) {
-    lastBack = Math.max(lastBack, net.arrival(disk));
-    time.at(lastBack, () -> net.told(what));
+  void deliverToGateway(Runnable what) {
+    lastArrivalAtGateway = Math.max(lastArrivalAtGateway, transport.arrivalTime(node));
+    events.schedule(lastArrivalAtGateway, () -> transport.runAtGateway(what));
   }
 
   void connect(long timeoutUs) {
-    toDisk(() -> {
-      if (!disk.isUp()) {
-        toGateway(() -> close(false));
+    deliverToNode(() -> {
+      if (!node.isUp()) {
+        deliverToGateway(() -> close(false));
       } else if (state == State.CONNECTING) {
-        disk.connected(this);
-        long boot = disk.boot();
-        long age = disk.ageUs();
-        toGateway(() -> ready(boot, age));
+        node.onConnected(this);
+        long boot = node.bootCount();
+        long age = node.ageUs();
+        deliverToGateway(() -> onReady(boot, age));
       }
     });
-    time.in(timeoutUs, () -> net.told(() -> {
+    events.scheduleAfter(timeoutUs, () -> transport.runAtGateway(() -> {
       if (state == State.CONNECTING) {
         close(false);
       }
     }));
   }
 
-  private void ready(long boot, long ageUs) {
+  private void onReady(long boot, long ageUs) {
     if (state != State.CONNECTING) {
       return;
     }
     state = State.READY;
-    if (net.started(disk, boot, ageUs)) {
+    if (transport.recordNodeStart(node, boot, ageUs)) {
       // Sent by the module to the process before: it decides anew for a cold one.
-      waiting.forEach(f -> net.outcome(f, Result.MOOT));
+      waiting.forEach(f -> transport.reportOutcome(f, Result.MOOT));
       waiting.clear();
     }
-    net.fenced(disk, serial);
+    transport.onFenced(node, serial);
     waiting.forEach(this::transmit);
     waiting.clear();
   }
@@ -97,31 +97,31 @@
   }
 
   private void transmit(InFlightCommand f) {
-    f.sentUs = time.now();
+    f.sentUs = events.now();
     sent.add(f);
-    toDisk(() -> {
+    deliverToNode(() -> {
       // A process that has started since does not know the connection.
-      if (disk.knows(this)) {
-        disk.receive(f);
+      if (node.isConnected(this)) {
+        node.receive(f);
       }
     });
   }
 
   /** What came of a command, on its way back. */
   void reply(InFlightCommand f, Result result) {
-    toGateway(() -> {
+    deliverToGateway(() -> {
       if (state != State.CLOSED && sent.remove(f)) {
         if (f.withdrawn) {
-          net.resolved(f);
+          transport.reportResolved(f);
         } else {
-          net.outcome(f, result);
+          transport.reportOutcome(f, result);
         }
       }
     });
   }
 
   /** Takes back one that has not left; false: it has. */
-  boolean takeBack(InFlightCommand f) {
+  boolean removeUnsent(InFlightCommand f) {
     return waiting.remove(f);
   }
 
@@ -132,13 +132,13 @@
     }
     state = State.CLOSED;
     if (!broken) {
-      toDisk(() -> disk.disconnected(this));
+      deliverToNode(() -> node.onDisconnected(this));
     }
-    waiting.forEach(f -> net.outcome(f, Result.CONNECT_FAILED));
+    waiting.forEach(f -> transport.reportOutcome(f, Result.CONNECT_FAILED));
     List<InFlightCommand> doubt = new ArrayList<>();
     for (InFlightCommand f : sent) {
       if (!f.withdrawn) {
-        net.outcome(f, Result.RESET);
+        transport.reportOutcome(f, Result.RESET);
       }
       if (f.attempt.kind().modifiesData()) {
         doubt.add(f);
@@ -146,6 +146,6 @@
     }
     waiting.clear();
     sent.clear();
-    net.lost(this, doubt);
+    transport.onConnectionClosed(this, doubt);
   }
 }
--- a/src/main/java/hollyslip/emulator/EmulatedGateway.java
+++ b/src/main/java/hollyslip/emulator/EmulatedGateway.java
@@ -20,31 +20,31 @@
  * time. */
 final class EmulatedGateway {
   /** Longest command, bytes: as the gateway's own. */
-  private static final int MOST_COMMAND = 1 << 20;
+  private static final int MAX_COMMAND_BYTES = 1 << 20;
 
-  final World world;
+  final World emulation;
   final int index;
   final String name;
   private final HostScheduler.Settings settings;
   private final RequestClassifier classifier;
   private final SplittableRandom random;
   /** Until when each node is out of reach. */
-  private final long[] cutUntil;
-  private final List<EmulatedClient> callers = new ArrayList<>();
+  private final long[] partitionedUntil;
+  private final List<EmulatedClient> clients = new ArrayList<>();
   /** Those that come through it alone: each gateway with all of them is what would limit the size of
    * worlds. */
   private final Map<String, Volume> volumes = new TreeMap<>();
   private long epoch;
   private Engine engine;
-  private EmulatedTransport net;
+  private EmulatedTransport transport;
   private Membership membership;
   private boolean alive;
   private long wakeAt;
   private double busyUntil;
-  private boolean stepping;
+  private boolean runningEngine;
 
   EmulatedGateway(World world, int index, RequestClassifier classifier, SplittableRandom random) {
-    this.world = world;
+    this.emulation = world;
     this.index = index;
     this.classifier = classifier;
     this.random = random;
@@ -53,12 +53,12 @@
     settings = new HostScheduler.Settings(s.seed(), index, s.hosts(), s.zone(), s.tickUs(), s.listOnRequest(),
         s
             .classes(), s.plans(), s.rules(), s.allowed(), s.store(), s.reportSource(), s.reportFields());
-    cutUntil = new long[world.disks().size()];
+    partitionedUntil = new long[world.nodes().size()];
   }
 
   void add(EmulatedClient caller) {
-    callers.add(caller);
-    volumes.put(caller.load.volume(), world.volumes().get(caller.load.volume()));
+    clients.add(caller);
+    volumes.put(caller.load.volume(), emulation.volumes().get(caller.load.volume()));
   }
 
   boolean isAlive() {
@@ -69,112 +69,112 @@
     return engine;
   }
 
-  int mostOut() {
-    return world.deployment().gateway().connections() * world.deployment().gateway().perConnection();
+  int maxInFlight() {
+    return emulation.deployment().gateway().connections() * emulation.deployment().gateway().perConnection();
   }
 
   long connectTimeoutUs() {
-    return world.deployment().allowed().connectTimeoutUs();
+    return emulation.deployment().allowed().connectTimeoutUs();
   }
 
   /** Starts it, with the list as it stands. */
   void start() {
-    var g = world.deployment().gateway();
+    var g = emulation.deployment().gateway();
     alive = true;
     wakeAt = Long.MAX_VALUE;
-    busyUntil = world.time.now();
-    net = new EmulatedTransport(this, ++epoch);
-    engine = new Engine(new Engine.Config(settings, classifier, new ExtentSplitter(MOST_COMMAND), g
+    busyUntil = emulation.events.now();
+    transport = new EmulatedTransport(this, ++epoch);
+    engine = new Engine(new Engine.Config(settings, classifier, new ExtentSplitter(MAX_COMMAND_BYTES), g
         .mostRequests(),
         g
-            .mostBytes(), 0), volumes, new TokenBorrowingScheduler(settings), world.time::now);
-    engine.startWithoutThread(net);
+            .mostBytes(), 0), volumes, new TokenBorrowingScheduler(settings), emulation.events::now);
+    engine.startWithoutThread(transport);
     Engine mine = engine;
     membership = new Membership(settings.rules().coldUs(), mine::updateNodes);
-    membership.replaceAll(world.listed());
-    world.told(this, world.listed());
-    callers.forEach(c -> c.arrived(mine));
-    poke();
+    membership.replaceAll(emulation.nodeEntries());
+    emulation.recordNodeStates(this, emulation.nodeEntries());
+    clients.forEach(c -> c.onGatewayStarted(mine));
+    runEngine();
   }
 
   /** Kills it: nothing that it held is answered; its clients keep what they asked and ask again. */
   void kill() {
     alive = false;
-    net.close();
+    transport.close();
     engine = null;
-    callers.forEach(EmulatedClient::abandoned);
+    clients.forEach(EmulatedClient::onGatewayKilled);
   }
 
   /** When something that leaves now arrives at the other end. */
-  long arrival(EmulatedNode disk) {
-    long mean = world.day.nodes().netUs();
+  long arrivalTime(EmulatedNode disk) {
+    long mean = emulation.scenario.nodes().netUs();
     long delay = mean / 2 + (mean > 0 ? random.nextLong(mean + 1) : 0);
-    return Math.max(world.time.now(), cutUntil[disk.index]) + delay;
+    return Math.max(emulation.events.now(), partitionedUntil[disk.index]) + delay;
   }
 
   /** A node is out of reach for so long. */
-  void cut(EmulatedNode disk, long us) {
-    cutUntil[disk.index] = world.time.now() + us;
+  void partition(EmulatedNode disk, long us) {
+    partitionedUntil[disk.index] = emulation.events.now() + us;
   }
 
   /** Something comes in: the engine's thread takes it when it is through with what came before. */
-  void input(Runnable what) {
-    busyUntil = Math.max(busyUntil, world.time.now()) + world.day.nodes().engineUs() / 2;
+  void runOnEngine(Runnable what) {
+    busyUntil = Math.max(busyUntil, emulation.events.now()) + emulation.scenario.nodes().engineUs() / 2;
     long at = (long) busyUntil;
     Engine mine = engine;
-    world.time.at(at, () -> {
+    emulation.events.schedule(at, () -> {
       if (engine == mine && alive) {
         what.run();
-        poke();
+        runEngine();
       }
     });
   }
 
   /** Has the engine do what there is to do, and wakes it when it wants to. */
-  private void poke() {
-    if (stepping) {
+  private void runEngine() {
+    if (runningEngine) {
       return;
     }
-    stepping = true;
+    runningEngine = true;
     long next = engine.runUntilIdle();
-    stepping = false;
-    if (next < Long.MAX_VALUE && (next < wakeAt || wakeAt <= world.time.now())) {
+    runningEngine = false;
+    if (next < Long.MAX_VALUE && (next < wakeAt || wakeAt <= emulation.events.now())) {
       wakeAt = next;
       Engine mine = engine;
-      world.time.at(next, () -> {
+      emulation.events.schedule(next, () -> {
         if (engine == mine && alive) {
-          if (wakeAt <= world.time.now()) {
+          if (wakeAt <= emulation.events.now()) {
             wakeAt = Long.MAX_VALUE;
           }
-          poke();
+          runEngine();
         }
       });
     }
   }
 
-  boolean started(EmulatedNode disk, long boot, long ageUs) {
-    return membership.recordStart(disk.index + 1, boot, ageUs, world.time.now());
+  boolean recordNodeStart(EmulatedNode disk, long boot, long ageUs) {
+    return membership.recordStart(disk.index + 1, boot, ageUs, emulation.events.now());
   }
 
   /** The operator's word on one node reaches it. */
-  void state(NodeEntry l) {
-    input(() -> {
+  void updateNodeState(NodeEntry l) {
+    runOnEngine(() -> {
       membership.setState(l.node(), l.state());
-      world.told(this, List.of(l));
+      emulation.recordNodeStates(this, List.of(l));
     });
   }
 
   /** The module asks for the list. */
-  void wanted() {
+  void requestNodeList() {
     Engine mine = engine;
-    world.time.in(world.listDelay(random), () -> {
+    emulation.events.scheduleAfter(emulation.listDelay(random), () -> {
       if (alive && engine == mine) {
-        input(() -> {
-          if (world.listDown()) {
+        runOnEngine(() -> {
+          if (emulation.nodeListDown()) {
             engine.nodeListFailed();
           } else {
-            membership.replaceAll(world.listed());
-            world.told(this, world.listed());
+            membership.replaceAll(emulation.nodeEntries());
+            emulation.recordNodeStates(this, emulation.nodeEntries());
           }
         });
       }
@@ -183,12 +183,12 @@
 
   /** Takes a request from a client, which hears whether there was room. */
   void offer(IoRequest io, Consumer<Boolean> taken) {
-    input(() -> taken.accept(engine.offer(io)));
+    runOnEngine(() -> taken.accept(engine.offer(io)));
   }
 
-  void depart(IoRequest io) {
+  void abandon(IoRequest io) {
     if (alive) {
-      input(() -> engine.abandon(io));
+      runOnEngine(() -> engine.abandon(io));
     }
   }
 }
--- a/src/main/java/hollyslip/emulator/EmulatedNode.java
+++ b/src/main/java/hollyslip/emulator/EmulatedNode.java
@@ -18,59 +18,59 @@
   final String name;
   final int index;
   final Faults faults = new Faults();
-  private final EventQueue time;
+  private final EventQueue events;
   private final ServiceModel.Config config;
   private final SplittableRandom random;
-  private final List<Command> log = new ArrayList<>();
+  private final List<Command> commandLog = new ArrayList<>();
   /** Commands taken and not done. */
   private final Set<InFlightCommand> pending = new LinkedHashSet<>();
-  private final Set<EmulatedConnection> links = new LinkedHashSet<>();
+  private final Set<EmulatedConnection> connections = new LinkedHashSet<>();
   /** Newest connection of each client: the older ones' commands have no effect any more. */
-  private final Map<String, Long> fences = new HashMap<>();
+  private final Map<String, Long> newestSerialByClient = new HashMap<>();
   private ServiceModel model;
   private boolean up = true;
-  private long boot = 1;
-  private long bornUs;
+  private long bootCount = 1;
+  private long startedAtUs;
 
   EmulatedNode(int index, EventQueue time, ServiceModel.Config config, SplittableRandom random, long ageUs) {
     name = "store-" + index;
     this.index = index;
-    this.time = time;
+    this.events = time;
     this.config = config;
     this.random = random;
-    bornUs = time.now() - ageUs;
-    model = new ServiceModel(config, random.nextLong(), bornUs);
+    startedAtUs = time.now() - ageUs;
+    model = new ServiceModel(config, random.nextLong(), startedAtUs);
   }
 
   boolean isUp() {
     return up;
   }
 
-  long boot() {
-    return boot;
+  long bootCount() {
+    return bootCount;
   }
 
   long ageUs() {
-    return time.now() - bornUs;
+    return events.now() - startedAtUs;
   }
 
-  void slow(double factor) {
+  void setSlowdown(double factor) {
     model.slow(factor);
   }
 
-  void stall(long us) {
-    model.stall(time.now() + us);
+  void stallFor(long us) {
+    model.stall(events.now() + us);
   }
 
   /** Its process ends: what it held is never done, its connections break. */
   void kill() {
     up = false;
-    pending.forEach(f -> note(f, 0, Command.Result.SWALLOWED));
+    pending.forEach(f -> recordCommand(f, 0, Command.Result.SWALLOWED));
     pending.clear();
-    fences.clear();
-    List<EmulatedConnection> broken = List.copyOf(links);
-    links.clear();
-    broken.forEach(l -> l.toGateway(() -> l.close(true)));
+    newestSerialByClient.clear();
+    List<EmulatedConnection> broken = List.copyOf(connections);
+    connections.clear();
+    broken.forEach(l -> l.deliverToGateway(() -> l.close(true)));
   }
 
   /** Starts cold, with nothing of before but its bytes. */
@@ -79,42 +79,42 @@
       kill();
     }
     up = true;
-    boot++;
-    bornUs = time.now();
-    model = new ServiceModel(config, random.nextLong(), bornUs);
+    bootCount++;
+    startedAtUs = events.now();
+    model = new ServiceModel(config, random.nextLong(), startedAtUs);
   }
 
   /** A connection is made; it is the fence of the client's older ones. */
-  void connected(EmulatedConnection link) {
-    links.add(link);
-    fences.merge(link.client(), link.serial, Math::max);
+  void onConnected(EmulatedConnection link) {
+    connections.add(link);
+    newestSerialByClient.merge(link.client(), link.serial, Math::max);
   }
 
-  boolean knows(EmulatedConnection link) {
-    return links.contains(link);
+  boolean isConnected(EmulatedConnection link) {
+    return connections.contains(link);
   }
 
-  void disconnected(EmulatedConnection link) {
-    links.remove(link);
+  void onDisconnected(EmulatedConnection link) {
+    connections.remove(link);
   }
 
   /** A command has come in. */
   void receive(InFlightCommand f) {
-    f.receivedUs = time.now();
+    f.receivedUs = events.now();
     if (faults.silent) {
-      note(f, 0, Command.Result.SWALLOWED);
+      recordCommand(f, 0, Command.Result.SWALLOWED);
       return;
     }
     long at = faults.full || faults.draining
         ? -1
-        : model.doneAt(time.now(), f.length, pending.size(), faults.heavyPart, faults.heavyFactor);
+        : model.doneAt(events.now(), f.length, pending.size(), faults.heavyPart, faults.heavyFactor);
     if (at < 0) {
-      note(f, 0, Command.Result.FULL);
-      f.link.reply(f, hollyslip.HostScheduler.Result.FULL);
+      recordCommand(f, 0, Command.Result.FULL);
+      f.connection.reply(f, hollyslip.HostScheduler.Result.FULL);
       return;
     }
     pending.add(f);
-    time.at(at + (f.kind == Nbd.CMD_WRITE ? faults.lateWriteUs : 0), () -> finish(f));
+    events.schedule(at + (f.kind == Nbd.CMD_WRITE ? faults.lateWriteUs : 0), () -> finish(f));
   }
 
   private void finish(InFlightCommand f) {
@@ -122,28 +122,29 @@
       return;
     }
     double chance = random.nextDouble();
-    if (fences.getOrDefault(f.link.client(), 0L) > f.link.serial) {
-      note(f, 0, Command.Result.FENCED);
+    if (newestSerialByClient.getOrDefault(f.connection.client(), 0L) > f.connection.serial) {
+      recordCommand(f, 0, Command.Result.FENCED);
     } else if (chance < faults.errors) {
-      note(f, 0, Command.Result.ERROR);
-      f.link.reply(f, hollyslip.HostScheduler.Result.ERROR);
+      recordCommand(f, 0, Command.Result.ERROR);
+      f.connection.reply(f, hollyslip.HostScheduler.Result.ERROR);
     } else if (chance < faults.errors + faults.loseAnswers) {
-      note(f, time.now(), Command.Result.DONE_SILENTLY);
+      recordCommand(f, events.now(), Command.Result.DONE_SILENTLY);
     } else {
-      note(f, time.now(), Command.Result.DONE);
-      f.link.reply(f, hollyslip.HostScheduler.Result.OK);
+      recordCommand(f, events.now(), Command.Result.DONE);
+      f.connection.reply(f, hollyslip.HostScheduler.Result.OK);
     }
   }
 
-  private void note(InFlightCommand f, long done, Command.Result result) {
-    log.add(new Command(name, boot, f.link.process(), f.link.serial, f.cookie, f.export, f.kind, f.offset,
-        f.length, f.receivedUs, done, f.mark, result, f.sentUs));
+  private void recordCommand(InFlightCommand f, long done, Command.Result result) {
+    commandLog.add(new Command(name, bootCount, f.connection.process(), f.connection.serial, f.cookie,
+        f.export, f.kind, f.offset,
+        f.length, f.receivedUs, done, f.writeId, result, f.sentUs));
   }
 
   /** What reached it, once the run is over. */
-  List<Command> log() {
-    pending.forEach(f -> note(f, 0, Command.Result.SWALLOWED));
+  List<Command> commandLog() {
+    pending.forEach(f -> recordCommand(f, 0, Command.Result.SWALLOWED));
     pending.clear();
-    return log;
+    return commandLog;
   }
 }
--- a/src/main/java/hollyslip/emulator/EmulatedTransport.java
+++ b/src/main/java/hollyslip/emulator/EmulatedTransport.java
@@ -10,141 +10,147 @@
 /** The nodes as one start of a gateway's engine reaches them, in place of the product's connections: a link
  * each, made when it is needed, fences by making a newer one. */
 final class EmulatedTransport implements NodeTransport {
-  private final EmulatedGateway site;
+  private final EmulatedGateway gateway;
   private final long epoch;
-  private final EmulatedConnection[] links;
+  private final EmulatedConnection[] connections;
   /** Changes of dead links that may still run, by node and serial. */
-  private final List<TreeMap<Long, List<InFlightCommand>>> doubts;
-  private long serials;
+  private final List<TreeMap<Long, List<InFlightCommand>>> uncertainCommands;
+  private long lastSerial;
   /** The process is gone: nothing reaches it any more. */
-  private boolean dead;
+  private boolean closed;
 
   EmulatedTransport(EmulatedGateway site, long epoch) {
-    this.site = site;
+    this.gateway = site;
     this.epoch = epoch;
-    links = new EmulatedConnection[site.world.disks().size()];
-    doubts = site.world.disks().stream().map(d -> new TreeMap<Long, List<InFlightCommand>>()).toList();
+    connections = new EmulatedConnection[site.emulation.nodes().size()];
+    uncertainCommands = site.emulation.nodes()
+        .stream()
+        .map(d -> new TreeMap<Long, List<InFlightCommand>>())
+        .toList();
   }
 
   String client() {
-    return site.name;
+    return gateway.name;
   }
 
   String process() {
-    return site.name + "/" + epoch;
+    return gateway.name + "/" + epoch;
   }
 
   /** When something that leaves now arrives. */
-  long arrival(EmulatedNode disk) {
-    return site.arrival(disk);
+  long arrivalTime(EmulatedNode disk) {
+    return gateway.arrivalTime(disk);
   }
 
   /** Something reaches the gateway. */
-  void told(Runnable what) {
-    if (!dead) {
-      site.input(what);
+  void runAtGateway(Runnable what) {
+    if (!closed) {
+      gateway.runOnEngine(what);
     }
   }
 
-  boolean started(EmulatedNode disk, long boot, long ageUs) {
-    return site.started(disk, boot, ageUs);
+  boolean recordNodeStart(EmulatedNode disk, long boot, long ageUs) {
+    return gateway.recordNodeStart(disk, boot, ageUs);
   }
 
-  void outcome(InFlightCommand f, Result result) {
-    f.told = true;
-    site.engine().attemptEnded(f.attempt, result, null);
+  void reportOutcome(InFlightCommand f, Result result) {
+    f.outcomeReported = true;
+    gateway.engine().attemptEnded(f.attempt, result, null);
   }
 
-  void resolved(InFlightCommand f) {
-    site.engine().attemptResolved(f.attempt);
+  void reportResolved(InFlightCommand f) {
+    gateway.engine().attemptResolved(f.attempt);
   }
 
-  private EmulatedNode disk(long node) {
-    return site.world.disks().get((int) node - 1);
+  private EmulatedNode node(long node) {
+    return gateway.emulation.nodes().get((int) node - 1);
   }
 
   @Override
   public void send(Attempt attempt) {
-    EmulatedNode disk = disk(attempt.node());
-    EmulatedConnection link = links[disk.index];
+    EmulatedNode disk = node(attempt.node());
+    EmulatedConnection link = connections[disk.index];
     if (link == null || link.isClosed()) {
       link = open(disk);
     }
     InFlightCommand f = new InFlightCommand(attempt, link);
     attempt.handle = f;
-    if (link.size() >= site.mostOut()) {
-      outcome(f, Result.FULL);
+    if (link.commandCount() >= gateway.maxInFlight()) {
+      reportOutcome(f, Result.FULL);
     } else {
       link.add(f);
     }
   }
 
   private EmulatedConnection open(EmulatedNode disk) {
-    EmulatedConnection link = new EmulatedConnection(this, disk, epoch << 32 | ++serials, site.world.time);
-    links[disk.index] = link;
-    link.connect(site.connectTimeoutUs());
+    EmulatedConnection link = new EmulatedConnection(this, disk, epoch << 32 | ++lastSerial,
+        gateway.emulation.events);
+    connections[disk.index] = link;
+    link.connect(gateway.connectTimeoutUs());
     return link;
   }
 
   @Override
   public WithdrawResult withdraw(Attempt attempt) {
     InFlightCommand f = (InFlightCommand) attempt.handle;
-    if (f.told) {
+    if (f.outcomeReported) {
       return WithdrawResult.ENDED;
     }
-    if (f.link.takeBack(f)) {
-      f.told = true;
+    if (f.connection.removeUnsent(f)) {
+      f.outcomeReported = true;
       return WithdrawResult.NEVER_SENT;
     }
     f.withdrawn = true;
-    f.told = true;
+    f.outcomeReported = true;
     return WithdrawResult.MAY_RUN;
   }
 
   @Override
   public void fence(Attempt attempt) {
     InFlightCommand f = (InFlightCommand) attempt.handle;
-    if (!f.link.isClosed()) {
-      f.link.close(false);
+    if (!f.connection.isClosed()) {
+      f.connection.close(false);
     } else {
-      reopen(f.link.disk);
+      reconnectIfUncertain(f.connection.node);
     }
   }
 
   /** A newer link was made: what older ones brought can have no effect any more. */
-  void fenced(EmulatedNode disk, long serial) {
-    var older = doubts.get(disk.index).headMap(serial);
+  void onFenced(EmulatedNode disk, long serial) {
+    var older = uncertainCommands.get(disk.index).headMap(serial);
     List<InFlightCommand> over = older.values().stream().flatMap(List::stream).toList();
     older.clear();
-    over.forEach(this::resolved);
+    over.forEach(this::reportResolved);
   }
 
   /** A link has ended with these changes out. */
-  void lost(EmulatedConnection link, List<InFlightCommand> doubt) {
-    if (links[link.disk.index] == link) {
-      links[link.disk.index] = null;
+  void onConnectionClosed(EmulatedConnection link, List<InFlightCommand> doubt) {
+    if (connections[link.node.index] == link) {
+      connections[link.node.index] = null;
     }
     if (!doubt.isEmpty()) {
-      doubts.get(link.disk.index).put(link.serial, doubt);
-      reopen(link.disk);
-    } else if (!doubts.get(link.disk.index).isEmpty()) {
-      site.world.time.in(site.connectTimeoutUs(), () -> told(() -> reopen(link.disk)));
+      uncertainCommands.get(link.node.index).put(link.serial, doubt);
+      reconnectIfUncertain(link.node);
+    } else if (!uncertainCommands.get(link.node.index).isEmpty()) {
+      gateway.emulation.events.scheduleAfter(gateway.connectTimeoutUs(), () -> runAtGateway(
+          () -> reconnectIfUncertain(link.node)));
     }
   }
 
-  private void reopen(EmulatedNode disk) {
-    if (!doubts.get(disk.index).isEmpty() && links[disk.index] == null) {
+  private void reconnectIfUncertain(EmulatedNode disk) {
+    if (!uncertainCommands.get(disk.index).isEmpty() && connections[disk.index] == null) {
       open(disk);
     }
   }
 
   @Override
   public void probe(long node) {
-    EmulatedNode disk = disk(node);
-    long from = site.world.time.now();
+    EmulatedNode disk = node(node);
+    long from = gateway.emulation.events.now();
     boolean up = disk.isUp() && !disk.faults.silent;
-    site.world.time.at(arrival(disk) * 2 - from, () -> told(() -> site.engine()
-        .probeEnded(node, up ? Result.OK : Result.CONNECT_FAILED, site.world.time.now() - from, null)));
+    gateway.emulation.events.schedule(arrivalTime(disk) * 2 - from, () -> runAtGateway(() -> gateway.engine()
+        .probeEnded(node, up ? Result.OK : Result.CONNECT_FAILED, gateway.emulation.events.now() - from,
+            null)));
   }
 
   @Override
@@ -154,12 +160,12 @@
 
   @Override
   public void watchNodeList() {
-    site.wanted();
+    gateway.requestNodeList();
   }
 
   @Override
   public void close() {
-    dead = true;
-    Arrays.stream(links).filter(l -> l != null).forEach(l -> l.disk.disconnected(l));
+    closed = true;
+    Arrays.stream(connections).filter(l -> l != null).forEach(l -> l.node.onDisconnected(l));
   }
 }
--- a/src/main/java/hollyslip/emulator/Estimate.java
+++ b/src/main/java/hollyslip/emulator/Estimate.java
@@ -13,7 +13,7 @@
  *          how many */
 public record Estimate(double mean, double half, int runs) {
   /** Trust in the interval. */
-  public static final double TRUST = 0.95;
+  public static final double CONFIDENCE_LEVEL = 0.95;
 
   /** Of independent runs. */
   public static Estimate of(double... values) {
@@ -26,7 +26,7 @@
       return new Estimate(mean, Double.POSITIVE_INFINITY, 1);
     }
     double variance = Arrays.stream(values).map(v -> (v - mean) * (v - mean)).sum() / (n - 1);
-    double t = TDistribution.of(n - 1).inverseCumulativeProbability((1 + TRUST) / 2);
+    double t = TDistribution.of(n - 1).inverseCumulativeProbability((1 + CONFIDENCE_LEVEL) / 2);
     return new Estimate(mean, t * Math.sqrt(variance / n), n);
   }
 
--- a/src/main/java/hollyslip/emulator/Experiment.java
+++ b/src/main/java/hollyslip/emulator/Experiment.java
@@ -1,5 +1,6 @@
 package hollyslip.emulator;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import hollyslip.audit.Asked;
@@ -32,36 +33,37 @@
  * and {@code sweep("name", [...])}; in the day's text {@code $name} stands for the value. */
 public final class Experiment {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final List<String> CALLS = List.of("experiment", "sweep");
-  private static final Pattern NAME = Pattern.compile("\\$([A-Za-z][A-Za-z0-9_]*)");
+  private static final List<String> FUNCTIONS = List.of("experiment", "sweep");
+  private static final Pattern PLACEHOLDER = Pattern.compile("\\$([A-Za-z][A-Za-z0-9_]*)");
 
   /** One run, as it is kept; latencies in us. */
   public record Run(Map<String, String> point, long seed, String day, double inAim, double served,
       double refused,
-      double failed, double p50, double p99, double p999, long happenings, List<String> broken) {
-    boolean is(Map<String, String> p, long s, String text) {
+      double failed, double p50, double p99, double p999, @JsonProperty("happenings") long eventCount,
+      List<String> broken) {
+    boolean matches(Map<String, String> p, long s, String text) {
       return point.equals(p) && seed == s && day.equals(text);
     }
   }
 
   /** What is told of a run by name. */
-  public static final Map<String, ToDoubleFunction<Run>> FIGURES = figures();
+  public static final Map<String, ToDoubleFunction<Run>> FIGURES = measures();
 
-  private final String text;
+  private final String scenarioTemplate;
   private final int seeds;
   private final Map<String, List<String>> sweeps;
   /** What goes with a value of a sweep, by {@code name=value}. */
-  private final Map<String, Map<String, String>> linked;
+  private final Map<String, Map<String, String>> linkedValues;
 
   private Experiment(String text, int seeds, Map<String, List<String>> sweeps,
       Map<String, Map<String, String>> linked) {
-    this.linked = linked;
-    this.text = text;
+    this.linkedValues = linked;
+    this.scenarioTemplate = text;
     this.seeds = seeds;
     this.sweeps = sweeps;
   }
 
-  private static Map<String, ToDoubleFunction<Run>> figures() {
+  private static Map<String, ToDoubleFunction<Run>> measures() {
     Map<String, ToDoubleFunction<Run>> f = new LinkedHashMap<>();
     f.put("in aim %", r -> 100 * r.inAim());
     f.put("served %", r -> 100 * r.served());
@@ -79,7 +81,7 @@
   public static Experiment read(Path file) throws IOException {
     JsonNode said;
     try {
-      Script script = Script.run(file, CALLS);
+      Script script = Script.run(file, FUNCTIONS);
       said = script.declared();
     } catch (ScriptError e) {
       throw new IllegalArgumentException(e.text());
@@ -113,7 +115,7 @@
     Experiment x = new Experiment(text, seeds, sweeps, linked);
     for (Map<String, String> p : x.points()) {
       try {
-        x.day(p, 0);
+        x.scenario(p, 0);
       } catch (IllegalArgumentException wrong) {
         throw new IllegalArgumentException(e.get("day").asText() + " at " + p + ": " + wrong.getMessage());
       }
@@ -143,11 +145,11 @@
     return all;
   }
 
-  private String text(Map<String, String> point) {
+  private String scenarioText(Map<String, String> point) {
     Map<String, String> all = new LinkedHashMap<>();
-    point.forEach((k, v) -> all.putAll(linked.getOrDefault(k + "=" + v, Map.of())));
+    point.forEach((k, v) -> all.putAll(linkedValues.getOrDefault(k + "=" + v, Map.of())));
     all.putAll(point);
-    Matcher m = NAME.matcher(text);
+    Matcher m = PLACEHOLDER.matcher(scenarioTemplate);
     StringBuilder out = new StringBuilder();
     while (m.find()) {
       String v = all.get(m.group(1));
@@ -159,8 +161,8 @@
     return m.appendTail(out).toString();
   }
 
-  private Day day(Map<String, String> point, long seed) {
-    return Day.parse(text(point)).with(seed);
+  private Day scenario(Map<String, String> point, long seed) {
+    return Day.parse(scenarioText(point)).with(seed);
   }
 
   /** Runs what is not kept yet, on so many threads; gives all runs of this experiment.
@@ -171,7 +173,7 @@
    *          hears of each new run */
   public List<Run> run(Path kept, int threads, Consumer<Run> progress) throws IOException,
       InterruptedException {
-    List<Run> before = Files.exists(kept) ? stored(kept) : List.of();
+    List<Run> before = Files.exists(kept) ? readRuns(kept) : List.of();
     List<Run> done = new ArrayList<>();
     ForkJoinPool pool = new ForkJoinPool(threads);
     try (Writer out = Files.newBufferedWriter(kept, StandardCharsets.UTF_8, StandardOpenOption.CREATE,
@@ -180,12 +182,12 @@
       for (Map<String, String> p : points()) {
         for (long seed = 1; seed <= seeds; seed++) {
           long s = seed;
-          String t = text(p);
+          String t = scenarioText(p);
           before.stream()
-              .filter(r -> r.is(p, s, t))
+              .filter(r -> r.matches(p, s, t))
               .findFirst()
               .ifPresentOrElse(done::add, () -> running.add(pool
-                  .submit(() -> keep(out, play(p, s, t)))));
+                  .submit(() -> appendRun(out, play(p, s, t)))));
         }
       }
       for (var f : running) {
@@ -206,7 +208,7 @@
    *
    * @throws IOException
    *           another line cannot be read; names it */
-  private static List<Run> stored(Path kept) throws IOException {
+  private static List<Run> readRuns(Path kept) throws IOException {
     String text = Files.readString(kept);
     int whole = text.lastIndexOf('\n') + 1;
     if (whole < text.length()) {
@@ -223,7 +225,7 @@
     return all;
   }
 
-  private static Run keep(Writer out, Run r) throws IOException {
+  private static Run appendRun(Writer out, Run r) throws IOException {
     String line = JSON.writeValueAsString(r) + "\n";
     synchronized (out) {
       out.write(line);
@@ -233,7 +235,7 @@
   }
 
   private Run play(Map<String, String> point, long seed, String of) {
-    Outcome o = World.play(day(point, seed));
+    Outcome o = World.play(scenario(point, seed));
     Outcome.Tally t = o.all();
     double n = Math.max(1, t.asked());
     return new Run(point, seed, of, t.inAim(), t.count(Asked.Answer.SERVED) / n, t.count(Asked.Answer.REFUSED)
--- a/src/main/java/hollyslip/emulator/InFlightCommand.java
+++ b/src/main/java/hollyslip/emulator/InFlightCommand.java
@@ -9,24 +9,24 @@
 /** An attempt on its way to a node and back. */
 final class InFlightCommand {
   final Attempt attempt;
-  final EmulatedConnection link;
+  final EmulatedConnection connection;
   final long cookie;
   final int kind;
   final long offset;
   final long length;
   final String export;
   /** What a write writes: a number of its own stands for the bytes. */
-  final long mark;
+  final long writeId;
   /** When its first byte left, and when the node had it. */
   long sentUs, receivedUs;
   /** Whether the engine has heard what came of it. */
-  boolean told;
+  boolean outcomeReported;
   /** Whether the engine has given it up. */
   boolean withdrawn;
 
   InFlightCommand(Attempt attempt, EmulatedConnection link) {
     this.attempt = attempt;
-    this.link = link;
+    this.connection = link;
     cookie = attempt.requestId() << 12 | attempt.number();
     kind = switch (attempt.kind()) {
       case READ -> Nbd.CMD_READ;
@@ -41,6 +41,6 @@
     List<ByteBuffer> data = attempt.data();
     boolean marked = attempt.kind() == IoKind.WRITE && !data.isEmpty() && data.get(0)
         .remaining() >= Long.BYTES;
-    mark = marked ? data.get(0).getLong(data.get(0).position()) : 0;
+    writeId = marked ? data.get(0).getLong(data.get(0).position()) : 0;
   }
 }
--- a/src/main/java/hollyslip/emulator/Outcome.java
+++ b/src/main/java/hollyslip/emulator/Outcome.java
@@ -30,11 +30,11 @@
   public static final class Tally {
     private final Map<Asked.Answer, Long> answers = new EnumMap<>(Asked.Answer.class);
     private final Histogram latency = new Histogram(3_600_000_000L, 3);
-    private long inAim, left, never;
+    private long inAim, abandoned, neverSubmitted;
 
     void add(Asked.Answer answer, boolean leaver, long tookUs, long aimUs) {
       if (leaver) {
-        left++;
+        abandoned++;
         return;
       }
       answers.merge(answer, 1L, Long::sum);
@@ -44,16 +44,16 @@
       }
     }
 
-    void never(long n) {
-      never += n;
+    void neverSubmitted(long n) {
+      neverSubmitted += n;
     }
 
-    void plus(Tally o) {
+    void addAll(Tally o) {
       o.answers.forEach((a, n) -> answers.merge(a, n, Long::sum));
       latency.add(o.latency);
       inAim += o.inAim;
-      left += o.left;
-      never += o.never;
+      abandoned += o.abandoned;
+      neverSubmitted += o.neverSubmitted;
     }
 
     /** How many ended so. */
@@ -63,7 +63,7 @@
 
     /** Requests whose clients stayed. */
     public long asked() {
-      return answers.values().stream().mapToLong(n -> n).sum() + never;
+      return answers.values().stream().mapToLong(n -> n).sum() + neverSubmitted;
     }
 
     /** Part of {@link #asked} that was served within its class's aim. */
@@ -80,7 +80,7 @@
   /** All plans together. */
   public Tally all() {
     Tally sum = new Tally();
-    new TreeMap<>(plans).values().forEach(sum::plus);
+    new TreeMap<>(plans).values().forEach(sum::addAll);
     return sum;
   }
 }
--- a/src/main/java/hollyslip/emulator/World.java
+++ b/src/main/java/hollyslip/emulator/World.java
@@ -36,33 +36,33 @@
  * comes out is called simulated. */
 public final class World {
   /** The operator's word of a node's state reaches a gateway within this, us. */
-  private static final long LIST_US = 50_000;
+  private static final long MAX_LIST_DELAY_US = 50_000;
   /** How old nodes are at the start, us: long warm. */
-  private static final long AGE_US = 3_600_000_000L;
+  private static final long INITIAL_NODE_AGE_US = 3_600_000_000L;
   /** How long after the load's end and the last deadline a run goes on, us. */
-  private static final long AFTER_US = 2_000_000;
+  private static final long DRAIN_TIME_US = 2_000_000;
 
-  final Day day;
-  final EventQueue time = new EventQueue();
+  final Day scenario;
+  final EventQueue events = new EventQueue();
   private final Deployment deployment;
   private final Map<String, Volume> volumes;
   private final RequestClassifier classifier;
   private final SplittableRandom random;
-  private final List<EmulatedNode> disks = new ArrayList<>();
-  private final List<EmulatedGateway> sites = new ArrayList<>();
-  private final List<EmulatedClient> callers = new ArrayList<>();
+  private final List<EmulatedNode> nodes = new ArrayList<>();
+  private final List<EmulatedGateway> gateways = new ArrayList<>();
+  private final List<EmulatedClient> clients = new ArrayList<>();
   private final NodeState[] states;
   private final List<Asked> asked = new ArrayList<>();
-  private final List<Told> told = new ArrayList<>();
-  private final Map<String, NodeState> lastTold = new HashMap<>();
+  private final List<Told> operatorRecords = new ArrayList<>();
+  private final Map<String, NodeState> lastToldStates = new HashMap<>();
   private final Map<String, Outcome.Tally> tallies = new TreeMap<>();
   private final Map<String, Outcome.Tally> kinds = new TreeMap<>();
   private final List<Outcome.Tally> timeline = new ArrayList<>();
-  private boolean listDown;
-  private long marks;
+  private boolean nodeListDown;
+  private long lastWriteId;
 
   private World(Day day, Deployment deployment) {
-    this.day = day;
+    this.scenario = day;
     this.deployment = deployment;
     volumes = deployment.byName();
     classifier = new RequestClassifier(deployment.rows(), deployment.gateway().unitBytes(), deployment.store()
@@ -79,7 +79,7 @@
   public static Outcome play(Day day) {
     World w = new World(day, deployment(day));
     w.build();
-    w.day.troubles().forEach(w::trouble);
+    w.scenario.troubles().forEach(w::scheduleDisturbance);
     return w.run();
   }
 
@@ -88,9 +88,10 @@
     try {
       Path dir = Files.createTempDirectory("hollyslip-emulate");
       try {
-        Files.writeString(dir.resolve("fleet.star"), ScenarioSettings.fleet(day.nodes().count(), i -> 1 + i,
+        Files.writeString(dir.resolve("fleet.star"), ScenarioSettings.nodeListScript(day.nodes().count(),
+            i -> 1 + i,
             i -> NodeState.ON));
-        Path file = Files.writeString(dir.resolve("gateway-0.star"), ScenarioSettings.text(day, 0));
+        Path file = Files.writeString(dir.resolve("gateway-0.star"), ScenarioSettings.gatewayScript(day, 0));
         Loader.Loaded loaded = Loader.load(file);
         if (!loaded.faults().isEmpty()) {
           throw new IllegalArgumentException("settings of the day: " + loaded.faults());
@@ -109,48 +110,51 @@
   }
 
   private void build() {
-    var n = day.nodes();
+    var n = scenario.nodes();
     for (int i = 0; i < n.count(); i++) {
-      disks.add(new EmulatedNode(i, time, ServiceModel.timed(n.cores(), n.queue(), n.baseUs()), random.split(),
-          AGE_US));
+      nodes.add(new EmulatedNode(i, events, ServiceModel.timed(n.cores(), n.queue(), n.baseUs()), random
+          .split(),
+          INITIAL_NODE_AGE_US));
     }
-    for (int i = 0; i < day.gateways(); i++) {
-      sites.add(new EmulatedGateway(this, i, classifier, random.split()));
+    for (int i = 0; i < scenario.gateways(); i++) {
+      gateways.add(new EmulatedGateway(this, i, classifier, random.split()));
     }
     // Drawn as the generator of load does: both ask the same at the same times.
-    SplittableRandom clients = new SplittableRandom(day.seed());
-    for (Day.Load v : day.volumes()) {
-      int all = day.clients(v);
+    SplittableRandom clientSeeds = new SplittableRandom(scenario.seed());
+    for (Day.VolumeLoad v : scenario.volumes()) {
+      int all = scenario.clientCount(v);
       for (int c = 0; c < all; c++) {
-        EmulatedGateway site = sites.get(day.gateway(v, c));
-        EmulatedClient caller = new EmulatedClient(this, site, v, c, all, volumes.get(v.volume()).bytes(), clients
-            .nextLong());
+        EmulatedGateway site = gateways.get(scenario.gatewayOf(v, c));
+        EmulatedClient caller = new EmulatedClient(this, site, v, c, all, volumes.get(v.volume()).bytes(),
+            clientSeeds
+                .nextLong());
         site.add(caller);
-        callers.add(caller);
+        clients.add(caller);
       }
     }
-    sites.forEach(s -> {
-      told.add(new Told.Started(s.name, time.now()));
+    gateways.forEach(s -> {
+      operatorRecords.add(new Told.Started(s.name, events.now()));
       s.start();
     });
-    callers.forEach(EmulatedClient::begin);
+    clients.forEach(EmulatedClient::scheduleNextArrival);
   }
 
   private Outcome run() {
-    long end = EventQueue.START + (long) (day.seconds() * 1e6);
-    time.until(end);
-    callers.forEach(EmulatedClient::end);
-    time.until(end + AFTER_US + deployment.classes()
+    long end = EventQueue.START_US + (long) (scenario.seconds() * 1e6);
+    events.runUntil(end);
+    clients.forEach(EmulatedClient::endLoad);
+    events.runUntil(end + DRAIN_TIME_US + deployment.classes()
         .stream()
         .mapToLong(RequestClass::deadlineUs)
         .max()
         .orElseThrow());
-    callers.forEach(EmulatedClient::finish);
+    clients.forEach(EmulatedClient::recordUnanswered);
     List<Command> commands = new ArrayList<>();
-    disks.forEach(d -> commands.addAll(d.log()));
-    return new Outcome(Auditor.check(ScenarioSettings.figures(deployment, 0, 0), asked, commands, told), tallies,
-        kinds, timeline, time
-            .played());
+    nodes.forEach(d -> commands.addAll(d.commandLog()));
+    return new Outcome(Auditor.check(ScenarioSettings.auditFigures(deployment, 0, 0), asked, commands,
+        operatorRecords), tallies,
+        kinds, timeline, events
+            .processedCount());
   }
 
   // What its parts ask of it.
@@ -163,58 +167,59 @@
     return volumes;
   }
 
-  List<EmulatedNode> disks() {
-    return disks;
+  List<EmulatedNode> nodes() {
+    return nodes;
   }
 
-  boolean listDown() {
-    return listDown;
+  boolean nodeListDown() {
+    return nodeListDown;
   }
 
   long listDelay(SplittableRandom of) {
-    return of.nextLong(LIST_US);
+    return of.nextLong(MAX_LIST_DELAY_US);
   }
 
-  long nextMark() {
-    return ++marks;
+  long nextWriteId() {
+    return ++lastWriteId;
   }
 
-  RequestClass rules(IoKind kind, long length) {
+  RequestClass requestClass(IoKind kind, long length) {
     String name = classifier.className(kind, length);
     return deployment.classes().stream().filter(c -> c.name().equals(name)).findFirst().orElseThrow();
   }
 
   /** The list as the operator has it. */
-  List<NodeEntry> listed() {
+  List<NodeEntry> nodeEntries() {
     List<NodeEntry> all = new ArrayList<>();
     for (int i = 0; i < states.length; i++) {
-      all.add(listed(i));
+      all.add(nodeEntries(i));
     }
     return all;
   }
 
-  private NodeEntry listed(int disk) {
+  private NodeEntry nodeEntries(int disk) {
     return new NodeEntry(disk + 1, deployment.nodes().get(disk).zone(), disk, states[disk], 0);
   }
 
   /** A gateway was told so. */
-  void told(EmulatedGateway site, List<NodeEntry> list) {
+  void recordNodeStates(EmulatedGateway site, List<NodeEntry> list) {
     for (NodeEntry l : list) {
       String key = site.name + "/" + l.node();
-      NodeState before = lastTold.getOrDefault(key, NodeState.ON);
+      NodeState before = lastToldStates.getOrDefault(key, NodeState.ON);
       if (before != l.state()) {
-        lastTold.put(key, l.state());
-        told.add(new Told.State(site.name, disks.get((int) l.node() - 1).name, l.state(), time.now()));
+        lastToldStates.put(key, l.state());
+        operatorRecords.add(new Told.State(site.name, nodes.get((int) l.node() - 1).name, l.state(), events
+            .now()));
       }
     }
   }
 
-  void note(Asked a, String plan, long dueUs, long aimUs) {
+  void recordRequest(Asked a, String plan, long dueUs, long aimUs) {
     asked.add(a);
     tally(plan).add(a.answer(), a.left(), a.answeredUs() - dueUs, aimUs);
     kinds.computeIfAbsent(plan + (a.kind() == Nbd.CMD_READ ? ".read" : ".write"), k -> new Outcome.Tally())
         .add(a.answer(), a.left(), a.answeredUs() - dueUs, aimUs);
-    int interval = (int) ((dueUs - EventQueue.START) / Outcome.INTERVAL_US);
+    int interval = (int) ((dueUs - EventQueue.START_US) / Outcome.INTERVAL_US);
     while (timeline.size() <= interval) {
       timeline.add(new Outcome.Tally());
     }
@@ -222,7 +227,7 @@
   }
 
   void never(String plan, long count) {
-    tally(plan).never(count);
+    tally(plan).neverSubmitted(count);
   }
 
   private Outcome.Tally tally(String plan) {
@@ -231,134 +236,140 @@
 
   // Trouble.
 
-  private void at(double seconds, Runnable what) {
-    time.at(EventQueue.START + (long) (seconds * 1e6), what);
+  private void schedule(double seconds, Runnable what) {
+    events.schedule(EventQueue.START_US + (long) (seconds * 1e6), what);
   }
 
-  private void trouble(Day.Trouble t) {
+  private void scheduleDisturbance(Day.Disturbance t) {
     double end = t.at() + t.seconds();
     switch (t.kind()) {
-      case "stall" -> nodes(t, d -> d.stall((long) (t.seconds() * 1e6)), d -> {});
-      case "hang" -> nodes(t, d -> d.faults.silent = true, d -> d.faults.silent = false);
-      case "vanish" -> nodes(t, d -> d.faults.silent = true, this::restart);
-      case "mass-restart" -> nodes(t, this::restart, d -> {});
-      case "fast-errors" -> nodes(t, d -> d.faults.errors = t.size(), d -> d.faults.errors = 0);
-      case "answer-lost" -> nodes(t, d -> d.faults.loseAnswers = t.size(), d -> d.faults.loseAnswers = 0);
-      case "late-write" -> nodes(t, d -> d.faults.lateWriteUs = (long) (t.size() * 1e6),
+      case "stall" -> scheduleOnNodes(t, d -> d.stallFor((long) (t.seconds() * 1e6)), d -> {});
+      case "hang" -> scheduleOnNodes(t, d -> d.faults.silent = true, d -> d.faults.silent = false);
+      case "vanish" -> scheduleOnNodes(t, d -> d.faults.silent = true, this::restart);
+      case "mass-restart" -> scheduleOnNodes(t, this::restart, d -> {});
+      case "fast-errors" -> scheduleOnNodes(t, d -> d.faults.errors = t.size(), d -> d.faults.errors = 0);
+      case "answer-lost" -> scheduleOnNodes(t, d -> d.faults.loseAnswers = t.size(),
+          d -> d.faults.loseAnswers = 0);
+      case "late-write" -> scheduleOnNodes(t, d -> d.faults.lateWriteUs = (long) (t.size() * 1e6),
           d -> d.faults.lateWriteUs = 0);
-      case "slow" -> nodes(t, d -> d.slow(Math.max(0.01, t.size())), d -> d.slow(1));
-      case "full" -> nodes(t, d -> d.faults.full = true, d -> d.faults.full = false);
-      case "heavy-tail" -> nodes(t, d -> {
+      case "slow" -> scheduleOnNodes(t, d -> d.setSlowdown(Math.max(0.01, t.size())), d -> d.setSlowdown(1));
+      case "full" -> scheduleOnNodes(t, d -> d.faults.full = true, d -> d.faults.full = false);
+      case "heavy-tail" -> scheduleOnNodes(t, d -> {
         d.faults.heavyFactor = t.size();
         d.faults.heavyPart = 0.02;
       }, d -> d.faults.heavyPart = 0);
-      case "drain" -> nodes(t, d -> list(d, NodeState.DRAINING), d -> list(d, NodeState.ON));
-      case "preempt" -> nodes(t, d -> {
-        list(d, NodeState.DRAINING);
-        time.in((long) (1e6 * t.preemptedAfter()), d::kill);
+      case "drain" -> scheduleOnNodes(t, d -> setNodeState(d, NodeState.DRAINING), d -> setNodeState(d,
+          NodeState.ON));
+      case "preempt" -> scheduleOnNodes(t, d -> {
+        setNodeState(d, NodeState.DRAINING);
+        events.scheduleAfter((long) (1e6 * t.killDelaySeconds()), d::kill);
       }, d -> {
         restart(d);
-        list(d, NodeState.ON);
+        setNodeState(d, NodeState.ON);
       });
       case "partition" -> {
-        List<EmulatedGateway> cut = sites.stream().filter(s -> random.nextDouble() < t.size()).toList();
-        nodes(t, d -> cut.forEach(s -> s.cut(d, (long) (t.seconds() * 1e6))), d -> {});
+        List<EmulatedGateway> cut = gateways.stream().filter(s -> random.nextDouble() < t.size()).toList();
+        scheduleOnNodes(t, d -> cut.forEach(s -> s.partition(d, (long) (t.seconds() * 1e6))), d -> {});
       }
-      case "burst" -> loads(t, c -> true);
-      case "plan-burst" -> loads(t, c -> c.load.plan().equals(t.target()));
-      case "volume-burst" -> loads(t, c -> c.load.volume().equals(t.target()));
+      case "burst" -> scheduleLoadFactor(t, c -> true);
+      case "plan-burst" -> scheduleLoadFactor(t, c -> c.load.plan().equals(t.target()));
+      case "volume-burst" -> scheduleLoadFactor(t, c -> c.load.volume().equals(t.target()));
       case "hot-volumes", "scan" -> {
-        List<EmulatedClient> hot = callers.stream().filter(c -> random.nextDouble() < t.part()).toList();
-        loads(t, hot::contains);
+        List<EmulatedClient> hot = clients.stream().filter(c -> random.nextDouble() < t.fraction()).toList();
+        scheduleLoadFactor(t, hot::contains);
         boolean scan = t.kind().equals("scan");
-        at(t.at(), () -> hot.forEach(c -> c.readsOnly(scan)));
-        at(end, () -> hot.forEach(c -> c.readsOnly(false)));
+        schedule(t.at(), () -> hot.forEach(c -> c.readsOnly(scan)));
+        schedule(end, () -> hot.forEach(c -> c.readsOnly(false)));
       }
       case "retry-abuse" -> {
-        at(t.at(), () -> of(t).forEach(c -> c.abusive(true)));
-        at(end, () -> of(t).forEach(c -> c.abusive(false)));
+        schedule(t.at(), () -> targetClients(t).forEach(c -> c.retryImmediately(true)));
+        schedule(end, () -> targetClients(t).forEach(c -> c.retryImmediately(false)));
       }
-      case "reconnect" -> at(t.at(), () -> callers.stream()
-          .filter(c -> random.nextDouble() < t.part())
-          .forEach(EmulatedClient::drop));
-      case "client-vanish" -> at(t.at(), () -> of(t).stream().limit(1).forEach(EmulatedClient::drop));
+      case "reconnect" -> schedule(t.at(), () -> clients.stream()
+          .filter(c -> random.nextDouble() < t.fraction())
+          .forEach(EmulatedClient::reconnect));
+      case "client-vanish" -> schedule(t.at(), () -> targetClients(t).stream()
+          .limit(1)
+          .forEach(EmulatedClient::reconnect));
       case "list-down" -> {
-        at(t.at(), () -> listDown = true);
-        at(end, () -> {
-          listDown = false;
-          tellList();
+        schedule(t.at(), () -> nodeListDown = true);
+        schedule(end, () -> {
+          nodeListDown = false;
+          publishNodeList();
         });
       }
-      case "gateway-crash" -> crash(sites.get(random.nextInt(sites.size())), t);
+      case "gateway-crash" -> scheduleCrash(gateways.get(random.nextInt(gateways.size())), t);
       default -> throw new IllegalStateException(t.kind());
     }
   }
 
-  private void crash(EmulatedGateway site, Day.Trouble t) {
-    at(t.at(), () -> {
+  private void scheduleCrash(EmulatedGateway site, Day.Disturbance t) {
+    schedule(t.at(), () -> {
       if (site.isAlive()) {
         site.kill();
       }
     });
-    at(t.at() + t.seconds(), () -> {
+    schedule(t.at() + t.seconds(), () -> {
       if (!site.isAlive()) {
-        told.add(new Told.Started(site.name, time.now()));
+        operatorRecords.add(new Told.Started(site.name, events.now()));
         site.start();
       }
     });
   }
 
-  private void nodes(Day.Trouble t, Consumer<EmulatedNode> begin, Consumer<EmulatedNode> end) {
-    for (EmulatedNode d : struck(t)) {
-      at(t.at(), () -> begin.accept(d));
-      at(t.at() + t.seconds(), () -> end.accept(d));
+  private void scheduleOnNodes(Day.Disturbance t, Consumer<EmulatedNode> begin, Consumer<EmulatedNode> end) {
+    for (EmulatedNode d : affectedNodes(t)) {
+      schedule(t.at(), () -> begin.accept(d));
+      schedule(t.at() + t.seconds(), () -> end.accept(d));
     }
   }
 
-  private List<EmulatedNode> struck(Day.Trouble t) {
+  private List<EmulatedNode> affectedNodes(Day.Disturbance t) {
     if (!t.target().isEmpty()) {
-      return disks.stream().filter(d -> d.name.equals(t.target())).toList();
+      return nodes.stream().filter(d -> d.name.equals(t.target())).toList();
     }
-    List<EmulatedNode> left = new ArrayList<>(disks);
+    List<EmulatedNode> left = new ArrayList<>(nodes);
     List<EmulatedNode> chosen = new ArrayList<>();
-    for (long n = Math.max(1, Math.round(t.part() * disks.size())); n > 0 && !left.isEmpty(); n--) {
+    for (long n = Math.max(1, Math.round(t.fraction() * nodes.size())); n > 0 && !left.isEmpty(); n--) {
       chosen.add(left.remove(random.nextInt(left.size())));
     }
     return chosen;
   }
 
-  private List<EmulatedClient> of(Day.Trouble t) {
-    return callers.stream()
+  private List<EmulatedClient> targetClients(Day.Disturbance t) {
+    return clients.stream()
         .filter(c -> c.load.volume().equals(t.target()) || c.load.plan().equals(t.target()))
         .toList();
   }
 
-  private void loads(Day.Trouble t, Predicate<EmulatedClient> which) {
-    at(t.at(), () -> callers.stream().filter(which).forEach(c -> c.speed(t.size())));
-    at(t.at() + t.seconds(), () -> callers.stream().filter(which).forEach(c -> c.speed(1)));
+  private void scheduleLoadFactor(Day.Disturbance t, Predicate<EmulatedClient> which) {
+    schedule(t.at(), () -> clients.stream().filter(which).forEach(c -> c.rateFactor(t.size())));
+    schedule(t.at() + t.seconds(), () -> clients.stream().filter(which).forEach(c -> c.rateFactor(1)));
   }
 
   private void restart(EmulatedNode d) {
     d.faults.clear();
     d.start();
-    told.add(new Told.Born(d.name, time.now()));
+    operatorRecords.add(new Told.Born(d.name, events.now()));
   }
 
-  private void list(EmulatedNode d, NodeState state) {
+  private void setNodeState(EmulatedNode d, NodeState state) {
     states[d.index] = state;
-    if (!listDown) {
-      NodeEntry l = listed(d.index);
-      sites.stream().filter(EmulatedGateway::isAlive).forEach(s -> time.in(listDelay(random), () -> {
-        if (s.isAlive() && states[d.index] == state) {
-          s.state(l);
-        }
-      }));
+    if (!nodeListDown) {
+      NodeEntry l = nodeEntries(d.index);
+      gateways.stream()
+          .filter(EmulatedGateway::isAlive)
+          .forEach(s -> events.scheduleAfter(listDelay(random), () -> {
+            if (s.isAlive() && states[d.index] == state) {
+              s.updateNodeState(l);
+            }
+          }));
     }
   }
 
-  private void tellList() {
+  private void publishNodeList() {
     for (int i = 0; i < states.length; i++) {
-      list(disks.get(i), states[i]);
+      setNodeState(nodes.get(i), states[i]);
     }
   }
 }
--- a/src/main/java/hollyslip/load/ArrivalProcess.java
+++ b/src/main/java/hollyslip/load/ArrivalProcess.java
@@ -8,11 +8,11 @@
  * answers. Free of I/O and clock. */
 public final class ArrivalProcess {
   /** Rates count as constant over so long, us. */
-  private static final long SLICE = 10_000;
+  private static final long RATE_STEP_US = 10_000;
   /** Tail of the on and off times of {@link Kind#ONOFF}: below 2, so that their variance has no end. */
-  private static final double PARETO = 1.5;
+  private static final double PARETO_SHAPE = 1.5;
   /** Longest on or off time, in mean ones. */
-  private static final double LONGEST = 50;
+  private static final double MAX_MEAN_DURATIONS = 50;
 
   /** How the rate moves, and whether gaps are drawn. */
   public enum Kind {
@@ -45,7 +45,7 @@
     public Shape {
       boolean plain = kind == Kind.POISSON || kind == Kind.STEADY;
       if (!plain && !(periodS > 0)) {
-        throw new IllegalArgumentException("shape " + word(kind) + " needs a period above 0");
+        throw new IllegalArgumentException("shape " + keyword(kind) + " needs a period above 0");
       }
       if (kind == Kind.CURVE && !(swing > 0 && swing <= 1)) {
         throw new IllegalArgumentException("shape curve needs a swing above 0, at most 1");
@@ -63,65 +63,65 @@
       return word.isEmpty()
           ? POISSON
           : Arrays.stream(Kind.values())
-              .filter(k -> word(k).equals(word))
+              .filter(k -> keyword(k).equals(word))
               .findFirst()
               .map(k -> new Shape(k, periodS, swing))
               .orElseThrow(() -> new IllegalArgumentException("shape '" + word + "' is not known; known are "
-                  + Arrays.stream(Kind.values()).map(Shape::word).toList()));
+                  + Arrays.stream(Kind.values()).map(Shape::keyword).toList()));
     }
 
     /** The word that {@link #of} knows it by. */
-    public String word() {
-      return word(kind);
+    public String keyword() {
+      return keyword(kind);
     }
 
-    private static String word(Kind kind) {
+    private static String keyword(Kind kind) {
       return kind.name().toLowerCase(Locale.ROOT);
     }
   }
 
   private final Shape shape;
-  private final double perUs;
+  private final double requestsPerUs;
   private final SplittableRandom random;
-  private double at;
+  private double nowUs;
   private boolean on;
-  private double turnsAt;
+  private double nextToggleUs;
 
   /** @param rate
    *          requests a second in the mean */
   public ArrivalProcess(Shape shape, double rate, long seed) {
     this.shape = shape;
-    perUs = rate / 1e6;
+    requestsPerUs = rate / 1e6;
     random = new SplittableRandom(seed);
     if (shape.kind() == Kind.ONOFF) {
       on = random.nextBoolean();
-      turnsAt = heavy();
+      nextToggleUs = paretoDurationUs();
     }
   }
 
   /** When the next request is due, us after the start of the schedule; {@code speed}: so many times the rate
    * from the last one on. */
-  public long next(double speed) {
-    double need = gap();
+  public long nextDueUs(double speed) {
+    double need = nextGap();
     while (true) {
-      double end = Math.floor(at / SLICE + 1) * SLICE;
-      double rate = perUs * speed * part(at);
-      double due = rate > 0 ? at + need / rate : Double.MAX_VALUE;
+      double end = Math.floor(nowUs / RATE_STEP_US + 1) * RATE_STEP_US;
+      double rate = requestsPerUs * speed * rateFactor(nowUs);
+      double due = rate > 0 ? nowUs + need / rate : Double.MAX_VALUE;
       if (due <= end) {
-        at = due;
-        return (long) at;
+        nowUs = due;
+        return (long) nowUs;
       }
-      need -= rate * (end - at);
-      at = end;
+      need -= rate * (end - nowUs);
+      nowUs = end;
     }
   }
 
-  private double gap() {
+  private double nextGap() {
     return shape.kind() == Kind.STEADY ? 1 : -Math.log(1 - random.nextDouble());
   }
 
   /** The rate's part of its mean at a time. */
-  private double part(double us) {
+  private double rateFactor(double us) {
     double period = shape.periodS() * 1e6;
     double phase = period > 0 ? us % period / period : 0;
     return switch (shape.kind()) {
@@ -131,18 +131,18 @@
       case BURST -> phase < 0.1 ? shape.swing() : (1 - 0.1 * shape.swing()) / 0.9;
       case CURVE -> 1 + shape.swing() * Math.sin(2 * Math.PI * phase);
       case ONOFF -> {
-        while (us >= turnsAt) {
+        while (us >= nextToggleUs) {
           on = !on;
-          turnsAt += heavy();
+          nextToggleUs += paretoDurationUs();
         }
         yield on ? 2 : 0;
       }
     };
   }
 
-  private double heavy() {
+  private double paretoDurationUs() {
     double mean = shape.periodS() * 1e6 / 2;
-    double least = mean * (PARETO - 1) / PARETO;
-    return Math.min(LONGEST * mean, least / Math.pow(1 - random.nextDouble(), 1 / PARETO));
+    double least = mean * (PARETO_SHAPE - 1) / PARETO_SHAPE;
+    return Math.min(MAX_MEAN_DURATIONS * mean, least / Math.pow(1 - random.nextDouble(), 1 / PARETO_SHAPE));
   }
 }
--- a/src/main/java/hollyslip/load/BenchDeployment.java
+++ b/src/main/java/hollyslip/load/BenchDeployment.java
@@ -8,7 +8,7 @@
 
 /** The deployment that measurements run on: one gateway, one class for everything, stand-ins as nodes. */
 final class BenchDeployment {
-  private static final String HEAD = """
+  private static final String SETTINGS_HEADER = """
       rules(drain_grace = seconds(1), cold_from = 0.2, cold = seconds(5), fall_multiple = 3, fall = seconds(2), settle = ms(300))
       store(mean_units = 1, most_units = 256)
       request_class("any", kinds = ["read", "write", "flush", "discard", "write_zeroes"], effect = "safe", aim = ms(250), deadline = seconds(5))
@@ -26,7 +26,7 @@
   static Deployment load(Path dir, int[] ports, String more, String lines) throws IOException {
     StringBuilder s = new StringBuilder(
         "gateway('bench', socket_dir = 'run', state_dir = 'state', unit_bytes "
-            + "= 4 * KiB" + more + ")\n").append(HEAD);
+            + "= 4 * KiB" + more + ")\n").append(SETTINGS_HEADER);
     for (int i = 0; i < ports.length; i++) {
       s.append(String.format("node('n-%d', port = %d, shard = %d, capacity = 1e6, bytes = 16 * MiB)%n", i,
           ports[i], i));
--- a/src/main/java/hollyslip/load/CoresBench.java
+++ b/src/main/java/hollyslip/load/CoresBench.java
@@ -1,8 +1,8 @@
 package hollyslip.load;
 
 import hollyslip.gateway.Gateway;
-import hollyslip.load.RingBench.Node;
-import hollyslip.load.RingBench.Row;
+import hollyslip.load.RingBench.StandinProcess;
+import hollyslip.load.RingBench.Measurement;
 import hollyslip.settings.Deployment;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -17,13 +17,13 @@
 public final class CoresBench {
   private static final int VOLUMES = 8, BLOCK = 4_096;
   private static final long BYTES = 2 << 20;
-  private static final List<String> GROUPS = List.of("engine", "node-io");
+  private static final List<String> THREAD_NAME_PREFIXES = List.of("engine", "node-io");
 
   private final int rounds;
   private final double seconds;
   private final int depth;
   private final int nodes;
-  private final int[] lanes;
+  private final int[] laneCounts;
 
   /** @param rounds
    *          of each measurement; medians are shown
@@ -40,21 +40,23 @@
     this.seconds = seconds;
     this.depth = depth;
     this.nodes = nodes;
-    this.lanes = lanes.clone();
+    this.laneCounts = lanes.clone();
   }
 
   /** What all clients got: requests a second, the worst client's latencies, and the least volume's part of
    * the mean. */
-  private record Total(double rate, double p50, double p99, double p999, double least, double[] busy) {
-    static Total of(List<Row> rows, double[] busy) {
-      double rate = rows.stream().mapToDouble(Row::rate).sum();
-      return new Total(rate, most(rows, Row::p50), most(rows, Row::p99), most(rows, Row::p999), rows.stream()
-          .mapToDouble(Row::rate)
-          .min()
-          .orElseThrow() * rows.size() / rate, busy);
+  private record Total(double rate, double p50, double p99, double p999, double minShare,
+      double[] busyCores) {
+    static Total of(List<Measurement> rows, double[] busy) {
+      double rate = rows.stream().mapToDouble(Measurement::rate).sum();
+      return new Total(rate, max(rows, Measurement::p50), max(rows, Measurement::p99), max(rows,
+          Measurement::p999), rows.stream()
+              .mapToDouble(Measurement::rate)
+              .min()
+              .orElseThrow() * rows.size() / rate, busy);
     }
 
-    private static double most(List<Row> rows, java.util.function.ToDoubleFunction<Row> f) {
+    private static double max(List<Measurement> rows, java.util.function.ToDoubleFunction<Measurement> f) {
       return rows.stream().mapToDouble(f).max().orElseThrow();
     }
   }
@@ -65,35 +67,36 @@
         "p99 us",
         "p99.9 us", "least of a volume", "engines", "node-io");
     List<List<Total>> all = new ArrayList<>();
-    IntStream.range(0, lanes.length).forEach(i -> all.add(new ArrayList<>()));
+    IntStream.range(0, laneCounts.length).forEach(i -> all.add(new ArrayList<>()));
     for (int round = 0; round < rounds; round++) {
-      for (int i = 0; i < lanes.length; i++) {
-        all.get(i).add(measure(lanes[i]));
+      for (int i = 0; i < laneCounts.length; i++) {
+        all.get(i).add(measure(laneCounts[i]));
       }
     }
-    for (int i = 0; i < lanes.length; i++) {
+    for (int i = 0; i < laneCounts.length; i++) {
       List<Total> t = all.get(i);
-      System.out.printf(Locale.ROOT, "%-6d %12.0f %10.1f %10.1f %10.1f %18.2f %8.1f %8.1f%n", lanes[i],
-          mid(t,
+      System.out.printf(Locale.ROOT, "%-6d %12.0f %10.1f %10.1f %10.1f %18.2f %8.1f %8.1f%n", laneCounts[i],
+          median(t,
               Total::rate),
-          mid(t, Total::p50), mid(t, Total::p99), mid(t, Total::p999), mid(t, Total::least), mid(t,
-              x -> x.busy[0]),
-          mid(t, x -> x.busy[1]));
+          median(t, Total::p50), median(t, Total::p99), median(t, Total::p999), median(t, Total::minShare),
+          median(t,
+              x -> x.busyCores[0]),
+          median(t, x -> x.busyCores[1]));
     }
   }
 
-  private static double mid(List<Total> all, java.util.function.ToDoubleFunction<Total> f) {
+  private static double median(List<Total> all, java.util.function.ToDoubleFunction<Total> f) {
     double[] sorted = all.stream().mapToDouble(f).sorted().toArray();
     return sorted[sorted.length / 2];
   }
 
   /** Cores that engines and node threads of the gateway kept busy. */
-  private static double[] busy(long wallNs) {
+  private static double[] busyCores(long wallNs) {
     java.lang.management.ThreadMXBean bean = java.lang.management.ManagementFactory.getThreadMXBean();
-    double[] cores = new double[GROUPS.size()];
+    double[] cores = new double[THREAD_NAME_PREFIXES.size()];
     for (java.lang.management.ThreadInfo t : bean.getThreadInfo(bean.getAllThreadIds())) {
       for (int g = 0; t != null && g < cores.length; g++) {
-        if (t.getThreadName().startsWith(GROUPS.get(g))) {
+        if (t.getThreadName().startsWith(THREAD_NAME_PREFIXES.get(g))) {
           cores[g] += (double) bean.getThreadCpuTime(t.getThreadId()) / wallNs;
         }
       }
@@ -103,10 +106,10 @@
 
   private Total measure(int cores) throws Exception {
     Path dir = Files.createTempDirectory("hollyslip-bench-");
-    List<Node> started = new ArrayList<>();
+    List<StandinProcess> started = new ArrayList<>();
     try {
       for (int i = 0; i < nodes; i++) {
-        started.add(new Node("node-" + i));
+        started.add(new StandinProcess("node-" + i));
       }
       StringBuilder volumes = new StringBuilder();
       for (int v = 0; v < VOLUMES; v++) {
@@ -117,13 +120,14 @@
       Deployment d = BenchDeployment.load(dir, started.stream().mapToInt(n -> n.address.getPort()).toArray(),
           ", cores = " + cores, volumes.toString());
       Gateway gateway = new Gateway(d);
-      Row[] rows = new Row[VOLUMES];
+      Measurement[] rows = new Measurement[VOLUMES];
       Thread[] clients = new Thread[VOLUMES];
       for (int v = 0; v < VOLUMES; v++) {
         int n = v;
         clients[v] = new Thread(() -> {
           try {
-            rows[n] = RingBench.patient("v" + n, gateway.socket("v" + n), depth, BLOCK, seconds, BYTES,
+            rows[n] = RingBench.measureRingBlocking("v" + n, gateway.socket("v" + n), depth, BLOCK, seconds,
+                BYTES,
                 gateway
                     .lanes()::totals);
           } catch (java.io.IOException e) {
@@ -136,11 +140,11 @@
       for (Thread t : clients) {
         t.join();
       }
-      double[] busy = busy(System.nanoTime() - from);
+      double[] busy = busyCores(System.nanoTime() - from);
       gateway.close();
       return Total.of(Arrays.asList(rows), busy);
     } finally {
-      started.forEach(Node::close);
+      started.forEach(StandinProcess::close);
     }
   }
 }
--- a/src/main/java/hollyslip/load/Day.java
+++ b/src/main/java/hollyslip/load/Day.java
@@ -17,7 +17,7 @@
  *          gateway processes
  * @param lanes
  *          cores of each
- * @param example
+ * @param exampleSettings
  *          whether the settings that ship are run, with their volumes and plans
  * @param nodes
  *          the stand-ins
@@ -27,8 +27,8 @@
  *          volumes and their load
  * @param troubles
  *          what goes wrong, by time */
-public record Day(double seconds, long seed, int gateways, int lanes, boolean example, Nodes nodes,
-    Map<String, Map<String, Double>> plans, List<Load> volumes, List<Trouble> troubles) {
+public record Day(double seconds, long seed, int gateways, int lanes, boolean exampleSettings, Nodes nodes,
+    Map<String, Map<String, Double>> plans, List<VolumeLoad> volumes, List<Disturbance> troubles) {
 
   /** The stand-ins: all alike but for their seeds. For the emulator alone: {@code netUs} is one way on the
    * network, drawn from half to one and a half of it; {@code engineUs} what one request costs a gateway's
@@ -37,21 +37,24 @@
 
   /** A volume and what its clients ask: {@code rate} requests a second over all its gateways, {@code hosts}
    * of them (0: all) from the {@code first} on; {@code spread}: over how many shards it lies, 0: all. */
-  public record Load(String volume, String plan, int sizeMib, double rate, double reads, int mostBlocks,
-      int depth, int clients, ArrivalProcess.Shape shape, int hosts, int spread, int first) {
-    private Load times(double factor) {
-      return new Load(volume, plan, sizeMib, rate * factor, reads, mostBlocks, depth, clients, shape, hosts,
-          spread,
-          first);
+  public record VolumeLoad(String volume, String plan, int sizeMib, double rate, double readFraction,
+      int maxBlocks,
+      int depth, int clients, ArrivalProcess.Shape shape, int maxGateways, int maxShards, int firstGateway) {
+    private VolumeLoad scaledBy(double factor) {
+      return new VolumeLoad(volume, plan, sizeMib, rate * factor, readFraction, maxBlocks, depth, clients,
+          shape, maxGateways,
+          maxShards,
+          firstGateway);
     }
 
-    private String text() {
+    private String toText() {
       return "volume " + volume + " plan " + plan + " size-mib " + sizeMib + " rate " + rate + " reads "
-          + reads
-          + " most-blocks " + mostBlocks + " depth " + depth + " clients " + clients + " shape " + shape
-              .word()
-          + " period " + shape.periodS() + " swing " + shape.swing() + " hosts " + hosts + " spread " + spread
-          + " first " + first;
+          + readFraction
+          + " most-blocks " + maxBlocks + " depth " + depth + " clients " + clients + " shape " + shape
+              .keyword()
+          + " period " + shape.periodS() + " swing " + shape.swing() + " hosts " + maxGateways + " spread "
+          + maxShards
+          + " first " + firstGateway;
     }
   }
 
@@ -65,20 +68,21 @@
    *          name of a node, volume or plan; empty: drawn by {@code part}
    * @param seconds
    *          how long it lasts
-   * @param part
+   * @param fraction
    *          part of the nodes or volumes struck
    * @param size
    *          how bad, as the kind says */
-  public record Trouble(double at, String kind, String target, double seconds, double part, double size) {
+  public record Disturbance(double at, String kind, String target, double seconds, double fraction,
+      double size) {
     /** How long after it was told to drain a preempted node dies, s: always before it is back. */
-    public double preemptedAfter() {
+    public double killDelaySeconds() {
       return Math.min(2, seconds / 2);
     }
 
-    private String text() {
+    private String toText() {
       return "at " + at + " " + kind + (target.isEmpty() ? "" : " target " + target) + " for " + seconds
           + " part "
-          + part + " size " + size;
+          + fraction + " size " + size;
     }
   }
 
@@ -89,23 +93,23 @@
       "full", "client-vanish", "partition");
 
   /** Kinds of which {@code target} is a volume or a plan; that of others is a node. */
-  public static final Set<String> AT_LOAD = Set.of("plan-burst", "volume-burst", "retry-abuse",
+  public static final Set<String> LOAD_KINDS = Set.of("plan-burst", "volume-burst", "retry-abuse",
       "client-vanish");
 
   /** Kinds that only the emulator plays. */
-  public static final Set<String> EMULATED = Set.of("partition");
+  public static final Set<String> EMULATOR_ONLY_KINDS = Set.of("partition");
 
-  /** What a description may name; sockets reach {@link #MOST_ON_SOCKETS} of each only. */
-  private static final int MOST_NODES = 1_000, MOST_GATEWAYS = 5_000;
-  private static final int MOST_ON_SOCKETS = 64;
+  /** What a description may name; sockets reach {@link #MAX_ON_SOCKETS} of each only. */
+  private static final int MAX_NODES = 1_000, MAX_GATEWAYS = 5_000;
+  private static final int MAX_ON_SOCKETS = 64;
 
-  private static final Set<String> NODE_WORDS = Set.of("count", "cores", "queue", "base-us", "net-us",
+  private static final Set<String> NODE_KEYS = Set.of("count", "cores", "queue", "base-us", "net-us",
       "engine-us");
-  private static final Set<String> PLAN_WORDS = Set.of("rate", "reserve", "weight", "price", "limit",
+  private static final Set<String> PLAN_KEYS = Set.of("rate", "reserve", "weight", "price", "limit",
       "limit-burst", "limit-slack");
-  private static final Set<String> VOLUME_WORDS = Set.of("plan", "size-mib", "rate", "reads", "most-blocks",
+  private static final Set<String> VOLUME_KEYS = Set.of("plan", "size-mib", "rate", "reads", "most-blocks",
       "depth", "clients", "period", "swing", "hosts", "spread", "first", "copies");
-  private static final Set<String> TROUBLE_WORDS = Set.of("target", "for", "part", "size");
+  private static final Set<String> DISTURBANCE_KEYS = Set.of("target", "for", "part", "size");
 
   /** Text that is not a day; names the line. */
   public static final class Wrong extends IllegalArgumentException {
@@ -116,20 +120,20 @@
 
   /** Reads a day. */
   public static Day parse(String text) {
-    return new Reader().read(text);
+    return new Parser().parse(text);
   }
 
   /** Checks that it can be played over sockets.
    *
    * @throws IllegalArgumentException
    *           it is too large, or has trouble that only the emulator plays */
-  public void onSockets() {
-    if (nodes.count() > MOST_ON_SOCKETS || gateways > MOST_ON_SOCKETS) {
-      throw new IllegalArgumentException("at most " + MOST_ON_SOCKETS
+  public void checkPlayableOverSockets() {
+    if (nodes.count() > MAX_ON_SOCKETS || gateways > MAX_ON_SOCKETS) {
+      throw new IllegalArgumentException("at most " + MAX_ON_SOCKETS
           + " nodes and gateways are played over sockets; hollyslip emulate plays more");
     }
-    for (Trouble t : troubles) {
-      if (EMULATED.contains(t.kind())) {
+    for (Disturbance t : troubles) {
+      if (EMULATOR_ONLY_KINDS.contains(t.kind())) {
         throw new IllegalArgumentException("trouble '" + t.kind() + "' at " + t.at()
             + " is played by hollyslip emulate only");
       }
@@ -140,7 +144,7 @@
   public String text() {
     StringBuilder s = new StringBuilder();
     s.append("day ").append(seconds).append("\nseed ").append(seed).append("\ngateways ").append(gateways);
-    s.append("\nlanes ").append(lanes).append(example ? "\nsettings example" : "");
+    s.append("\nlanes ").append(lanes).append(exampleSettings ? "\nsettings example" : "");
     s.append("\nnodes count ")
         .append(nodes.count())
         .append(" cores ")
@@ -157,51 +161,51 @@
       new java.util.TreeMap<>(figures).forEach((k, v) -> s.append(' ').append(k).append(' ').append(v));
       s.append('\n');
     });
-    volumes.forEach(v -> s.append(v.text()).append('\n'));
-    troubles.forEach(t -> s.append(t.text()).append('\n'));
+    volumes.forEach(v -> s.append(v.toText()).append('\n'));
+    troubles.forEach(t -> s.append(t.toText()).append('\n'));
     return s.toString();
   }
 
   /** The same day with other troubles, in order of time. */
-  public Day with(List<Trouble> others) {
-    List<Trouble> sorted = new ArrayList<>(others);
-    sorted.sort(java.util.Comparator.comparingDouble(Trouble::at));
-    return new Day(seconds, seed, gateways, lanes, example, nodes, plans, volumes, sorted);
+  public Day with(List<Disturbance> others) {
+    List<Disturbance> sorted = new ArrayList<>(others);
+    sorted.sort(java.util.Comparator.comparingDouble(Disturbance::at));
+    return new Day(seconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes, sorted);
   }
 
   /** Clients of a volume, over all its gateways. */
-  public int clients(Load v) {
-    return v.clients() * through(v);
+  public int clientCount(VolumeLoad v) {
+    return v.clients() * gatewayCount(v);
   }
 
   /** Through how many gateways a volume's requests come. */
-  public int through(Load v) {
-    return v.hosts() == 0 ? gateways : Math.min(v.hosts(), gateways);
+  public int gatewayCount(VolumeLoad v) {
+    return v.maxGateways() == 0 ? gateways : Math.min(v.maxGateways(), gateways);
   }
 
   /** Gateway of one of its clients. */
-  public int gateway(Load v, int client) {
-    return (v.first() + client % through(v)) % gateways;
+  public int gatewayOf(VolumeLoad v, int client) {
+    return (v.firstGateway() + client % gatewayCount(v)) % gateways;
   }
 
   /** The same day with so many times the load. */
   public Day times(double factor) {
-    return new Day(seconds, seed, gateways, lanes, example, nodes, plans, volumes.stream()
-        .map(v -> v.times(factor))
+    return new Day(seconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes.stream()
+        .map(v -> v.scaledBy(factor))
         .toList(), troubles);
   }
 
   /** The same day with a load of so many seconds. */
   public Day lasting(double s) {
-    return new Day(s, seed, gateways, lanes, example, nodes, plans, volumes, troubles);
+    return new Day(s, seed, gateways, lanes, exampleSettings, nodes, plans, volumes, troubles);
   }
 
   /** The same day drawn from another seed. */
   public Day with(long otherSeed) {
-    return new Day(seconds, otherSeed, gateways, lanes, example, nodes, plans, volumes, troubles);
+    return new Day(seconds, otherSeed, gateways, lanes, exampleSettings, nodes, plans, volumes, troubles);
   }
 
-  private static final class Reader {
+  private static final class Parser {
     private double seconds = 60;
     private long seed = 1;
     private int gateways = 1;
@@ -209,112 +213,115 @@
     private boolean example;
     private Nodes nodes = new Nodes(6, 4, 64, 1_000, 40, 9);
     private final Map<String, Map<String, Double>> plans = new java.util.LinkedHashMap<>();
-    private final List<Load> volumes = new ArrayList<>();
-    private final List<Trouble> troubles = new ArrayList<>();
-    private int line;
+    private final List<VolumeLoad> volumes = new ArrayList<>();
+    private final List<Disturbance> troubles = new ArrayList<>();
+    private int lineNumber;
 
-    Day read(String text) {
+    Day parse(String text) {
       for (String raw : text.split("\n", -1)) {
-        line++;
+        lineNumber++;
         String[] words = raw.replaceFirst("#.*", "").strip().split("\\s+");
         if (!words[0].isEmpty()) {
-          fact(words);
+          parseLine(words);
         }
       }
-      for (Load l : volumes) {
+      for (VolumeLoad l : volumes) {
         if (!example && !plans.containsKey(l.plan())) {
-          throw new Wrong(line, "volume " + l.volume() + ": plan " + l.plan() + " is not given");
+          throw new Wrong(lineNumber, "volume " + l.volume() + ": plan " + l.plan() + " is not given");
         }
       }
       if (volumes.isEmpty()) {
-        throw new Wrong(line, "no volume is given");
+        throw new Wrong(lineNumber, "no volume is given");
       }
-      troubles.sort(java.util.Comparator.comparingDouble(Trouble::at));
+      troubles.sort(java.util.Comparator.comparingDouble(Disturbance::at));
       return new Day(seconds, seed, gateways, lanes, example, nodes, plans, volumes, troubles);
     }
 
-    private void fact(String[] w) {
+    private void parseLine(String[] w) {
       switch (w[0]) {
-        case "day" -> seconds = number(w, 1, 1, 86_400);
-        case "seed" -> seed = (long) number(w, 1, 0, 1e15);
-        case "gateways" -> gateways = (int) number(w, 1, 1, MOST_GATEWAYS);
-        case "lanes" -> lanes = (int) number(w, 1, 1, 16);
+        case "day" -> seconds = parseNumber(w, 1, 1, 86_400);
+        case "seed" -> seed = (long) parseNumber(w, 1, 0, 1e15);
+        case "gateways" -> gateways = (int) parseNumber(w, 1, 1, MAX_GATEWAYS);
+        case "lanes" -> lanes = (int) parseNumber(w, 1, 1, 16);
         case "settings" -> {
           if (w.length != 2 || !w[1].equals("example")) {
-            throw new Wrong(line, "settings: only 'example' is known");
+            throw new Wrong(lineNumber, "settings: only 'example' is known");
           }
           example = true;
         }
         case "nodes" -> {
-          Map<String, Double> f = figures(w, 1, NODE_WORDS);
+          Map<String, Double> f = parseNumbers(w, 1, NODE_KEYS);
           nodes = new Nodes(f.getOrDefault("count", 6.0).intValue(), f.getOrDefault("cores", 4.0).intValue(),
               f.getOrDefault("queue", 64.0).intValue(), f.getOrDefault("base-us", 1_000.0).longValue(), f
                   .getOrDefault("net-us", 40.0)
                   .longValue(), f.getOrDefault("engine-us", 9.0));
-          if (nodes.count() < 1 || nodes.count() > MOST_NODES) {
-            throw new Wrong(line, "nodes: count must be from 1 to " + MOST_NODES);
+          if (nodes.count() < 1 || nodes.count() > MAX_NODES) {
+            throw new Wrong(lineNumber, "nodes: count must be from 1 to " + MAX_NODES);
           }
         }
-        case "plan" -> plans.put(name(w), figures(w, 2, PLAN_WORDS));
-        case "volume" -> volume(w);
-        case "at" -> trouble(w);
-        default -> throw new Wrong(line, "'" + w[0] + "' is not known");
+        case "plan" -> plans.put(parseName(w), parseNumbers(w, 2, PLAN_KEYS));
+        case "volume" -> parseVolume(w);
+        case "at" -> parseDisturbance(w);
+        default -> throw new Wrong(lineNumber, "'" + w[0] + "' is not known");
       }
     }
 
-    private void volume(String[] w) {
-      String plan = take(w, "plan");
+    private void parseVolume(String[] w) {
+      String plan = extractValue(w, "plan");
       ArrivalProcess.Shape shape;
-      String word = take(w, "shape");
-      Map<String, Double> f = figures(w, 2, VOLUME_WORDS);
+      String word = extractValue(w, "shape");
+      Map<String, Double> f = parseNumbers(w, 2, VOLUME_KEYS);
       try {
         shape = ArrivalProcess.Shape.of(word, f.getOrDefault("period", 0.0), f.getOrDefault("swing", 0.0));
       } catch (IllegalArgumentException e) {
-        throw new Wrong(line, "volume " + w[1] + ": " + e.getMessage());
+        throw new Wrong(lineNumber, "volume " + w[1] + ": " + e.getMessage());
       }
       int copies = f.getOrDefault("copies", 1.0).intValue();
       if (copies < 1 || copies > 100_000) {
-        throw new Wrong(line, "volume " + w[1] + ": copies must be from 1 to 100,000");
+        throw new Wrong(lineNumber, "volume " + w[1] + ": copies must be from 1 to 100,000");
       }
       int hosts = f.getOrDefault("hosts", 0.0).intValue();
       int first = f.getOrDefault("first", 0.0).intValue();
       for (int i = 0; i < copies; i++) {
-        volumes.add(new Load(copies == 1 ? name(w) : name(w) + "-" + i, plan, f.getOrDefault("size-mib", 24.0)
+        volumes.add(new VolumeLoad(copies == 1 ? parseName(w) : parseName(w) + "-" + i, plan, f.getOrDefault(
+            "size-mib", 24.0)
             .intValue(), f.getOrDefault("rate", 50.0), f.getOrDefault("reads", 0.6), f.getOrDefault(
                 "most-blocks",
                 4.0).intValue(), f.getOrDefault("depth", 64.0).intValue(), f.getOrDefault("clients", 1.0)
                     .intValue(),
             shape, hosts, f.getOrDefault("spread", 0.0).intValue(), first + i * hosts));
       }
-      Load l = volumes.get(volumes.size() - 1);
-      if (!(l.rate() > 0) || l.mostBlocks() < 1 || l.mostBlocks() > 256 || l.depth() < 1 || l.depth() > 512
+      VolumeLoad l = volumes.get(volumes.size() - 1);
+      if (!(l.rate() > 0) || l.maxBlocks() < 1 || l.maxBlocks() > 256 || l.depth() < 1 || l.depth() > 512
           || l.clients() < 1 || l.sizeMib() < 1 || l.sizeMib() > 1_024) {
-        throw new Wrong(line, "volume " + l.volume() + ": a figure is out of range");
+        throw new Wrong(lineNumber, "volume " + l.volume() + ": a figure is out of range");
       }
     }
 
-    private void trouble(String[] w) {
-      double at = number(w, 1, 0, 86_400);
+    private void parseDisturbance(String[] w) {
+      double at = parseNumber(w, 1, 0, 86_400);
       String kind = w.length > 2 ? w[2] : "";
       if (!KINDS.contains(kind)) {
-        throw new Wrong(line, "trouble '" + kind + "' is not known; known are " + new java.util.TreeSet<>(
-            KINDS));
+        throw new Wrong(lineNumber, "trouble '" + kind + "' is not known; known are "
+            + new java.util.TreeSet<>(
+                KINDS));
       }
-      String target = take(w, "target");
-      Map<String, Double> f = figures(w, 3, TROUBLE_WORDS);
-      troubles.add(new Trouble(at, kind, target, f.getOrDefault("for", 5.0), f.getOrDefault("part", 0.2), f
-          .getOrDefault("size", 1.0)));
+      String target = extractValue(w, "target");
+      Map<String, Double> f = parseNumbers(w, 3, DISTURBANCE_KEYS);
+      troubles.add(new Disturbance(at, kind, target, f.getOrDefault("for", 5.0), f.getOrDefault("part", 0.2),
+          f
+              .getOrDefault("size", 1.0)));
     }
 
-    private String name(String[] w) {
+    private String parseName(String[] w) {
       if (w.length < 2 || !w[1].matches("[A-Za-z0-9][A-Za-z0-9._-]*")) {
-        throw new Wrong(line, w[0] + ": a name must follow");
+        throw new Wrong(lineNumber, w[0] + ": a name must follow");
       }
       return w[1];
     }
 
     /** The word after {@code key}, which is taken out of the line. */
-    private static String take(String[] w, String key) {
+    private static String extractValue(String[] w, String key) {
       for (int i = 1; i + 1 < w.length; i++) {
         if (w[i].equals(key)) {
           String value = w[i + 1];
@@ -326,22 +333,22 @@
       return "";
     }
 
-    private Map<String, Double> figures(String[] w, int from, Set<String> known) {
+    private Map<String, Double> parseNumbers(String[] w, int from, Set<String> known) {
       Map<String, Double> found = new HashMap<>();
       for (int i = from; i < w.length; i++) {
         if (w[i].isEmpty()) {
           continue;
         }
         if (!known.contains(w[i])) {
-          throw new Wrong(line, w[0] + ": '" + w[i] + "' is not known");
+          throw new Wrong(lineNumber, w[0] + ": '" + w[i] + "' is not known");
         }
-        found.put(w[i], number(w, i + 1, 0, 1e12));
+        found.put(w[i], parseNumber(w, i + 1, 0, 1e12));
         i++;
       }
       return found;
     }
 
-    private double number(String[] w, int i, double least, double most) {
+    private double parseNumber(String[] w, int i, double least, double most) {
       String word = i < w.length ? w[i] : "nothing";
       try {
         double n = Double.parseDouble(word);
@@ -349,9 +356,9 @@
           return n;
         }
       } catch (NumberFormatException e) {
-        throw new Wrong(line, w[0] + ": a number must stand where '" + word + "' does");
+        throw new Wrong(lineNumber, w[0] + ": a number must stand where '" + word + "' does");
       }
-      throw new Wrong(line, w[0] + ": " + word + " is not from " + least + " to " + most);
+      throw new Wrong(lineNumber, w[0] + ": " + word + " is not from " + least + " to " + most);
     }
   }
 }
--- a/src/main/java/hollyslip/load/LatencyLog.java
+++ b/src/main/java/hollyslip/load/LatencyLog.java
@@ -16,23 +16,23 @@
 /** Latencies by tag and second, kept as HdrHistogram interval logs: those of several processes merge into the
  * figures that one would have had. Safe for several threads. */
 public final class LatencyLog {
-  private static final long MOST_US = 3_600_000_000L;
+  private static final long MAX_LATENCY_US = 3_600_000_000L;
 
   private final Map<String, TreeMap<Long, Histogram>> byTag = new TreeMap<>();
 
   /** One latency of a request that was due in a second of the run. */
   public synchronized void add(String tag, long second, long us) {
-    at(tag, second).recordValue(Math.max(0, Math.min(us, MOST_US)));
+    interval(tag, second).recordValue(Math.max(0, Math.min(us, MAX_LATENCY_US)));
   }
 
-  private Histogram at(String tag, long second) {
+  private Histogram interval(String tag, long second) {
     return byTag.computeIfAbsent(tag, k -> new TreeMap<>())
-        .computeIfAbsent(second, k -> new Histogram(MOST_US, 3));
+        .computeIfAbsent(second, k -> new Histogram(MAX_LATENCY_US, 3));
   }
 
   /** Adds all that another holds. */
   public synchronized void add(LatencyLog other) {
-    other.byTag.forEach((tag, seconds) -> seconds.forEach((s, h) -> at(tag, s).add(h)));
+    other.byTag.forEach((tag, seconds) -> seconds.forEach((s, h) -> interval(tag, s).add(h)));
   }
 
   /** All seconds of a tag as one; null: there is none. */
@@ -41,7 +41,7 @@
     if (seconds == null) {
       return null;
     }
-    Histogram sum = new Histogram(MOST_US, 3);
+    Histogram sum = new Histogram(MAX_LATENCY_US, 3);
     seconds.values().forEach(sum::add);
     return sum;
   }
@@ -90,7 +90,7 @@
         if (!(e instanceof Histogram h)) {
           throw new IOException(file + ": interval " + n + " is no histogram of integers");
         }
-        log.at(h.getTag() == null ? "" : h.getTag(), h.getStartTimeStamp() / 1_000).add(h);
+        log.interval(h.getTag() == null ? "" : h.getTag(), h.getStartTimeStamp() / 1_000).add(h);
       }
     } catch (RuntimeException e) {
       throw new IOException(file + ": interval " + (n + 1) + ": " + e.getMessage(), e);
--- a/src/main/java/hollyslip/load/LoadBench.java
+++ b/src/main/java/hollyslip/load/LoadBench.java
@@ -23,11 +23,11 @@
 
   /** Answers at the next look. */
   private static final class Echo implements OpenLoop.Target {
-    private final ArrayDeque<OpenLoop.Shot> out = new ArrayDeque<>();
+    private final ArrayDeque<OpenLoop.ScheduledRequest> inFlight = new ArrayDeque<>();
 
     @Override
-    public boolean submit(OpenLoop.Shot shot) {
-      return out.add(shot);
+    public boolean submit(OpenLoop.ScheduledRequest shot) {
+      return inFlight.add(shot);
     }
 
     @Override
@@ -37,15 +37,15 @@
 
     @Override
     public int poll() {
-      int n = out.size();
+      int n = inFlight.size();
       for (int i = 0; i < n; i++) {
-        out.poll().answered(OpenLoop.End.SERVED);
+        inFlight.poll().complete(OpenLoop.End.SERVED);
       }
       return n;
     }
 
     @Override
-    public void idle(long untilUs) {
+    public void awaitAnswers(long untilUs) {
       Thread.onSpinWait();
     }
 
@@ -61,25 +61,28 @@
         "late p99.9 ms", "valid");
     for (int rate : rates) {
       for (int r = 0; r < rounds; r++) {
-        one(rate, r);
+        measure(rate, r);
       }
     }
   }
 
-  private void one(int rate, int round) throws InterruptedException {
-    Day.Load load = new Day.Load("v", "p", 64, rate, 0.5, 4, 64, threads, ArrivalProcess.Shape.POISSON, 0, 0, 0);
+  private void measure(int rate, int round) throws InterruptedException {
+    Day.VolumeLoad load = new Day.VolumeLoad("v", "p", 64, rate, 0.5, 4, 64, threads,
+        ArrivalProcess.Shape.POISSON, 0, 0, 0);
     long start = LoadRun.soon();
-    List<OpenLoop.Ran> ran = new ArrayList<>();
+    List<OpenLoop.Stats> ran = new ArrayList<>();
     List<Thread> all = new ArrayList<>();
     for (int t = 0; t < threads; t++) {
       long seed = 100L * round + t;
       LatencyLog log = new LatencyLog();
-      OpenLoop loop = new OpenLoop(new ArrivalProcess(load.shape(), (double) rate / threads, seed), new RequestMix(
-          load, t,
-          threads, 64 << 20, seed), new Echo(), false, d -> log.add("p", (d.dueUs() - start) / 1_000_000, d
-              .tookUs()));
+      OpenLoop loop = new OpenLoop(new ArrivalProcess(load.shape(), (double) rate / threads, seed),
+          new RequestMix(
+              load, t,
+              threads, 64 << 20, seed), new Echo(), false, d -> log.add("p", (d.dueUs() - start) / 1_000_000,
+                  d
+                      .latencyUs()));
       Thread thread = new Thread(() -> {
-        OpenLoop.Ran mine = loop.run(start, (long) (seconds * 1e6));
+        OpenLoop.Stats mine = loop.run(start, (long) (seconds * 1e6));
         synchronized (ran) {
           ran.add(mine);
         }
@@ -92,7 +95,7 @@
     }
     Histogram late = new Histogram(60_000_000L, 3);
     ran.forEach(r -> late.add(r.lateness()));
-    long answered = ran.stream().mapToLong(OpenLoop.Ran::answered).sum();
+    long answered = ran.stream().mapToLong(OpenLoop.Stats::answered).sum();
     System.out.printf(Locale.ROOT, "%10d %8d %14.0f %14.3f %14.3f %8s%n", rate, threads, answered / seconds,
         late
             .getValueAtPercentile(99) / 1e3, late.getValueAtPercentile(99.9) / 1e3, late.getValueAtPercentile(
--- a/src/main/java/hollyslip/load/LoadRun.java
+++ b/src/main/java/hollyslip/load/LoadRun.java
@@ -17,16 +17,17 @@
 public final class LoadRun {
   /** What a run is.
    *
-   * @param sockets
+   * @param socketDirs
    *          folder of the volumes' sockets, one a gateway
    * @param process
    *          number of this process among {@code processes}
    * @param startUs
    *          when the schedule begins, on the machine's monotonic clock
-   * @param latenessUs
+   * @param maxLatenessUs
    *          generators that come later than this to one in a thousand make the run not valid */
-  public record Config(Day day, List<Path> sockets, int process, int processes, long startUs, boolean closed,
-      long latenessUs) {}
+  public record Config(Day day, List<Path> socketDirs, int process, int processes, long startUs,
+      boolean closedLoop,
+      long maxLatenessUs) {}
 
   /** What came of it; {@code lateness} over all clients. */
   public record Result(LatencyLog log, Map<OpenLoop.End, Long> ends, Histogram lateness, long due,
@@ -41,33 +42,33 @@
   private final class Client implements Runnable {
     final OpenLoop loop;
     final RingTarget target;
-    OpenLoop.Ran ran;
+    OpenLoop.Stats stats;
     /** Its own, merged at the end: threads that wait for one another would be late. */
-    final LatencyLog mine = new LatencyLog();
+    final LatencyLog ownLog = new LatencyLog();
 
-    Client(Day.Load v, int number, int all, long seed) throws IOException {
-      Path socket = config.sockets()
-          .get(config.day().gateway(v, number) % config.sockets().size())
+    Client(Day.VolumeLoad v, int number, int all, long seed) throws IOException {
+      Path socket = config.socketDirs()
+          .get(config.day().gatewayOf(v, number) % config.socketDirs().size())
           .resolve(v.volume() + ".sock");
-      target = new RingTarget(socket, v.depth(), v.mostBlocks() * 4_096);
+      target = new RingTarget(socket, v.depth(), v.maxBlocks() * 4_096);
       SplittableRandom seeds = new SplittableRandom(seed);
       RequestMix mix = new RequestMix(v, number, all, (long) v.sizeMib() << 20, seeds.nextLong());
       ArrivalProcess arrivals = new ArrivalProcess(v.shape(), v.rate() / all, seeds.nextLong());
       String reads = v.plan() + ".read";
       String writes = v.plan() + ".write";
-      loop = new OpenLoop(arrivals, mix, target, config.closed(), d -> {
+      loop = new OpenLoop(arrivals, mix, target, config.closedLoop(), d -> {
         ends.get(d.end()).incrementAndGet();
         if (d.end() == OpenLoop.End.SERVED) {
-          mine.add(d.ask().kind() == IoKind.READ ? reads : writes, (d.dueUs() - config
-              .startUs()) / 1_000_000, d.tookUs());
+          ownLog.add(d.operation().kind() == IoKind.READ ? reads : writes, (d.dueUs() - config
+              .startUs()) / 1_000_000, d.latencyUs());
         }
       });
     }
 
     @Override
     public void run() {
-      ran = loop.run(config.startUs(), (long) (config.day().seconds() * 1e6));
-      log.add(mine);
+      stats = loop.run(config.startUs(), (long) (config.day().seconds() * 1e6));
+      log.add(ownLog);
       target.close();
     }
   }
@@ -79,8 +80,8 @@
     }
     SplittableRandom random = new SplittableRandom(config.day().seed());
     int n = 0;
-    for (Day.Load v : config.day().volumes()) {
-      int all = config.day().clients(v);
+    for (Day.VolumeLoad v : config.day().volumes()) {
+      int all = config.day().clientCount(v);
       for (int c = 0; c < all; c++) {
         long seed = random.nextLong();
         if (n++ % config.processes() == config.process()) {
@@ -105,19 +106,19 @@
     Histogram lateness = new Histogram(60_000_000L, 3);
     long due = 0, got = 0, waited = 0;
     for (Client c : clients) {
-      if (c.ran == null) {
+      if (c.stats == null) {
         throw new IllegalStateException("a client ended with a fault; see the log");
       }
-      lateness.add(c.ran.lateness());
-      due += c.ran.due();
-      got += c.ran.answered();
-      waited += c.ran.waited();
+      lateness.add(c.stats.lateness());
+      due += c.stats.due();
+      got += c.stats.answered();
+      waited += c.stats.waited();
     }
     Map<OpenLoop.End, Long> counted = new EnumMap<>(OpenLoop.End.class);
     ends.forEach((e, count) -> counted.put(e, count.get()));
-    return new Result(log, counted, lateness, due, got, waited, new OpenLoop.Ran(due, got, lateness, waited)
+    return new Result(log, counted, lateness, due, got, waited, new OpenLoop.Stats(due, got, lateness, waited)
         .valid(
-            config.latenessUs()));
+            config.maxLatenessUs()));
   }
 
   /** A start soon enough for all clients to be there. */
--- a/src/main/java/hollyslip/load/ModuleBench.java
+++ b/src/main/java/hollyslip/load/ModuleBench.java
@@ -13,7 +13,7 @@
 
 /** What a request costs the decision module alone, by how many wait in it. */
 public final class ModuleBench {
-  private static final int COUNTED = 200_000;
+  private static final int MEASURED_REQUESTS = 200_000;
 
   private final int rounds;
 
@@ -40,8 +40,9 @@
 
   /** As many come as are answered, so that as many wait all the time. */
   private static double measure(int volumes, int held) throws IOException {
-    TokenBorrowingScheduler choice = new TokenBorrowingScheduler(BenchDeployment.load(Files.createTempDirectory(
-        "hollyslip-bench-"), new int[]{1, 2},
+    TokenBorrowingScheduler choice = new TokenBorrowingScheduler(BenchDeployment.load(Files
+        .createTempDirectory(
+            "hollyslip-bench-"), new int[]{1, 2},
         ", hosted = True", "").module());
     List<HostScheduler.Action> actions = new ArrayList<>();
     ArrayDeque<HostScheduler.Send> out = new ArrayDeque<>();
@@ -50,8 +51,8 @@
         new NodeEntry(2, "a", 1, NodeState.ON, 0))), actions::add);
     long id = 0;
     long from = 0;
-    for (int i = -held; i < 2 * COUNTED; i++) {
-      if (i == COUNTED) {
+    for (int i = -held; i < 2 * MEASURED_REQUESTS; i++) {
+      if (i == MEASURED_REQUESTS) {
         from = System.nanoTime();
       }
       now += 10;
@@ -71,7 +72,7 @@
         }
       }
     }
-    double ns = (double) (System.nanoTime() - from) / COUNTED;
+    double ns = (double) (System.nanoTime() - from) / MEASURED_REQUESTS;
     java.lang.ref.Reference.reachabilityFence(choice);
     return ns;
   }
--- a/src/main/java/hollyslip/load/OpenLoop.java
+++ b/src/main/java/hollyslip/load/OpenLoop.java
@@ -11,8 +11,8 @@
 public final class OpenLoop {
   /** Where requests go. */
   public interface Target {
-    /** Hands one in; false: no room. {@link Shot#answered} is called from {@link #poll}. */
-    boolean submit(Shot shot);
+    /** Hands one in; false: no room. {@link ScheduledRequest#complete} is called from {@link #poll}. */
+    boolean submit(ScheduledRequest shot);
 
     /** Tells of what was handed in since the last call. */
     void flush();
@@ -21,7 +21,7 @@
     int poll();
 
     /** Waits for an answer, until then at the latest, us. */
-    void idle(long untilUs);
+    void awaitAnswers(long untilUs);
 
     /** The clock, us. */
     long now();
@@ -33,19 +33,19 @@
   }
 
   /** A request. */
-  public static final class Shot {
-    public final RequestMix.Ask ask;
+  public static final class ScheduledRequest {
+    public final RequestMix.Operation operation;
     private final OpenLoop loop;
     private final long dueUs;
 
-    private Shot(OpenLoop loop, RequestMix.Ask ask, long dueUs) {
+    private ScheduledRequest(OpenLoop loop, RequestMix.Operation ask, long dueUs) {
       this.loop = loop;
-      this.ask = ask;
+      this.operation = ask;
       this.dueUs = dueUs;
     }
 
     /** Its answer has come. */
-    public void answered(End end) {
+    public void complete(End end) {
       loop.answered(this, end);
     }
 
@@ -56,7 +56,7 @@
   }
 
   /** One answer, for whoever keeps them: {@code dueUs} and {@code tookUs} from when the request was due. */
-  public record Done(RequestMix.Ask ask, End end, long dueUs, long tookUs) {}
+  public record Completion(RequestMix.Operation operation, End end, long dueUs, long latencyUs) {}
 
   /** What came of a run.
    *
@@ -68,7 +68,7 @@
    *          how late the generator came to each, us
    * @param waited
    *          requests that found no room at the target when they were due */
-  public record Ran(long due, long answered, Histogram lateness, long waited) {
+  public record Stats(long due, long answered, Histogram lateness, long waited) {
     /** Whether its figures can be believed: the generator's lateness, at 99.9 of a hundred, within the
      * bound. */
     public boolean valid(long mostUs) {
@@ -77,15 +77,15 @@
   }
 
   /** How long answers are waited for after the last request, us. */
-  private static final long PATIENCE_US = 10_000_000;
+  private static final long DRAIN_TIMEOUT_US = 10_000_000;
 
   private final ArrivalProcess arrivals;
   private final RequestMix mix;
   private final Target target;
-  private final boolean closed;
-  private final Consumer<Done> keeper;
+  private final boolean closedLoop;
+  private final Consumer<Completion> listener;
   private final Histogram lateness = new Histogram(60_000_000L, 3);
-  private final ArrayDeque<Shot> backlog = new ArrayDeque<>();
+  private final ArrayDeque<ScheduledRequest> backlog = new ArrayDeque<>();
   private volatile boolean stopping;
   private long due, answered, waited;
 
@@ -93,12 +93,13 @@
    *          the baseline that hides stalls: one request at a time, and its latency from when it was sent
    * @param keeper
    *          hears of every answer */
-  public OpenLoop(ArrivalProcess arrivals, RequestMix mix, Target target, boolean closed, Consumer<Done> keeper) {
+  public OpenLoop(ArrivalProcess arrivals, RequestMix mix, Target target, boolean closed,
+      Consumer<Completion> keeper) {
     this.arrivals = arrivals;
     this.mix = mix;
     this.target = target;
-    this.closed = closed;
-    this.keeper = keeper;
+    this.closedLoop = closed;
+    this.listener = keeper;
   }
 
   /** Asks nothing more; {@link #run} ends when all is answered. From any thread. */
@@ -110,33 +111,33 @@
    *
    * @param startUs
    *          the same for all processes that steer to one schedule */
-  public Ran run(long startUs, long lengthUs) {
-    long next = startUs + arrivals.next(1);
+  public Stats run(long startUs, long lengthUs) {
+    long next = startUs + arrivals.nextDueUs(1);
     long end = startUs + lengthUs;
     while (next < end && !stopping) {
       target.poll();
       long now = target.now();
-      while (next <= now && next < end && !(closed && due > answered)) {
+      while (next <= now && next < end && !(closedLoop && due > answered)) {
         lateness.recordValue(Math.min(now - next, lateness.getHighestTrackableValue()));
-        backlog.add(new Shot(this, mix.next(false), closed ? now : next));
+        backlog.add(new ScheduledRequest(this, mix.next(false), closedLoop ? now : next));
         due++;
-        next = startUs + arrivals.next(1);
-        if (closed) {
+        next = startUs + arrivals.nextDueUs(1);
+        if (closedLoop) {
           next = Math.max(next, now);
         }
       }
-      handIn();
+      submitBacklog();
       target.flush();
       if (target.poll() == 0) {
-        target.idle(closed && due > answered ? end : next);
+        target.awaitAnswers(closedLoop && due > answered ? end : next);
       }
     }
     drain();
-    return new Ran(due, answered, lateness, waited);
+    return new Stats(due, answered, lateness, waited);
   }
 
-  private void handIn() {
-    for (Shot s = backlog.peek(); s != null; s = backlog.peek()) {
+  private void submitBacklog() {
+    for (ScheduledRequest s = backlog.peek(); s != null; s = backlog.peek()) {
       if (!target.submit(s)) {
         waited++;
         return;
@@ -146,18 +147,18 @@
   }
 
   private void drain() {
-    long until = target.now() + PATIENCE_US;
+    long until = target.now() + DRAIN_TIMEOUT_US;
     while (answered < due && target.now() < until) {
-      handIn();
+      submitBacklog();
       target.flush();
       if (target.poll() == 0) {
-        target.idle(until);
+        target.awaitAnswers(until);
       }
     }
   }
 
-  private void answered(Shot s, End end) {
+  private void answered(ScheduledRequest s, End end) {
     answered++;
-    keeper.accept(new Done(s.ask, end, s.dueUs, target.now() - s.dueUs));
+    listener.accept(new Completion(s.operation, end, s.dueUs, target.now() - s.dueUs));
   }
 }
--- a/src/main/java/hollyslip/load/Profile.java
+++ b/src/main/java/hollyslip/load/Profile.java
@@ -13,12 +13,12 @@
 /** Where a process spends its time: async-profiler's stacks, sampled by timer without privileges, as a table
  * by thread and method and as a flame graph. */
 public final class Profile {
-  private static final int WIDTH = 1600, ROW = 16, LEAST = 2;
+  private static final int WIDTH = 1600, ROW_HEIGHT = 16, MIN_FRAME_WIDTH = 2;
 
   /** A frame of the graph: its name, samples in it and below, and what it called. */
   private static final class Frame {
     long samples;
-    final Map<String, Frame> calls = new TreeMap<>();
+    final Map<String, Frame> callees = new TreeMap<>();
   }
 
   /** Something to be measured. */
@@ -45,11 +45,11 @@
     work.run();
     profiler.execute("stop,file=" + collapsed + ",collapsed,total");
     List<String> lines = Files.readAllLines(collapsed);
-    Files.writeString(folder.resolve(name + ".svg"), svg(tree(lines), name));
+    Files.writeString(folder.resolve(name + ".svg"), svg(callTree(lines), name));
     System.out.print(table(lines));
   }
 
-  private static Frame tree(List<String> lines) {
+  private static Frame callTree(List<String> lines) {
     Frame all = new Frame();
     for (String line : lines) {
       int space = line.lastIndexOf(' ');
@@ -57,7 +57,7 @@
       Frame at = all;
       at.samples += n;
       for (String frame : line.substring(0, space).split(";")) {
-        at = at.calls.computeIfAbsent(frame, k -> new Frame());
+        at = at.callees.computeIfAbsent(frame, k -> new Frame());
         at.samples += n;
       }
     }
@@ -103,14 +103,14 @@
   /** The graph: a row a frame, as wide as its part of the samples. */
   static String svg(Frame all, String title) {
     List<String> boxes = new ArrayList<>();
-    int depth = draw(all, title, 0, WIDTH, 0, Math.max(1, all.samples), boxes);
+    int depth = drawFrame(all, title, 0, WIDTH, 0, Math.max(1, all.samples), boxes);
     StringBuilder s = new StringBuilder(String.format("<svg xmlns='http://www.w3.org/2000/svg' width='%d' "
-        + "height='%d' font-family='monospace' font-size='11'>%n", WIDTH, (depth + 1) * ROW));
+        + "height='%d' font-family='monospace' font-size='11'>%n", WIDTH, (depth + 1) * ROW_HEIGHT));
     boxes.forEach(b -> s.append(b).append('\n'));
     return s.append("</svg>\n").toString();
   }
 
-  private static int draw(Frame f, String name, double x, double width, int row, long all,
+  private static int drawFrame(Frame f, String name, double x, double width, int row, long all,
       List<String> boxes) {
     String safe = name.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("'", "&apos;");
     int chars = (int) (width / 7);
@@ -118,14 +118,15 @@
         "<g><title>%s %.1f%%</title><rect x='%.1f' y='%d' width='%.1f' height='%d' fill='hsl(%d,60%%,70%%)' "
             + "stroke='white' stroke-width='0.5'/><text x='%.1f' y='%d'>%s</text></g>", safe, 100.0
                 * f.samples
-                / all, x, row * ROW, width, ROW, Math.floorMod(name.hashCode(), 60), x + 2, row * ROW + 12,
+                / all, x, row * ROW_HEIGHT, width, ROW_HEIGHT, Math.floorMod(name.hashCode(), 60), x + 2, row
+                    * ROW_HEIGHT + 12,
         chars < 4 ? "" : safe.length() <= chars ? safe : safe.substring(0, chars)));
     int deepest = row;
     double at = x;
-    for (Map.Entry<String, Frame> e : f.calls.entrySet()) {
+    for (Map.Entry<String, Frame> e : f.callees.entrySet()) {
       double w = width * e.getValue().samples / Math.max(1, f.samples);
-      if (w >= LEAST) {
-        deepest = Math.max(deepest, draw(e.getValue(), e.getKey(), at, w, row + 1, all, boxes));
+      if (w >= MIN_FRAME_WIDTH) {
+        deepest = Math.max(deepest, drawFrame(e.getValue(), e.getKey(), at, w, row + 1, all, boxes));
       }
       at += w;
     }
--- a/src/main/java/hollyslip/load/RingBench.java
+++ b/src/main/java/hollyslip/load/RingBench.java
@@ -25,16 +25,18 @@
 /** Reads as fast as they are answered, at a depth: through a ring, or with the node client alone. */
 public final class RingBench {
   /** One measurement: requests a second, latencies in us, bytes allocated and module time a request in ns. */
-  public record Row(String path, int depth, double rate, double p50, double p99, double p999,
+  public record Measurement(String path, int depth, double rate, double p50, double p99, double p999,
       double allocated, double moduleNs) {
     /** Medians, figure by figure. */
-    public static Row median(List<Row> rows) {
-      Row first = rows.get(0);
-      return new Row(first.path, first.depth, mid(rows, Row::rate), mid(rows, Row::p50), mid(rows, Row::p99),
-          mid(rows, Row::p999), mid(rows, Row::allocated), mid(rows, Row::moduleNs));
+    public static Measurement median(List<Measurement> rows) {
+      Measurement first = rows.get(0);
+      return new Measurement(first.path, first.depth, median(rows, Measurement::rate), median(rows,
+          Measurement::p50), median(rows, Measurement::p99),
+          median(rows, Measurement::p999), median(rows, Measurement::allocated), median(rows,
+              Measurement::moduleNs));
     }
 
-    private static double mid(List<Row> rows, java.util.function.ToDoubleFunction<Row> f) {
+    private static double median(List<Measurement> rows, java.util.function.ToDoubleFunction<Measurement> f) {
       double[] all = rows.stream().mapToDouble(f).sorted().toArray();
       return all[all.length / 2];
     }
@@ -43,11 +45,11 @@
   private RingBench() {}
 
   /** A stand-in without service times in a process of its own. */
-  public static final class Node implements AutoCloseable {
+  public static final class StandinProcess implements AutoCloseable {
     private final Process process;
     public final InetSocketAddress address;
 
-    public Node(String name) throws IOException {
+    public StandinProcess(String name) throws IOException {
       process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
           System.getProperty("java.class.path"), "hollyslip.cli.Main", "standin", "--name", name)
           .redirectError(ProcessBuilder.Redirect.INHERIT)
@@ -64,18 +66,21 @@
   }
 
   /** Through a ring: {@code totals} are the gateway's, in this process. */
-  public static Row ring(String path, Path socket, int depth, int block, double seconds, long bytes,
+  public static Measurement measureRing(String path, Path socket, int depth, int block, double seconds,
+      long bytes,
       Supplier<Engine.Totals> totals) throws IOException {
-    return ring(path, socket, depth, block, seconds, bytes, totals, false);
+    return measureRing(path, socket, depth, block, seconds, bytes, totals, false);
   }
 
   /** As the other, by a client that sleeps while it waits: for many at a time. */
-  static Row patient(String path, Path socket, int depth, int block, double seconds, long bytes,
+  static Measurement measureRingBlocking(String path, Path socket, int depth, int block, double seconds,
+      long bytes,
       Supplier<Engine.Totals> totals) throws IOException {
-    return ring(path, socket, depth, block, seconds, bytes, totals, true);
+    return measureRing(path, socket, depth, block, seconds, bytes, totals, true);
   }
 
-  private static Row ring(String path, Path socket, int depth, int block, double seconds, long bytes,
+  private static Measurement measureRing(String path, Path socket, int depth, int block, double seconds,
+      long bytes,
       Supplier<Engine.Totals> totals, boolean sleeps) throws IOException {
     int size = Integer.highestOneBit(Math.max(4, 2 * depth - 1));
     try (RingClient c = new RingClient(RingClient.Options.usual(1, size, block))) {
@@ -87,7 +92,7 @@
       long counted = 0;
       long failed = 0;
       Engine.Totals before = totals.get();
-      Map<Long, Long> allocated = allocated();
+      Map<Long, Long> allocated = allocatedBytesByThread();
       boolean measuring = false;
       int[] bad = {0};
       for (long now = System.nanoTime(); now < until; now = System.nanoTime()) {
@@ -96,7 +101,7 @@
           h.reset();
           bad[0] = 0;
           before = totals.get();
-          allocated = allocated();
+          allocated = allocatedBytesByThread();
           counted = now;
         }
         while (c.out() < depth) {
@@ -115,16 +120,17 @@
       failed = bad[0];
       Engine.Totals after = totals.get();
       double n = Math.max(1, h.getTotalCount());
-      long garbage = grown(allocated);
+      long garbage = allocatedSince(allocated);
       if (failed > 0) {
         throw new IOException(failed + " of " + (long) n + " requests were not served");
       }
-      return row(path, depth, h, took, garbage / n, (after.moduleNs() - before.moduleNs()) / n);
+      return measurement(path, depth, h, took, garbage / n, (after.moduleNs() - before.moduleNs()) / n);
     }
   }
 
   /** With the node client alone. */
-  public static Row direct(InetSocketAddress node, int depth, int block, double seconds, long bytes)
+  public static Measurement measureNodeClient(InetSocketAddress node, int depth, int block, double seconds,
+      long bytes)
       throws IOException,
       InterruptedException {
     ArrayBlockingQueue<Long> answers = new ArrayBlockingQueue<>(2 * depth);
@@ -158,18 +164,19 @@
           out--;
         }
       }
-      return row("direct", depth, h, (System.nanoTime() - counted) / 1e9, 0, 0);
+      return measurement("direct", depth, h, (System.nanoTime() - counted) / 1e9, 0, 0);
     }
   }
 
-  private static Row row(String path, int depth, Histogram h, double seconds, double allocated,
+  private static Measurement measurement(String path, int depth, Histogram h, double seconds,
+      double allocated,
       double moduleNs) {
-    return new Row(path, depth, h.getTotalCount() / seconds, h.getValueAtPercentile(50) / 1e3, h
+    return new Measurement(path, depth, h.getTotalCount() / seconds, h.getValueAtPercentile(50) / 1e3, h
         .getValueAtPercentile(99) / 1e3, h.getValueAtPercentile(99.9) / 1e3, allocated, moduleNs);
   }
 
   /** Bytes that each of the gateway's threads has allocated; the client's own thread does not count. */
-  private static Map<Long, Long> allocated() {
+  private static Map<Long, Long> allocatedBytesByThread() {
     ThreadMXBean bean = (ThreadMXBean) ManagementFactory.getThreadMXBean();
     Map<Long, Long> all = new java.util.HashMap<>();
     List<Long> ids = new ArrayList<>();
@@ -182,9 +189,9 @@
     return all;
   }
 
-  private static long grown(Map<Long, Long> before) {
+  private static long allocatedSince(Map<Long, Long> before) {
     long sum = 0;
-    for (Map.Entry<Long, Long> e : allocated().entrySet()) {
+    for (Map.Entry<Long, Long> e : allocatedBytesByThread().entrySet()) {
       sum += Math.max(0, e.getValue() - before.getOrDefault(e.getKey(), 0L));
     }
     return sum;
--- a/src/main/java/hollyslip/load/RingClient.java
+++ b/src/main/java/hollyslip/load/RingClient.java
@@ -13,14 +13,14 @@
 /** A vhost-user-blk front end: shares memory with a gateway and asks it through split virtqueues. For one
  * thread. Each queue has slots; a slot holds one request in three descriptors or in an indirect table. */
 public final class RingClient implements AutoCloseable {
-  private static final int PAGE = 4096, HEADER = 16, TAIL = 8, TABLE = 64;
-  private static final long GUEST = 0x1000_0000L, USER = 0x7000_0000_0000L;
+  private static final int PAGE_BYTES = 4096, HEADER_BYTES = 16, TAIL_BYTES = 8, INDIRECT_TABLE_BYTES = 64;
+  private static final long GUEST_BASE = 0x1000_0000L, USER_BASE = 0x7000_0000_0000L;
 
   /** What a client asks for.
    *
    * @param queues
    *          queues
-   * @param size
+   * @param queueSize
    *          descriptors of a queue, a power of two
    * @param slotBytes
    *          most bytes of one request's data
@@ -28,25 +28,25 @@
    *          whether requests go in indirect tables
    * @param eventIdx
    *          whether notifications are held back by index
-   * @param refused
+   * @param refusedStatus
    *          whether refusals get a status of their own
-   * @param inflight
+   * @param inflightRegion
    *          whether the gateway keeps what is in flight in our memory */
-  public record Options(int queues, int size, int slotBytes, boolean indirect, boolean eventIdx,
-      boolean refused, boolean inflight) {
+  public record Options(int queues, int queueSize, int slotBytes, boolean indirect, boolean eventIdx,
+      boolean refusedStatus, boolean inflightRegion) {
     public static Options usual(int queues, int size, int slotBytes) {
       return new Options(queues, size, slotBytes, true, true, true, true);
     }
   }
 
   /** Hears the end of a request. */
-  public interface Done {
+  public interface CompletionListener {
     /** {@code status} as of virtio-blk, or ours; {@code data} is the slot's memory, valid during the call. */
-    void done(int status, int retryMs, ByteBuffer data);
+    void onComplete(int status, int retryMs, ByteBuffer data);
   }
 
   private final Options options;
-  private final int memory;
+  private final int memoryFd;
   private final long memoryBytes;
   private final Linux.Mapping mapping;
   private final Queue[] queues;
@@ -59,43 +59,43 @@
   /** One queue's memory and what is out on it. */
   public final class Queue {
     final int index;
-    final long at;
+    final long baseOffset;
     public final ByteBuffer table, avail, used;
     final int slots;
     /** By slot: who waits, how many bytes of data are out, and which are free; for raw requests. */
-    public final Done[] out;
+    public final CompletionListener[] out;
     public final int[] lengths;
     public final ArrayDeque<Integer> free = new ArrayDeque<>();
-    int kick = -1, call = -1;
-    int availIdx, usedIdx, kicked;
+    int kickFd = -1, callFd = -1;
+    int availIdx, usedIdx, lastKickedIdx;
 
     Queue(int index, long at) {
       this.index = index;
-      this.at = at;
-      int n = options.size();
+      this.baseOffset = at;
+      int n = options.queueSize();
       table = view(at, 16 * n);
       avail = view(at + 16L * n, 6 + 2 * n);
-      used = view(usedAt(), 6 + 8 * n);
+      used = view(usedRingOffset(), 6 + 8 * n);
       slots = options.indirect() ? n : n / 3;
-      out = new Done[slots];
+      out = new CompletionListener[slots];
       lengths = new int[slots];
       for (int i = 0; i < slots; i++) {
         free.add(i);
       }
     }
 
-    long usedAt() {
-      int n = options.size();
-      return at + (16L * n + 6 + 2 * n + 3) / 4 * 4;
+    long usedRingOffset() {
+      int n = options.queueSize();
+      return baseOffset + (16L * n + 6 + 2 * n + 3) / 4 * 4;
     }
 
-    long slot(int s) {
-      return at + round(ringBytes(options.size())) + (long) s * slotStride();
+    long slotOffset(int s) {
+      return baseOffset + roundUpToPage(ringBytes(options.queueSize())) + (long) s * slotStride();
     }
 
     /** Memory of a slot's data. */
     public ByteBuffer data(int s) {
-      return view(slot(s) + TABLE + HEADER + TAIL, options.slotBytes());
+      return view(slotOffset(s) + INDIRECT_TABLE_BYTES + HEADER_BYTES + TAIL_BYTES, options.slotBytes());
     }
 
     /** Requests that are out. */
@@ -108,12 +108,12 @@
     return 16 * n + 6 + 2 * n + 4 + 6 + 8 * n;
   }
 
-  private static long round(long n) {
-    return (n + PAGE - 1) / PAGE * PAGE;
+  private static long roundUpToPage(long n) {
+    return (n + PAGE_BYTES - 1) / PAGE_BYTES * PAGE_BYTES;
   }
 
   private long slotStride() {
-    return (TABLE + HEADER + TAIL + options.slotBytes() + 63) / 64 * 64;
+    return (INDIRECT_TABLE_BYTES + HEADER_BYTES + TAIL_BYTES + options.slotBytes() + 63) / 64 * 64;
   }
 
   private ByteBuffer view(long at, int length) {
@@ -122,15 +122,16 @@
 
   public RingClient(Options options) throws IOException {
     this.options = options;
-    if (options.size() < 4 || Integer.bitCount(options.size()) != 1) {
+    if (options.queueSize() < 4 || Integer.bitCount(options.queueSize()) != 1) {
       // A chain of three must fit: virtio 1.2, 2.7.5.3.1.
-      throw new IllegalArgumentException("size: must be a power of two from 4 on, not " + options.size());
+      throw new IllegalArgumentException("size: must be a power of two from 4 on, not " + options
+          .queueSize());
     }
-    int slots = options.indirect() ? options.size() : options.size() / 3;
-    long queueBytes = round(ringBytes(options.size())) + round(slots * slotStride());
+    int slots = options.indirect() ? options.queueSize() : options.queueSize() / 3;
+    long queueBytes = roundUpToPage(ringBytes(options.queueSize())) + roundUpToPage(slots * slotStride());
     memoryBytes = queueBytes * options.queues();
-    memory = Linux.memfd("ring-client", memoryBytes);
-    mapping = Linux.map(memory, 0, memoryBytes);
+    memoryFd = Linux.memfd("ring-client", memoryBytes);
+    mapping = Linux.map(memoryFd, 0, memoryBytes);
     queues = new Queue[options.queues()];
     for (int i = 0; i < queues.length; i++) {
       queues[i] = new Queue(i, i * queueBytes);
@@ -145,31 +146,31 @@
     features = offered & (Wire.F_PROTOCOL | Wire.F_VERSION_1 | Wire.BLK_FLUSH | Wire.BLK_MQ | Wire.BLK_DISCARD
         | Wire.BLK_WRITE_ZEROES | (options.indirect() ? Wire.F_INDIRECT : 0) | (options.eventIdx()
             ? Wire.F_EVENT_IDX
-            : 0) | (options.refused() ? Wire.BLK_REFUSED : 0));
+            : 0) | (options.refusedStatus() ? Wire.BLK_REFUSED : 0));
     long protocol = ask(Wire.GET_PROTOCOL_FEATURES, new byte[0]).getLong();
     tell(Wire.SET_PROTOCOL_FEATURES, Wire.u64(protocol));
     tell(Wire.SET_OWNER, new byte[0]);
     tell(Wire.SET_FEATURES, Wire.u64(features));
-    if (options.inflight()) {
+    if (options.inflightRegion()) {
       shareInflight();
     }
-    ByteBuffer table = little(8 + 32).putInt(1)
+    ByteBuffer table = littleEndian(8 + 32).putInt(1)
         .putInt(0)
-        .putLong(GUEST)
+        .putLong(GUEST_BASE)
         .putLong(memoryBytes)
-        .putLong(USER)
+        .putLong(USER_BASE)
         .putLong(0);
-    tell(Wire.SET_MEM_TABLE, table.array(), memory);
+    tell(Wire.SET_MEM_TABLE, table.array(), memoryFd);
     for (Queue q : queues) {
       startQueue(q);
     }
   }
 
   private void shareInflight() throws IOException {
-    ByteBuffer p = little(24).putLong(0)
+    ByteBuffer p = littleEndian(24).putLong(0)
         .putLong(0)
         .putShort((short) queues.length)
-        .putShort((short) options.size());
+        .putShort((short) options.queueSize());
     if (inflightFd >= 0) {
       tell(Wire.SET_INFLIGHT_FD, inflightState, inflightFd);
       return;
@@ -181,25 +182,25 @@
   }
 
   private void startQueue(Queue q) throws IOException {
-    q.kick = Linux.eventfd();
-    q.call = Linux.eventfd();
-    tell(Wire.SET_VRING_NUM, Wire.state(q.index, options.size()));
+    q.kickFd = Linux.eventfd();
+    q.callFd = Linux.eventfd();
+    tell(Wire.SET_VRING_NUM, Wire.state(q.index, options.queueSize()));
     // After a back end's death all that is not answered is asked again: the index of the used ring.
     tell(Wire.SET_VRING_BASE, Wire.state(q.index, Short.toUnsignedInt(q.used.getShort(2))));
-    tell(Wire.SET_VRING_ADDR, little(40).putInt(q.index)
+    tell(Wire.SET_VRING_ADDR, littleEndian(40).putInt(q.index)
         .putInt(0)
-        .putLong(USER + q.at)
-        .putLong(USER + q.usedAt())
-        .putLong(USER + q.at + 16L * options.size())
+        .putLong(USER_BASE + q.baseOffset)
+        .putLong(USER_BASE + q.usedRingOffset())
+        .putLong(USER_BASE + q.baseOffset + 16L * options.queueSize())
         .putLong(0)
         .array());
-    tell(Wire.SET_VRING_CALL, Wire.u64(q.index), q.call);
-    tell(Wire.SET_VRING_KICK, Wire.u64(q.index), q.kick);
+    tell(Wire.SET_VRING_CALL, Wire.u64(q.index), q.callFd);
+    tell(Wire.SET_VRING_KICK, Wire.u64(q.index), q.kickFd);
     tell(Wire.SET_VRING_ENABLE, Wire.state(q.index, 1));
-    Linux.signal(q.kick);
+    Linux.signal(q.kickFd);
   }
 
-  private static ByteBuffer little(int n) {
+  private static ByteBuffer littleEndian(int n) {
     return ByteBuffer.allocate(n).order(ByteOrder.LITTLE_ENDIAN);
   }
 
@@ -265,9 +266,10 @@
     return queues[i];
   }
 
-  /** Puts a request into a queue; it is seen with the next {@link #kick}. False: no slot is free. For a write
-   * {@code data} is copied from its position on. */
-  public boolean submit(int queue, IoKind kind, long offset, int length, ByteBuffer data, Done done) {
+  /** Puts a request into a queue; it is seen with the next {@link #kickFd}. False: no slot is free. For a
+   * write {@code data} is copied from its position on. */
+  public boolean submit(int queue, IoKind kind, long offset, int length, ByteBuffer data,
+      CompletionListener done) {
     Queue q = queues[queue];
     Integer slot = q.free.poll();
     if (slot == null) {
@@ -297,21 +299,25 @@
 
   /** Puts a raw request into a slot: any type, with {@code length} bytes of data. */
   public void post(Queue q, int slot, int type, long sector, int length, boolean into) {
-    long base = q.slot(slot);
-    ByteBuffer header = view(base + TABLE, HEADER + TAIL);
-    header.putInt(0, type).putInt(4, 0).putLong(8, sector).putLong(HEADER, -1L);
+    long base = q.slotOffset(slot);
+    ByteBuffer header = view(base + INDIRECT_TABLE_BYTES, HEADER_BYTES + TAIL_BYTES);
+    header.putInt(0, type).putInt(4, 0).putLong(8, sector).putLong(HEADER_BYTES, -1L);
     int first = options.indirect() ? slot : 3 * slot;
-    ByteBuffer table = options.indirect() ? view(base, TABLE) : q.table;
+    ByteBuffer table = options.indirect() ? view(base, INDIRECT_TABLE_BYTES) : q.table;
     int d = options.indirect() ? 0 : first;
-    describe(table, d, GUEST + base + TABLE, HEADER, 1, d + 1);
+    describe(table, d, GUEST_BASE + base + INDIRECT_TABLE_BYTES, HEADER_BYTES, 1, d + 1);
     int last = d + 1;
     if (length > 0) {
-      describe(table, last, GUEST + base + TABLE + HEADER + TAIL, length, into ? 3 : 1, last + 1);
+      describe(table, last, GUEST_BASE + base + INDIRECT_TABLE_BYTES + HEADER_BYTES + TAIL_BYTES, length, into
+          ? 3
+          : 1, last + 1);
       last++;
     }
-    describe(table, last, GUEST + base + TABLE + HEADER, options.refused() ? TAIL : 1, 2, 0);
+    describe(table, last, GUEST_BASE + base + INDIRECT_TABLE_BYTES + HEADER_BYTES, options.refusedStatus()
+        ? TAIL_BYTES
+        : 1, 2, 0);
     if (options.indirect()) {
-      describe(q.table, first, GUEST + base, 16 * (last + 1), 4, 0);
+      describe(q.table, first, GUEST_BASE + base, 16 * (last + 1), 4, 0);
     }
     publish(q, first);
   }
@@ -326,7 +332,7 @@
 
   /** Makes a head available. */
   public void publish(Queue q, int head) {
-    q.avail.putShort(4 + 2 * (q.availIdx % options.size()), (short) head);
+    q.avail.putShort(4 + 2 * (q.availIdx % options.queueSize()), (short) head);
     q.availIdx = q.availIdx + 1 & 0xffff;
     VarHandle.releaseFence();
     q.avail.putShort(2, (short) q.availIdx);
@@ -335,20 +341,20 @@
   /** Tells the gateway of what is new, where it asked to be told. */
   public void kick() {
     for (Queue q : queues) {
-      if (q.kicked == q.availIdx) {
+      if (q.lastKickedIdx == q.availIdx) {
         continue;
       }
       VarHandle.fullFence();
       boolean wants;
       if ((features & Wire.F_EVENT_IDX) != 0) {
-        int event = Short.toUnsignedInt(q.used.getShort(4 + 8 * options.size()));
-        wants = (q.availIdx - event - 1 & 0xffff) < (q.availIdx - q.kicked & 0xffff);
+        int event = Short.toUnsignedInt(q.used.getShort(4 + 8 * options.queueSize()));
+        wants = (q.availIdx - event - 1 & 0xffff) < (q.availIdx - q.lastKickedIdx & 0xffff);
       } else {
         wants = (q.used.getShort(0) & 1) == 0;
       }
-      q.kicked = q.availIdx;
+      q.lastKickedIdx = q.availIdx;
       if (wants) {
-        Linux.signal(q.kick);
+        Linux.signal(q.kickFd);
       }
     }
   }
@@ -359,11 +365,11 @@
     for (Queue q : queues) {
       while (q.used.getShort(2) != (short) q.usedIdx) {
         VarHandle.acquireFence();
-        int head = q.used.getInt(4 + 8 * (q.usedIdx % options.size()));
+        int head = q.used.getInt(4 + 8 * (q.usedIdx % options.queueSize()));
         q.usedIdx = q.usedIdx + 1 & 0xffff;
         int slot = options.indirect() ? head : head / 3;
-        ByteBuffer tail = view(q.slot(slot) + TABLE + HEADER, TAIL);
-        Done done = q.out[slot];
+        ByteBuffer tail = view(q.slotOffset(slot) + INDIRECT_TABLE_BYTES + HEADER_BYTES, TAIL_BYTES);
+        CompletionListener done = q.out[slot];
         q.out[slot] = null;
         ByteBuffer data = q.data(slot);
         data.limit(q.lengths[slot]);
@@ -371,7 +377,7 @@
         if (done == null) {
           throw new IllegalStateException("head " + head + " answered twice");
         }
-        done.done(status, options.refused() ? tail.getInt(4) : 0, data);
+        done.onComplete(status, options.refusedStatus() ? tail.getInt(4) : 0, data);
         q.free.add(slot);
         n++;
       }
@@ -385,17 +391,17 @@
     boolean ready = false;
     for (Queue q : queues) {
       if ((features & Wire.F_EVENT_IDX) != 0) {
-        q.avail.putShort(4 + 2 * options.size(), (short) q.usedIdx);
+        q.avail.putShort(4 + 2 * options.queueSize(), (short) q.usedIdx);
       }
       VarHandle.fullFence();
       ready |= q.used.getShort(2) != (short) q.usedIdx;
-      poll.add(q.call);
+      poll.add(q.callFd);
     }
     poll.add(socket);
     poll.await(ready ? 0 : ms);
     for (int i = 0; i < queues.length; i++) {
       if (poll.events(i) != 0) {
-        Linux.drain(queues[i].call);
+        Linux.drain(queues[i].callFd);
       }
     }
     return (poll.events(queues.length) & (Linux.POLLHUP | Linux.POLLERR)) == 0;
@@ -417,12 +423,12 @@
 
   /** Descriptor by which a queue is kicked. */
   public int kickFd(int queue) {
-    return queues[queue].kick;
+    return queues[queue].kickFd;
   }
 
   /** Descriptor of the memory shared with the gateway. */
   public int memoryFd() {
-    return memory;
+    return memoryFd;
   }
 
   /** Closes the connection at once and keeps all memory: a client that vanishes. */
@@ -430,7 +436,7 @@
     if (socket >= 0) {
       Linux.closeAll(socket);
       for (Queue q : queues) {
-        Linux.closeAll(q.kick, q.call);
+        Linux.closeAll(q.kickFd, q.callFd);
       }
       socket = -1;
     }
@@ -439,7 +445,7 @@
   @Override
   public void close() {
     detach();
-    Linux.closeAll(memory, inflightFd);
+    Linux.closeAll(memoryFd, inflightFd);
     mapping.unmap();
   }
 }
--- a/src/main/java/hollyslip/load/RingComparison.java
+++ b/src/main/java/hollyslip/load/RingComparison.java
@@ -7,8 +7,8 @@
 import hollyslip.engine.NodeTransport;
 import hollyslip.front.vhost.VhostServer;
 import hollyslip.gateway.Gateway;
-import hollyslip.load.RingBench.Node;
-import hollyslip.load.RingBench.Row;
+import hollyslip.load.RingBench.StandinProcess;
+import hollyslip.load.RingBench.Measurement;
 import hollyslip.settings.Deployment;
 import hollyslip.volume.RequestClassifier;
 import hollyslip.volume.ExtentSplitter;
@@ -55,30 +55,33 @@
   /** Measures and prints the table. */
   public void run() throws Exception {
     Path dir = Files.createTempDirectory("hollyslip-bench-");
-    List<Node> started = new ArrayList<>();
+    List<StandinProcess> started = new ArrayList<>();
     try {
       for (int i = 0; i < nodes; i++) {
-        started.add(new Node("node-" + i));
+        started.add(new StandinProcess("node-" + i));
       }
-      Deployment d = BenchDeployment.load(dir, started.stream().mapToInt(n -> n.address.getPort()).toArray(), "",
+      Deployment d = BenchDeployment.load(dir, started.stream().mapToInt(n -> n.address.getPort()).toArray(),
+          "",
           String.format(
               "volume('v', plan = 'p', size = 16 * MiB, extent = %d, shards = list(range(%d)), at = 0)%n",
               Math
                   .max(64 << 10, block), nodes));
       Gateway gateway = new Gateway(d);
-      Engine echo = echo(d);
+      Engine echo = startEchoEngine(d);
       VhostServer echoFront = new VhostServer(echo, new hollyslip.front.vhost.Acceptor(), "v", dir.resolve(
           "echo.sock"), VhostServer.ANYBODY);
-      Map<String, List<Row>> rows = new HashMap<>();
+      Map<String, List<Measurement>> rows = new HashMap<>();
       for (int round = 0; round < rounds; round++) {
         for (int depth : depths) {
           for (String path : paths) {
             add(rows, switch (path) {
-              case "echo" -> RingBench.ring(path, echoFront.path(), depth, block, seconds, BYTES,
+              case "echo" -> RingBench.measureRing(path, echoFront.path(), depth, block, seconds, BYTES,
                   echo::totals);
-              case "direct" -> RingBench.direct(started.get(0).address, depth, block, seconds, BYTES);
-              default -> RingBench.ring(path, gateway.socket("v"), depth, block, seconds, BYTES, gateway
-                  .lanes()::totals);
+              case "direct" -> RingBench.measureNodeClient(started.get(0).address, depth, block, seconds,
+                  BYTES);
+              default -> RingBench.measureRing(path, gateway.socket("v"), depth, block, seconds, BYTES,
+                  gateway
+                      .lanes()::totals);
             });
           }
         }
@@ -88,22 +91,22 @@
       echo.stop().get();
       gateway.close();
     } finally {
-      started.forEach(Node::close);
+      started.forEach(StandinProcess::close);
     }
   }
 
-  private static void add(Map<String, List<Row>> rows, Row row) {
+  private static void add(Map<String, List<Measurement>> rows, Measurement row) {
     rows.computeIfAbsent(row.path() + row.depth(), k -> new ArrayList<>()).add(row);
   }
 
-  private void print(Map<String, List<Row>> rows) {
+  private void print(Map<String, List<Measurement>> rows) {
     System.out.printf("%-8s %6s %10s %9s %9s %9s %11s %11s %8s%n", "path", "depth", "requests/s", "p50 us",
         "p99 us", "p99.9 us", "bytes/req", "module ns", "/direct");
     for (int depth : depths) {
-      List<Row> baseline = rows.get("direct" + depth);
-      double direct = baseline == null ? Double.NaN : Row.median(baseline).rate();
+      List<Measurement> baseline = rows.get("direct" + depth);
+      double direct = baseline == null ? Double.NaN : Measurement.median(baseline).rate();
       for (String path : paths) {
-        Row r = Row.median(rows.get(path + depth));
+        Measurement r = Measurement.median(rows.get(path + depth));
         System.out.printf(Locale.ROOT, "%-8s %6d %10.0f %9.1f %9.1f %9.1f %11.0f %11.0f %8.2f%n", path, depth,
             r.rate(), r.p50(), r.p99(), r.p999(), r.allocated(), r.moduleNs(), r.rate() / direct);
       }
@@ -111,7 +114,7 @@
   }
 
   /** An engine whose nodes answer at once without any bytes: what ring, engine and module cost. */
-  private static Engine echo(Deployment d) {
+  private static Engine startEchoEngine(Deployment d) {
     Engine e = new Engine(new Engine.Config(d.module(), new RequestClassifier(d.rows(), d.gateway()
         .unitBytes(), d
             .store()
--- a/src/main/java/hollyslip/load/RingLoad.java
+++ b/src/main/java/hollyslip/load/RingLoad.java
@@ -27,19 +27,19 @@
    *          name of the gateway that it asks
    * @param volume
    *          name of the volume
-   * @param from
+   * @param firstByte
    *          first byte of its part of the volume, a multiple of 4 KiB
-   * @param bytes
+   * @param lengthBytes
    *          length of its part
-   * @param count
+   * @param maxRequests
    *          requests in all; 0: until {@link #finish}
    * @param depth
    *          requests out at most
-   * @param gapUs
+   * @param meanGapUs
    *          mean time between two requests, us; 0: as fast as answers come
-   * @param reads
+   * @param readFraction
    *          part of the requests that read
-   * @param mostBlocks
+   * @param maxBlocks
    *          blocks of 4 KiB of one request at most
    * @param deadlineUs
    *          how long it waits for one, us
@@ -47,43 +47,44 @@
    *          bytes of a unit
    * @param seed
    *          of all that is drawn */
-  public record Plan(String name, String gateway, String volume, long from, long bytes, int count, int depth,
-      long gapUs, double reads, int mostBlocks, long deadlineUs, long unitBytes, long seed) {}
+  public record Plan(String name, String gateway, String volume, long firstByte, long lengthBytes,
+      int maxRequests, int depth,
+      long meanGapUs, double readFraction, int maxBlocks, long deadlineUs, long unitBytes, long seed) {}
 
-  private final Plan plan;
+  private final Plan config;
   private final Path socket;
   private final RingClient client;
   private final SplittableRandom random;
   private final BlockStamps stamps;
-  private final List<Open> open = new ArrayList<>();
+  private final List<OpenRequest> openRequests = new ArrayList<>();
   private final List<Asked> records = new ArrayList<>();
   private final List<String> wrong = new ArrayList<>();
-  private final TreeSet<Long> writing = new TreeSet<>();
-  private final ByteBuffer scratch;
+  private final TreeSet<Long> offsetsBeingWritten = new TreeSet<>();
+  private final ByteBuffer writeBuffer;
   private final Histogram latency = new Histogram(60_000_000L, 3);
   private volatile boolean finishing;
-  private volatile double speed = 1;
-  private volatile boolean abusive;
+  private volatile double rateFactor = 1;
+  private volatile boolean retryImmediately;
   private volatile boolean dropping;
   private volatile boolean readsOnly;
-  private int repeats;
+  private int pendingRetries;
   private volatile int asked;
   private boolean connected;
-  private long nextAt;
+  private long nextDueUs;
 
   /** A request whose answer is still to come. */
-  private final class Open implements RingClient.Done {
+  private final class OpenRequest implements RingClient.CompletionListener {
     final long id;
     final IoKind kind;
     final long offset;
     final int length;
     final long askedUs = Engine.monotonicMicros();
-    long deadlineUs = askedUs + plan.deadlineUs();
+    long deadlineUs = askedUs + config.deadlineUs();
     long checksum;
-    long[] floors = {};
-    boolean over;
+    long[] minWriteIds = {};
+    boolean done;
 
-    Open(long id, IoKind kind, long offset, int length) {
+    OpenRequest(long id, IoKind kind, long offset, int length) {
       this.id = id;
       this.kind = kind;
       this.offset = offset;
@@ -91,49 +92,52 @@
     }
 
     @Override
-    public void done(int status, int retryMs, ByteBuffer data) {
-      over = true;
+    public void onComplete(int status, int retryMs, ByteBuffer data) {
+      done = true;
       Asked.Answer answer = status == 0
           ? Asked.Answer.SERVED
           : status == 0x80 ? Asked.Answer.REFUSED : Asked.Answer.FAILED;
       long now = Engine.monotonicMicros();
       if (kind == IoKind.READ && answer == Asked.Answer.SERVED) {
-        checksum = crc(data, length);
-        String fault = stamps.check(data, offset, floors);
+        checksum = crc32(data, length);
+        String fault = stamps.findMismatch(data, offset, minWriteIds);
         if (fault != null) {
-          wrong.add(plan.name() + "/" + id + ": " + fault);
+          wrong.add(config.name() + "/" + id + ": " + fault);
         }
       }
       if (kind == IoKind.WRITE) {
-        writing.remove(offset);
+        offsetsBeingWritten.remove(offset);
         if (answer == Asked.Answer.SERVED) {
-          stamps.served(offset, length, id);
+          stamps.newestServedWrite(offset, length, id);
         }
       }
-      repeats += abusive && answer != Asked.Answer.SERVED ? 1 : 0;
+      pendingRetries += retryImmediately && answer != Asked.Answer.SERVED ? 1 : 0;
       latency.recordValue(Math.min(now - askedUs, latency.getHighestTrackableValue()));
-      note(1, now, answer, false);
+      recordOutcome(1, now, answer, false);
     }
 
-    void note(int answers, long answeredUs, Asked.Answer answer, boolean left) {
+    void recordOutcome(int answers, long answeredUs, Asked.Answer answer, boolean left) {
       int code = kind == IoKind.READ ? Nbd.CMD_READ : Nbd.CMD_WRITE;
-      records.add(new Asked(plan.name(), plan.gateway(), plan.volume(), id, code, offset, length, Math.max(1,
-          length / (double) plan.unitBytes()), -1, checksum, askedUs, deadlineUs, answers, answeredUs, answer,
+      records.add(new Asked(config.name(), config.gateway(), config.volume(), id, code, offset, length, Math
+          .max(1,
+              length / (double) config.unitBytes()), -1, checksum, askedUs, deadlineUs, answers, answeredUs,
+          answer,
           left));
     }
   }
 
   public RingLoad(Plan plan, Path socket) throws IOException {
-    this.plan = plan;
+    this.config = plan;
     this.socket = socket;
     int size = Integer.highestOneBit(Math.max(4, plan.depth() * 2 - 1));
-    client = new RingClient(RingClient.Options.usual(1, size, plan.mostBlocks() * BlockStamps.BLOCK));
+    client = new RingClient(RingClient.Options.usual(1, size, plan.maxBlocks() * BlockStamps.BLOCK_BYTES));
     random = new SplittableRandom(plan.seed());
     stamps = new BlockStamps(plan.seed() * 1_000_003 + plan.name().hashCode());
-    scratch = ByteBuffer.allocate(plan.mostBlocks() * BlockStamps.BLOCK).order(ByteOrder.LITTLE_ENDIAN);
+    writeBuffer = ByteBuffer.allocate(plan.maxBlocks() * BlockStamps.BLOCK_BYTES)
+        .order(ByteOrder.LITTLE_ENDIAN);
   }
 
-  private static long crc(ByteBuffer data, int length) {
+  private static long crc32(ByteBuffer data, int length) {
     CRC32 crc = new CRC32();
     ByteBuffer view = data.duplicate();
     view.position(0).limit(length);
@@ -147,14 +151,14 @@
   }
 
   /** Asks so many times as fast. */
-  public void speed(double factor) {
-    speed = factor;
+  public void rateFactor(double factor) {
+    rateFactor = factor;
   }
 
   /** Asks again at once, out of turn, for each request that is not served: a client that does not back
    * off. */
-  public void abusive(boolean on) {
-    abusive = on;
+  public void retryImmediately(boolean on) {
+    retryImmediately = on;
   }
 
   /** Reads alone, or as planned. */
@@ -163,7 +167,7 @@
   }
 
   /** Drops the connection and comes again. */
-  public void drop() {
+  public void reconnect() {
     dropping = true;
   }
 
@@ -175,14 +179,14 @@
   /** Works until the last answer, or until nothing can come any more. */
   @Override
   public void run() {
-    nextAt = Engine.monotonicMicros();
+    nextDueUs = Engine.monotonicMicros();
     long givenUp = Long.MAX_VALUE;
     boolean done = false;
     while (!done) {
-      if (!connected && !attach()) {
+      if (!connected && !tryConnect()) {
         continue;
       }
-      ask();
+      issueDueRequests();
       client.kick();
       if (client.poll() == 0) {
         connected = client.await(waitMs()) && !dropping;
@@ -191,45 +195,45 @@
           client.detach();
         }
       }
-      open.removeIf(o -> o.over);
-      boolean last = finishing || plan.count() > 0 && asked >= plan.count();
+      openRequests.removeIf(o -> o.done);
+      boolean last = finishing || config.maxRequests() > 0 && asked >= config.maxRequests();
       if (last && givenUp == Long.MAX_VALUE) {
-        givenUp = Engine.monotonicMicros() + 3 * plan.deadlineUs() + 5_000_000;
+        givenUp = Engine.monotonicMicros() + 3 * config.deadlineUs() + 5_000_000;
       }
-      done = last && (open.isEmpty() || Engine.monotonicMicros() > givenUp);
+      done = last && (openRequests.isEmpty() || Engine.monotonicMicros() > givenUp);
     }
-    open.forEach(o -> o.note(0, 0, Asked.Answer.NONE, false));
+    openRequests.forEach(o -> o.recordOutcome(0, 0, Asked.Answer.NONE, false));
     client.close();
   }
 
-  private void vanish() {
+  private void disconnectAbruptly() {
     client.detach();
-    open.removeIf(o -> o.over);
-    open.forEach(o -> o.note(0, 0, Asked.Answer.NONE, true));
-    open.clear();
+    openRequests.removeIf(o -> o.done);
+    openRequests.forEach(o -> o.recordOutcome(0, 0, Asked.Answer.NONE, true));
+    openRequests.clear();
   }
 
   /** Runs until so many have been asked, then vanishes with what is out. */
   public void runThenVanish() throws IOException {
-    nextAt = Engine.monotonicMicros();
+    nextDueUs = Engine.monotonicMicros();
     client.connect(socket);
     connected = true;
-    while (asked < plan.count()) {
-      ask();
+    while (asked < config.maxRequests()) {
+      issueDueRequests();
       client.kick();
       client.poll();
-      open.removeIf(o -> o.over);
+      openRequests.removeIf(o -> o.done);
     }
-    vanish();
+    disconnectAbruptly();
     client.close();
   }
 
-  private boolean attach() {
+  private boolean tryConnect() {
     try {
       client.connect(socket);
       connected = true;
       // Whoever serves now has not taken these before: their time begins again.
-      open.forEach(o -> o.deadlineUs = Engine.monotonicMicros() + plan.deadlineUs());
+      openRequests.forEach(o -> o.deadlineUs = Engine.monotonicMicros() + config.deadlineUs());
       return true;
     } catch (IOException e) {
       // The gateway is away: asked again soon, as a virtual machine's front end does.
@@ -240,59 +244,61 @@
   }
 
   private int waitMs() {
-    if (plan.gapUs() == 0 || finishing || open.size() >= plan.depth()) {
+    if (config.meanGapUs() == 0 || finishing || openRequests.size() >= config.depth()) {
       return 100;
     }
-    return (int) Math.max(0, Math.min(100, (nextAt - Engine.monotonicMicros() + 999) / 1_000));
+    return (int) Math.max(0, Math.min(100, (nextDueUs - Engine.monotonicMicros() + 999) / 1_000));
   }
 
-  private void ask() {
-    while (!finishing && (plan.count() == 0 || asked < plan.count()) && open.size() < plan.depth()) {
-      if (plan.gapUs() > 0) {
+  private void issueDueRequests() {
+    while (!finishing && (config.maxRequests() == 0 || asked < config.maxRequests()) && openRequests
+        .size() < config.depth()) {
+      if (config.meanGapUs() > 0) {
         long now = Engine.monotonicMicros();
-        if (repeats > 0) {
-          repeats--;
-          one();
+        if (pendingRetries > 0) {
+          pendingRetries--;
+          issueRequest();
           continue;
         }
-        if (now < nextAt) {
+        if (now < nextDueUs) {
           return;
         }
-        nextAt = Math.max(nextAt, now - 1_000_000) + (long) (-Math.log(1 - random.nextDouble()) * plan.gapUs()
-            / speed);
+        nextDueUs = Math.max(nextDueUs, now - 1_000_000) + (long) (-Math.log(1 - random.nextDouble()) * config
+            .meanGapUs()
+            / rateFactor);
       }
-      one();
+      issueRequest();
     }
   }
 
-  private void one() {
-    int blocks = 1 + random.nextInt(plan.mostBlocks());
-    long room = plan.bytes() / BlockStamps.BLOCK - blocks;
-    long offset = plan.from() + random.nextLong(room + 1) * BlockStamps.BLOCK;
-    boolean read = random.nextDouble() < plan.reads() || readsOnly;
-    int length = blocks * BlockStamps.BLOCK;
+  private void issueRequest() {
+    int blocks = 1 + random.nextInt(config.maxBlocks());
+    long room = config.lengthBytes() / BlockStamps.BLOCK_BYTES - blocks;
+    long offset = config.firstByte() + random.nextLong(room + 1) * BlockStamps.BLOCK_BYTES;
+    boolean read = random.nextDouble() < config.readFraction() || readsOnly;
+    int length = blocks * BlockStamps.BLOCK_BYTES;
     if (!read && overlapsWrite(offset, length)) {
       read = true;
     }
-    Open o = new Open(++asked, read ? IoKind.READ : IoKind.WRITE, offset, length);
+    OpenRequest o = new OpenRequest(++asked, read ? IoKind.READ : IoKind.WRITE, offset, length);
     if (read) {
-      o.floors = stamps.floors(offset, length);
+      o.minWriteIds = stamps.minWriteIds(offset, length);
     } else {
-      stamps.fill(scratch, o.id, length);
-      o.checksum = crc(scratch, length);
-      writing.add(offset);
+      stamps.fillForWrite(writeBuffer, o.id, length);
+      o.checksum = crc32(writeBuffer, length);
+      offsetsBeingWritten.add(offset);
     }
-    scratch.clear();
-    if (!client.submit(0, o.kind, offset, length, read ? null : scratch, o)) {
+    writeBuffer.clear();
+    if (!client.submit(0, o.kind, offset, length, read ? null : writeBuffer, o)) {
       throw new IllegalStateException("no slot though fewer than the depth are out");
     }
-    open.add(o);
+    openRequests.add(o);
   }
 
   /** A client does not write blocks while it waits for another write to them. */
   private boolean overlapsWrite(long offset, int length) {
-    long most = (long) plan.mostBlocks() * BlockStamps.BLOCK;
-    return !writing.subSet(offset - most + 1, offset + length).isEmpty();
+    long most = (long) config.maxBlocks() * BlockStamps.BLOCK_BYTES;
+    return !offsetsBeingWritten.subSet(offset - most + 1, offset + length).isEmpty();
   }
 
   /** What it wrote down, once it has ended. */
--- a/src/main/java/hollyslip/load/RingTarget.java
+++ b/src/main/java/hollyslip/load/RingTarget.java
@@ -11,43 +11,45 @@
  * client, as its ring is. */
 final class RingTarget implements OpenLoop.Target, AutoCloseable {
   /** From so near to the due time on, us, the thread looks at the clock without sleeping. */
-  private static final long SPIN_US = 1_500;
+  private static final long SPIN_THRESHOLD_US = 1_500;
 
   private final RingClient client;
   private final Path socket;
   private final int depth;
-  private final ByteBuffer scratch;
-  private int out;
-  private long marks;
+  private final ByteBuffer writeBuffer;
+  private int inFlight;
+  private long writeCount;
 
   RingTarget(Path socket, int depth, int mostBytes) throws IOException {
     this.socket = socket;
     this.depth = depth;
     int size = Integer.highestOneBit(Math.max(4, depth * 2 - 1));
     client = new RingClient(RingClient.Options.usual(1, size, mostBytes));
-    scratch = ByteBuffer.allocate(mostBytes);
+    writeBuffer = ByteBuffer.allocate(mostBytes);
     client.connect(socket);
   }
 
   @Override
-  public boolean submit(OpenLoop.Shot s) {
-    if (out >= depth) {
+  public boolean submit(OpenLoop.ScheduledRequest s) {
+    if (inFlight >= depth) {
       return false;
     }
-    boolean write = s.ask.kind() == IoKind.WRITE;
+    boolean write = s.operation.kind() == IoKind.WRITE;
     if (write) {
-      scratch.clear();
-      scratch.putLong(0, ++marks);
+      writeBuffer.clear();
+      writeBuffer.putLong(0, ++writeCount);
     }
-    boolean in = client.submit(0, s.ask.kind(), s.ask.offset(), s.ask.length(), write ? scratch : null, (
-        status,
-        retryMs, data) -> {
-      out--;
-      s.answered(status == 0
-          ? OpenLoop.End.SERVED
-          : status == 0x80 ? OpenLoop.End.REFUSED : OpenLoop.End.FAILED);
-    });
-    out += in ? 1 : 0;
+    boolean in = client.submit(0, s.operation.kind(), s.operation.offset(), s.operation.length(), write
+        ? writeBuffer
+        : null, (
+            status,
+            retryMs, data) -> {
+          inFlight--;
+          s.complete(status == 0
+              ? OpenLoop.End.SERVED
+              : status == 0x80 ? OpenLoop.End.REFUSED : OpenLoop.End.FAILED);
+        });
+    inFlight += in ? 1 : 0;
     return in;
   }
 
@@ -62,9 +64,10 @@
   }
 
   @Override
-  public void idle(long untilUs) {
+  public void awaitAnswers(long untilUs) {
     long left = untilUs - now();
-    if (left > SPIN_US && !client.await((int) Math.min(100, (left - SPIN_US + 999) / 1_000))) {
+    if (left > SPIN_THRESHOLD_US && !client.await((int) Math.min(100, (left - SPIN_THRESHOLD_US + 999)
+        / 1_000))) {
       reconnect();
     } else {
       Thread.onSpinWait();
--- a/src/main/java/hollyslip/load/ScenarioSettings.java
+++ b/src/main/java/hollyslip/load/ScenarioSettings.java
@@ -21,7 +21,7 @@
   private ScenarioSettings() {}
 
   /** The script {@code fleet.star}: the nodes, one shard each. */
-  public static String fleet(int nodes, IntUnaryOperator port, IntFunction<NodeState> state) {
+  public static String nodeListScript(int nodes, IntUnaryOperator port, IntFunction<NodeState> state) {
     StringBuilder s = new StringBuilder("NODES = [\n");
     for (int i = 0; i < nodes; i++) {
       s.append(String.format("    (\"store-%d\", %d, \"hall-%s\", %d, \"%s\"),%n", i, port.applyAsInt(i), i
@@ -31,7 +31,7 @@
   }
 
   /** The script of one gateway; it loads {@code fleet.star}. */
-  public static String text(Day day, int gateway) throws IOException {
+  public static String gatewayScript(Day day, int gateway) throws IOException {
     try (InputStream in = ScenarioSettings.class.getResourceAsStream("/hollyslip/example.star")) {
       String example = new String(in.readAllBytes(), StandardCharsets.UTF_8).replace("\"gateway-a\"",
           "\"gateway-" + gateway + "\"")
@@ -39,11 +39,11 @@
           .replace("\"state\"", "\"state-" + gateway + "\"")
           .replace("index = 0,", "index = " + gateway + ",")
           .replace("hosts = 1,", "hosts = " + day.gateways() + ", cores = " + day.lanes() + ",");
-      return day.example()
+      return day.exampleSettings()
           ? example
           : example.substring(0, example.indexOf("# Plans:"))
               .replace("cold_units = 60",
-                  "cold_units = " + coldUnits(day.nodes())) + own(day);
+                  "cold_units = " + coldUnits(day.nodes())) + plansAndVolumes(day);
     }
   }
 
@@ -54,7 +54,7 @@
     return (long) Math.max(1, 3 * 0.2 * 2 * commands);
   }
 
-  private static String own(Day day) {
+  private static String plansAndVolumes(Day day) {
     StringBuilder s = new StringBuilder();
     day.plans().forEach((name, f) -> {
       s.append("plan(\"").append(name).append('"');
@@ -65,30 +65,30 @@
         + "    node(name, port = port, zone = zone, shard = shard, state = state)\n");
     int at = 0;
     int number = 0;
-    for (Day.Load v : day.volumes()) {
+    for (Day.VolumeLoad v : day.volumes()) {
       s.append(String.format(
           "volume(\"%s\", tenant = \"%s\", plan = \"%s\", size = %d * MiB, extent = 256 * KiB, shards = "
               + "%s, at = %d * MiB, hosts = %d)%n", v.volume(), v.volume(), v.plan(), v.sizeMib(), shards(day,
                   v,
-                  number++), at, day.through(v)));
-      at += v.sizeMib() / spread(day, v) + 1;
+                  number++), at, day.gatewayCount(v)));
+      at += v.sizeMib() / shardCount(day, v) + 1;
     }
     return s.toString();
   }
 
-  private static int spread(Day day, Day.Load v) {
-    return v.spread() == 0 ? day.nodes().count() : Math.min(v.spread(), day.nodes().count());
+  private static int shardCount(Day day, Day.VolumeLoad v) {
+    return v.maxShards() == 0 ? day.nodes().count() : Math.min(v.maxShards(), day.nodes().count());
   }
 
   /** Shards of a volume: as many as it spreads over, the next one's beginning where its own end. */
-  private static List<Integer> shards(Day day, Day.Load v, int number) {
-    int n = spread(day, v);
+  private static List<Integer> shards(Day day, Day.VolumeLoad v, int number) {
+    int n = shardCount(day, v);
     return IntStream.range(0, n).mapToObj(i -> (number * n + i) % day.nodes().count()).toList();
   }
 
   /** What the audit goes by. {@code slackUs}: how much later than promised an answer may reach its client;
    * {@code skewUs}: how far the clocks of the two ends of a request may lie apart. */
-  public static Figures figures(Deployment d, long slackUs, long skewUs) {
+  public static Figures auditFigures(Deployment d, long slackUs, long skewUs) {
     Map<String, Figures.Limit> limits = new HashMap<>();
     List<Figures.Area> areas = new ArrayList<>();
     d.volumes().forEach(v -> {
--- a/src/main/java/hollyslip/load/Stage.java
+++ b/src/main/java/hollyslip/load/Stage.java
@@ -26,7 +26,7 @@
   /** @param dir
    *          folder of settings, sockets and logs */
   public Stage(Day day, Path dir) {
-    day.onSockets();
+    day.checkPlayableOverSockets();
     this.day = day;
     this.dir = dir;
   }
@@ -42,31 +42,33 @@
     }
     NodeState[] on = new NodeState[n.count()];
     Arrays.fill(on, NodeState.ON);
-    writeFleet(on);
+    writeNodeList(on);
     for (int g = 0; g < day.gateways(); g++) {
-      Files.writeString(settings(g), ScenarioSettings.text(day, g));
-      Loader.Loaded loaded = Loader.load(settings(g));
+      Files.writeString(settingsFile(g), ScenarioSettings.gatewayScript(day, g));
+      Loader.Loaded loaded = Loader.load(settingsFile(g));
       if (!loaded.faults().isEmpty()) {
         throw new IOException("settings of the day: " + loaded.faults());
       }
       deployments.add(loaded.deployment());
-      gateways.add(gateway(g));
+      gateways.add(startGateway(g));
     }
   }
 
   /** A process of a gateway. */
-  Child gateway(int number) throws IOException {
-    return new Child(settings(number), dir.resolve("gateway-" + number + ".log"));
+  Child startGateway(int number) throws IOException {
+    return new Child(settingsFile(number), dir.resolve("gateway-" + number + ".log"));
   }
 
-  private Path settings(int gateway) {
+  private Path settingsFile(int gateway) {
     return dir.resolve("gateway-" + gateway + ".star");
   }
 
   /** Replaces the gateways' list of nodes. */
-  void writeFleet(NodeState[] states) throws IOException {
+  void writeNodeList(NodeState[] states) throws IOException {
     Path fresh = dir.resolve("fleet.star.new");
-    Files.writeString(fresh, ScenarioSettings.fleet(disks.size(), i -> disks.get(i).address().getPort(),
+    Files.writeString(fresh, ScenarioSettings.nodeListScript(disks.size(), i -> disks.get(i)
+        .address()
+        .getPort(),
         i -> states[i]));
     Files.move(fresh, dir.resolve("fleet.star"), StandardCopyOption.ATOMIC_MOVE);
   }
--- a/src/main/java/hollyslip/load/TenantBench.java
+++ b/src/main/java/hollyslip/load/TenantBench.java
@@ -9,8 +9,8 @@
 import hollyslip.admin.Carrier;
 import hollyslip.admin.Control;
 import hollyslip.gateway.Gateway;
-import hollyslip.load.RingBench.Node;
-import hollyslip.load.RingBench.Row;
+import hollyslip.load.RingBench.StandinProcess;
+import hollyslip.load.RingBench.Measurement;
 import hollyslip.settings.Deployment;
 import hollyslip.store.Folder;
 import hollyslip.tenant.HostedVolume;
@@ -51,9 +51,9 @@
   /** Measures and prints the tables. */
   public void run() throws Exception {
     Path dir = Files.createTempDirectory("hollyslip-bench-");
-    module();
-    recovery(dir);
-    traffic(dir);
+    measureModule();
+    measureRecovery(dir);
+    measureTraffic(dir);
   }
 
   // The module alone.
@@ -62,7 +62,7 @@
     return deployment(dir, 1, 2).module();
   }
 
-  private void module() throws IOException {
+  private void measureModule() throws IOException {
     System.out.printf("%-24s %12s %14s%n", "module, volumes", "ns/request", "bytes/volume");
     for (int round = 0; round < rounds; round++) {
       for (int volumes : new int[]{10, 50_000}) {
@@ -79,7 +79,7 @@
     choice.handle(now[0], new HostScheduler.NodeList(true, List.of(new NodeEntry(1, "a", 0, NodeState.ON, 0),
         new NodeEntry(2, "a", 1, NodeState.ON, 0))), actions::add);
     System.gc();
-    long before = used();
+    long before = usedHeapBytes();
     HostScheduler.Plan plan = new HostScheduler.Plan("p", 10, 1, 1, 1, 0, 0, 0);
     for (int v = 0; v < volumes; v++) {
       choice.handle(now[0], new HostScheduler.VolumeChanged(v, 1, plan, 1 + v / 5, 1), actions::add);
@@ -108,18 +108,18 @@
     System.gc();
     System.out.printf(Locale.ROOT, "%-24d %12.0f %14.0f%n", volumes, (double) took / counted, volumes < 100
         ? 0
-        : (double) (used() - before) / volumes);
+        : (double) (usedHeapBytes() - before) / volumes);
     java.lang.ref.Reference.reachabilityFence(choice);
   }
 
-  private static long used() {
+  private static long usedHeapBytes() {
     Runtime r = Runtime.getRuntime();
     return r.totalMemory() - r.freeMemory();
   }
 
   // The store.
 
-  private static final class Idle implements Carrier {
+  private static final class NoOpCarrier implements Carrier {
     @Override
     public CompletableFuture<Void> serve(HostedVolume v, Tenant t, HostScheduler.VolumeChanged terms) {
       return CompletableFuture.completedFuture(null);
@@ -144,10 +144,10 @@
     for (int i = 0; i < 36; i++) {
       shards.add(new Shard(i, "zone-" + i % 3, 1e7, 1L << 40, List.of()));
     }
-    return new Control(new Folder(dir), shards, 1 << 20, 1, new Idle(), System::currentTimeMillis);
+    return new Control(new Folder(dir), shards, 1 << 20, 1, new NoOpCarrier(), System::currentTimeMillis);
   }
 
-  private void recovery(Path dir) throws Exception {
+  private void measureRecovery(Path dir) throws Exception {
     System.out.printf("%n%-24s %10s %12s %14s %14s%n", "store", "volumes", "made/s", "log, ms",
         "snapshot, ms");
     for (int tenants : new int[]{10, 1_000, 10_000}) {
@@ -170,15 +170,15 @@
       all.forEach(CompletableFuture::join);
       double rate = all.size() / ((System.nanoTime() - from) / 1e9);
       c.close();
-      double log = open(folder, true);
-      double snapshot = open(folder, false);
+      double log = openMillis(folder, true);
+      double snapshot = openMillis(folder, false);
       System.out.printf(Locale.ROOT, "%-24s %10d %12.0f %14.0f %14.0f%n", tenants + " tenants", tenants * 5,
           rate, log, snapshot);
     }
   }
 
   /** Ms until the registry is there; keeps a snapshot then. */
-  private static double open(Path folder, boolean keep) throws IOException {
+  private static double openMillis(Path folder, boolean keep) throws IOException {
     long from = System.nanoTime();
     Control c = control(folder);
     double ms = (System.nanoTime() - from) / 1e6;
@@ -195,7 +195,7 @@
     return BenchDeployment.load(dir, ports, ", hosted = True", "");
   }
 
-  private static void ask(ApiClient api, String method, String path, String body) throws IOException {
+  private static void request(ApiClient api, String method, String path, String body) throws IOException {
     ApiClient.Answer a = api.ask(method, path, JSON.readTree(body.replace('\'', '"')), Map.of("If-Match",
         "*"));
     if (!a.good()) {
@@ -203,19 +203,19 @@
     }
   }
 
-  private void traffic(Path dir) throws Exception {
-    List<Node> nodes = List.of(new Node("node-0"), new Node("node-1"));
+  private void measureTraffic(Path dir) throws Exception {
+    List<StandinProcess> nodes = List.of(new StandinProcess("node-0"), new StandinProcess("node-1"));
     Gateway gateway = new Gateway(deployment(dir, nodes.stream()
         .mapToInt(n -> n.address.getPort())
         .toArray()));
     String token = Files.readString(dir.resolve("state/operator.token")).trim();
     try (ApiClient api = ApiClient.at(dir.resolve("run/admin.sock"), token)) {
       long me = ((Number) Files.getAttribute(Path.of("/proc/self"), "unix:uid")).longValue();
-      ask(api, "POST", "/v1/plans", "{'name':'p','reserve':100,'weight':1}");
+      request(api, "POST", "/v1/plans", "{'name':'p','reserve':100,'weight':1}");
       for (String t : List.of("a", "b")) {
-        ask(api, "POST", "/v1/tenants", "{'name':'" + t
+        request(api, "POST", "/v1/tenants", "{'name':'" + t
             + "','quota':{'reserve':200,'bytes':16777216},'members':{'me':" + me + "}}");
-        ask(api, "POST", "/v1/tenants/" + t + "/volumes",
+        request(api, "POST", "/v1/tenants/" + t + "/volumes",
             "{'name':'v','plan':'p','bytes':4194304,'extent_bytes':65536}");
       }
       for (String t : List.of("a", "b")) {
@@ -230,18 +230,18 @@
       System.out.printf("%n%-34s %8s %10s %9s %9s %11s %12s%n", "requests of b, 4 KiB reads", "depth",
           "requests/s", "p50 us", "p99 us", "changes/s", "change p99");
       for (int round = 0; round < rounds; round++) {
-        print("alone", RingBench.ring("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES, gateway
+        print("alone", RingBench.measureRing("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES, gateway
             .lanes()::totals), 4,
             null, 0);
-        changing(gateway, api);
-        flooded(gateway);
+        measureDuringChanges(gateway, api);
+        measureDuringFlood(gateway);
       }
     }
     gateway.close();
-    nodes.forEach(Node::close);
+    nodes.forEach(StandinProcess::close);
   }
 
-  private static void print(String what, Row r, int depth, Histogram changes, double changeSeconds) {
+  private static void print(String what, Measurement r, int depth, Histogram changes, double changeSeconds) {
     System.out.printf(Locale.ROOT, "%-34s %8d %10.0f %9.1f %9.1f %11s %12s%n", what, depth, r.rate(), r.p50(),
         r.p99(), changes == null
             ? "-"
@@ -251,7 +251,7 @@
   }
 
   /** One administrator changes tenant a, one change after the other. */
-  private void changing(Gateway gateway, ApiClient api) throws Exception {
+  private void measureDuringChanges(Gateway gateway, ApiClient api) throws Exception {
     Histogram took = new Histogram(60_000_000, 3);
     boolean[] over = new boolean[1];
     long from = System.nanoTime();
@@ -259,7 +259,7 @@
       for (int i = 0; !over[0]; i++) {
         long at = System.nanoTime();
         try {
-          ask(api, "PATCH", "/v1/tenants/a", "{'weight':" + (1 + i % 7) + "}");
+          request(api, "PATCH", "/v1/tenants/a", "{'weight':" + (1 + i % 7) + "}");
         } catch (IOException e) {
           throw new java.io.UncheckedIOException(e);
         }
@@ -267,25 +267,28 @@
       }
     });
     t.start();
-    Row r = RingBench.ring("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES, gateway.lanes()::totals);
+    Measurement r = RingBench.measureRing("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES, gateway
+        .lanes()::totals);
     over[0] = true;
     t.join();
     print("while tenant a is changed", r, 4, took, (System.nanoTime() - from) / 1e9);
   }
 
   /** Tenant a keeps its rings full. */
-  private void flooded(Gateway gateway) throws Exception {
-    Row[] flood = new Row[1];
+  private void measureDuringFlood(Gateway gateway) throws Exception {
+    Measurement[] flood = new Measurement[1];
     Thread t = new Thread(() -> {
       try {
-        flood[0] = RingBench.ring("a", gateway.socket("a", "v"), 256, BLOCK, seconds * 1.5, BYTES, gateway
-            .lanes()::totals);
+        flood[0] = RingBench.measureRing("a", gateway.socket("a", "v"), 256, BLOCK, seconds * 1.5, BYTES,
+            gateway
+                .lanes()::totals);
       } catch (Exception e) {
         throw new IllegalStateException(e);
       }
     });
     t.start();
-    Row r = RingBench.ring("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES, gateway.lanes()::totals);
+    Measurement r = RingBench.measureRing("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES, gateway
+        .lanes()::totals);
     t.join();
     print("while tenant a keeps 256 out", r, 4, null, 0);
   }
--- a/src/test/java/hollyslip/emulator/EmulationTest.java
+++ b/src/test/java/hollyslip/emulator/EmulationTest.java
@@ -74,7 +74,7 @@
           .append(' ')
           .append(kind)
           .append(
-              Day.AT_LOAD.contains(kind) ? " target orders for 1 size 3\n" : " part 0.5 for 1 size 0.3\n");
+              Day.LOAD_KINDS.contains(kind) ? " target orders for 1 size 3\n" : " part 0.5 for 1 size 0.3\n");
       at += 0.7;
     }
     Outcome o = World.play(day("20", 5, all.toString()));
--- a/src/test/java/hollyslip/emulator/ExperimentTest.java
+++ b/src/test/java/hollyslip/emulator/ExperimentTest.java
@@ -101,13 +101,13 @@
     assertEquals(once, new BadDays(base, 4).search(2, 6));
     assertEquals(12, once.size());
     Day worst = once.get(0).day();
-    for (Day simpler : BadDays.simpler(worst)) {
+    for (Day simpler : BadDays.simplifications(worst)) {
       double before = worst.seconds() + weight(worst);
       assertTrue(simpler.seconds() + weight(simpler) < before, simpler::text);
     }
   }
 
   private static double weight(Day d) {
-    return d.troubles().stream().mapToDouble(t -> 1 + t.seconds() + t.part()).sum();
+    return d.troubles().stream().mapToDouble(t -> 1 + t.seconds() + t.fraction()).sum();
   }
 }
--- a/src/test/java/hollyslip/load/OpenLoopTest.java
+++ b/src/test/java/hollyslip/load/OpenLoopTest.java
@@ -19,7 +19,7 @@
 
 /** The generator in virtual time, against targets whose delays are known to the microsecond. */
 class OpenLoopTest {
-  private static final Day.Load LOAD = new Day.Load("v", "p", 4, 1_000, 0.5, 2, 64, 1,
+  private static final Day.VolumeLoad LOAD = new Day.VolumeLoad("v", "p", 4, 1_000, 0.5, 2, 64, 1,
       ArrivalProcess.Shape.POISSON, 0, 0, 0);
 
   @TempDir
@@ -29,7 +29,7 @@
   private static final class Fake implements OpenLoop.Target {
     final LongUnaryOperator delay;
     final PriorityQueue<long[]> out = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
-    final List<OpenLoop.Shot> shots = new ArrayList<>();
+    final List<OpenLoop.ScheduledRequest> shots = new ArrayList<>();
     int most = Integer.MAX_VALUE;
     /** How long the generator's thread is away whenever it has nothing to do, us. */
     long starved;
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public boolean submit(OpenLoop.Shot s) {
+    public boolean submit(OpenLoop.ScheduledRequest s) {
       if (out.size() >= most) {
         return false;
       }
@@ -56,14 +56,14 @@
     public int poll() {
       int n = 0;
       while (!out.isEmpty() && out.peek()[0] <= now) {
-        shots.get((int) out.poll()[1]).answered(OpenLoop.End.SERVED);
+        shots.get((int) out.poll()[1]).complete(OpenLoop.End.SERVED);
         n++;
       }
       return n;
     }
 
     @Override
-    public void idle(long untilUs) {
+    public void awaitAnswers(long untilUs) {
       now = Math.max(now + 1, Math.min(untilUs, out.isEmpty() ? Long.MAX_VALUE : out.peek()[0])) + starved;
     }
 
@@ -73,10 +73,10 @@
     }
   }
 
-  private static OpenLoop.Ran run(Fake f, boolean closed, double rate, double seconds, Histogram latency) {
+  private static OpenLoop.Stats run(Fake f, boolean closed, double rate, double seconds, Histogram latency) {
     ArrivalProcess a = new ArrivalProcess(LOAD.shape(), rate, 5);
     return new OpenLoop(a, new RequestMix(LOAD, 0, 1, 4 << 20, 6), f, closed, d -> latency.recordValue(d
-        .tookUs()))
+        .latencyUs()))
         .run(0, (long) (seconds * 1e6));
   }
 
@@ -85,13 +85,13 @@
     // 200 us each; from 4 s to 6 s nothing moves.
     LongUnaryOperator stalls = at -> 200 + (at >= 4_000_000 && at < 6_000_000 ? 6_000_000 - at : 0);
     Histogram open = new Histogram(60_000_000, 3);
-    OpenLoop.Ran ran = run(new Fake(stalls), false, 1_000, 10, open);
+    OpenLoop.Stats ran = run(new Fake(stalls), false, 1_000, 10, open);
     assertTrue(ran.valid(1_000));
     assertEquals(ran.due(), ran.answered());
     // What the schedule says fell due in the stall, more than 1 ms before its end.
     ArrivalProcess again = new ArrivalProcess(LOAD.shape(), 1_000, 5);
     long due = 0;
-    for (long at = again.next(1); at < 10_000_000; at = again.next(1)) {
+    for (long at = again.nextDueUs(1); at < 10_000_000; at = again.nextDueUs(1)) {
       due += at >= 4_000_000 && at < 5_999_000 ? 1 : 0;
     }
     long late = open.getTotalCount() - open.getCountBetweenValues(0, 1_199);
@@ -123,7 +123,7 @@
   void aStarvedGeneratorSaysThatItsFiguresDoNotCount() {
     Fake f = new Fake(at -> 200);
     f.starved = 30_000;
-    OpenLoop.Ran ran = run(f, false, 1_000, 5, new Histogram(60_000_000, 3));
+    OpenLoop.Stats ran = run(f, false, 1_000, 5, new Histogram(60_000_000, 3));
     assertFalse(ran.valid(1_000));
   }
 
@@ -133,7 +133,7 @@
     Fake f = new Fake(at -> 10_000);
     f.most = 5;
     Histogram latency = new Histogram(60_000_000, 3);
-    OpenLoop.Ran ran = run(f, false, 1_000, 4, latency);
+    OpenLoop.Stats ran = run(f, false, 1_000, 4, latency);
     assertTrue(ran.valid(1_000));
     assertTrue(ran.waited() > 0);
     // 500 a second are served of 1,000 due: at the end of 4 s the queue is some 4 s long.
@@ -147,7 +147,7 @@
       ArrivalProcess a = new ArrivalProcess(new ArrivalProcess.Shape(kind, 0.5, swing), 1_000, 11);
       long n = 0;
       long before = 0;
-      for (long at = a.next(1); at < 400_000_000; at = a.next(1)) {
+      for (long at = a.nextDueUs(1); at < 400_000_000; at = a.nextDueUs(1)) {
         assertTrue(at >= before);
         before = at;
         n++;
