--- a/src/main/java/hollyslip/emulator/BadDays.java
+++ b/src/main/java/hollyslip/emulator/BadDays.java
@@ -12,9 +12,9 @@
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
 
-/** Looks for troubles that break a rule or cost most: draws scripts, goes on from the worst ones, and makes
- * what breaks a rule as small as it gets. Days are played on all cores; what is found depends on the seed
- * alone. */
+/** Searches for scenarios that break a rule or serve the fewest requests in time: generates random
+ * disturbances, mutates the worst scenarios found, and shrinks those that break a rule. Scenarios run on all
+ * cores; the findings depend only on the seed. */
 public final class BadDays {
   private static final int MAX_DISTURBANCES = 6;
   private static final double MIN_DURATION_S = 0.1;
@@ -24,23 +24,25 @@
   private final SplittableRandom random;
   private int played;
 
-  /** A day that was played: {@code broken} are the rules it broke, {@code inAim} what it served in time. */
+  /** A scenario that was run: {@code broken} are the rules that it broke, {@code inAim} is the fraction of
+   * requests served within their aim. */
   public record Found(Day day, List<Auditor.Rule> broken, double inAim, String first) {}
 
   /** @param base
-   *          a day, of which the troubles are drawn anew */
+   *          scenario whose disturbances are replaced by generated ones */
   public BadDays(Day base, long seed) {
     this.base = base;
     random = new SplittableRandom(seed);
   }
 
-  /** How many days were played. */
+  /** Number of scenarios run. */
   public int played() {
     return played;
   }
 
-  /** Plays {@code rounds} times {@code each} days, each round half drawn and half bred from the worst of all
-   * so far; gives all that broke a rule, and else the few that served least in time, worst first. */
+  /** Runs {@code rounds} rounds of {@code each} scenarios. Half of each round is generated, the other half
+   * mutated from the worst scenarios so far. Returns all scenarios, worst first: those that broke a rule,
+   * then by the fraction served in time. */
   public List<Found> search(int rounds, int each) {
     List<Found> all = new ArrayList<>();
     for (int r = 0; r < rounds; r++) {
@@ -73,8 +75,9 @@
             .inAim(), o.audit().breaches().isEmpty() ? "" : o.audit().breaches().get(0).toString());
   }
 
-  /** The smallest day that still breaks the first rule which {@code found} broke: with troubles left out,
-   * made shorter and struck less, and a shorter load, as long as it does. */
+  /** Shrinks a finding to the smallest scenario that still breaks the first rule that {@code found} broke, by
+   * removing disturbances, shortening them, reducing the fraction that they affect, and shortening the
+   * load. */
   public Found shrink(Found found) {
     Auditor.Rule rule = found.broken().get(0);
     Found[] smallest = {found};
@@ -92,7 +95,7 @@
     return smallest[0];
   }
 
-  /** Every day that is one step simpler, the largest steps first. */
+  /** All scenarios that are one step simpler, the largest steps first. */
   static List<Day> simplifications(Day day) {
     List<Day> all = new ArrayList<>();
     List<Disturbance> t = day.troubles();
@@ -141,7 +144,7 @@
         .toList();
   }
 
-  /** One trouble changed, one more or one less. */
+  /** Changes, adds or removes one disturbance. */
   private List<Disturbance> mutate(List<Disturbance> of) {
     List<Disturbance> next = new ArrayList<>(of);
     int step = random.nextInt(3);
--- a/src/main/java/hollyslip/emulator/EmulatedClient.java
+++ b/src/main/java/hollyslip/emulator/EmulatedClient.java
@@ -18,8 +18,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** A client of a volume at one gateway: asks on a schedule that does not wait for answers. What its ring has
- * no room for waits with it, and its time runs from when it was due. */
+/** A client of a volume at one gateway, which submits requests on an open-loop schedule. Requests that find
+ * no room in its ring wait in a backlog; their latency counts from the due time. */
 final class EmulatedClient {
   final Day.VolumeLoad load;
   private final World emulation;
@@ -33,7 +33,7 @@
   private boolean readsOnly, retryImmediately, awaitingCapacity, ended;
   private long requestCount;
 
-  /** A request, from when it is due to its end. */
+  /** A request, from its due time to its completion. */
   private final class PendingRequest implements IoRequest.CompletionListener {
     final long id;
     final IoKind kind;
@@ -43,7 +43,7 @@
     long askedUs, deadlineUs;
     IoRequest ioRequest;
     private boolean accepted, answered, abandoned;
-    /** Whether a process that was killed had taken it. */
+    /** Whether a gateway process that was killed had accepted it. */
     private boolean mayHaveStarted;
 
     PendingRequest(IoKind kind, long offset, long length) {
@@ -97,7 +97,7 @@
 
     @Override
     public void onRelease() {
-      // There is no memory to free.
+      // No memory to free.
     }
 
     void recordOutcome(int answers, Asked.Answer answer, boolean left) {
@@ -122,7 +122,7 @@
     arrivals = new ArrivalProcess(load.shape(), load.rate() / all, seeds.nextLong());
   }
 
-  /** Begins its schedule. */
+  /** Schedules the next request. */
   void scheduleNextArrival() {
     long at = EventQueue.START_US + arrivals.nextDueUs(rateFactor);
     if (!ended) {
@@ -135,7 +135,7 @@
     }
   }
 
-  /** Asks nothing new from now on, nor what still waits with it. */
+  /** Stops submitting requests, including those in the backlog. */
   void endLoad() {
     ended = true;
     emulation.never(load.plan(), backlog.size());
@@ -167,7 +167,7 @@
     }
   }
 
-  /** A gateway serves its volume from now on. */
+  /** The gateway has started and serves the client's volume. */
   void onGatewayStarted(Engine engine) {
     awaitingCapacity = false;
     engine.addCapacityListener(() -> {
@@ -177,7 +177,7 @@
     submitBacklog();
   }
 
-  /** The gateway was killed: what is out is asked again when there is one. */
+  /** The gateway was killed: outstanding requests are submitted again once it is back. */
   void onGatewayKilled() {
     List<PendingRequest> again = new ArrayList<>(outstanding);
     outstanding.clear();
@@ -196,7 +196,7 @@
     }
   }
 
-  /** Leaves with everything out, and goes on as a new one. */
+  /** Disconnects with all requests outstanding and continues as a new client. */
   void reconnect() {
     for (PendingRequest a : List.copyOf(outstanding)) {
       if (a.accepted) {
@@ -209,7 +209,7 @@
     submitBacklog();
   }
 
-  /** The run is over. */
+  /** Records the requests that are still unanswered at the end of the run. */
   void recordUnanswered() {
     outstanding.forEach(a -> {
       if (a.accepted) {
--- a/src/main/java/hollyslip/emulator/EmulatedConnection.java
+++ b/src/main/java/hollyslip/emulator/EmulatedConnection.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Set;
 
-/** A connection of one gateway process to one node: in order both ways, like TCP; what is sent while the
- * network is cut arrives when it is whole again. */
+/** A connection from one gateway process to one node. Delivers in order in both directions, like TCP; what is
+ * sent during a network partition arrives after the partition has ended. */
 final class EmulatedConnection {
   private enum State {
     CONNECTING, READY, CLOSED
@@ -79,7 +79,7 @@
     }
     state = State.READY;
     if (transport.recordNodeStart(node, boot, ageUs)) {
-      // Sent by the module to the process before: it decides anew for a cold one.
+      // The scheduler chose the node before it restarted; it decides anew for the cold node.
       waiting.forEach(f -> transport.reportOutcome(f, Result.MOOT));
       waiting.clear();
     }
@@ -100,14 +100,14 @@
     f.sentUs = events.now();
     sent.add(f);
     deliverToNode(() -> {
-      // A process that has started since does not know the connection.
+      // A node process started since then does not know this connection.
       if (node.isConnected(this)) {
         node.receive(f);
       }
     });
   }
 
-  /** What came of a command, on its way back. */
+  /** Sends the outcome of a command back to the gateway. */
   void reply(InFlightCommand f, Result result) {
     deliverToGateway(() -> {
       if (state != State.CLOSED && sent.remove(f)) {
@@ -120,12 +120,12 @@
     });
   }
 
-  /** Takes back one that has not left; false: it has. */
+  /** Removes a command that has not been sent; returns false if it has been. */
   boolean removeUnsent(InFlightCommand f) {
     return waiting.remove(f);
   }
 
-  /** The connection ends, here: what has left may still run until a newer one is made. */
+  /** Closes the gateway's end. Commands already sent may still run until a newer connection is made. */
   void close(boolean broken) {
     if (state == State.CLOSED) {
       return;
--- a/src/main/java/hollyslip/emulator/EmulatedGateway.java
+++ b/src/main/java/hollyslip/emulator/EmulatedGateway.java
@@ -16,10 +16,10 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** A gateway: the product's engine and module, started and killed as often as the run wants, in virtual
- * time. */
+/** A gateway in virtual time: the production engine and scheduler, which can be started and killed
+ * repeatedly. */
 final class EmulatedGateway {
-  /** Longest command, bytes: as the gateway's own. */
+  /** Maximum length of a command, bytes; the same as in the real gateway. */
   private static final int MAX_COMMAND_BYTES = 1 << 20;
 
   final World emulation;
@@ -28,11 +28,11 @@
   private final HostScheduler.Settings settings;
   private final RequestClassifier classifier;
   private final SplittableRandom random;
-  /** Until when each node is out of reach. */
+  /** Per node, the time until which it is unreachable from this gateway. */
   private final long[] partitionedUntil;
   private final List<EmulatedClient> clients = new ArrayList<>();
-  /** Those that come through it alone: each gateway with all of them is what would limit the size of
-   * worlds. */
+  /** Only the volumes used through this gateway: holding all volumes in every gateway would limit the size of
+   * emulations. */
   private final Map<String, Volume> volumes = new TreeMap<>();
   private long epoch;
   private Engine engine;
@@ -77,7 +77,7 @@
     return emulation.deployment().allowed().connectTimeoutUs();
   }
 
-  /** Starts it, with the list as it stands. */
+  /** Starts the gateway with the current node list. */
   void start() {
     var g = emulation.deployment().gateway();
     alive = true;
@@ -97,7 +97,7 @@
     runEngine();
   }
 
-  /** Kills it: nothing that it held is answered; its clients keep what they asked and ask again. */
+  /** Kills the gateway: nothing that it held is answered, and its clients submit their requests again. */
   void kill() {
     alive = false;
     transport.close();
@@ -105,19 +105,19 @@
     clients.forEach(EmulatedClient::onGatewayKilled);
   }
 
-  /** When something that leaves now arrives at the other end. */
+  /** Time at which a message sent now arrives at the other end. */
   long arrivalTime(EmulatedNode disk) {
     long mean = emulation.scenario.nodes().netUs();
     long delay = mean / 2 + (mean > 0 ? random.nextLong(mean + 1) : 0);
     return Math.max(emulation.events.now(), partitionedUntil[disk.index]) + delay;
   }
 
-  /** A node is out of reach for so long. */
+  /** Makes a node unreachable from this gateway for the given time. */
   void partition(EmulatedNode disk, long us) {
     partitionedUntil[disk.index] = emulation.events.now() + us;
   }
 
-  /** Something comes in: the engine's thread takes it when it is through with what came before. */
+  /** Runs an input on the engine's thread, once that is done with earlier input. */
   void runOnEngine(Runnable what) {
     busyUntil = Math.max(busyUntil, emulation.events.now()) + emulation.scenario.nodes().engineUs() / 2;
     long at = (long) busyUntil;
@@ -130,7 +130,7 @@
     });
   }
 
-  /** Has the engine do what there is to do, and wakes it when it wants to. */
+  /** Runs the engine until it is idle and schedules its next wake-up. */
   private void runEngine() {
     if (runningEngine) {
       return;
@@ -156,7 +156,7 @@
     return membership.recordStart(disk.index + 1, boot, ageUs, emulation.events.now());
   }
 
-  /** The operator's word on one node reaches it. */
+  /** Delivers the operator's new state of one node. */
   void updateNodeState(NodeEntry l) {
     runOnEngine(() -> {
       membership.setState(l.node(), l.state());
@@ -164,7 +164,7 @@
     });
   }
 
-  /** The module asks for the list. */
+  /** Delivers the node list that the scheduler asked for. */
   void requestNodeList() {
     Engine mine = engine;
     emulation.events.scheduleAfter(emulation.listDelay(random), () -> {
@@ -181,7 +181,7 @@
     });
   }
 
-  /** Takes a request from a client, which hears whether there was room. */
+  /** Offers a request to the engine; the client is told whether it was accepted. */
   void offer(IoRequest io, Consumer<Boolean> taken) {
     runOnEngine(() -> taken.accept(engine.offer(io)));
   }
--- a/src/main/java/hollyslip/emulator/EmulatedNode.java
+++ b/src/main/java/hollyslip/emulator/EmulatedNode.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** A storage node as a model: the service times of the stand-ins, their faults and their fences, without
- * sockets and without bytes. */
+/** Model of a storage node: the service times, faults and fences of the stand-ins, without sockets and
+ * data. */
 final class EmulatedNode {
   final String name;
   final int index;
@@ -22,10 +22,10 @@
   private final ServiceModel.Config config;
   private final SplittableRandom random;
   private final List<Command> commandLog = new ArrayList<>();
-  /** Commands taken and not done. */
+  /** Commands received but not finished. */
   private final Set<InFlightCommand> pending = new LinkedHashSet<>();
   private final Set<EmulatedConnection> connections = new LinkedHashSet<>();
-  /** Newest connection of each client: the older ones' commands have no effect any more. */
+  /** Serial of each client's newest connection; commands of older connections have no effect. */
   private final Map<String, Long> newestSerialByClient = new HashMap<>();
   private ServiceModel model;
   private boolean up = true;
@@ -62,7 +62,7 @@
     model.stall(events.now() + us);
   }
 
-  /** Its process ends: what it held is never done, its connections break. */
+  /** Ends the node's process: pending commands are never executed, and its connections break. */
   void kill() {
     up = false;
     pending.forEach(f -> recordCommand(f, 0, Command.Result.SWALLOWED));
@@ -73,7 +73,7 @@
     broken.forEach(l -> l.deliverToGateway(() -> l.close(true)));
   }
 
-  /** Starts cold, with nothing of before but its bytes. */
+  /** Starts the node cold; only its stored data survives. */
   void start() {
     if (up) {
       kill();
@@ -84,7 +84,7 @@
     model = new ServiceModel(config, random.nextLong(), startedAtUs);
   }
 
-  /** A connection is made; it is the fence of the client's older ones. */
+  /** Accepts a connection, which fences the client's older ones. */
   void onConnected(EmulatedConnection link) {
     connections.add(link);
     newestSerialByClient.merge(link.client(), link.serial, Math::max);
@@ -98,7 +98,7 @@
     connections.remove(link);
   }
 
-  /** A command has come in. */
+  /** Receives a command. */
   void receive(InFlightCommand f) {
     f.receivedUs = events.now();
     if (faults.silent) {
@@ -141,7 +141,7 @@
         f.length, f.receivedUs, done, f.writeId, result, f.sentUs));
   }
 
-  /** What reached it, once the run is over. */
+  /** All commands received; to be called after the end of the run. */
   List<Command> commandLog() {
     pending.forEach(f -> recordCommand(f, 0, Command.Result.SWALLOWED));
     pending.clear();
--- a/src/main/java/hollyslip/emulator/EmulatedTransport.java
+++ b/src/main/java/hollyslip/emulator/EmulatedTransport.java
@@ -7,16 +7,17 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** The nodes as one start of a gateway's engine reaches them, in place of the product's connections: a link
- * each, made when it is needed, fences by making a newer one. */
+/** Replaces the production connections between one run of a gateway's engine and the nodes. There is one
+ * connection per node, made on demand; fencing is done by making a newer connection. */
 final class EmulatedTransport implements NodeTransport {
   private final EmulatedGateway gateway;
   private final long epoch;
   private final EmulatedConnection[] connections;
-  /** Changes of dead links that may still run, by node and serial. */
+  /** Commands that modify data and were sent on a closed connection, so that they may still run; by node and
+   * connection serial. */
   private final List<TreeMap<Long, List<InFlightCommand>>> uncertainCommands;
   private long lastSerial;
-  /** The process is gone: nothing reaches it any more. */
+  /** The gateway process is gone and receives nothing any more. */
   private boolean closed;
 
   EmulatedTransport(EmulatedGateway site, long epoch) {
@@ -37,12 +38,12 @@
     return gateway.name + "/" + epoch;
   }
 
-  /** When something that leaves now arrives. */
+  /** Time at which a message sent now arrives. */
   long arrivalTime(EmulatedNode disk) {
     return gateway.arrivalTime(disk);
   }
 
-  /** Something reaches the gateway. */
+  /** Runs an action at the gateway unless the process is gone. */
   void runAtGateway(Runnable what) {
     if (!closed) {
       gateway.runOnEngine(what);
@@ -115,7 +116,7 @@
     }
   }
 
-  /** A newer link was made: what older ones brought can have no effect any more. */
+  /** A newer connection was made, so commands of older connections can no longer take effect. */
   void onFenced(EmulatedNode disk, long serial) {
     var older = uncertainCommands.get(disk.index).headMap(serial);
     List<InFlightCommand> over = older.values().stream().flatMap(List::stream).toList();
@@ -123,7 +124,7 @@
     over.forEach(this::reportResolved);
   }
 
-  /** A link has ended with these changes out. */
+  /** A connection was closed while these modifying commands were outstanding. */
   void onConnectionClosed(EmulatedConnection link, List<InFlightCommand> doubt) {
     if (connections[link.node.index] == link) {
       connections[link.node.index] = null;
@@ -155,7 +156,7 @@
 
   @Override
   public void flush() {
-    // Links send at once.
+    // Connections send immediately.
   }
 
   @Override
--- a/src/main/java/hollyslip/emulator/Estimate.java
+++ b/src/main/java/hollyslip/emulator/Estimate.java
@@ -3,19 +3,19 @@
 import java.util.Arrays;
 import org.apache.commons.statistics.distribution.TDistribution;
 
-/** A mean of runs and how far the true one may lie from it: the two-sided interval of Student's t.
+/** Mean of several runs with its two-sided confidence interval by Student's t-distribution.
  *
  * @param mean
- *          of the runs
+ *          mean of the runs
  * @param half
- *          half the interval's width; infinite for a single run
+ *          half the width of the interval; infinite for a single run
  * @param runs
- *          how many */
+ *          number of runs */
 public record Estimate(double mean, double half, int runs) {
-  /** Trust in the interval. */
+  /** Confidence level of the interval. */
   public static final double CONFIDENCE_LEVEL = 0.95;
 
-  /** Of independent runs. */
+  /** Estimates the mean of independent runs. */
   public static Estimate of(double... values) {
     int n = values.length;
     if (n == 0) {
@@ -30,8 +30,8 @@
     return new Estimate(mean, t * Math.sqrt(variance / n), n);
   }
 
-  /** Of what the second of two variants has more than the first on the same seeds: what all seeds share falls
-   * out. */
+  /** Estimates by how much a second variant exceeds the first on the same seeds; pairing removes the variance
+   * that runs of the same seed share. */
   public static Estimate paired(double[] first, double[] second) {
     if (first.length != second.length) {
       throw new IllegalArgumentException("pairs need as many runs of both: " + first.length + " and "
@@ -42,7 +42,7 @@
     return of(d);
   }
 
-  /** Whether it differs from nothing by more than chance. */
+  /** Whether the mean differs significantly from zero. */
   public boolean clear() {
     return Math.abs(mean) > half;
   }
--- a/src/main/java/hollyslip/emulator/EventQueue.java
+++ b/src/main/java/hollyslip/emulator/EventQueue.java
@@ -2,9 +2,9 @@
 
 import java.util.PriorityQueue;
 
-/** Virtual time, us, and what is to happen: in order of time, then in the order in which it was put in. */
+/** Virtual clock, us, with its queue of events, which run in order of time and then of insertion. */
 final class EventQueue {
-  /** Not 0, since a birth at 0 means "long ago" to the module. */
+  /** Start of virtual time. Not 0, because a node start time of 0 means "long ago" to the scheduler. */
   static final long START_US = 10_000_000_000L;
 
   private final PriorityQueue<ScheduledEvent> queue = new PriorityQueue<>();
@@ -23,7 +23,7 @@
     return now;
   }
 
-  /** Happens then, or now if that has passed. */
+  /** Runs an action at the given time, or now if that time has passed. */
   void schedule(long us, Runnable what) {
     queue.add(new ScheduledEvent(Math.max(now, us), order++, what));
   }
@@ -32,7 +32,7 @@
     schedule(now + us, what);
   }
 
-  /** Plays all that happens up to a time. */
+  /** Processes all events up to the given time. */
   void runUntil(long end) {
     while (!queue.isEmpty() && queue.peek().at <= end) {
       ScheduledEvent h = queue.poll();
@@ -43,7 +43,7 @@
     now = Math.max(now, end);
   }
 
-  /** How much has happened. */
+  /** Number of events processed. */
   long processedCount() {
     return processedCount;
   }
--- a/src/main/java/hollyslip/emulator/Experiment.java
+++ b/src/main/java/hollyslip/emulator/Experiment.java
@@ -25,18 +25,17 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A day in the emulator over and over: each point of a sweep, each on the same seeds. What was run is kept
- * in {@code runs.jsonl}, so that an interrupted experiment goes on where it was.
- *
+/** Runs a scenario in the emulator repeatedly: for each point of a parameter sweep, on the same seeds.
+ * Completed runs are stored in {@code runs.jsonl}, so that an interrupted experiment can be resumed.
  * <p>
- * The file is a script like the settings' (docs/settings.md): {@code experiment(day = "x.day", seeds = 8)}
- * and {@code sweep("name", [...])}; in the day's text {@code $name} stands for the value. */
+ * The file is a script like the settings (docs/settings.md): {@code experiment(day = "x.day", seeds = 8)} and
+ * {@code sweep("name", [...])}; in the text of the day file {@code $name} is replaced by the value. */
 public final class Experiment {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final List<String> FUNCTIONS = List.of("experiment", "sweep");
   private static final Pattern PLACEHOLDER = Pattern.compile("\\$([A-Za-z][A-Za-z0-9_]*)");
 
-  /** One run, as it is kept; latencies in us. */
+  /** One run as it is stored; latencies in us. */
   public record Run(Map<String, String> point, long seed, String day, double inAim, double served,
       double refused,
       double failed, double p50, double p99, double p999, @JsonProperty("happenings") long eventCount,
@@ -46,13 +45,13 @@
     }
   }
 
-  /** What is told of a run by name. */
+  /** Measures of a run, by name. */
   public static final Map<String, ToDoubleFunction<Run>> FIGURES = measures();
 
   private final String scenarioTemplate;
   private final int seeds;
   private final Map<String, List<String>> sweeps;
-  /** What goes with a value of a sweep, by {@code name=value}. */
+  /** Values of further names that a value of a sweep sets as well, by {@code name=value}. */
   private final Map<String, Map<String, String>> linkedValues;
 
   private Experiment(String text, int seeds, Map<String, List<String>> sweeps,
@@ -74,10 +73,10 @@
     return f;
   }
 
-  /** Reads an experiment and its day.
+  /** Reads an experiment and its day file.
    *
    * @throws IllegalArgumentException
-   *           something is wrong with them; names file and line, or the point of the sweep */
+   *           if either is invalid; the message names file and line, or the point of the sweep */
   public static Experiment read(Path file) throws IOException {
     JsonNode said;
     try {
@@ -100,7 +99,8 @@
       List<String> values = new ArrayList<>();
       String name = s.path("name").asText();
       for (JsonNode v : s.path("values")) {
-        // A dict sets several names at once: the one swept is its value, the others go with it.
+        // A dict sets several names at once: the entry under the swept name is the value, the others go
+        // with it.
         values.add(v.isObject() ? v.path(name).asText() : v.asText());
         v.fields()
             .forEachRemaining(f -> linked.computeIfAbsent(name + "=" + values.get(values.size() - 1),
@@ -123,12 +123,12 @@
     return x;
   }
 
-  /** Names of what is swept, in order. */
+  /** Names of the sweeps, in order. */
   public List<String> names() {
     return List.copyOf(sweeps.keySet());
   }
 
-  /** All points of the sweep; the last name moves fastest. */
+  /** All points of the sweep; the last name varies fastest. */
   public List<Map<String, String>> points() {
     List<Map<String, String>> all = List.of(Map.of());
     for (Map.Entry<String, List<String>> s : sweeps.entrySet()) {
@@ -165,12 +165,12 @@
     return Day.parse(scenarioText(point)).with(seed);
   }
 
-  /** Runs what is not kept yet, on so many threads; gives all runs of this experiment.
+  /** Runs what is not stored yet on the given number of threads, and returns all runs of this experiment.
    *
    * @param kept
-   *          where runs are kept; made if it is not there
+   *          file of stored runs; created if absent
    * @param progress
-   *          hears of each new run */
+   *          called for each new run */
   public List<Run> run(Path kept, int threads, Consumer<Run> progress) throws IOException,
       InterruptedException {
     List<Run> before = Files.exists(kept) ? readRuns(kept) : List.of();
@@ -203,11 +203,11 @@
     return done;
   }
 
-  /** Runs that are kept. An interruption may have cut the last line short: that alone is dropped, from the
-   * file too, as the next run would be written on behind it and be lost with it.
+  /** Reads the stored runs. An interruption may have truncated the last line. Only that line is dropped, and
+   * also removed from the file, because the next run would be appended to it and be lost too.
    *
    * @throws IOException
-   *           another line cannot be read; names it */
+   *           if another line cannot be read; the message names it */
   private static List<Run> readRuns(Path kept) throws IOException {
     String text = Files.readString(kept);
     int whole = text.lastIndexOf('\n') + 1;
@@ -252,7 +252,7 @@
                         .toList());
   }
 
-  /** The runs of one point, in order of their seeds. */
+  /** Runs at one point, ordered by seed. */
   public static List<Run> of(List<Run> runs, Map<String, String> point) {
     Map<Long, Run> bySeed = new TreeMap<>();
     runs.stream().filter(r -> r.point().equals(point)).forEach(r -> bySeed.put(r.seed(), r));
--- a/src/main/java/hollyslip/emulator/InFlightCommand.java
+++ b/src/main/java/hollyslip/emulator/InFlightCommand.java
@@ -15,13 +15,13 @@
   final long offset;
   final long length;
   final String export;
-  /** What a write writes: a number of its own stands for the bytes. */
+  /** ID of a write, which stands for the data written. */
   final long writeId;
-  /** When its first byte left, and when the node had it. */
+  /** When it was sent, and when the node received it. */
   long sentUs, receivedUs;
-  /** Whether the engine has heard what came of it. */
+  /** Whether its outcome has been reported to the engine. */
   boolean outcomeReported;
-  /** Whether the engine has given it up. */
+  /** Whether the engine has withdrawn it. */
   boolean withdrawn;
 
   InFlightCommand(Attempt attempt, EmulatedConnection link) {
--- a/src/main/java/hollyslip/emulator/Outcome.java
+++ b/src/main/java/hollyslip/emulator/Outcome.java
@@ -8,25 +8,26 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What came of a simulated run.
+/** Results of an emulated run.
  *
  * @param audit
- *          the seven rules, from what both ends saw
+ *          result of the audit of the seven rules, from what both ends observed
  * @param plans
- *          figures by plan
+ *          tallies by plan
  * @param kinds
- *          figures by plan and kind, such as {@code gold.read}
+ *          tallies by plan and kind, such as {@code gold.read}
  * @param timeline
- *          figures by when requests were due: {@link #INTERVAL_US} each, from the start
+ *          tallies by due time of the requests, in intervals of {@link #INTERVAL_US} from the start
  * @param happenings
- *          how much happened in the sequence of virtual time */
+ *          number of events processed in virtual time */
 public record Outcome(Auditor.Report audit, Map<String, Tally> plans, Map<String, Tally> kinds,
     List<Tally> timeline,
     long happenings) {
-  /** Length of a stretch of the timeline, us. */
+  /** Length of an interval of the timeline, us. */
   public static final long INTERVAL_US = 250_000;
 
-  /** One plan's requests; latency, us, from when a request was due to its answer, of those served. */
+  /** Tally of requests. Latencies, us, are measured from due time to answer and cover served requests
+   * only. */
   public static final class Tally {
     private final Map<Asked.Answer, Long> answers = new EnumMap<>(Asked.Answer.class);
     private final Histogram latency = new Histogram(3_600_000_000L, 3);
@@ -56,28 +57,28 @@
       neverSubmitted += o.neverSubmitted;
     }
 
-    /** How many ended so. */
+    /** Number of requests that ended with this answer. */
     public long count(Asked.Answer answer) {
       return answers.getOrDefault(answer, 0L);
     }
 
-    /** Requests whose clients stayed. */
+    /** Number of requests whose clients did not disconnect. */
     public long asked() {
       return answers.values().stream().mapToLong(n -> n).sum() + neverSubmitted;
     }
 
-    /** Part of {@link #asked} that was served within its class's aim. */
+    /** Fraction of {@link #asked} that was served within the aim of its class. */
     public double inAim() {
       return asked() == 0 ? 1 : (double) inAim / asked();
     }
 
-    /** Of those that were served. */
+    /** Latencies of the served requests. */
     public Histogram latency() {
       return latency;
     }
   }
 
-  /** All plans together. */
+  /** Sum over all plans. */
   public Tally all() {
     Tally sum = new Tally();
     new TreeMap<>(plans).values().forEach(sum::addAll);
--- a/src/main/java/hollyslip/emulator/World.java
+++ b/src/main/java/hollyslip/emulator/World.java
@@ -31,15 +31,15 @@
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 
-/** A {@link Day} in virtual time: gateways with the product's engine and module, nodes, network and clients
- * as models. One thread plays it; equal days give equal runs. It is a model in figures of our own, so what
- * comes out is called simulated. */
+/** Plays a {@link Day} in virtual time, with the production engine and scheduler and with models of nodes,
+ * network and clients. Single-threaded and deterministic: equal scenarios give equal runs. The models use
+ * parameters of their own, so the results are always labelled as simulated. */
 public final class World {
-  /** The operator's word of a node's state reaches a gateway within this, us. */
+  /** Maximum delay until a gateway learns a node state set by the operator, us. */
   private static final long MAX_LIST_DELAY_US = 50_000;
-  /** How old nodes are at the start, us: long warm. */
+  /** Age of the nodes at the start, us; they are long warm. */
   private static final long INITIAL_NODE_AGE_US = 3_600_000_000L;
-  /** How long after the load's end and the last deadline a run goes on, us. */
+  /** Additional run time after the end of the load and the last deadline, us. */
   private static final long DRAIN_TIME_US = 2_000_000;
 
   final Day scenario;
@@ -72,10 +72,10 @@
     Arrays.fill(states, NodeState.ON);
   }
 
-  /** Plays a day.
+  /** Plays a scenario.
    *
    * @throws IllegalArgumentException
-   *           its plans or volumes do not make settings; names what is wrong */
+   *           if its plans or volumes do not make valid settings; the message names the reason */
   public static Outcome play(Day day) {
     World w = new World(day, deployment(day));
     w.build();
@@ -83,7 +83,7 @@
     return w.run();
   }
 
-  /** The settings of a day's gateways. */
+  /** Settings of the scenario's gateways. */
   private static Deployment deployment(Day day) {
     try {
       Path dir = Files.createTempDirectory("hollyslip-emulate");
@@ -119,7 +119,7 @@
     for (int i = 0; i < scenario.gateways(); i++) {
       gateways.add(new EmulatedGateway(this, i, classifier, random.split()));
     }
-    // Drawn as the generator of load does: both ask the same at the same times.
+    // Drawn exactly as in the load generator, so that both submit the same requests at the same times.
     SplittableRandom clientSeeds = new SplittableRandom(scenario.seed());
     for (Day.VolumeLoad v : scenario.volumes()) {
       int all = scenario.clientCount(v);
@@ -157,7 +157,7 @@
             .processedCount());
   }
 
-  // What its parts ask of it.
+  // Called by the parts of the emulation.
 
   Deployment deployment() {
     return deployment;
@@ -188,7 +188,7 @@
     return deployment.classes().stream().filter(c -> c.name().equals(name)).findFirst().orElseThrow();
   }
 
-  /** The list as the operator has it. */
+  /** The node list as the operator sees it. */
   List<NodeEntry> nodeEntries() {
     List<NodeEntry> all = new ArrayList<>();
     for (int i = 0; i < states.length; i++) {
@@ -201,7 +201,7 @@
     return new NodeEntry(disk + 1, deployment.nodes().get(disk).zone(), disk, states[disk], 0);
   }
 
-  /** A gateway was told so. */
+  /** Records the node states that a gateway has been told. */
   void recordNodeStates(EmulatedGateway site, List<NodeEntry> list) {
     for (NodeEntry l : list) {
       String key = site.name + "/" + l.node();
@@ -234,7 +234,7 @@
     return tallies.computeIfAbsent(plan, k -> new Outcome.Tally());
   }
 
-  // Trouble.
+  // Disturbances.
 
   private void schedule(double seconds, Runnable what) {
     events.schedule(EventQueue.START_US + (long) (seconds * 1e6), what);
--- a/src/main/java/hollyslip/load/ArrivalProcess.java
+++ b/src/main/java/hollyslip/load/ArrivalProcess.java
@@ -4,42 +4,45 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 
-/** When requests are due: a schedule that depends on the shape, the rate and the seed alone, never on
- * answers. Free of I/O and clock. */
+/** Due times of requests. The schedule depends only on shape, rate and seed, never on answers. Performs no
+ * I/O and reads no clock. */
 public final class ArrivalProcess {
-  /** Rates count as constant over so long, us. */
+  /** Interval within which the rate is treated as constant, us. */
   private static final long RATE_STEP_US = 10_000;
-  /** Tail of the on and off times of {@link Kind#ONOFF}: below 2, so that their variance has no end. */
+  /** Shape parameter of the Pareto-distributed on and off times of {@link Kind#ONOFF}; below 2, so their
+   * variance is infinite. */
   private static final double PARETO_SHAPE = 1.5;
-  /** Longest on or off time, in mean ones. */
+  /** Upper bound of an on or off time, as a multiple of the mean. */
   private static final double MAX_MEAN_DURATIONS = 50;
 
-  /** How the rate moves, and whether gaps are drawn. */
+  /** How the rate varies over time, and whether the gaps are random. */
   public enum Kind {
-    /** Gaps of an exponential distribution, the rate as it is. */
+    /** Exponentially distributed gaps at a constant rate. */
     POISSON,
-    /** Equal gaps. */
+    /** Equal gaps at a constant rate. */
     STEADY,
-    /** From nothing up to twice the rate over a period, and again. */
+    /** Rises from zero to twice the rate over each period. */
     RAMP,
-    /** Half the rate for half a period, then one and a half times. */
+    /** Half the rate in the first half of each period, one and a half times the rate in the second. */
     STEP,
-    /** {@code swing} times the rate for a tenth of each period, less between so that the mean holds. */
+    /** {@code swing} times the rate in the first tenth of each period, and less in the rest so that the mean
+     * rate holds. */
     BURST,
-    /** A sine of the period, up and down by the part {@code swing} of the rate. */
+    /** Sine wave with the given period; {@code swing} is its amplitude as a fraction of the rate. */
     CURVE,
-    /** On and off, with times of heavy tails and a mean of half the period each; twice the rate when on. */
+    /** Twice the rate while on and nothing while off; on and off times are heavy-tailed with a mean of half
+     * the period each. */
     ONOFF
   }
 
-  /** A kind with its figures.
+  /** A kind of arrival process with its parameters.
    *
    * @param periodS
    *          period, s
    * @param swing
-   *          as the kind says */
+   *          amplitude; its meaning depends on the kind */
   public record Shape(Kind kind, double periodS, double swing) {
-    /** Requests at random, at one rate. */
+    /** Random arrivals at a constant rate. */
     public static final Shape POISSON = new Shape(Kind.POISSON, 0, 0);
 
     public Shape {
@@ -55,10 +58,11 @@
       }
     }
 
-    /** Reads one: {@code word} is the kind's name in small letters; empty: Poisson.
+    /** Returns the shape with the given keyword, the lower-case name of its kind; an empty keyword means
+     * Poisson.
      *
      * @throws IllegalArgumentException
-     *           it is not known, or a figure is missing or out of range */
+     *           if the keyword is unknown, or a parameter is missing or out of range */
     public static Shape of(String word, double periodS, double swing) {
       return word.isEmpty()
           ? POISSON
@@ -70,7 +74,7 @@
                   + Arrays.stream(Kind.values()).map(Shape::keyword).toList()));
     }
 
-    /** The word that {@link #of} knows it by. */
+    /** The keyword that {@link #of} accepts for this shape. */
     public String keyword() {
       return keyword(kind);
     }
@@ -88,7 +92,7 @@
   private double nextToggleUs;
 
   /** @param rate
-   *          requests a second in the mean */
+   *          mean number of requests per second */
   public ArrivalProcess(Shape shape, double rate, long seed) {
     this.shape = shape;
     requestsPerUs = rate / 1e6;
@@ -99,8 +103,8 @@
     }
   }
 
-  /** When the next request is due, us after the start of the schedule; {@code speed}: so many times the rate
-   * from the last one on. */
+  /** Due time of the next request, us after the start of the schedule. {@code speed} multiplies the rate from
+   * the previous request on. */
   public long nextDueUs(double speed) {
     double need = nextGap();
     while (true) {
@@ -120,7 +124,7 @@
     return shape.kind() == Kind.STEADY ? 1 : -Math.log(1 - random.nextDouble());
   }
 
-  /** The rate's part of its mean at a time. */
+  /** Rate at the given time as a multiple of the mean rate. */
   private double rateFactor(double us) {
     double period = shape.periodS() * 1e6;
     double phase = period > 0 ? us % period / period : 0;
--- a/src/main/java/hollyslip/load/BenchDeployment.java
+++ b/src/main/java/hollyslip/load/BenchDeployment.java
@@ -6,7 +6,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** The deployment that measurements run on: one gateway, one class for everything, stand-ins as nodes. */
+/** Builds the deployment that the benchmarks run on: one gateway, stand-ins as nodes, and a single class for
+ * all requests. */
 final class BenchDeployment {
   private static final String SETTINGS_HEADER = """
       rules(drain_grace = seconds(1), cold_from = 0.2, cold = seconds(5), fall_multiple = 3, fall = seconds(2), settle = ms(300))
@@ -17,12 +18,12 @@
 
   private BenchDeployment() {}
 
-  /** The deployment, its folders in {@code dir}.
+  /** Loads the deployment, with its directories in {@code dir}.
    *
    * @param more
-   *          further arguments of {@code gateway}
+   *          additional arguments of {@code gateway}
    * @param lines
-   *          what comes after the nodes, volumes above all */
+   *          declarations that follow the nodes, mainly volumes */
   static Deployment load(Path dir, int[] ports, String more, String lines) throws IOException {
     StringBuilder s = new StringBuilder(
         "gateway('bench', socket_dir = 'run', state_dir = 'state', unit_bytes "
--- a/src/main/java/hollyslip/load/BlockStamps.java
+++ b/src/main/java/hollyslip/load/BlockStamps.java
@@ -3,9 +3,9 @@
 import java.nio.ByteBuffer;
 import java.util.TreeMap;
 
-/** A client's reference copy of what it has written, block by block: which bytes a read may return. Every
- * block that is written bears the number of its write; numbers grow. A read may return the newest write that
- * was answered before the read was asked, or any later one of which it is not known that it never ran. */
+/** Tracks per block what a client has written, to check which bytes a read may return. Every written block
+ * carries the ID of its write, and IDs increase. A read may return the newest write that was answered before
+ * the read was submitted, or any later write that is not known never to have run. */
 final class BlockStamps {
   static final int BLOCK_BYTES = 4096;
   private static final long STAMP_MAGIC = 0x5354414d50454421L;
@@ -17,7 +17,7 @@
     this.clientId = who;
   }
 
-  /** Fills a buffer for a write of this number. */
+  /** Fills the buffer with the contents of the write with this ID. */
   void fillForWrite(ByteBuffer data, long id, int length) {
     for (int at = 0; at < length; at += 8) {
       data.putLong(at, clientId * 31 + id * 0x9e3779b97f4a7c15L + at);
@@ -27,15 +27,15 @@
     }
   }
 
-  /** A write was served. */
-  void newestServedWrite(long offset, int length, long id) {
+  /** Records that a write was served. */
+  void recordServed(long offset, int length, long id) {
     for (long b = offset; b < offset + length; b += BLOCK_BYTES) {
       long[] newest = newestServedWrite.computeIfAbsent(b, k -> new long[1]);
       newest[0] = Math.max(newest[0], id);
     }
   }
 
-  /** What a read that is asked now must return at least, by block. */
+  /** Per block, the ID of the oldest write that a read submitted now may return. */
   long[] minWriteIds(long offset, int length) {
     long[] floors = new long[length / BLOCK_BYTES];
     for (int i = 0; i < floors.length; i++) {
@@ -45,7 +45,7 @@
     return floors;
   }
 
-  /** What is wrong with the bytes that a read returned; null: nothing. */
+  /** Describes the first mismatch in the bytes returned by a read; null if there is none. */
   String findMismatch(ByteBuffer data, long offset, long[] floors) {
     for (int i = 0; i < floors.length; i++) {
       int at = i * BLOCK_BYTES;
--- a/src/main/java/hollyslip/load/Child.java
+++ b/src/main/java/hollyslip/load/Child.java
@@ -10,13 +10,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A gateway in a process of its own, started from the program that runs. */
+/** A gateway running as a separate process, started from the class path of this JVM. */
 public final class Child {
   private static final int SIGHUP = 1, SIGTERM = 15;
 
   private final Process process;
 
-  /** Starts {@code serve FILE} and waits until clients may come; its log goes to the end of {@code log}. */
+  /** Starts {@code serve FILE} and waits until the gateway accepts clients. Its log is appended to
+   * {@code log}. */
   public Child(Path settings, Path log) throws IOException {
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
     List<String> command = new ArrayList<>(List.of(java, "-Xmx512m", "-XX:+UseSerialGC", "-cp", System
@@ -33,18 +34,18 @@
     }
   }
 
-  /** SIGKILL; returns when it is gone. */
+  /** Sends SIGKILL and waits for the process to exit. */
   public void kill() throws InterruptedException {
     process.destroyForcibly();
     process.waitFor();
   }
 
-  /** Has it read its settings again. */
+  /** Makes the gateway reload its settings. */
   public void reload() throws IOException {
     Linux.signalProcess(process.pid(), SIGHUP);
   }
 
-  /** SIGTERM; its exit status. */
+  /** Sends SIGTERM and returns the exit status. */
   public int stop() throws IOException, InterruptedException {
     if (process.isAlive()) {
       Linux.signalProcess(process.pid(), SIGTERM);
--- a/src/main/java/hollyslip/load/CoresBench.java
+++ b/src/main/java/hollyslip/load/CoresBench.java
@@ -12,8 +12,8 @@
 import java.util.Locale;
 import java.util.stream.IntStream;
 
-/** The same load on one, two, four and eight lanes: volumes of one weight, a client each, as fast as they are
- * answered. */
+/** Compares numbers of lanes (by default 1, 2, 4 and 8) under the same load: volumes of equal weight with one
+ * client each, which submits as fast as requests are answered. */
 public final class CoresBench {
   private static final int VOLUMES = 8, BLOCK = 4_096;
   private static final long BYTES = 2 << 20;
@@ -26,15 +26,15 @@
   private final int[] laneCounts;
 
   /** @param rounds
-   *          of each measurement; medians are shown
+   *          rounds of each measurement; medians are printed
    * @param seconds
-   *          of one measurement
+   *          duration of one measurement
    * @param depth
-   *          requests that each client keeps out
+   *          outstanding requests of each client
    * @param nodes
-   *          stand-ins
+   *          number of stand-ins
    * @param lanes
-   *          to be compared */
+   *          lane counts to compare */
   public CoresBench(int rounds, double seconds, int depth, int nodes, int[] lanes) {
     this.rounds = rounds;
     this.seconds = seconds;
@@ -43,8 +43,8 @@
     this.laneCounts = lanes.clone();
   }
 
-  /** What all clients got: requests a second, the worst client's latencies, and the least volume's part of
-   * the mean. */
+  /** Totals over all clients: requests per second, the latencies of the worst client, and the smallest rate
+   * of a volume relative to the mean. */
   private record Total(double rate, double p50, double p99, double p999, double minShare,
       double[] busyCores) {
     static Total of(List<Measurement> rows, double[] busy) {
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Measures and prints the table. */
+  /** Runs the measurements and prints the table. */
   public void run() throws Exception {
     System.out.printf("%-6s %12s %10s %10s %10s %18s %8s %8s%n", "lanes", "requests/s", "p50 us",
         "p99 us",
@@ -90,7 +90,7 @@
     return sorted[sorted.length / 2];
   }
 
-  /** Cores that engines and node threads of the gateway kept busy. */
+  /** Number of cores kept busy by the gateway's engine and node I/O threads. */
   private static double[] busyCores(long wallNs) {
     java.lang.management.ThreadMXBean bean = java.lang.management.ManagementFactory.getThreadMXBean();
     double[] cores = new double[THREAD_NAME_PREFIXES.size()];
--- a/src/main/java/hollyslip/load/Day.java
+++ b/src/main/java/hollyslip/load/Day.java
@@ -6,37 +6,39 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A scripted day: nodes, plans, volumes with their load, and what goes wrong when. Read from a small text of
- * our own (docs/replay.md): a line a fact, words and named figures, {@code #} for comments. Free of I/O.
+/** A scenario: nodes, plans, volumes with their load, and the disturbances to inject at given times. Read
+ * from a day file (docs/replay.md), a line-based text format of keywords and named numbers with {@code #} for
+ * comments. Performs no I/O.
  *
  * @param seconds
- *          how long the load lasts
+ *          duration of the load, s
  * @param seed
- *          of all that is drawn
+ *          seed of all random choices
  * @param gateways
- *          gateway processes
+ *          number of gateway processes
  * @param lanes
- *          cores of each
+ *          number of lanes of each gateway
  * @param exampleSettings
- *          whether the settings that ship are run, with their volumes and plans
+ *          whether to run the shipped example settings with their volumes and plans
  * @param nodes
- *          the stand-ins
+ *          stand-in nodes
  * @param plans
- *          plans by name, with their figures
+ *          parameters of the plans, by plan name
  * @param volumes
  *          volumes and their load
  * @param troubles
- *          what goes wrong, by time */
+ *          disturbances in order of time */
 public record Day(double seconds, long seed, int gateways, int lanes, boolean exampleSettings, Nodes nodes,
     Map<String, Map<String, Double>> plans, List<VolumeLoad> volumes, List<Disturbance> troubles) {
 
-  /** The stand-ins: all alike but for their seeds. For the emulator alone: {@code netUs} is one way on the
-   * network, drawn from half to one and a half of it; {@code engineUs} what one request costs a gateway's
-   * engine. */
+  /** The stand-in nodes; they differ only in their seeds. {@code netUs} and {@code engineUs} apply to the
+   * emulator only: the mean one-way network delay, drawn from half to one and a half of it, and the time that
+   * a gateway's engine spends on one request. */
   public record Nodes(int count, int cores, int queue, long baseUs, long netUs, double engineUs) {}
 
-  /** A volume and what its clients ask: {@code rate} requests a second over all its gateways, {@code hosts}
-   * of them (0: all) from the {@code first} on; {@code spread}: over how many shards it lies, 0: all. */
+  /** A volume and its load: {@code rate} requests per second in total through {@code maxGateways} gateways
+   * (0: all), starting with {@code firstGateway}. {@code maxShards} is the number of shards that the volume
+   * spreads over; 0: all. */
   public record VolumeLoad(String volume, String plan, int sizeMib, double rate, double readFraction,
       int maxBlocks,
       int depth, int clients, ArrivalProcess.Shape shape, int maxGateways, int maxShards, int firstGateway) {
@@ -58,23 +60,24 @@
     }
   }
 
-  /** Something that goes wrong.
+  /** A disturbance to inject.
    *
    * @param at
-   *          s after the start
+   *          start, s
    * @param kind
    *          one of {@link #KINDS}
    * @param target
-   *          name of a node, volume or plan; empty: drawn by {@code part}
+   *          name of a node, volume or plan; empty to choose at random according to {@code fraction}
    * @param seconds
-   *          how long it lasts
+   *          duration, s
    * @param fraction
-   *          part of the nodes or volumes struck
+   *          fraction of the nodes or volumes affected
    * @param size
-   *          how bad, as the kind says */
+   *          severity; its meaning depends on the kind */
   public record Disturbance(double at, String kind, String target, double seconds, double fraction,
       double size) {
-    /** How long after it was told to drain a preempted node dies, s: always before it is back. */
+    /** Delay between telling a preempted node to drain and killing it, s. Always less than the duration, so
+     * that the node dies before it returns. */
     public double killDelaySeconds() {
       return Math.min(2, seconds / 2);
     }
@@ -86,20 +89,21 @@
     }
   }
 
-  /** Kinds of trouble that can be played. */
+  /** Kinds of disturbances. */
   public static final Set<String> KINDS = Set.of("stall", "vanish", "hang", "fast-errors", "burst",
       "plan-burst", "volume-burst", "hot-volumes", "scan", "heavy-tail", "list-down", "gateway-crash",
       "reconnect", "answer-lost", "retry-abuse", "mass-restart", "preempt", "drain", "late-write", "slow",
       "full", "client-vanish", "partition");
 
-  /** Kinds of which {@code target} is a volume or a plan; that of others is a node. */
+  /** Kinds whose {@code target} is a volume or a plan; for all others it is a node. */
   public static final Set<String> LOAD_KINDS = Set.of("plan-burst", "volume-burst", "retry-abuse",
       "client-vanish");
 
-  /** Kinds that only the emulator plays. */
+  /** Kinds that only the emulator supports. */
   public static final Set<String> EMULATOR_ONLY_KINDS = Set.of("partition");
 
-  /** What a description may name; sockets reach {@link #MAX_ON_SOCKETS} of each only. */
+  /** Limits on the size of a scenario; over sockets {@link #MAX_ON_SOCKETS} applies to nodes and gateways
+   * instead. */
   private static final int MAX_NODES = 1_000, MAX_GATEWAYS = 5_000;
   private static final int MAX_ON_SOCKETS = 64;
 
@@ -111,22 +115,22 @@
       "depth", "clients", "period", "swing", "hosts", "spread", "first", "copies");
   private static final Set<String> DISTURBANCE_KEYS = Set.of("target", "for", "part", "size");
 
-  /** Text that is not a day; names the line. */
+  /** Thrown if a text is not a valid scenario; the message names the line. */
   public static final class Wrong extends IllegalArgumentException {
     Wrong(int line, String what) {
       super("line " + line + ": " + what);
     }
   }
 
-  /** Reads a day. */
+  /** Parses a scenario. */
   public static Day parse(String text) {
     return new Parser().parse(text);
   }
 
-  /** Checks that it can be played over sockets.
+  /** Checks that the scenario can be played over sockets.
    *
    * @throws IllegalArgumentException
-   *           it is too large, or has trouble that only the emulator plays */
+   *           if it is too large, or contains a disturbance that only the emulator supports */
   public void checkPlayableOverSockets() {
     if (nodes.count() > MAX_ON_SOCKETS || gateways > MAX_ON_SOCKETS) {
       throw new IllegalArgumentException("at most " + MAX_ON_SOCKETS
@@ -140,7 +144,7 @@
     }
   }
 
-  /** The day as text, which {@link #parse} reads back as an equal one. */
+  /** Formats the scenario as text that {@link #parse} parses to an equal scenario. */
   public String text() {
     StringBuilder s = new StringBuilder();
     s.append("day ").append(seconds).append("\nseed ").append(seed).append("\ngateways ").append(gateways);
@@ -166,41 +170,41 @@
     return s.toString();
   }
 
-  /** The same day with other troubles, in order of time. */
+  /** Returns a copy with other disturbances, sorted by time. */
   public Day with(List<Disturbance> others) {
     List<Disturbance> sorted = new ArrayList<>(others);
     sorted.sort(java.util.Comparator.comparingDouble(Disturbance::at));
     return new Day(seconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes, sorted);
   }
 
-  /** Clients of a volume, over all its gateways. */
+  /** Number of clients of a volume, over all its gateways. */
   public int clientCount(VolumeLoad v) {
     return v.clients() * gatewayCount(v);
   }
 
-  /** Through how many gateways a volume's requests come. */
+  /** Number of gateways that requests of a volume come through. */
   public int gatewayCount(VolumeLoad v) {
     return v.maxGateways() == 0 ? gateways : Math.min(v.maxGateways(), gateways);
   }
 
-  /** Gateway of one of its clients. */
+  /** Index of the gateway that a client uses. */
   public int gatewayOf(VolumeLoad v, int client) {
     return (v.firstGateway() + client % gatewayCount(v)) % gateways;
   }
 
-  /** The same day with so many times the load. */
+  /** Returns a copy with the load multiplied by {@code factor}. */
   public Day times(double factor) {
     return new Day(seconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes.stream()
         .map(v -> v.scaledBy(factor))
         .toList(), troubles);
   }
 
-  /** The same day with a load of so many seconds. */
+  /** Returns a copy whose load lasts {@code s} seconds. */
   public Day lasting(double s) {
     return new Day(s, seed, gateways, lanes, exampleSettings, nodes, plans, volumes, troubles);
   }
 
-  /** The same day drawn from another seed. */
+  /** Returns a copy with another seed. */
   public Day with(long otherSeed) {
     return new Day(seconds, otherSeed, gateways, lanes, exampleSettings, nodes, plans, volumes, troubles);
   }
@@ -320,7 +324,8 @@
       return w[1];
     }
 
-    /** The word after {@code key}, which is taken out of the line. */
+    /** Removes {@code key} and the word after it from the line and returns that word; empty if the key is
+     * absent. */
     private static String extractValue(String[] w, String key) {
       for (int i = 1; i + 1 < w.length; i++) {
         if (w[i].equals(key)) {
--- a/src/main/java/hollyslip/load/DayRunner.java
+++ b/src/main/java/hollyslip/load/DayRunner.java
@@ -25,11 +25,11 @@
 import java.util.SplittableRandom;
 import org.HdrHistogram.Histogram;
 
-/** Plays a {@link Day} in real time: stand-ins in this process, gateways in processes of their own, ring
- * clients on threads; then audits what both ends have written down. The schedule depends on the seed
- * alone. */
+/** Plays a {@link Day} in real time with stand-ins in this process, gateways in separate processes and ring
+ * clients on threads, and then audits the records of both ends. The schedule depends on the seed only. */
 public final class DayRunner {
-  /** How long after its word reached a gateway a change of the list counts as told, us: the signal's way. */
+  /** Delay after which a node state sent to a gateway counts as known there, us; covers the delivery of the
+   * signal. */
   private static final long SIGNAL_DELAY_US = 200_000;
 
   private final Day day;
@@ -65,7 +65,7 @@
 
   private record Client(RingLoad load, Thread thread, Day.VolumeLoad volume, int gateway) {}
 
-  /** What came of a day. */
+  /** Result of playing a scenario. */
   public record Result(Auditor.Report audit, List<String> wrongReads, Map<Asked.Answer, Long> answers,
       Map<String, Histogram> latency, boolean stoppedCleanly) {
     public boolean kept() {
@@ -74,8 +74,8 @@
   }
 
   /** @param slackUs
-   *          how much later than a deployment promises an answer may reach its client: the two ends' clocks
-   *          of one request begin at its publishing and its taking */
+   *          tolerance added to the promised answer time, us: the gateway's clock of a request starts when it
+   *          takes the request, the client's when it publishes it */
   public DayRunner(Day day, Path dir, PrintStream out, long slackUs) {
     day.checkPlayableOverSockets();
     this.slackUs = slackUs;
@@ -92,7 +92,7 @@
     lastToldStates = states.clone();
   }
 
-  /** Plays it and audits; records stay in the folder. */
+  /** Plays and audits the scenario. The records stay in the directory. */
   public Result play() throws IOException, InterruptedException {
     Files.createDirectories(dir);
     try {
@@ -145,7 +145,7 @@
     t.start();
   }
 
-  // Trouble.
+  // Disturbances.
 
   private void scheduleStep(double seconds, String what, Action action) {
     steps.add(new Step(seconds, nextStepOrder++, what, action));
@@ -295,14 +295,16 @@
     if (nodeListDown) {
       return;
     }
-    // Counted against a gateway: the word of a drain once it must have come, the word of its end at once.
+    // For the audit, a drain counts only once the gateway must have been told of it, its end counts at
+    // once.
     long now = Engine.monotonicMicros();
     for (int g = 0; g < gateways.size(); g++) {
       if (gateways.get(g).isAlive()) {
         gateways.get(g).reload();
       }
       for (int i = 0; i < states.length; i++) {
-        // Said again is not said anew: the later word of a drain would count after the one of its end.
+        // An unchanged state is not recorded again: a later record of a drain would count as newer than
+        // the one of its end.
         if (states[i] == lastToldStates[i]) {
           continue;
         }
@@ -314,7 +316,7 @@
     System.arraycopy(states, 0, lastToldStates, 0, states.length);
   }
 
-  /** One client more that asks and leaves with everything out. */
+  /** Starts an additional client that submits requests and disconnects while all are outstanding. */
   private void startVanishingClient(String volume) throws IOException {
     Day.VolumeLoad v = day.volumes()
         .stream()
@@ -322,7 +324,7 @@
         .findFirst()
         .orElse(day.volumes().get(0));
     Deployment d = deployments.get(0);
-    // It only reads: its part of the volume is another client's.
+    // Reads only, because another client owns this part of the volume.
     RingLoad load = new RingLoad(new RingLoad.Plan("leaver", d.gateway().name(), v.volume(), 0, 1 << 20, 40,
         32, 0, 1, 4, 2_000_000, d.gateway().unitBytes(), day.seed() + 5), d.gateway()
             .socketDir()
@@ -338,7 +340,7 @@
     t.start();
   }
 
-  // The end.
+  // Shutdown and audit.
 
   private Result finish() throws IOException, InterruptedException {
     for (Client c : clients) {
@@ -365,7 +367,7 @@
             .recordValue(a.answeredUs() - a.askedUs());
       }
     }
-    // The leaver reads another's blocks, which its own reference copy does not know.
+    // The vanishing client reads blocks of another client, which its own block stamps do not cover.
     List<String> wrong = clients.stream()
         .filter(c -> !c.thread().getName().equals("leaver"))
         .flatMap(c -> c.load().wrong().stream())
--- a/src/main/java/hollyslip/load/LatencyLog.java
+++ b/src/main/java/hollyslip/load/LatencyLog.java
@@ -13,14 +13,14 @@
 import org.HdrHistogram.HistogramLogReader;
 import org.HdrHistogram.HistogramLogWriter;
 
-/** Latencies by tag and second, kept as HdrHistogram interval logs: those of several processes merge into the
- * figures that one would have had. Safe for several threads. */
+/** Latencies by tag and second, stored as HdrHistogram interval logs. Merging the logs of several processes
+ * gives the same figures as one process recording everything. Thread-safe. */
 public final class LatencyLog {
   private static final long MAX_LATENCY_US = 3_600_000_000L;
 
   private final Map<String, TreeMap<Long, Histogram>> byTag = new TreeMap<>();
 
-  /** One latency of a request that was due in a second of the run. */
+  /** Records the latency of a request that was due in the given second of the run. */
   public synchronized void add(String tag, long second, long us) {
     interval(tag, second).recordValue(Math.max(0, Math.min(us, MAX_LATENCY_US)));
   }
@@ -30,12 +30,12 @@
         .computeIfAbsent(second, k -> new Histogram(MAX_LATENCY_US, 3));
   }
 
-  /** Adds all that another holds. */
+  /** Adds all latencies of another log. */
   public synchronized void add(LatencyLog other) {
     other.byTag.forEach((tag, seconds) -> seconds.forEach((s, h) -> interval(tag, s).add(h)));
   }
 
-  /** All seconds of a tag as one; null: there is none. */
+  /** Histogram of a tag over all seconds; null if the tag is absent. */
   public synchronized Histogram all(String tag) {
     TreeMap<Long, Histogram> seconds = byTag.get(tag);
     if (seconds == null) {
@@ -46,17 +46,17 @@
     return sum;
   }
 
-  /** Tags, sorted. */
+  /** Tags in sorted order. */
   public synchronized List<String> tags() {
     return List.copyOf(byTag.keySet());
   }
 
-  /** By second of the run. */
+  /** Histograms of a tag by second of the run. */
   public synchronized Map<Long, Histogram> seconds(String tag) {
     return new TreeMap<>(byTag.getOrDefault(tag, new TreeMap<>()));
   }
 
-  /** Writes it in the format of HdrHistogram's log, version 1.3; a tag's seconds become intervals. */
+  /** Writes the log in HdrHistogram's log format, version 1.3, with one interval per tag and second. */
   public synchronized void write(Path file) throws IOException {
     try (PrintStream out = new PrintStream(Files.newOutputStream(file), false,
         java.nio.charset.StandardCharsets.UTF_8)) {
@@ -75,10 +75,10 @@
     }
   }
 
-  /** Reads one.
+  /** Reads a log.
    *
    * @throws IOException
-   *           it cannot be read; names the file and the interval */
+   *           if it cannot be read; the message names the file and the interval */
   public static LatencyLog read(Path file) throws IOException {
     LatencyLog log = new LatencyLog();
     int n = 0;
--- a/src/main/java/hollyslip/load/LoadBench.java
+++ b/src/main/java/hollyslip/load/LoadBench.java
@@ -7,8 +7,8 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 
-/** How many arrivals a second the generator holds: against an echo, so that its own lateness is all there
- * is. */
+/** Measures how many arrivals per second the load generator sustains. The target is an echo, so all measured
+ * lateness is the generator's own. */
 public final class LoadBench {
   private final int rounds, threads;
   private final double seconds;
@@ -21,7 +21,7 @@
     this.rates = rates.clone();
   }
 
-  /** Answers at the next look. */
+  /** Answers every request at the next poll. */
   private static final class Echo implements OpenLoop.Target {
     private final ArrayDeque<OpenLoop.ScheduledRequest> inFlight = new ArrayDeque<>();
 
@@ -32,7 +32,7 @@
 
     @Override
     public void flush() {
-      // Nothing is kept back.
+      // Nothing is buffered.
     }
 
     @Override
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Prints a row a rate and round. */
+  /** Prints one row per rate and round. */
   public void run() throws InterruptedException {
     System.out.printf("%10s %8s %14s %14s %14s %8s%n", "due/s", "threads", "answered/s", "late p99 ms",
         "late p99.9 ms", "valid");
--- a/src/main/java/hollyslip/load/LoadRun.java
+++ b/src/main/java/hollyslip/load/LoadRun.java
@@ -12,24 +12,24 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.Histogram;
 
-/** The clients of a {@link Day} against gateways that run, on schedules that do not wait; a thread a client.
- * Several processes share a day: each plays every so many-th client of one schedule. */
+/** Runs the clients of a {@link Day} against running gateways on open-loop schedules, with one thread per
+ * client. Several processes can share a scenario: each runs every n-th client of the same schedule. */
 public final class LoadRun {
-  /** What a run is.
+  /** Configuration of a run.
    *
    * @param socketDirs
-   *          folder of the volumes' sockets, one a gateway
+   *          directories of the volumes' sockets, one per gateway
    * @param process
-   *          number of this process among {@code processes}
+   *          index of this process among {@code processes}
    * @param startUs
-   *          when the schedule begins, on the machine's monotonic clock
+   *          start of the schedule on the machine's monotonic clock
    * @param maxLatenessUs
-   *          generators that come later than this to one in a thousand make the run not valid */
+   *          the run is invalid if the generator is later than this, us, for one request in a thousand */
   public record Config(Day day, List<Path> socketDirs, int process, int processes, long startUs,
       boolean closedLoop,
       long maxLatenessUs) {}
 
-  /** What came of it; {@code lateness} over all clients. */
+  /** Result of a run; {@code lateness} covers all clients. */
   public record Result(LatencyLog log, Map<OpenLoop.End, Long> ends, Histogram lateness, long due,
       long answered,
       long waited, boolean valid) {}
@@ -43,7 +43,8 @@
     final OpenLoop loop;
     final RingTarget target;
     OpenLoop.Stats stats;
-    /** Its own, merged at the end: threads that wait for one another would be late. */
+    /** Private to the client and merged at the end, because threads contending for a shared log would become
+     * late. */
     final LatencyLog ownLog = new LatencyLog();
 
     Client(Day.VolumeLoad v, int number, int all, long seed) throws IOException {
@@ -91,12 +92,12 @@
     }
   }
 
-  /** Ends the schedule early; {@link #run} returns with what there is. */
+  /** Ends the schedule early; {@link #run} returns the results so far. */
   public void stop() {
     clients.forEach(c -> c.loop.stop());
   }
 
-  /** Plays it; returns after the last answer. */
+  /** Runs the schedule; returns after the last answer. */
   public Result run() throws InterruptedException {
     List<Thread> threads = clients.stream().map(c -> new Thread(c, "load")).toList();
     threads.forEach(Thread::start);
@@ -121,7 +122,7 @@
             config.maxLatenessUs()));
   }
 
-  /** A start soon enough for all clients to be there. */
+  /** A start time that leaves all clients enough time to start. */
   public static long soon() {
     return Engine.monotonicMicros() + 200_000;
   }
--- a/src/main/java/hollyslip/load/ModuleBench.java
+++ b/src/main/java/hollyslip/load/ModuleBench.java
@@ -11,19 +11,19 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What a request costs the decision module alone, by how many wait in it. */
+/** Measures the cost of a request in the scheduler alone, by the number of requests waiting in it. */
 public final class ModuleBench {
   private static final int MEASURED_REQUESTS = 200_000;
 
   private final int rounds;
 
   /** @param rounds
-   *          of each measurement; medians are shown */
+   *          rounds of each measurement; medians are printed */
   public ModuleBench(int rounds) {
     this.rounds = rounds;
   }
 
-  /** Measures and prints the table. */
+  /** Runs the measurements and prints the table. */
   public void run() throws IOException {
     System.out.printf("%-10s %10s %12s%n", "volumes", "held", "ns/request");
     for (int volumes : new int[]{1, 50}) {
@@ -38,7 +38,7 @@
     }
   }
 
-  /** As many come as are answered, so that as many wait all the time. */
+  /** Adds one request per answer, so that the number of waiting requests stays constant. */
   private static double measure(int volumes, int held) throws IOException {
     TokenBorrowingScheduler choice = new TokenBorrowingScheduler(BenchDeployment.load(Files
         .createTempDirectory(
--- a/src/main/java/hollyslip/load/OpenLoop.java
+++ b/src/main/java/hollyslip/load/OpenLoop.java
@@ -4,26 +4,27 @@
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 
-/** Asks when requests are due, whether or not earlier ones were answered, and counts each one's latency from
- * when it was due: what a stall holds up is late by all that it waited. How late the generator itself came to
- * a request is kept beside, and a run in which that is too much is not valid. One thread; time and target are
- * given, so that it runs in virtual time too. */
+/** Open-loop load generator: submits requests when they are due, whether or not earlier ones were answered,
+ * and measures the latency of each from its due time, so that waiting caused by a stall is counted in full.
+ * The lateness of the generator itself is recorded separately; a run with too much of it is invalid.
+ * Single-threaded; clock and target are injected, so that it also runs in virtual time. */
 public final class OpenLoop {
-  /** Where requests go. */
+  /** Destination of the requests. */
   public interface Target {
-    /** Hands one in; false: no room. {@link ScheduledRequest#complete} is called from {@link #poll}. */
+    /** Submits a request; returns false if there is no room. {@link ScheduledRequest#complete} is called from
+     * {@link #poll}. */
     boolean submit(ScheduledRequest shot);
 
-    /** Tells of what was handed in since the last call. */
+    /** Notifies the destination of the requests submitted since the last call. */
     void flush();
 
-    /** Takes the answers that have come; how many there were. */
+    /** Processes the answers that have arrived and returns their number. */
     int poll();
 
-    /** Waits for an answer, until then at the latest, us. */
+    /** Waits for an answer, at most until the given time, us. */
     void awaitAnswers(long untilUs);
 
-    /** The clock, us. */
+    /** Current time, us. */
     long now();
   }
 
@@ -32,7 +33,7 @@
     SERVED, REFUSED, FAILED
   }
 
-  /** A request. */
+  /** A request with its due time. */
   public static final class ScheduledRequest {
     public final RequestMix.Operation operation;
     private final OpenLoop loop;
@@ -44,39 +45,40 @@
       this.dueUs = dueUs;
     }
 
-    /** Its answer has come. */
+    /** Reports the answer. */
     public void complete(End end) {
       loop.answered(this, end);
     }
 
-    /** When it was due, us. */
+    /** Due time, us. */
     public long dueUs() {
       return dueUs;
     }
   }
 
-  /** One answer, for whoever keeps them: {@code dueUs} and {@code tookUs} from when the request was due. */
+  /** An answered request; {@code dueUs} is its due time and {@code latencyUs} the latency measured from
+   * it. */
   public record Completion(RequestMix.Operation operation, End end, long dueUs, long latencyUs) {}
 
-  /** What came of a run.
+  /** Statistics of a run.
    *
    * @param due
-   *          requests that were due
+   *          number of requests that were due
    * @param answered
-   *          of those
+   *          number of those that were answered
    * @param lateness
-   *          how late the generator came to each, us
+   *          lateness of the generator for each request, us
    * @param waited
-   *          requests that found no room at the target when they were due */
+   *          number of failed attempts to submit because the target had no room */
   public record Stats(long due, long answered, Histogram lateness, long waited) {
-    /** Whether its figures can be believed: the generator's lateness, at 99.9 of a hundred, within the
+    /** Whether the figures are reliable: the generator's lateness at the 99.9th percentile is within the
      * bound. */
     public boolean valid(long mostUs) {
       return lateness.getTotalCount() > 0 && lateness.getValueAtPercentile(99.9) <= mostUs;
     }
   }
 
-  /** How long answers are waited for after the last request, us. */
+  /** How long to wait for outstanding answers after the last request, us. */
   private static final long DRAIN_TIMEOUT_US = 10_000_000;
 
   private final ArrivalProcess arrivals;
@@ -90,9 +92,10 @@
   private long due, answered, waited;
 
   /** @param closed
-   *          the baseline that hides stalls: one request at a time, and its latency from when it was sent
+   *          whether to run as a closed loop, the baseline that hides stalls: one request at a time, its
+   *          latency measured from when it was sent
    * @param keeper
-   *          hears of every answer */
+   *          receives every completion */
   public OpenLoop(ArrivalProcess arrivals, RequestMix mix, Target target, boolean closed,
       Consumer<Completion> keeper) {
     this.arrivals = arrivals;
@@ -102,15 +105,15 @@
     this.listener = keeper;
   }
 
-  /** Asks nothing more; {@link #run} ends when all is answered. From any thread. */
+  /** Stops submitting requests; {@link #run} returns once all are answered. May be called from any thread. */
   public void stop() {
     stopping = true;
   }
 
-  /** Runs from {@code startUs} for so long, then until the last answer.
+  /** Runs the schedule from {@code startUs} for {@code lengthUs}, then waits for the last answer.
    *
    * @param startUs
-   *          the same for all processes that steer to one schedule */
+   *          the same for all processes that share a schedule */
   public Stats run(long startUs, long lengthUs) {
     long next = startUs + arrivals.nextDueUs(1);
     long end = startUs + lengthUs;
--- a/src/main/java/hollyslip/load/Profile.java
+++ b/src/main/java/hollyslip/load/Profile.java
@@ -10,18 +10,18 @@
 import java.util.TreeMap;
 import one.profiler.AsyncProfiler;
 
-/** Where a process spends its time: async-profiler's stacks, sampled by timer without privileges, as a table
- * by thread and method and as a flame graph. */
+/** Profiles a piece of work with async-profiler, sampling by timer, which needs no privileges, and reports a
+ * table by thread and method and a flame graph. */
 public final class Profile {
   private static final int WIDTH = 1600, ROW_HEIGHT = 16, MIN_FRAME_WIDTH = 2;
 
-  /** A frame of the graph: its name, samples in it and below, and what it called. */
+  /** A frame of the flame graph: its samples including those of its callees, and the callees by name. */
   private static final class Frame {
     long samples;
     final Map<String, Frame> callees = new TreeMap<>();
   }
 
-  /** Something to be measured. */
+  /** Work to be profiled. */
   public interface Work {
     void run() throws Exception;
   }
@@ -31,11 +31,11 @@
   /** Runs {@code work} under the profiler.
    *
    * @param event
-   *          what is sampled: {@code itimer} time on a processor, {@code alloc} bytes allocated
+   *          what to sample: {@code itimer} for CPU time, {@code alloc} for allocated bytes
    * @param folder
-   *          gets {@code NAME.collapsed} and {@code NAME.svg}
+   *          receives {@code NAME.collapsed} and {@code NAME.svg}
    * @throws IOException
-   *           the profiler cannot be used on this machine, or the files cannot be written */
+   *           if the profiler cannot be used on this machine, or the files cannot be written */
   public static void run(String event, Path folder, String name, Work work) throws Exception {
     Files.createDirectories(folder);
     Path collapsed = folder.resolve(name + ".collapsed");
@@ -64,7 +64,7 @@
     return all;
   }
 
-  /** Parts of all samples by thread, and of each thread by the method on top. */
+  /** Formats the share of samples by thread, and within each thread by top frame. */
   static String table(List<String> lines) {
     Map<String, Map<String, Long>> threads = new TreeMap<>();
     long all = 0;
@@ -100,7 +100,7 @@
     return m.values().stream().mapToLong(n -> n).sum();
   }
 
-  /** The graph: a row a frame, as wide as its part of the samples. */
+  /** Renders the flame graph: one box per frame, its width proportional to its samples. */
   static String svg(Frame all, String title) {
     List<String> boxes = new ArrayList<>();
     int depth = drawFrame(all, title, 0, WIDTH, 0, Math.max(1, all.samples), boxes);
--- a/src/main/java/hollyslip/load/RequestMix.java
+++ b/src/main/java/hollyslip/load/RequestMix.java
@@ -3,7 +3,7 @@
 import hollyslip.volume.IoKind;
 import java.util.SplittableRandom;
 
-/** What the requests of one client are: drawn from a seed, the same for the emulator and for sockets. */
+/** Generates the operations of one client from a seed, identically for the emulator and for real sockets. */
 public final class RequestMix {
   private static final int BLOCK = 4_096;
 
@@ -11,11 +11,12 @@
   private final long firstByte, blockCount;
   private final SplittableRandom random;
 
-  /** A request: {@code offset} and {@code length} in bytes, multiples of 4 KiB. */
+  /** An operation; {@code offset} and {@code length} are in bytes, multiples of 4 KiB. */
   public record Operation(IoKind kind, long offset, int length) {}
 
   /** @param number
-   *          of the client among the {@code all} of its volume, which has its part of it alone */
+   *          index of the client among the {@code all} clients of the volume, each of which has its own part
+   *          of the volume */
   public RequestMix(Day.VolumeLoad load, int number, int all, long volumeBytes, long seed) {
     this.load = load;
     blockCount = volumeBytes / all / BLOCK;
@@ -23,7 +24,7 @@
     random = new SplittableRandom(seed);
   }
 
-  /** The next one; {@code readsOnly}: whatever was planned. */
+  /** Returns the next operation; {@code readsOnly} forces a read. */
   public Operation next(boolean readsOnly) {
     int length = (int) Math.min(1 + random.nextInt(load.maxBlocks()), blockCount);
     long offset = firstByte + random.nextLong(blockCount - length + 1) * BLOCK;
--- a/src/main/java/hollyslip/load/RingBench.java
+++ b/src/main/java/hollyslip/load/RingBench.java
@@ -22,12 +22,13 @@
 import java.util.function.Supplier;
 import org.HdrHistogram.Histogram;
 
-/** Reads as fast as they are answered, at a depth: through a ring, or with the node client alone. */
+/** Measures reads at a constant queue depth, through a ring or with the node client alone. */
 public final class RingBench {
-  /** One measurement: requests a second, latencies in us, bytes allocated and module time a request in ns. */
+  /** One measurement: requests per second, latencies in us, and allocated bytes and scheduler time in ns per
+   * request. */
   public record Measurement(String path, int depth, double rate, double p50, double p99, double p999,
       double allocated, double moduleNs) {
-    /** Medians, figure by figure. */
+    /** Median of each figure. */
     public static Measurement median(List<Measurement> rows) {
       Measurement first = rows.get(0);
       return new Measurement(first.path, first.depth, median(rows, Measurement::rate), median(rows,
@@ -44,7 +45,7 @@
 
   private RingBench() {}
 
-  /** A stand-in without service times in a process of its own. */
+  /** A stand-in without simulated service times in a separate process. */
   public static final class StandinProcess implements AutoCloseable {
     private final Process process;
     public final InetSocketAddress address;
@@ -65,14 +66,14 @@
     }
   }
 
-  /** Through a ring: {@code totals} are the gateway's, in this process. */
+  /** Measures reads through a ring. {@code totals} are those of the gateway, which runs in this process. */
   public static Measurement measureRing(String path, Path socket, int depth, int block, double seconds,
       long bytes,
       Supplier<Engine.Totals> totals) throws IOException {
     return measureRing(path, socket, depth, block, seconds, bytes, totals, false);
   }
 
-  /** As the other, by a client that sleeps while it waits: for many at a time. */
+  /** Like {@link #measureRing}, but the client sleeps while it waits, for use with many clients at a time. */
   static Measurement measureRingBlocking(String path, Path socket, int depth, int block, double seconds,
       long bytes,
       Supplier<Engine.Totals> totals) throws IOException {
@@ -128,7 +129,7 @@
     }
   }
 
-  /** With the node client alone. */
+  /** Measures reads with the node client alone. */
   public static Measurement measureNodeClient(InetSocketAddress node, int depth, int block, double seconds,
       long bytes)
       throws IOException,
@@ -175,7 +176,7 @@
         .getValueAtPercentile(99) / 1e3, h.getValueAtPercentile(99.9) / 1e3, allocated, moduleNs);
   }
 
-  /** Bytes that each of the gateway's threads has allocated; the client's own thread does not count. */
+  /** Bytes allocated so far by each thread except the client's own. */
   private static Map<Long, Long> allocatedBytesByThread() {
     ThreadMXBean bean = (ThreadMXBean) ManagementFactory.getThreadMXBean();
     Map<Long, Long> all = new java.util.HashMap<>();
--- a/src/main/java/hollyslip/load/RingClient.java
+++ b/src/main/java/hollyslip/load/RingClient.java
@@ -10,28 +10,29 @@
 import java.nio.file.Path;
 import java.util.ArrayDeque;
 
-/** A vhost-user-blk front end: shares memory with a gateway and asks it through split virtqueues. For one
- * thread. Each queue has slots; a slot holds one request in three descriptors or in an indirect table. */
+/** A vhost-user-blk front end that shares memory with a gateway and submits requests through split
+ * virtqueues. Not thread-safe. Each queue has slots; a slot holds one request, either in three descriptors or
+ * in an indirect table. */
 public final class RingClient implements AutoCloseable {
   private static final int PAGE_BYTES = 4096, HEADER_BYTES = 16, TAIL_BYTES = 8, INDIRECT_TABLE_BYTES = 64;
   private static final long GUEST_BASE = 0x1000_0000L, USER_BASE = 0x7000_0000_0000L;
 
-  /** What a client asks for.
+  /** Options of a client.
    *
    * @param queues
-   *          queues
+   *          number of queues
    * @param queueSize
-   *          descriptors of a queue, a power of two
+   *          descriptors per queue, a power of two
    * @param slotBytes
-   *          most bytes of one request's data
+   *          maximum number of data bytes of a request
    * @param indirect
-   *          whether requests go in indirect tables
+   *          whether to use indirect descriptor tables
    * @param eventIdx
-   *          whether notifications are held back by index
+   *          whether to suppress notifications by index (VIRTIO_RING_F_EVENT_IDX)
    * @param refusedStatus
-   *          whether refusals get a status of their own
+   *          whether refused requests get a status of their own
    * @param inflightRegion
-   *          whether the gateway keeps what is in flight in our memory */
+   *          whether the gateway keeps its inflight region in the client's memory */
   public record Options(int queues, int queueSize, int slotBytes, boolean indirect, boolean eventIdx,
       boolean refusedStatus, boolean inflightRegion) {
     public static Options usual(int queues, int size, int slotBytes) {
@@ -39,9 +40,10 @@
     }
   }
 
-  /** Hears the end of a request. */
+  /** Callback for the completion of a request. */
   public interface CompletionListener {
-    /** {@code status} as of virtio-blk, or ours; {@code data} is the slot's memory, valid during the call. */
+    /** Reports the completion. {@code status} is that of virtio-blk or the extension for refused requests;
+     * {@code data} is the slot's memory and is valid only during the call. */
     void onComplete(int status, int retryMs, ByteBuffer data);
   }
 
@@ -56,13 +58,14 @@
   private byte[] inflightState;
   private long features;
 
-  /** One queue's memory and what is out on it. */
+  /** Memory and outstanding requests of one queue. */
   public final class Queue {
     final int index;
     final long baseOffset;
     public final ByteBuffer table, avail, used;
     final int slots;
-    /** By slot: who waits, how many bytes of data are out, and which are free; for raw requests. */
+    /** Per slot, the listener of the outstanding request and its number of data bytes; and the free slots.
+     * Public for tests that submit raw requests. */
     public final CompletionListener[] out;
     public final int[] lengths;
     public final ArrayDeque<Integer> free = new ArrayDeque<>();
@@ -93,12 +96,12 @@
       return baseOffset + roundUpToPage(ringBytes(options.queueSize())) + (long) s * slotStride();
     }
 
-    /** Memory of a slot's data. */
+    /** Memory for the data of a slot. */
     public ByteBuffer data(int s) {
       return view(slotOffset(s) + INDIRECT_TABLE_BYTES + HEADER_BYTES + TAIL_BYTES, options.slotBytes());
     }
 
-    /** Requests that are out. */
+    /** Number of outstanding requests. */
     public int out() {
       return slots - free.size();
     }
@@ -123,7 +126,7 @@
   public RingClient(Options options) throws IOException {
     this.options = options;
     if (options.queueSize() < 4 || Integer.bitCount(options.queueSize()) != 1) {
-      // A chain of three must fit: virtio 1.2, 2.7.5.3.1.
+      // A chain of three descriptors must fit: virtio 1.2, 2.7.5.3.1.
       throw new IllegalArgumentException("size: must be a power of two from 4 on, not " + options
           .queueSize());
     }
@@ -138,7 +141,8 @@
     }
   }
 
-  /** Attaches to a gateway; after a gateway's death attaches again with all that is still out. */
+  /** Connects to a gateway. After a gateway has died, connects to its successor with all requests that are
+   * still outstanding. */
   public void connect(Path path) throws IOException {
     detach();
     socket = Linux.connect(path);
@@ -185,7 +189,8 @@
     q.kickFd = Linux.eventfd();
     q.callFd = Linux.eventfd();
     tell(Wire.SET_VRING_NUM, Wire.state(q.index, options.queueSize()));
-    // After a back end's death all that is not answered is asked again: the index of the used ring.
+    // After the back end has died, all unanswered requests are submitted again, from the index of the used
+    // ring on.
     tell(Wire.SET_VRING_BASE, Wire.state(q.index, Short.toUnsignedInt(q.used.getShort(2))));
     tell(Wire.SET_VRING_ADDR, littleEndian(40).putInt(q.index)
         .putInt(0)
@@ -206,10 +211,10 @@
 
   private record Reply(ByteBuffer payload, int fd) {}
 
-  /** Sends a message that is acknowledged, and waits for that. */
+  /** Sends a message that is acknowledged, and waits for the acknowledgement. */
   public void tell(int request, byte[] payload, int... fds) throws IOException {
     send(request, Wire.NEED_REPLY, payload, fds);
-    // Before the protocol's features are set nothing is acknowledged.
+    // Messages are acknowledged only once the protocol features are set.
     if (request != Wire.SET_PROTOCOL_FEATURES) {
       long result = receive().payload.getLong();
       if (result != 0) {
@@ -220,18 +225,18 @@
     }
   }
 
-  /** Sends a message that has a reply of its own; its payload. */
+  /** Sends a message that has a reply of its own and returns the payload of the reply. */
   public ByteBuffer ask(int request, byte[] payload) throws IOException {
     send(request, 0, payload);
     return receive().payload;
   }
 
-  /** Sends a message as it is. */
+  /** Sends a message without waiting for a reply. */
   public void send(int request, int flags, byte[] payload, int... fds) throws IOException {
     Linux.send(socket, Wire.message(request, flags, payload), fds);
   }
 
-  /** Sends bytes as they are. */
+  /** Sends raw bytes. */
   public void sendRaw(byte[] bytes, int... fds) throws IOException {
     Linux.send(socket, bytes, fds);
   }
@@ -266,8 +271,8 @@
     return queues[i];
   }
 
-  /** Puts a request into a queue; it is seen with the next {@link #kickFd}. False: no slot is free. For a
-   * write {@code data} is copied from its position on. */
+  /** Adds a request to a queue; the gateway sees it after the next {@link #kick}. Returns false if no slot is
+   * free. For a write, {@code data} is copied from its position on. */
   public boolean submit(int queue, IoKind kind, long offset, int length, ByteBuffer data,
       CompletionListener done) {
     Queue q = queues[queue];
@@ -297,7 +302,7 @@
     return true;
   }
 
-  /** Puts a raw request into a slot: any type, with {@code length} bytes of data. */
+  /** Adds a raw request of any type with {@code length} bytes of data to a slot. */
   public void post(Queue q, int slot, int type, long sector, int length, boolean into) {
     long base = q.slotOffset(slot);
     ByteBuffer header = view(base + INDIRECT_TABLE_BYTES, HEADER_BYTES + TAIL_BYTES);
@@ -330,7 +335,7 @@
         .putShort(16 * i + 14, (short) next);
   }
 
-  /** Makes a head available. */
+  /** Adds a descriptor chain to the available ring. */
   public void publish(Queue q, int head) {
     q.avail.putShort(4 + 2 * (q.availIdx % options.queueSize()), (short) head);
     q.availIdx = q.availIdx + 1 & 0xffff;
@@ -338,7 +343,7 @@
     q.avail.putShort(2, (short) q.availIdx);
   }
 
-  /** Tells the gateway of what is new, where it asked to be told. */
+  /** Notifies the gateway of new requests on the queues for which it asked to be notified. */
   public void kick() {
     for (Queue q : queues) {
       if (q.lastKickedIdx == q.availIdx) {
@@ -359,7 +364,7 @@
     }
   }
 
-  /** Takes the answers that have come; how many. */
+  /** Processes the completions that have arrived and returns their number. */
   public int poll() {
     int n = 0;
     for (Queue q : queues) {
@@ -385,7 +390,8 @@
     return n;
   }
 
-  /** Waits until there may be answers, up to so many ms. False: the gateway closed the connection. */
+  /** Waits up to {@code ms} milliseconds for completions. Returns false if the gateway closed the
+   * connection. */
   public boolean await(int ms) {
     poll.clear();
     boolean ready = false;
@@ -407,7 +413,7 @@
     return (poll.events(queues.length) & (Linux.POLLHUP | Linux.POLLERR)) == 0;
   }
 
-  /** Requests that are out. */
+  /** Number of outstanding requests on all queues. */
   public int out() {
     int n = 0;
     for (Queue q : queues) {
@@ -416,22 +422,22 @@
     return n;
   }
 
-  /** Stops a queue; index of the next entry of its available ring. */
+  /** Stops a queue and returns the index of the next entry of its available ring. */
   public int stop(int queue) throws IOException {
     return ask(Wire.GET_VRING_BASE, Wire.state(queue, 0)).getInt(4);
   }
 
-  /** Descriptor by which a queue is kicked. */
+  /** File descriptor by which a queue is kicked. */
   public int kickFd(int queue) {
     return queues[queue].kickFd;
   }
 
-  /** Descriptor of the memory shared with the gateway. */
+  /** File descriptor of the memory shared with the gateway. */
   public int memoryFd() {
     return memoryFd;
   }
 
-  /** Closes the connection at once and keeps all memory: a client that vanishes. */
+  /** Closes the connection abruptly and keeps all memory, as a client does that vanishes. */
   public void detach() {
     if (socket >= 0) {
       Linux.closeAll(socket);
--- a/src/main/java/hollyslip/load/RingComparison.java
+++ b/src/main/java/hollyslip/load/RingComparison.java
@@ -20,7 +20,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Ring to gateway to node, against the node alone and against the ring alone. */
+/** Compares the path from ring through gateway to node with the node client alone and with the ring alone. */
 public final class RingComparison {
   private static final long BYTES = 16 << 20;
 
@@ -32,17 +32,17 @@
   private final List<String> paths;
 
   /** @param rounds
-   *          of each measurement; medians are shown
+   *          rounds of each measurement; medians are printed
    * @param seconds
-   *          of one measurement, after half of that to warm up
+   *          duration of one measurement, after a warm-up of half that time
    * @param nodes
-   *          stand-ins behind the gateway
+   *          number of stand-ins behind the gateway
    * @param depths
-   *          requests out at a time
+   *          numbers of outstanding requests
    * @param block
    *          bytes of a read
    * @param paths
-   *          of echo, direct and gateway */
+   *          any of echo, direct and gateway */
   public RingComparison(int rounds, double seconds, int nodes, int[] depths, int block, List<String> paths) {
     this.rounds = rounds;
     this.seconds = seconds;
@@ -52,7 +52,7 @@
     this.paths = List.copyOf(paths);
   }
 
-  /** Measures and prints the table. */
+  /** Runs the measurements and prints the table. */
   public void run() throws Exception {
     Path dir = Files.createTempDirectory("hollyslip-bench-");
     List<StandinProcess> started = new ArrayList<>();
@@ -113,7 +113,8 @@
     }
   }
 
-  /** An engine whose nodes answer at once without any bytes: what ring, engine and module cost. */
+  /** Starts an engine whose nodes answer at once without transferring bytes, to measure the cost of ring,
+   * engine and scheduler. */
   private static Engine startEchoEngine(Deployment d) {
     Engine e = new Engine(new Engine.Config(d.module(), new RequestClassifier(d.rows(), d.gateway()
         .unitBytes(), d
--- a/src/main/java/hollyslip/load/RingLoad.java
+++ b/src/main/java/hollyslip/load/RingLoad.java
@@ -16,15 +16,15 @@
 import java.util.zip.CRC32;
 import org.HdrHistogram.Histogram;
 
-/** One ring client at work in its own part of a volume: asks on a schedule drawn from a seed, keeps a
- * reference copy, and writes down each request for the audit. One thread runs it. */
+/** A ring client that generates load in its own part of a volume: submits requests on a schedule drawn from a
+ * seed, checks reads against what it wrote, and records each request for the audit. Runs on one thread. */
 public final class RingLoad implements Runnable {
-  /** What it does.
+  /** Configuration of a client.
    *
    * @param name
-   *          of the client
+   *          name of the client
    * @param gateway
-   *          name of the gateway that it asks
+   *          name of the gateway that it connects to
    * @param volume
    *          name of the volume
    * @param firstByte
@@ -32,21 +32,21 @@
    * @param lengthBytes
    *          length of its part
    * @param maxRequests
-   *          requests in all; 0: until {@link #finish}
+   *          total number of requests; 0: until {@link #finish}
    * @param depth
-   *          requests out at most
+   *          maximum number of outstanding requests
    * @param meanGapUs
-   *          mean time between two requests, us; 0: as fast as answers come
+   *          mean time between two requests, us; 0: as fast as answers arrive
    * @param readFraction
-   *          part of the requests that read
+   *          fraction of the requests that are reads
    * @param maxBlocks
-   *          blocks of 4 KiB of one request at most
+   *          maximum number of 4 KiB blocks of a request
    * @param deadlineUs
-   *          how long it waits for one, us
+   *          how long it waits for an answer, us
    * @param unitBytes
-   *          bytes of a unit
+   *          bytes per unit
    * @param seed
-   *          of all that is drawn */
+   *          seed of all random choices */
   public record Plan(String name, String gateway, String volume, long firstByte, long lengthBytes,
       int maxRequests, int depth,
       long meanGapUs, double readFraction, int maxBlocks, long deadlineUs, long unitBytes, long seed) {}
@@ -72,7 +72,7 @@
   private boolean connected;
   private long nextDueUs;
 
-  /** A request whose answer is still to come. */
+  /** An outstanding request. */
   private final class OpenRequest implements RingClient.CompletionListener {
     final long id;
     final IoKind kind;
@@ -108,7 +108,7 @@
       if (kind == IoKind.WRITE) {
         offsetsBeingWritten.remove(offset);
         if (answer == Asked.Answer.SERVED) {
-          stamps.newestServedWrite(offset, length, id);
+          stamps.recordServed(offset, length, id);
         }
       }
       pendingRetries += retryImmediately && answer != Asked.Answer.SERVED ? 1 : 0;
@@ -145,38 +145,38 @@
     return crc.getValue();
   }
 
-  /** Asks nothing more; {@link #run} ends when all is answered. */
+  /** Stops submitting requests; {@link #run} returns once all are answered. */
   public void finish() {
     finishing = true;
   }
 
-  /** Asks so many times as fast. */
+  /** Multiplies the request rate by {@code factor}. */
   public void rateFactor(double factor) {
     rateFactor = factor;
   }
 
-  /** Asks again at once, out of turn, for each request that is not served: a client that does not back
-   * off. */
+  /** Whether to submit another request at once, in addition to the schedule, for each request that is not
+   * served: a client without backoff. */
   public void retryImmediately(boolean on) {
     retryImmediately = on;
   }
 
-  /** Reads alone, or as planned. */
+  /** Whether to submit reads only. */
   public void readsOnly(boolean on) {
     readsOnly = on;
   }
 
-  /** Drops the connection and comes again. */
+  /** Drops the connection and connects again. */
   public void reconnect() {
     dropping = true;
   }
 
-  /** Requests asked so far. */
+  /** Number of requests submitted so far. */
   public int asked() {
     return asked;
   }
 
-  /** Works until the last answer, or until nothing can come any more. */
+  /** Runs until the last answer, or until no more answers can arrive. */
   @Override
   public void run() {
     nextDueUs = Engine.monotonicMicros();
@@ -213,7 +213,7 @@
     openRequests.clear();
   }
 
-  /** Runs until so many have been asked, then vanishes with what is out. */
+  /** Submits {@code maxRequests} requests, then disconnects while they are outstanding. */
   public void runThenVanish() throws IOException {
     nextDueUs = Engine.monotonicMicros();
     client.connect(socket);
@@ -232,11 +232,11 @@
     try {
       client.connect(socket);
       connected = true;
-      // Whoever serves now has not taken these before: their time begins again.
+      // The new gateway process has not taken these requests before, so their deadlines start over.
       openRequests.forEach(o -> o.deadlineUs = Engine.monotonicMicros() + config.deadlineUs());
       return true;
     } catch (IOException e) {
-      // The gateway is away: asked again soon, as a virtual machine's front end does.
+      // The gateway is down: retries after 20 ms, like the front end of a virtual machine.
       client.detach();
       LockSupport.parkNanos(20_000_000);
       return false;
@@ -295,23 +295,24 @@
     openRequests.add(o);
   }
 
-  /** A client does not write blocks while it waits for another write to them. */
+  /** Whether a write to any of these blocks is outstanding; a client does not write blocks that it is already
+   * writing. */
   private boolean overlapsWrite(long offset, int length) {
     long most = (long) config.maxBlocks() * BlockStamps.BLOCK_BYTES;
     return !offsetsBeingWritten.subSet(offset - most + 1, offset + length).isEmpty();
   }
 
-  /** What it wrote down, once it has ended. */
+  /** Records of all requests; complete once the client has ended. */
   public List<Asked> records() {
     return records;
   }
 
-  /** Reads whose bytes contradict what was answered before. */
+  /** Reads that returned bytes contradicting earlier answers. */
   public List<String> wrong() {
     return wrong;
   }
 
-  /** Time from asking to the answer, us. */
+  /** Time from submission to answer, us. */
   public Histogram latency() {
     return latency;
   }
--- a/src/main/java/hollyslip/load/RingTarget.java
+++ b/src/main/java/hollyslip/load/RingTarget.java
@@ -7,10 +7,10 @@
 import java.nio.file.Path;
 import java.util.concurrent.locks.LockSupport;
 
-/** A gateway's ring as a target of load. A connection that breaks is made again; what was out is lost to the
- * client, as its ring is. */
+/** Submits load to the ring of a gateway. Reconnects when the connection breaks; requests that were
+ * outstanding then stay unanswered, since the client's ring is lost with the connection. */
 final class RingTarget implements OpenLoop.Target, AutoCloseable {
-  /** From so near to the due time on, us, the thread looks at the clock without sleeping. */
+  /** Within this time of the due time, us, the thread polls the clock instead of sleeping. */
   private static final long SPIN_THRESHOLD_US = 1_500;
 
   private final RingClient client;
--- a/src/main/java/hollyslip/load/ScenarioSettings.java
+++ b/src/main/java/hollyslip/load/ScenarioSettings.java
@@ -15,12 +15,12 @@
 import java.util.function.IntUnaryOperator;
 import java.util.stream.IntStream;
 
-/** The settings scripts of a {@link Day}, and the figures by which it is audited: the same for gateways on
- * sockets and for the emulator. */
+/** Generates the settings scripts of a {@link Day} and the figures for its audit, identically for real
+ * gateways and for the emulator. */
 public final class ScenarioSettings {
   private ScenarioSettings() {}
 
-  /** The script {@code fleet.star}: the nodes, one shard each. */
+  /** The script {@code fleet.star}, which lists the nodes, each with one shard. */
   public static String nodeListScript(int nodes, IntUnaryOperator port, IntFunction<NodeState> state) {
     StringBuilder s = new StringBuilder("NODES = [\n");
     for (int i = 0; i < nodes; i++) {
@@ -30,7 +30,7 @@
     return s.append("]\n").toString();
   }
 
-  /** The script of one gateway; it loads {@code fleet.star}. */
+  /** The script of one gateway, which loads {@code fleet.star}. */
   public static String gatewayScript(Day day, int gateway) throws IOException {
     try (InputStream in = ScenarioSettings.class.getResourceAsStream("/hollyslip/example.star")) {
       String example = new String(in.readAllBytes(), StandardCharsets.UTF_8).replace("\"gateway-a\"",
@@ -47,8 +47,8 @@
     }
   }
 
-  /** What a node that has just started bears within the window of the rule: the multiple at which it falls,
-   * of a fifth of its speed, a command counting as one unit at least. */
+  /** Units that a freshly started node can always bear within the window of the cold-node rule: a fifth of
+   * its full speed, times the multiple at which the rule applies; a command counts as at least one unit. */
   private static long coldUnits(Day.Nodes n) {
     double commands = n.cores() * 1e6 / n.baseUs();
     return (long) Math.max(1, 3 * 0.2 * 2 * commands);
@@ -80,14 +80,14 @@
     return v.maxShards() == 0 ? day.nodes().count() : Math.min(v.maxShards(), day.nodes().count());
   }
 
-  /** Shards of a volume: as many as it spreads over, the next one's beginning where its own end. */
+  /** Shards of a volume: as many as it spreads over, starting after the last shard of the previous volume. */
   private static List<Integer> shards(Day day, Day.VolumeLoad v, int number) {
     int n = shardCount(day, v);
     return IntStream.range(0, n).mapToObj(i -> (number * n + i) % day.nodes().count()).toList();
   }
 
-  /** What the audit goes by. {@code slackUs}: how much later than promised an answer may reach its client;
-   * {@code skewUs}: how far the clocks of the two ends of a request may lie apart. */
+  /** Figures for the audit. {@code slackUs} is the tolerance for late answers, us; {@code skewUs} is the
+   * maximum offset between the clocks of the two ends of a request, us. */
   public static Figures auditFigures(Deployment d, long slackUs, long skewUs) {
     Map<String, Figures.Limit> limits = new HashMap<>();
     List<Figures.Area> areas = new ArrayList<>();
--- a/src/main/java/hollyslip/load/Stage.java
+++ b/src/main/java/hollyslip/load/Stage.java
@@ -12,8 +12,8 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** What a {@link Day} is played on over sockets: stand-ins in this process, gateways in processes of their
- * own. */
+/** Runs the nodes and gateways of a {@link Day} on real sockets: stand-ins in this process, gateways in
+ * separate processes. */
 public final class Stage implements AutoCloseable {
   private static final long SHARD_BYTES = 64 << 20;
 
@@ -24,14 +24,14 @@
   private final Path dir;
 
   /** @param dir
-   *          folder of settings, sockets and logs */
+   *          directory of settings, sockets and logs */
   public Stage(Day day, Path dir) {
     day.checkPlayableOverSockets();
     this.day = day;
     this.dir = dir;
   }
 
-  /** Starts all; returns when clients may come. */
+  /** Starts everything and returns once clients can connect. */
   public void start() throws IOException {
     Files.createDirectories(dir);
     Day.Nodes n = day.nodes();
@@ -54,7 +54,7 @@
     }
   }
 
-  /** A process of a gateway. */
+  /** Starts the process of a gateway. */
   Child startGateway(int number) throws IOException {
     return new Child(settingsFile(number), dir.resolve("gateway-" + number + ".log"));
   }
@@ -63,7 +63,7 @@
     return dir.resolve("gateway-" + gateway + ".star");
   }
 
-  /** Replaces the gateways' list of nodes. */
+  /** Atomically replaces the gateways' node list. */
   void writeNodeList(NodeState[] states) throws IOException {
     Path fresh = dir.resolve("fleet.star.new");
     Files.writeString(fresh, ScenarioSettings.nodeListScript(disks.size(), i -> disks.get(i)
@@ -73,7 +73,7 @@
     Files.move(fresh, dir.resolve("fleet.star"), StandardCopyOption.ATOMIC_MOVE);
   }
 
-  /** Folders of the volumes' sockets, one a gateway. */
+  /** Directories of the volumes' sockets, one per gateway. */
   public List<Path> sockets() {
     return deployments.stream().map(d -> d.gateway().socketDir()).toList();
   }
--- a/src/main/java/hollyslip/load/TenantBench.java
+++ b/src/main/java/hollyslip/load/TenantBench.java
@@ -29,8 +29,8 @@
 import java.util.concurrent.CompletableFuture;
 import org.HdrHistogram.Histogram;
 
-/** What tenants cost: changes while requests flow, a neighbour that floods, starts from the store, and the
- * module with many volumes. */
+/** Measures the cost of tenants: changes during traffic, a neighbour that floods, recovery from the store,
+ * and the scheduler with many volumes. */
 public final class TenantBench {
   private static final long BYTES = 4 << 20;
   private static final int BLOCK = 4_096;
@@ -40,15 +40,15 @@
   private final double seconds;
 
   /** @param rounds
-   *          of each measurement
+   *          rounds of each measurement
    * @param seconds
-   *          of one measurement */
+   *          duration of one measurement */
   public TenantBench(int rounds, double seconds) {
     this.rounds = rounds;
     this.seconds = seconds;
   }
 
-  /** Measures and prints the tables. */
+  /** Runs the measurements and prints the tables. */
   public void run() throws Exception {
     Path dir = Files.createTempDirectory("hollyslip-bench-");
     measureModule();
@@ -56,7 +56,7 @@
     measureTraffic(dir);
   }
 
-  // The module alone.
+  // Scheduler alone.
 
   private static HostScheduler.Settings settings(Path dir) throws IOException {
     return deployment(dir, 1, 2).module();
@@ -117,7 +117,7 @@
     return r.totalMemory() - r.freeMemory();
   }
 
-  // The store.
+  // Store.
 
   private static final class NoOpCarrier implements Carrier {
     @Override
@@ -177,7 +177,7 @@
     }
   }
 
-  /** Ms until the registry is there; keeps a snapshot then. */
+  /** Time to load the registry, ms; takes a snapshot afterwards if {@code keep} is set. */
   private static double openMillis(Path folder, boolean keep) throws IOException {
     long from = System.nanoTime();
     Control c = control(folder);
@@ -250,7 +250,7 @@
                 : changes.getValueAtPercentile(99) + " us");
   }
 
-  /** One administrator changes tenant a, one change after the other. */
+  /** Measures tenant b while an administrator changes tenant a, one change after the other. */
   private void measureDuringChanges(Gateway gateway, ApiClient api) throws Exception {
     Histogram took = new Histogram(60_000_000, 3);
     boolean[] over = new boolean[1];
@@ -274,7 +274,7 @@
     print("while tenant a is changed", r, 4, took, (System.nanoTime() - from) / 1e9);
   }
 
-  /** Tenant a keeps its rings full. */
+  /** Measures tenant b while tenant a keeps its rings full. */
   private void measureDuringFlood(Gateway gateway) throws Exception {
     Measurement[] flood = new Measurement[1];
     Thread t = new Thread(() -> {
--- a/src/test/java/hollyslip/emulator/EmulationTest.java
+++ b/src/test/java/hollyslip/emulator/EmulationTest.java
@@ -10,7 +10,8 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** The emulator: repeatable, as hard as it says, and under the same audit as runs over sockets. */
+/** The emulator is deterministic, has the modelled latencies, and passes the same audit as runs over
+ * sockets. */
 class EmulationTest {
   private static final String SITE = """
       day %s
@@ -52,13 +53,14 @@
     assertTrue(p50 > 1_000 && p50 < 2_000, "p50 of " + p50 + " us");
   }
 
-  /** What fell due while all stood still is late by the rest of the stall, none of it left out. */
+  /** Requests due during a stall must all be counted, each late by the remainder of the stall. */
   @Test
   void aStallShowsInTheTail() {
     Outcome o = World.play(day("10", 1, "at 4 stall part 1 for 1"));
     assertTrue(o.audit().kept(), () -> o.audit().breaches().toString());
-    // What falls due in a second is a tenth of all; at least half of it is 500 ms late. The store
-    // is free again at once; estimates that took seconds to forget the stall made it 0.16 of all.
+    // A tenth of all requests falls due during the second of the stall, and at least half of these are
+    // more than 500 ms late. The nodes have capacity again at once; estimates that took seconds to forget
+    // the stall raised the figure to 0.16 of all.
     double late = 1 - o.all().latency().getPercentileAtOrBelowValue(500_000) / 100;
     double refused = (double) o.all().count(Asked.Answer.REFUSED) / o.all().asked();
     assertTrue(late + refused > 0.045 && late + refused < 0.11, late + " late, " + refused + " refused");
@@ -84,8 +86,8 @@
         .toString());
   }
 
-  /** What is sent while the network is cut arrives when it is whole; requests in between have their answer in
-   * time all the same. */
+  /** Messages sent during a partition arrive after it; requests made in the meantime must still be answered
+   * in time. */
   @Test
   void aCutNetworkCostsNoRule() {
     Outcome o = World.play(day("12", 2, "at 3 partition part 1 size 1 for 4"));
@@ -94,8 +96,8 @@
     assertTrue(o.all().count(Asked.Answer.SERVED) < o.all().asked());
   }
 
-  /** Found by a search: a write that a killed gateway had sent, its answer lost, was refused by the next one,
-   * as if trying again were harmless. */
+  /** Found by the scenario search: a killed gateway had sent a write and the answer was lost; the next
+   * gateway process refused the write as safe to retry. */
   @Test
   void aWriteThatAKilledGatewayMayHaveDoneIsNotRefused() {
     Outcome o = World.play(day("10", 17, "at 3.6 answer-lost for 2.6 part 0.9 size 0.7",
@@ -104,8 +106,8 @@
     assertTrue(o.all().count(Asked.Answer.FAILED) > 0);
   }
 
-  /** Found by a search: requests that had waited seconds at the door earned further attempts when they were
-   * let in, in a window in which they were not taken. */
+  /** Found by the scenario search: requests that had waited for seconds in the admission queue earned retries
+   * when they were admitted, in a window in which they had not been taken. */
   @Test
   void whatWaitedAtTheDoorEarnsNoFurtherAttempts() {
     Outcome o = World.play(Day.parse(
--- a/src/test/java/hollyslip/emulator/ExperimentTest.java
+++ b/src/test/java/hollyslip/emulator/ExperimentTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Experiments and the search for bad days. */
+/** Experiments and the search for scenarios that break a rule. */
 class ExperimentTest {
   private static final String DAY = """
       day 1
@@ -31,7 +31,7 @@
     return Experiment.read(Files.writeString(dir.resolve("x.star"), script));
   }
 
-  /** Figures of Student's own: 2.262 at nine degrees of freedom, 4.303 at two. */
+  /** Critical values of Student's t-distribution: 2.262 at nine degrees of freedom, 4.303 at two. */
   @Test
   void intervalsAreStudents() {
     Estimate e = Estimate.of(1, 2, 3, 4, 5, 6, 7, 8, 9, 10);
@@ -55,7 +55,7 @@
     List<Experiment.Run> all = x.run(kept, 4, fresh::add);
     assertEquals(6, fresh.size());
     assertEquals(all, x.run(dir.resolve("other.jsonl"), 1, r -> {}));
-    // Cut short in its last line, as by a kill: that run alone is run again.
+    // The last line is truncated, as by a kill: only that run is repeated.
     String lines = Files.readString(kept);
     Files.writeString(kept, lines.substring(0, lines.length() - 20));
     fresh.clear();
@@ -64,7 +64,7 @@
     for (var p : x.points()) {
       assertEquals(Experiment.of(all, p), Experiment.of(resumed, p));
     }
-    // It is kept now: behind the line that was cut short it had been lost each time.
+    // The repeated run must be stored now. Appended to the truncated line, it used to be lost each time.
     fresh.clear();
     x.run(kept, 2, fresh::add);
     assertEquals(List.of(), fresh);
--- a/src/test/java/hollyslip/load/OpenLoopTest.java
+++ b/src/test/java/hollyslip/load/OpenLoopTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The generator in virtual time, against targets whose delays are known to the microsecond. */
+/** Runs the load generator in virtual time against targets with exactly known delays. */
 class OpenLoopTest {
   private static final Day.VolumeLoad LOAD = new Day.VolumeLoad("v", "p", 4, 1_000, 0.5, 2, 64, 1,
       ArrivalProcess.Shape.POISSON, 0, 0, 0);
@@ -25,13 +25,13 @@
   @TempDir
   Path dir;
 
-  /** Answers each request as late as {@code delay} says of the time at which it came. */
+  /** Answers each request after a delay that depends on the time of its submission. */
   private static final class Fake implements OpenLoop.Target {
     final LongUnaryOperator delay;
     final PriorityQueue<long[]> out = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
     final List<OpenLoop.ScheduledRequest> shots = new ArrayList<>();
     int most = Integer.MAX_VALUE;
-    /** How long the generator's thread is away whenever it has nothing to do, us. */
+    /** How long the generator's thread is descheduled each time it waits, us. */
     long starved;
     long now;
 
@@ -82,13 +82,13 @@
 
   @Test
   void aStallShowsAllThatFellDueInItAndAClosedLoopHidesIt() {
-    // 200 us each; from 4 s to 6 s nothing moves.
+    // 200 us each, except for a stall from 4 s to 6 s.
     LongUnaryOperator stalls = at -> 200 + (at >= 4_000_000 && at < 6_000_000 ? 6_000_000 - at : 0);
     Histogram open = new Histogram(60_000_000, 3);
     OpenLoop.Stats ran = run(new Fake(stalls), false, 1_000, 10, open);
     assertTrue(ran.valid(1_000));
     assertEquals(ran.due(), ran.answered());
-    // What the schedule says fell due in the stall, more than 1 ms before its end.
+    // Number of requests that the schedule makes due in the stall, more than 1 ms before its end.
     ArrivalProcess again = new ArrivalProcess(LOAD.shape(), 1_000, 5);
     long due = 0;
     for (long at = again.nextDueUs(1); at < 10_000_000; at = again.nextDueUs(1)) {
@@ -127,7 +127,8 @@
     assertFalse(ran.valid(1_000));
   }
 
-  /** A full ring is the target's doing: it shows in the latency, not as the generator's lateness. */
+  /** A full ring is caused by the target: it must show in the latency, not in the lateness of the
+   * generator. */
   @Test
   void aFullTargetShowsInTheLatencyAlone() {
     Fake f = new Fake(at -> 10_000);
@@ -136,7 +137,7 @@
     OpenLoop.Stats ran = run(f, false, 1_000, 4, latency);
     assertTrue(ran.valid(1_000));
     assertTrue(ran.waited() > 0);
-    // 500 a second are served of 1,000 due: at the end of 4 s the queue is some 4 s long.
+    // 500 per second are served and 1,000 are due, so at the end of 4 s the queue is about 4 s long.
     assertEquals(4_000_000, latency.getMaxValue(), 600_000);
   }
 
@@ -152,7 +153,7 @@
         before = at;
         n++;
       }
-      // On and off times have no finite variance: their mean takes long to show.
+      // On and off times have infinite variance, so their mean converges slowly.
       assertEquals(400_000, n, kind == ArrivalProcess.Kind.ONOFF ? 100_000 : 4_000, kind.name());
     }
   }
--- a/src/test/java/hollyslip/load/ScenarioTest.java
+++ b/src/test/java/hollyslip/load/ScenarioTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Day files, and a short day played whole. */
+/** Parsing of day files, and a short scenario played over sockets. */
 class ScenarioTest {
   private static final String SHORT = """
       day 5
