--- a/src/main/java/hollyslip/emulator/Estimate.java
+++ b/src/main/java/hollyslip/emulator/Estimate.java
@@ -19,7 +19,7 @@
   public static Estimate of(double... values) {
     int n = values.length;
     if (n == 0) {
-      throw new IllegalArgumentException("an estimate needs a run");
+      throw new IllegalArgumentException("an estimate needs at least one run");
     }
     double mean = Arrays.stream(values).average().orElseThrow();
     if (n == 1) {
@@ -34,7 +34,8 @@
    * that runs of the same seed share. */
   public static Estimate paired(double[] first, double[] second) {
     if (first.length != second.length) {
-      throw new IllegalArgumentException("pairs need as many runs of both: " + first.length + " and "
+      throw new IllegalArgumentException("paired estimates need equal numbers of runs: " + first.length
+          + " and "
           + second.length);
     }
     double[] d = new double[first.length];
--- a/src/main/java/hollyslip/emulator/Experiment.java
+++ b/src/main/java/hollyslip/emulator/Experiment.java
@@ -86,12 +86,12 @@
       throw new IllegalArgumentException(e.text());
     }
     if (said.path("experiment").size() != 1) {
-      throw new IllegalArgumentException(file + ": experiment(...) must stand in it once");
+      throw new IllegalArgumentException(file + ": experiment(...) must occur exactly once");
     }
     JsonNode e = said.get("experiment").get(0);
     int seeds = e.path("seeds").asInt(8);
     if (!e.path("day").isTextual() || seeds < 1 || seeds > 10_000) {
-      throw new IllegalArgumentException(file + ": experiment: needs a day, and seeds from 1 to 10,000");
+      throw new IllegalArgumentException(file + ": experiment: needs a day and between 1 and 10,000 seeds");
     }
     Map<String, List<String>> sweeps = new LinkedHashMap<>();
     Map<String, Map<String, String>> linked = new LinkedHashMap<>();
@@ -219,7 +219,8 @@
       try {
         all.add(JSON.readValue(line, Run.class));
       } catch (IOException e) {
-        throw new IOException(kept + ": line " + (all.size() + 1) + " is no run: " + e.getMessage(), e);
+        throw new IOException(kept + ": line " + (all.size() + 1) + " is not a valid run: " + e.getMessage(),
+            e);
       }
     }
     return all;
--- a/src/main/java/hollyslip/emulator/World.java
+++ b/src/main/java/hollyslip/emulator/World.java
@@ -94,7 +94,7 @@
         Path file = Files.writeString(dir.resolve("gateway-0.star"), ScenarioSettings.gatewayScript(day, 0));
         Loader.Loaded loaded = Loader.load(file);
         if (!loaded.faults().isEmpty()) {
-          throw new IllegalArgumentException("settings of the day: " + loaded.faults());
+          throw new IllegalArgumentException("invalid settings for the scenario: " + loaded.faults());
         }
         return loaded.deployment();
       } finally {
--- a/src/main/java/hollyslip/load/ArrivalProcess.java
+++ b/src/main/java/hollyslip/load/ArrivalProcess.java
@@ -46,8 +46,8 @@
     public static final Shape POISSON = new Shape(Kind.POISSON, 0, 0);
 
     public Shape {
-      boolean plain = kind == Kind.POISSON || kind == Kind.STEADY;
-      if (!plain && !(periodS > 0)) {
+      boolean constantRate = kind == Kind.POISSON || kind == Kind.STEADY;
+      if (!constantRate && !(periodS > 0)) {
         throw new IllegalArgumentException("shape " + keyword(kind) + " needs a period above 0");
       }
       if (kind == Kind.CURVE && !(swing > 0 && swing <= 1)) {
@@ -70,7 +70,7 @@
               .filter(k -> keyword(k).equals(word))
               .findFirst()
               .map(k -> new Shape(k, periodS, swing))
-              .orElseThrow(() -> new IllegalArgumentException("shape '" + word + "' is not known; known are "
+              .orElseThrow(() -> new IllegalArgumentException("unknown shape '" + word + "'; known shapes: "
                   + Arrays.stream(Kind.values()).map(Shape::keyword).toList()));
     }
 
@@ -106,17 +106,17 @@
   /** Due time of the next request, us after the start of the schedule. {@code speed} multiplies the rate from
    * the previous request on. */
   public long nextDueUs(double speed) {
-    double need = nextGap();
+    double remainingGap = nextGap();
     while (true) {
-      double end = Math.floor(nowUs / RATE_STEP_US + 1) * RATE_STEP_US;
+      double stepEndUs = Math.floor(nowUs / RATE_STEP_US + 1) * RATE_STEP_US;
       double rate = requestsPerUs * speed * rateFactor(nowUs);
-      double due = rate > 0 ? nowUs + need / rate : Double.MAX_VALUE;
-      if (due <= end) {
-        nowUs = due;
+      double dueUs = rate > 0 ? nowUs + remainingGap / rate : Double.MAX_VALUE;
+      if (dueUs <= stepEndUs) {
+        nowUs = dueUs;
         return (long) nowUs;
       }
-      need -= rate * (end - nowUs);
-      nowUs = end;
+      remainingGap -= rate * (stepEndUs - nowUs);
+      nowUs = stepEndUs;
     }
   }
 
@@ -125,9 +125,9 @@
   }
 
   /** Rate at the given time as a multiple of the mean rate. */
-  private double rateFactor(double us) {
+  private double rateFactor(double timeUs) {
     double period = shape.periodS() * 1e6;
-    double phase = period > 0 ? us % period / period : 0;
+    double phase = period > 0 ? timeUs % period / period : 0;
     return switch (shape.kind()) {
       case POISSON, STEADY -> 1;
       case RAMP -> 2 * phase;
@@ -135,7 +135,7 @@
       case BURST -> phase < 0.1 ? shape.swing() : (1 - 0.1 * shape.swing()) / 0.9;
       case CURVE -> 1 + shape.swing() * Math.sin(2 * Math.PI * phase);
       case ONOFF -> {
-        while (us >= nextToggleUs) {
+        while (timeUs >= nextToggleUs) {
           on = !on;
           nextToggleUs += paretoDurationUs();
         }
@@ -145,8 +145,9 @@
   }
 
   private double paretoDurationUs() {
-    double mean = shape.periodS() * 1e6 / 2;
-    double least = mean * (PARETO_SHAPE - 1) / PARETO_SHAPE;
-    return Math.min(MAX_MEAN_DURATIONS * mean, least / Math.pow(1 - random.nextDouble(), 1 / PARETO_SHAPE));
+    double meanUs = shape.periodS() * 1e6 / 2;
+    double minimumUs = meanUs * (PARETO_SHAPE - 1) / PARETO_SHAPE;
+    return Math.min(MAX_MEAN_DURATIONS * meanUs, minimumUs / Math.pow(1 - random.nextDouble(), 1
+        / PARETO_SHAPE));
   }
 }
--- a/src/main/java/hollyslip/load/BenchDeployment.java
+++ b/src/main/java/hollyslip/load/BenchDeployment.java
@@ -20,19 +20,22 @@
 
   /** Loads the deployment, with its directories in {@code dir}.
    *
-   * @param more
+   * @param gatewayArguments
    *          additional arguments of {@code gateway}
-   * @param lines
+   * @param declarations
    *          declarations that follow the nodes, mainly volumes */
-  static Deployment load(Path dir, int[] ports, String more, String lines) throws IOException {
-    StringBuilder s = new StringBuilder(
+  static Deployment load(Path dir, int[] ports, String gatewayArguments, String declarations)
+      throws IOException {
+    StringBuilder script = new StringBuilder(
         "gateway('bench', socket_dir = 'run', state_dir = 'state', unit_bytes "
-            + "= 4 * KiB" + more + ")\n").append(SETTINGS_HEADER);
+            + "= 4 * KiB" + gatewayArguments + ")\n").append(SETTINGS_HEADER);
     for (int i = 0; i < ports.length; i++) {
-      s.append(String.format("node('n-%d', port = %d, shard = %d, capacity = 1e6, bytes = 16 * MiB)%n", i,
+      script.append(String.format("node('n-%d', port = %d, shard = %d, capacity = 1e6, bytes = 16 * MiB)%n",
+          i,
           ports[i], i));
     }
-    Loader.Loaded loaded = Loader.load(Files.writeString(dir.resolve("bench.star"), s.append(lines)));
+    Loader.Loaded loaded = Loader.load(Files.writeString(dir.resolve("bench.star"), script.append(
+        declarations)));
     if (!loaded.faults().isEmpty()) {
       throw new IOException(loaded.faults().toString());
     }
--- a/src/main/java/hollyslip/load/BlockStamps.java
+++ b/src/main/java/hollyslip/load/BlockStamps.java
@@ -29,8 +29,8 @@
 
   /** Records that a write was served. */
   void recordServed(long offset, int length, long id) {
-    for (long b = offset; b < offset + length; b += BLOCK_BYTES) {
-      long[] newest = newestServedWrite.computeIfAbsent(b, k -> new long[1]);
+    for (long block = offset; block < offset + length; block += BLOCK_BYTES) {
+      long[] newest = newestServedWrite.computeIfAbsent(block, k -> new long[1]);
       newest[0] = Math.max(newest[0], id);
     }
   }
@@ -51,12 +51,12 @@
       int at = i * BLOCK_BYTES;
       boolean stamped = data.getLong(at) == STAMP_MAGIC;
       if (stamped && data.getLong(at + 8) != clientId) {
-        return "block " + (offset + at) + " holds another client's bytes";
+        return "block " + (offset + at) + " contains data of another client";
       }
       long id = stamped ? data.getLong(at + 16) : 0;
       if (id < floors[i]) {
-        return "block " + (offset + at) + " holds write " + id + ", though " + floors[i]
-            + " was answered before";
+        return "block " + (offset + at) + " contains write " + id + " although write " + floors[i]
+            + " was answered before the read";
       }
     }
     return null;
--- a/src/main/java/hollyslip/load/Child.java
+++ b/src/main/java/hollyslip/load/Child.java
@@ -26,11 +26,11 @@
     process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()))
         .redirectInput(new File("/dev/null"))
         .start();
-    BufferedReader out = new BufferedReader(new InputStreamReader(process.getInputStream(),
+    BufferedReader stdout = new BufferedReader(new InputStreamReader(process.getInputStream(),
         StandardCharsets.UTF_8));
-    String line = out.readLine();
+    String line = stdout.readLine();
     if (line == null) {
-      throw new IOException("the gateway did not start; see " + log);
+      throw new IOException("gateway failed to start; see " + log);
     }
   }
 
--- a/src/main/java/hollyslip/load/CoresBench.java
+++ b/src/main/java/hollyslip/load/CoresBench.java
@@ -33,31 +33,33 @@
    *          outstanding requests of each client
    * @param nodes
    *          number of stand-ins
-   * @param lanes
+   * @param laneCounts
    *          lane counts to compare */
-  public CoresBench(int rounds, double seconds, int depth, int nodes, int[] lanes) {
+  public CoresBench(int rounds, double seconds, int depth, int nodes, int[] laneCounts) {
     this.rounds = rounds;
     this.seconds = seconds;
     this.depth = depth;
     this.nodes = nodes;
-    this.laneCounts = lanes.clone();
+    this.laneCounts = laneCounts.clone();
   }
 
   /** Totals over all clients: requests per second, the latencies of the worst client, and the smallest rate
    * of a volume relative to the mean. */
   private record Total(double rate, double p50, double p99, double p999, double minShare,
       double[] busyCores) {
-    static Total of(List<Measurement> rows, double[] busy) {
-      double rate = rows.stream().mapToDouble(Measurement::rate).sum();
-      return new Total(rate, max(rows, Measurement::p50), max(rows, Measurement::p99), max(rows,
-          Measurement::p999), rows.stream()
+    static Total of(List<Measurement> measurements, double[] busy) {
+      double rate = measurements.stream().mapToDouble(Measurement::rate).sum();
+      return new Total(rate, max(measurements, Measurement::p50), max(measurements, Measurement::p99), max(
+          measurements,
+          Measurement::p999), measurements.stream()
               .mapToDouble(Measurement::rate)
               .min()
-              .orElseThrow() * rows.size() / rate, busy);
+              .orElseThrow() * measurements.size() / rate, busy);
     }
 
-    private static double max(List<Measurement> rows, java.util.function.ToDoubleFunction<Measurement> f) {
-      return rows.stream().mapToDouble(f).max().orElseThrow();
+    private static double max(List<Measurement> measurements,
+        java.util.function.ToDoubleFunction<Measurement> figure) {
+      return measurements.stream().mapToDouble(figure).max().orElseThrow();
     }
   }
 
@@ -66,27 +68,28 @@
     System.out.printf("%-6s %12s %10s %10s %10s %18s %8s %8s%n", "lanes", "requests/s", "p50 us",
         "p99 us",
         "p99.9 us", "least of a volume", "engines", "node-io");
-    List<List<Total>> all = new ArrayList<>();
-    IntStream.range(0, laneCounts.length).forEach(i -> all.add(new ArrayList<>()));
+    List<List<Total>> totalsByLaneCount = new ArrayList<>();
+    IntStream.range(0, laneCounts.length).forEach(i -> totalsByLaneCount.add(new ArrayList<>()));
     for (int round = 0; round < rounds; round++) {
       for (int i = 0; i < laneCounts.length; i++) {
-        all.get(i).add(measure(laneCounts[i]));
+        totalsByLaneCount.get(i).add(measure(laneCounts[i]));
       }
     }
     for (int i = 0; i < laneCounts.length; i++) {
-      List<Total> t = all.get(i);
+      List<Total> totals = totalsByLaneCount.get(i);
       System.out.printf(Locale.ROOT, "%-6d %12.0f %10.1f %10.1f %10.1f %18.2f %8.1f %8.1f%n", laneCounts[i],
-          median(t,
+          median(totals,
               Total::rate),
-          median(t, Total::p50), median(t, Total::p99), median(t, Total::p999), median(t, Total::minShare),
-          median(t,
+          median(totals, Total::p50), median(totals, Total::p99), median(totals, Total::p999), median(totals,
+              Total::minShare),
+          median(totals,
               x -> x.busyCores[0]),
-          median(t, x -> x.busyCores[1]));
+          median(totals, x -> x.busyCores[1]));
     }
   }
 
-  private static double median(List<Total> all, java.util.function.ToDoubleFunction<Total> f) {
-    double[] sorted = all.stream().mapToDouble(f).sorted().toArray();
+  private static double median(List<Total> totals, java.util.function.ToDoubleFunction<Total> figure) {
+    double[] sorted = totals.stream().mapToDouble(figure).sorted().toArray();
     return sorted[sorted.length / 2];
   }
 
@@ -94,10 +97,10 @@
   private static double[] busyCores(long wallNs) {
     java.lang.management.ThreadMXBean bean = java.lang.management.ManagementFactory.getThreadMXBean();
     double[] cores = new double[THREAD_NAME_PREFIXES.size()];
-    for (java.lang.management.ThreadInfo t : bean.getThreadInfo(bean.getAllThreadIds())) {
-      for (int g = 0; t != null && g < cores.length; g++) {
-        if (t.getThreadName().startsWith(THREAD_NAME_PREFIXES.get(g))) {
-          cores[g] += (double) bean.getThreadCpuTime(t.getThreadId()) / wallNs;
+    for (java.lang.management.ThreadInfo thread : bean.getThreadInfo(bean.getAllThreadIds())) {
+      for (int group = 0; thread != null && group < cores.length; group++) {
+        if (thread.getThreadName().startsWith(THREAD_NAME_PREFIXES.get(group))) {
+          cores[group] += (double) bean.getThreadCpuTime(thread.getThreadId()) / wallNs;
         }
       }
     }
@@ -106,27 +109,31 @@
 
   private Total measure(int cores) throws Exception {
     Path dir = Files.createTempDirectory("hollyslip-bench-");
-    List<StandinProcess> started = new ArrayList<>();
+    List<StandinProcess> standins = new ArrayList<>();
     try {
       for (int i = 0; i < nodes; i++) {
-        started.add(new StandinProcess("node-" + i));
+        standins.add(new StandinProcess("node-" + i));
       }
       StringBuilder volumes = new StringBuilder();
-      for (int v = 0; v < VOLUMES; v++) {
+      for (int volume = 0; volume < VOLUMES; volume++) {
         volumes.append(String.format(
             "volume('v%d', tenant = 't%d', plan = 'p', size = 2 * MiB, extent = 64 * "
-                + "KiB, shards = list(range(%d)), at = %d * MiB)%n", v, v, nodes, 2 * v / nodes));
+                + "KiB, shards = list(range(%d)), at = %d * MiB)%n", volume, volume, nodes, 2 * volume
+                    / nodes));
       }
-      Deployment d = BenchDeployment.load(dir, started.stream().mapToInt(n -> n.address.getPort()).toArray(),
+      Deployment deployment = BenchDeployment.load(dir, standins.stream()
+          .mapToInt(index -> index.address.getPort())
+          .toArray(),
           ", cores = " + cores, volumes.toString());
-      Gateway gateway = new Gateway(d);
-      Measurement[] rows = new Measurement[VOLUMES];
+      Gateway gateway = new Gateway(deployment);
+      Measurement[] measurements = new Measurement[VOLUMES];
       Thread[] clients = new Thread[VOLUMES];
-      for (int v = 0; v < VOLUMES; v++) {
-        int n = v;
-        clients[v] = new Thread(() -> {
+      for (int volume = 0; volume < VOLUMES; volume++) {
+        int index = volume;
+        clients[volume] = new Thread(() -> {
           try {
-            rows[n] = RingBench.measureRingBlocking("v" + n, gateway.socket("v" + n), depth, BLOCK, seconds,
+            measurements[index] = RingBench.measureRingBlocking("v" + index, gateway.socket("v" + index),
+                depth, BLOCK, seconds,
                 BYTES,
                 gateway
                     .lanes()::totals);
@@ -134,17 +141,17 @@
             throw new java.io.UncheckedIOException(e);
           }
         });
-        clients[v].start();
+        clients[volume].start();
       }
       long from = System.nanoTime();
-      for (Thread t : clients) {
-        t.join();
+      for (Thread client : clients) {
+        client.join();
       }
       double[] busy = busyCores(System.nanoTime() - from);
       gateway.close();
-      return Total.of(Arrays.asList(rows), busy);
+      return Total.of(Arrays.asList(measurements), busy);
     } finally {
-      started.forEach(StandinProcess::close);
+      standins.forEach(StandinProcess::close);
     }
   }
 }
--- a/src/main/java/hollyslip/load/Day.java
+++ b/src/main/java/hollyslip/load/Day.java
@@ -117,8 +117,8 @@
 
   /** Thrown if a text is not a valid scenario; the message names the line. */
   public static final class Wrong extends IllegalArgumentException {
-    Wrong(int line, String what) {
-      super("line " + line + ": " + what);
+    Wrong(int lineNumber, String message) {
+      super("line " + lineNumber + ": " + message);
     }
   }
 
@@ -134,40 +134,43 @@
   public void checkPlayableOverSockets() {
     if (nodes.count() > MAX_ON_SOCKETS || gateways > MAX_ON_SOCKETS) {
       throw new IllegalArgumentException("at most " + MAX_ON_SOCKETS
-          + " nodes and gateways are played over sockets; hollyslip emulate plays more");
+          + " nodes and gateways are supported over sockets; use 'hollyslip emulate' for more");
     }
-    for (Disturbance t : troubles) {
-      if (EMULATOR_ONLY_KINDS.contains(t.kind())) {
-        throw new IllegalArgumentException("trouble '" + t.kind() + "' at " + t.at()
-            + " is played by hollyslip emulate only");
+    for (Disturbance disturbance : troubles) {
+      if (EMULATOR_ONLY_KINDS.contains(disturbance.kind())) {
+        throw new IllegalArgumentException("disturbance '" + disturbance.kind() + "' at " + disturbance.at()
+            + " is supported by 'hollyslip emulate' only");
       }
     }
   }
 
   /** Formats the scenario as text that {@link #parse} parses to an equal scenario. */
   public String text() {
-    StringBuilder s = new StringBuilder();
-    s.append("day ").append(seconds).append("\nseed ").append(seed).append("\ngateways ").append(gateways);
-    s.append("\nlanes ").append(lanes).append(exampleSettings ? "\nsettings example" : "");
-    s.append("\nnodes count ")
+    StringBuilder text = new StringBuilder();
+    text.append("day ").append(seconds).append("\nseed ").append(seed).append("\ngateways ").append(gateways);
+    text.append("\nlanes ").append(lanes).append(exampleSettings ? "\nsettings example" : "");
+    text.append("\nnodes count ")
         .append(nodes.count())
         .append(" cores ")
         .append(nodes.cores())
         .append(" queue ");
-    s.append(nodes.queue())
+    text.append(nodes.queue())
         .append(" base-us ")
         .append(nodes.baseUs())
         .append(" net-us ")
         .append(nodes.netUs());
-    s.append(" engine-us ").append(nodes.engineUs()).append('\n');
-    plans.forEach((name, figures) -> {
-      s.append("plan ").append(name);
-      new java.util.TreeMap<>(figures).forEach((k, v) -> s.append(' ').append(k).append(' ').append(v));
-      s.append('\n');
+    text.append(" engine-us ").append(nodes.engineUs()).append('\n');
+    plans.forEach((name, parameters) -> {
+      text.append("plan ").append(name);
+      new java.util.TreeMap<>(parameters).forEach((key, value) -> text.append(' ')
+          .append(key)
+          .append(' ')
+          .append(value));
+      text.append('\n');
     });
-    volumes.forEach(v -> s.append(v.toText()).append('\n'));
-    troubles.forEach(t -> s.append(t.toText()).append('\n'));
-    return s.toString();
+    volumes.forEach(value -> text.append(value.toText()).append('\n'));
+    troubles.forEach(t -> text.append(t.toText()).append('\n'));
+    return text.toString();
   }
 
   /** Returns a copy with other disturbances, sorted by time. */
@@ -178,18 +181,18 @@
   }
 
   /** Number of clients of a volume, over all its gateways. */
-  public int clientCount(VolumeLoad v) {
-    return v.clients() * gatewayCount(v);
+  public int clientCount(VolumeLoad load) {
+    return load.clients() * gatewayCount(load);
   }
 
   /** Number of gateways that requests of a volume come through. */
-  public int gatewayCount(VolumeLoad v) {
-    return v.maxGateways() == 0 ? gateways : Math.min(v.maxGateways(), gateways);
+  public int gatewayCount(VolumeLoad load) {
+    return load.maxGateways() == 0 ? gateways : Math.min(load.maxGateways(), gateways);
   }
 
   /** Index of the gateway that a client uses. */
-  public int gatewayOf(VolumeLoad v, int client) {
-    return (v.firstGateway() + client % gatewayCount(v)) % gateways;
+  public int gatewayOf(VolumeLoad load, int client) {
+    return (load.firstGateway() + client % gatewayCount(load)) % gateways;
   }
 
   /** Returns a copy with the load multiplied by {@code factor}. */
@@ -199,9 +202,9 @@
         .toList(), troubles);
   }
 
-  /** Returns a copy whose load lasts {@code s} seconds. */
-  public Day lasting(double s) {
-    return new Day(s, seed, gateways, lanes, exampleSettings, nodes, plans, volumes, troubles);
+  /** Returns a copy whose load lasts {@code newSeconds} seconds. */
+  public Day lasting(double newSeconds) {
+    return new Day(newSeconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes, troubles);
   }
 
   /** Returns a copy with another seed. */
@@ -214,11 +217,11 @@
     private long seed = 1;
     private int gateways = 1;
     private int lanes = 1;
-    private boolean example;
+    private boolean exampleSettings;
     private Nodes nodes = new Nodes(6, 4, 64, 1_000, 40, 9);
     private final Map<String, Map<String, Double>> plans = new java.util.LinkedHashMap<>();
     private final List<VolumeLoad> volumes = new ArrayList<>();
-    private final List<Disturbance> troubles = new ArrayList<>();
+    private final List<Disturbance> disturbances = new ArrayList<>();
     private int lineNumber;
 
     Day parse(String text) {
@@ -229,141 +232,152 @@
           parseLine(words);
         }
       }
-      for (VolumeLoad l : volumes) {
-        if (!example && !plans.containsKey(l.plan())) {
-          throw new Wrong(lineNumber, "volume " + l.volume() + ": plan " + l.plan() + " is not given");
+      for (VolumeLoad load : volumes) {
+        if (!exampleSettings && !plans.containsKey(load.plan())) {
+          throw new Wrong(lineNumber, "volume " + load.volume() + ": plan " + load.plan()
+              + " is not declared");
         }
       }
       if (volumes.isEmpty()) {
-        throw new Wrong(lineNumber, "no volume is given");
+        throw new Wrong(lineNumber, "no volume is declared");
       }
-      troubles.sort(java.util.Comparator.comparingDouble(Disturbance::at));
-      return new Day(seconds, seed, gateways, lanes, example, nodes, plans, volumes, troubles);
+      disturbances.sort(java.util.Comparator.comparingDouble(Disturbance::at));
+      return new Day(seconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes, disturbances);
     }
 
-    private void parseLine(String[] w) {
-      switch (w[0]) {
-        case "day" -> seconds = parseNumber(w, 1, 1, 86_400);
-        case "seed" -> seed = (long) parseNumber(w, 1, 0, 1e15);
-        case "gateways" -> gateways = (int) parseNumber(w, 1, 1, MAX_GATEWAYS);
-        case "lanes" -> lanes = (int) parseNumber(w, 1, 1, 16);
+    private void parseLine(String[] words) {
+      switch (words[0]) {
+        case "day" -> seconds = parseNumber(words, 1, 1, 86_400);
+        case "seed" -> seed = (long) parseNumber(words, 1, 0, 1e15);
+        case "gateways" -> gateways = (int) parseNumber(words, 1, 1, MAX_GATEWAYS);
+        case "lanes" -> lanes = (int) parseNumber(words, 1, 1, 16);
         case "settings" -> {
-          if (w.length != 2 || !w[1].equals("example")) {
-            throw new Wrong(lineNumber, "settings: only 'example' is known");
+          if (words.length != 2 || !words[1].equals("example")) {
+            throw new Wrong(lineNumber, "settings: only 'example' is supported");
           }
-          example = true;
+          exampleSettings = true;
         }
         case "nodes" -> {
-          Map<String, Double> f = parseNumbers(w, 1, NODE_KEYS);
-          nodes = new Nodes(f.getOrDefault("count", 6.0).intValue(), f.getOrDefault("cores", 4.0).intValue(),
-              f.getOrDefault("queue", 64.0).intValue(), f.getOrDefault("base-us", 1_000.0).longValue(), f
-                  .getOrDefault("net-us", 40.0)
-                  .longValue(), f.getOrDefault("engine-us", 9.0));
+          Map<String, Double> numbers = parseNumbers(words, 1, NODE_KEYS);
+          nodes = new Nodes(numbers.getOrDefault("count", 6.0).intValue(), numbers.getOrDefault("cores", 4.0)
+              .intValue(),
+              numbers.getOrDefault("queue", 64.0).intValue(), numbers.getOrDefault("base-us", 1_000.0)
+                  .longValue(), numbers
+                      .getOrDefault("net-us", 40.0)
+                      .longValue(), numbers.getOrDefault("engine-us", 9.0));
           if (nodes.count() < 1 || nodes.count() > MAX_NODES) {
             throw new Wrong(lineNumber, "nodes: count must be from 1 to " + MAX_NODES);
           }
         }
-        case "plan" -> plans.put(parseName(w), parseNumbers(w, 2, PLAN_KEYS));
-        case "volume" -> parseVolume(w);
-        case "at" -> parseDisturbance(w);
-        default -> throw new Wrong(lineNumber, "'" + w[0] + "' is not known");
+        case "plan" -> plans.put(parseName(words), parseNumbers(words, 2, PLAN_KEYS));
+        case "volume" -> parseVolume(words);
+        case "at" -> parseDisturbance(words);
+        default -> throw new Wrong(lineNumber, "unknown keyword '" + words[0] + "'");
       }
     }
 
-    private void parseVolume(String[] w) {
-      String plan = extractValue(w, "plan");
+    private void parseVolume(String[] words) {
+      String plan = extractValue(words, "plan");
       ArrivalProcess.Shape shape;
-      String word = extractValue(w, "shape");
-      Map<String, Double> f = parseNumbers(w, 2, VOLUME_KEYS);
+      String shapeKeyword = extractValue(words, "shape");
+      Map<String, Double> numbers = parseNumbers(words, 2, VOLUME_KEYS);
       try {
-        shape = ArrivalProcess.Shape.of(word, f.getOrDefault("period", 0.0), f.getOrDefault("swing", 0.0));
+        shape = ArrivalProcess.Shape.of(shapeKeyword, numbers.getOrDefault("period", 0.0), numbers
+            .getOrDefault("swing", 0.0));
       } catch (IllegalArgumentException e) {
-        throw new Wrong(lineNumber, "volume " + w[1] + ": " + e.getMessage());
+        throw new Wrong(lineNumber, "volume " + words[1] + ": " + e.getMessage());
       }
-      int copies = f.getOrDefault("copies", 1.0).intValue();
+      int copies = numbers.getOrDefault("copies", 1.0).intValue();
       if (copies < 1 || copies > 100_000) {
-        throw new Wrong(lineNumber, "volume " + w[1] + ": copies must be from 1 to 100,000");
+        throw new Wrong(lineNumber, "volume " + words[1] + ": copies must be from 1 to 100,000");
       }
-      int hosts = f.getOrDefault("hosts", 0.0).intValue();
-      int first = f.getOrDefault("first", 0.0).intValue();
+      int maxGateways = numbers.getOrDefault("hosts", 0.0).intValue();
+      int firstGateway = numbers.getOrDefault("first", 0.0).intValue();
       for (int i = 0; i < copies; i++) {
-        volumes.add(new VolumeLoad(copies == 1 ? parseName(w) : parseName(w) + "-" + i, plan, f.getOrDefault(
-            "size-mib", 24.0)
-            .intValue(), f.getOrDefault("rate", 50.0), f.getOrDefault("reads", 0.6), f.getOrDefault(
-                "most-blocks",
-                4.0).intValue(), f.getOrDefault("depth", 64.0).intValue(), f.getOrDefault("clients", 1.0)
+        volumes.add(new VolumeLoad(copies == 1 ? parseName(words) : parseName(words) + "-" + i, plan, numbers
+            .getOrDefault(
+                "size-mib", 24.0)
+            .intValue(), numbers.getOrDefault("rate", 50.0), numbers.getOrDefault("reads", 0.6), numbers
+                .getOrDefault(
+                    "most-blocks",
+                    4.0)
+                .intValue(), numbers.getOrDefault("depth", 64.0).intValue(), numbers.getOrDefault("clients",
+                    1.0)
                     .intValue(),
-            shape, hosts, f.getOrDefault("spread", 0.0).intValue(), first + i * hosts));
+            shape, maxGateways, numbers.getOrDefault("spread", 0.0).intValue(), firstGateway + i
+                * maxGateways));
       }
-      VolumeLoad l = volumes.get(volumes.size() - 1);
-      if (!(l.rate() > 0) || l.maxBlocks() < 1 || l.maxBlocks() > 256 || l.depth() < 1 || l.depth() > 512
-          || l.clients() < 1 || l.sizeMib() < 1 || l.sizeMib() > 1_024) {
-        throw new Wrong(lineNumber, "volume " + l.volume() + ": a figure is out of range");
+      VolumeLoad load = volumes.get(volumes.size() - 1);
+      if (!(load.rate() > 0) || load.maxBlocks() < 1 || load.maxBlocks() > 256 || load.depth() < 1 || load
+          .depth() > 512
+          || load.clients() < 1 || load.sizeMib() < 1 || load.sizeMib() > 1_024) {
+        throw new Wrong(lineNumber, "volume " + load.volume() + ": a value is out of range");
       }
     }
 
-    private void parseDisturbance(String[] w) {
-      double at = parseNumber(w, 1, 0, 86_400);
-      String kind = w.length > 2 ? w[2] : "";
+    private void parseDisturbance(String[] words) {
+      double at = parseNumber(words, 1, 0, 86_400);
+      String kind = words.length > 2 ? words[2] : "";
       if (!KINDS.contains(kind)) {
-        throw new Wrong(lineNumber, "trouble '" + kind + "' is not known; known are "
+        throw new Wrong(lineNumber, "unknown disturbance '" + kind + "'; known kinds: "
             + new java.util.TreeSet<>(
                 KINDS));
       }
-      String target = extractValue(w, "target");
-      Map<String, Double> f = parseNumbers(w, 3, DISTURBANCE_KEYS);
-      troubles.add(new Disturbance(at, kind, target, f.getOrDefault("for", 5.0), f.getOrDefault("part", 0.2),
-          f
+      String target = extractValue(words, "target");
+      Map<String, Double> numbers = parseNumbers(words, 3, DISTURBANCE_KEYS);
+      disturbances.add(new Disturbance(at, kind, target, numbers.getOrDefault("for", 5.0), numbers
+          .getOrDefault("part", 0.2),
+          numbers
               .getOrDefault("size", 1.0)));
     }
 
-    private String parseName(String[] w) {
-      if (w.length < 2 || !w[1].matches("[A-Za-z0-9][A-Za-z0-9._-]*")) {
-        throw new Wrong(lineNumber, w[0] + ": a name must follow");
+    private String parseName(String[] words) {
+      if (words.length < 2 || !words[1].matches("[A-Za-z0-9][A-Za-z0-9._-]*")) {
+        throw new Wrong(lineNumber, words[0] + ": expected a name");
       }
-      return w[1];
+      return words[1];
     }
 
     /** Removes {@code key} and the word after it from the line and returns that word; empty if the key is
      * absent. */
-    private static String extractValue(String[] w, String key) {
-      for (int i = 1; i + 1 < w.length; i++) {
-        if (w[i].equals(key)) {
-          String value = w[i + 1];
-          w[i] = "";
-          w[i + 1] = "";
+    private static String extractValue(String[] words, String key) {
+      for (int i = 1; i + 1 < words.length; i++) {
+        if (words[i].equals(key)) {
+          String value = words[i + 1];
+          words[i] = "";
+          words[i + 1] = "";
           return value;
         }
       }
       return "";
     }
 
-    private Map<String, Double> parseNumbers(String[] w, int from, Set<String> known) {
-      Map<String, Double> found = new HashMap<>();
-      for (int i = from; i < w.length; i++) {
-        if (w[i].isEmpty()) {
+    private Map<String, Double> parseNumbers(String[] words, int from, Set<String> known) {
+      Map<String, Double> numbers = new HashMap<>();
+      for (int i = from; i < words.length; i++) {
+        if (words[i].isEmpty()) {
           continue;
         }
-        if (!known.contains(w[i])) {
-          throw new Wrong(lineNumber, w[0] + ": '" + w[i] + "' is not known");
+        if (!known.contains(words[i])) {
+          throw new Wrong(lineNumber, words[0] + ": unknown keyword '" + words[i] + "'");
         }
-        found.put(w[i], parseNumber(w, i + 1, 0, 1e12));
+        numbers.put(words[i], parseNumber(words, i + 1, 0, 1e12));
         i++;
       }
-      return found;
+      return numbers;
     }
 
-    private double parseNumber(String[] w, int i, double least, double most) {
-      String word = i < w.length ? w[i] : "nothing";
+    private double parseNumber(String[] words, int i, double min, double max) {
+      String word = i < words.length ? words[i] : "end of line";
       try {
-        double n = Double.parseDouble(word);
-        if (n >= least && n <= most) {
-          return n;
+        double number = Double.parseDouble(word);
+        if (number >= min && number <= max) {
+          return number;
         }
       } catch (NumberFormatException e) {
-        throw new Wrong(lineNumber, w[0] + ": a number must stand where '" + word + "' does");
+        throw new Wrong(lineNumber, words[0] + ": expected a number, found '" + word + "'");
       }
-      throw new Wrong(lineNumber, w[0] + ": " + word + " is not from " + least + " to " + most);
+      throw new Wrong(lineNumber, words[0] + ": " + word + " is not in the range from " + min + " to " + max);
     }
   }
 }
--- a/src/main/java/hollyslip/load/DayRunner.java
+++ b/src/main/java/hollyslip/load/DayRunner.java
@@ -52,10 +52,10 @@
       implements
         Comparable<Step> {
     @Override
-    public int compareTo(Step o) {
-      return atSeconds != o.atSeconds
-          ? Double.compare(atSeconds, o.atSeconds)
-          : Integer.compare(order, o.order);
+    public int compareTo(Step other) {
+      return atSeconds != other.atSeconds
+          ? Double.compare(atSeconds, other.atSeconds)
+          : Integer.compare(order, other.order);
     }
   }
 
@@ -100,15 +100,15 @@
       long from = System.nanoTime();
       scheduleSteps();
       while (!steps.isEmpty()) {
-        Step s = steps.poll();
-        double wait = s.atSeconds - (System.nanoTime() - from) / 1e9;
-        if (wait > 0) {
-          Thread.sleep((long) (wait * 1_000));
+        Step step = steps.poll();
+        double delaySeconds = step.atSeconds - (System.nanoTime() - from) / 1e9;
+        if (delaySeconds > 0) {
+          Thread.sleep((long) (delaySeconds * 1_000));
         }
-        if (!s.description.isEmpty()) {
-          out.printf(Locale.ROOT, "%6.1f s  %s%n", s.atSeconds, s.description);
+        if (!step.description.isEmpty()) {
+          out.printf(Locale.ROOT, "%6.1f s  %s%n", step.atSeconds, step.description);
         }
-        s.action.run();
+        step.action.run();
       }
       return finish();
     } finally {
@@ -118,46 +118,48 @@
 
   private void start() throws IOException {
     cluster.start();
-    for (Deployment d : deployments) {
-      operatorRecords.add(new Told.Started(d.gateway().name(), Engine.monotonicMicros()));
+    for (Deployment deployment : deployments) {
+      operatorRecords.add(new Told.Started(deployment.gateway().name(), Engine.monotonicMicros()));
     }
-    for (Day.VolumeLoad v : day.volumes()) {
-      for (int c = 0; c < day.clientCount(v); c++) {
-        startClient(v, c);
+    for (Day.VolumeLoad volume : day.volumes()) {
+      for (int client = 0; client < day.clientCount(volume); client++) {
+        startClient(volume, client);
       }
     }
   }
 
-  private void startClient(Day.VolumeLoad v, int number) throws IOException {
-    int all = day.clientCount(v);
-    int g = day.gatewayOf(v, number);
-    Deployment d = deployments.get(g);
-    long part = d.byName().get(v.volume()).bytes() / all / 4096 * 4096;
-    long deadline = d.classes().stream().mapToLong(c -> c.deadlineUs()).max().orElseThrow();
-    RingLoad load = new RingLoad(new RingLoad.Plan(v.volume() + "-" + number, d.gateway().name(), v.volume(),
-        number * part, part, 0, v.depth(), (long) (1e6 * all / v.rate()), v.readFraction(), v.maxBlocks(),
-        deadline,
-        d.gateway().unitBytes(), day.seed() * 1_000 + clients.size()), d.gateway()
+  private void startClient(Day.VolumeLoad volume, int index) throws IOException {
+    int clientCount = day.clientCount(volume);
+    int gateway = day.gatewayOf(volume, index);
+    Deployment deployment = deployments.get(gateway);
+    long partBytes = deployment.byName().get(volume.volume()).bytes() / clientCount / 4096 * 4096;
+    long deadlineUs = deployment.classes().stream().mapToLong(c -> c.deadlineUs()).max().orElseThrow();
+    RingLoad load = new RingLoad(new RingLoad.Plan(volume.volume() + "-" + index, deployment.gateway().name(),
+        volume.volume(),
+        index * partBytes, partBytes, 0, volume.depth(), (long) (1e6 * clientCount / volume.rate()), volume
+            .readFraction(), volume.maxBlocks(),
+        deadlineUs,
+        deployment.gateway().unitBytes(), day.seed() * 1_000 + clients.size()), deployment.gateway()
             .socketDir()
-            .resolve(v.volume() + ".sock"));
-    Thread t = new Thread(load, "client-" + v.volume() + "-" + number);
-    clients.add(new Client(load, t, v, g));
-    t.start();
+            .resolve(volume.volume() + ".sock"));
+    Thread thread = new Thread(load, "client-" + volume.volume() + "-" + index);
+    clients.add(new Client(load, thread, volume, gateway));
+    thread.start();
   }
 
   // Disturbances.
 
-  private void scheduleStep(double seconds, String what, Action action) {
-    steps.add(new Step(seconds, nextStepOrder++, what, action));
+  private void scheduleStep(double atSeconds, String description, Action action) {
+    steps.add(new Step(atSeconds, nextStepOrder++, description, action));
   }
 
   private void scheduleSteps() {
-    for (Day.Disturbance t : day.troubles()) {
-      scheduleDisturbance(t);
+    for (Day.Disturbance disturbance : day.troubles()) {
+      scheduleDisturbance(disturbance);
     }
-    for (double s = 10; s < day.seconds(); s += 10) {
-      double now = s;
-      scheduleStep(now, "", () -> out.printf(Locale.ROOT, "%6.1f s  %d requests asked%n", now, clients
+    for (double atSeconds = 10; atSeconds < day.seconds(); atSeconds += 10) {
+      double now = atSeconds;
+      scheduleStep(now, "", () -> out.printf(Locale.ROOT, "%6.1f s  %d requests submitted%n", now, clients
           .stream()
           .mapToInt(c -> c.load().asked())
           .sum()));
@@ -165,128 +167,148 @@
     scheduleStep(day.seconds(), "load ends", () -> clients.forEach(c -> c.load().finish()));
   }
 
-  private void scheduleDisturbance(Day.Disturbance t) {
-    double end = t.at() + t.seconds();
-    switch (t.kind()) {
-      case "stall" -> scheduleOnNodes(t, d -> d.stall((long) (t.seconds() * 1e6)), null);
-      case "hang" -> scheduleOnNodes(t, d -> d.faults.silent = true, d -> d.faults.silent = false);
-      case "vanish" -> scheduleOnNodes(t, d -> d.faults.silent = true, this::restart);
-      case "mass-restart" -> scheduleOnNodes(t, this::restart, null);
-      case "fast-errors" -> scheduleOnNodes(t, d -> d.faults.errors = t.size(), d -> d.faults.errors = 0);
-      case "answer-lost" -> scheduleOnNodes(t, d -> d.faults.loseAnswers = t.size(),
+  private void scheduleDisturbance(Day.Disturbance disturbance) {
+    double endSeconds = disturbance.at() + disturbance.seconds();
+    switch (disturbance.kind()) {
+      case "stall" -> scheduleOnNodes(disturbance, d -> d.stall((long) (disturbance.seconds() * 1e6)), null);
+      case "hang" -> scheduleOnNodes(disturbance, d -> d.faults.silent = true, d -> d.faults.silent = false);
+      case "vanish" -> scheduleOnNodes(disturbance, d -> d.faults.silent = true, this::restart);
+      case "mass-restart" -> scheduleOnNodes(disturbance, this::restart, null);
+      case "fast-errors" -> scheduleOnNodes(disturbance, d -> d.faults.errors = disturbance.size(),
+          d -> d.faults.errors = 0);
+      case "answer-lost" -> scheduleOnNodes(disturbance, d -> d.faults.loseAnswers = disturbance.size(),
           d -> d.faults.loseAnswers = 0);
-      case "late-write" -> scheduleOnNodes(t, d -> d.faults.lateWriteUs = (long) (t.size() * 1e6),
+      case "late-write" -> scheduleOnNodes(disturbance, d -> d.faults.lateWriteUs = (long) (disturbance.size()
+          * 1e6),
           d -> d.faults.lateWriteUs = 0);
-      case "slow" -> scheduleOnNodes(t, d -> d.slow(t.size()), d -> d.slow(1));
-      case "full" -> scheduleOnNodes(t, d -> d.faults.full = true, d -> d.faults.full = false);
-      case "heavy-tail" -> scheduleOnNodes(t, d -> {
-        d.faults.heavyFactor = t.size();
+      case "slow" -> scheduleOnNodes(disturbance, d -> d.slow(disturbance.size()), d -> d.slow(1));
+      case "full" -> scheduleOnNodes(disturbance, d -> d.faults.full = true, d -> d.faults.full = false);
+      case "heavy-tail" -> scheduleOnNodes(disturbance, d -> {
+        d.faults.heavyFactor = disturbance.size();
         d.faults.heavyPart = 0.02;
       }, d -> d.faults.heavyPart = 0);
-      case "drain" -> scheduleOnNodes(t, d -> setNodeState(d, NodeState.DRAINING), t.seconds() > 0
-          ? d -> setNodeState(d, NodeState.ON)
-          : null);
+      case "drain" -> scheduleOnNodes(disturbance, d -> setNodeState(d, NodeState.DRAINING), disturbance
+          .seconds() > 0
+              ? d -> setNodeState(d, NodeState.ON)
+              : null);
       case "preempt" -> {
-        for (DiskServer d : affectedNodes(t)) {
-          scheduleStep(t.at(), "preempt: " + d.name() + " drains", () -> setNodeState(d, NodeState.DRAINING));
-          scheduleStep(t.at() + t.killDelaySeconds(), "preempt: " + d.name() + " dies", d::kill);
-          scheduleStep(end, "preempt: " + d.name() + " is back, cold", () -> {
+        for (DiskServer d : affectedNodes(disturbance)) {
+          scheduleStep(disturbance.at(), "preempt: " + d.name() + " drains", () -> setNodeState(d,
+              NodeState.DRAINING));
+          scheduleStep(disturbance.at() + disturbance.killDelaySeconds(), "preempt: " + d.name()
+              + " is killed", d::kill);
+          scheduleStep(endSeconds, "preempt: " + d.name() + " restarts cold", () -> {
             restart(d);
             setNodeState(d, NodeState.ON);
           });
         }
       }
-      case "burst" -> scheduleLoadFactor(t, c -> true);
-      case "plan-burst" -> scheduleLoadFactor(t, c -> c.volume().plan().equals(t.target()));
-      case "volume-burst" -> scheduleLoadFactor(t, c -> c.volume().volume().equals(t.target()));
+      case "burst" -> scheduleLoadFactor(disturbance, c -> true);
+      case "plan-burst" -> scheduleLoadFactor(disturbance, c -> c.volume()
+          .plan()
+          .equals(disturbance.target()));
+      case "volume-burst" -> scheduleLoadFactor(disturbance, c -> c.volume()
+          .volume()
+          .equals(disturbance.target()));
       case "hot-volumes", "scan" -> {
-        List<Client> hot = clients.stream().filter(c -> random.nextDouble() < t.fraction()).toList();
-        scheduleLoadFactor(t, hot::contains);
-        if (t.kind().equals("scan")) {
-          scheduleStep(t.at(), "", () -> hot.forEach(c -> c.load().readsOnly(true)));
-          scheduleStep(end, "", () -> hot.forEach(c -> c.load().readsOnly(false)));
+        List<Client> selected = clients.stream()
+            .filter(c -> random.nextDouble() < disturbance.fraction())
+            .toList();
+        scheduleLoadFactor(disturbance, selected::contains);
+        if (disturbance.kind().equals("scan")) {
+          scheduleStep(disturbance.at(), "", () -> selected.forEach(c -> c.load().readsOnly(true)));
+          scheduleStep(endSeconds, "", () -> selected.forEach(c -> c.load().readsOnly(false)));
         }
       }
       case "retry-abuse" -> {
-        scheduleStep(t.at(), "clients of " + t.target() + " ask again at once", () -> targetClients(t)
-            .forEach(c -> c.load()
-                .retryImmediately(true)));
-        scheduleStep(end, "", () -> targetClients(t).forEach(c -> c.load().retryImmediately(false)));
+        scheduleStep(disturbance.at(), "clients of " + disturbance.target() + " retry without backoff",
+            () -> targetClients(disturbance)
+                .forEach(c -> c.load()
+                    .retryImmediately(true)));
+        scheduleStep(endSeconds, "", () -> targetClients(disturbance).forEach(c -> c.load()
+            .retryImmediately(false)));
       }
-      case "reconnect" -> scheduleStep(t.at(), "clients drop and come again", () -> clients.stream()
-          .filter(c -> random.nextDouble() < t.fraction())
+      case "reconnect" -> scheduleStep(disturbance.at(), "clients reconnect", () -> clients.stream()
+          .filter(c -> random.nextDouble() < disturbance.fraction())
           .forEach(c -> c.load().reconnect()));
-      case "client-vanish" -> scheduleStep(t.at(), "a client vanishes", () -> startVanishingClient(t
-          .target()));
+      case "client-vanish" -> scheduleStep(disturbance.at(), "a client vanishes", () -> startVanishingClient(
+          disturbance
+              .target()));
       case "list-down" -> {
-        scheduleStep(t.at(), "the node list is out of reach", () -> nodeListDown = true);
-        scheduleStep(end, "the node list is back", () -> {
+        scheduleStep(disturbance.at(), "the node list becomes unavailable", () -> nodeListDown = true);
+        scheduleStep(endSeconds, "the node list is available again", () -> {
           nodeListDown = false;
           publishNodeList();
         });
       }
       case "gateway-crash" -> {
-        int g = random.nextInt(day.gateways());
-        scheduleStep(t.at(), "gateway " + g + " is killed", () -> gateways.get(g).kill());
-        scheduleStep(end, "gateway " + g + " is started again", () -> {
-          operatorRecords.add(new Told.Started(deployments.get(g).gateway().name(), Engine
+        int gateway = random.nextInt(day.gateways());
+        scheduleStep(disturbance.at(), "gateway " + gateway + " is killed", () -> gateways.get(gateway)
+            .kill());
+        scheduleStep(endSeconds, "gateway " + gateway + " is restarted", () -> {
+          operatorRecords.add(new Told.Started(deployments.get(gateway).gateway().name(), Engine
               .monotonicMicros()));
-          gateways.set(g, cluster.startGateway(g));
+          gateways.set(gateway, cluster.startGateway(gateway));
         });
       }
-      default -> throw new IllegalStateException(t.kind());
+      default -> throw new IllegalStateException(disturbance.kind());
     }
   }
 
   private interface NodeAction {
-    void run(DiskServer d) throws IOException;
+    void run(DiskServer node) throws IOException;
   }
 
-  private void scheduleOnNodes(Day.Disturbance t, NodeAction begin, NodeAction end) {
-    for (DiskServer d : affectedNodes(t)) {
-      scheduleStep(t.at(), t.kind() + ": " + d.name(), () -> begin.run(d));
+  private void scheduleOnNodes(Day.Disturbance disturbance, NodeAction begin, NodeAction end) {
+    for (DiskServer node : affectedNodes(disturbance)) {
+      scheduleStep(disturbance.at(), disturbance.kind() + ": " + node.name(), () -> begin.run(node));
       if (end != null) {
-        scheduleStep(t.at() + t.seconds(), t.kind() + " over: " + d.name(), () -> end.run(d));
+        scheduleStep(disturbance.at() + disturbance.seconds(), disturbance.kind() + " over: " + node.name(),
+            () -> end.run(node));
       }
     }
   }
 
-  private List<DiskServer> affectedNodes(Day.Disturbance t) {
-    if (!t.target().isEmpty()) {
-      return disks.stream().filter(d -> d.name().equals(t.target())).toList();
+  private List<DiskServer> affectedNodes(Day.Disturbance disturbance) {
+    if (!disturbance.target().isEmpty()) {
+      return disks.stream().filter(d -> d.name().equals(disturbance.target())).toList();
     }
-    List<DiskServer> left = new ArrayList<>(disks);
+    List<DiskServer> remaining = new ArrayList<>(disks);
     List<DiskServer> chosen = new ArrayList<>();
-    for (long n = Math.max(1, Math.round(t.fraction() * disks.size())); n > 0; n--) {
-      chosen.add(left.remove(random.nextInt(left.size())));
+    for (long n = Math.max(1, Math.round(disturbance.fraction() * disks.size())); n > 0; n--) {
+      chosen.add(remaining.remove(random.nextInt(remaining.size())));
     }
     return chosen;
   }
 
-  private List<Client> targetClients(Day.Disturbance t) {
+  private List<Client> targetClients(Day.Disturbance disturbance) {
     return clients.stream()
-        .filter(c -> c.volume().volume().equals(t.target()) || c.volume().plan().equals(t.target()))
+        .filter(c -> c.volume().volume().equals(disturbance.target()) || c.volume()
+            .plan()
+            .equals(disturbance.target()))
         .toList();
   }
 
-  private void scheduleLoadFactor(Day.Disturbance t, java.util.function.Predicate<Client> which) {
-    scheduleStep(t.at(), t.kind() + " " + t.target() + ": " + t.size() + " times the load", () -> clients
+  private void scheduleLoadFactor(Day.Disturbance disturbance, java.util.function.Predicate<Client> filter) {
+    scheduleStep(disturbance.at(), disturbance.kind() + " " + disturbance.target() + ": " + disturbance.size()
+        + " times the load", () -> clients
+            .stream()
+            .filter(filter)
+            .forEach(c -> c.load().rateFactor(disturbance.size())));
+    scheduleStep(disturbance.at() + disturbance.seconds(), disturbance.kind() + " over", () -> clients
         .stream()
-        .filter(which)
-        .forEach(c -> c.load().rateFactor(t.size())));
-    scheduleStep(t.at() + t.seconds(), t.kind() + " over", () -> clients.stream()
-        .filter(which)
+        .filter(filter)
         .forEach(c -> c.load().rateFactor(1)));
   }
 
-  private void restart(DiskServer d) throws IOException {
-    d.faults.clear();
-    operatorRecords.add(new Told.Born(d.name(), Engine.monotonicMicros()));
-    d.restart();
+  private void restart(DiskServer node) throws IOException {
+    node.faults.clear();
+    operatorRecords.add(new Told.Born(node.name(), Engine.monotonicMicros()));
+    node.restart();
   }
 
-  private void setNodeState(DiskServer d, NodeState state) throws IOException {
-    states[disks.indexOf(d)] = state;
+  private void setNodeState(DiskServer node, NodeState state) throws IOException {
+    states[disks.indexOf(node)] = state;
     publishNodeList();
   }
 
@@ -318,39 +340,40 @@
 
   /** Starts an additional client that submits requests and disconnects while all are outstanding. */
   private void startVanishingClient(String volume) throws IOException {
-    Day.VolumeLoad v = day.volumes()
+    Day.VolumeLoad volumeLoad = day.volumes()
         .stream()
         .filter(l -> l.volume().equals(volume))
         .findFirst()
         .orElse(day.volumes().get(0));
-    Deployment d = deployments.get(0);
+    Deployment deployment = deployments.get(0);
     // Reads only, because another client owns this part of the volume.
-    RingLoad load = new RingLoad(new RingLoad.Plan("leaver", d.gateway().name(), v.volume(), 0, 1 << 20, 40,
-        32, 0, 1, 4, 2_000_000, d.gateway().unitBytes(), day.seed() + 5), d.gateway()
+    RingLoad ringLoad = new RingLoad(new RingLoad.Plan("leaver", deployment.gateway().name(), volumeLoad
+        .volume(), 0, 1 << 20, 40,
+        32, 0, 1, 4, 2_000_000, deployment.gateway().unitBytes(), day.seed() + 5), deployment.gateway()
             .socketDir()
-            .resolve(v.volume() + ".sock"));
-    Thread t = new Thread(() -> {
+            .resolve(volumeLoad.volume() + ".sock"));
+    Thread thread = new Thread(() -> {
       try {
-        load.runThenVanish();
+        ringLoad.runThenVanish();
       } catch (IOException e) {
-        out.println("          the vanishing client found no gateway: " + e.getMessage());
+        out.println("          the vanishing client could not connect: " + e.getMessage());
       }
     }, "leaver");
-    clients.add(new Client(load, t, v, 0));
-    t.start();
+    clients.add(new Client(ringLoad, thread, volumeLoad, 0));
+    thread.start();
   }
 
   // Shutdown and audit.
 
   private Result finish() throws IOException, InterruptedException {
-    for (Client c : clients) {
-      c.thread().join(120_000);
+    for (Client client : clients) {
+      client.thread().join(120_000);
     }
-    boolean clean = true;
-    for (Child c : gateways) {
-      clean &= c.stop() == 0;
+    boolean stoppedCleanly = true;
+    for (Child client : gateways) {
+      stoppedCleanly &= client.stop() == 0;
     }
-    List<Asked> asked = clients.stream().flatMap(c -> c.load().records().stream()).toList();
+    List<Asked> asked = clients.stream().flatMap(client -> client.load().records().stream()).toList();
     List<Command> commands = disks.stream().flatMap(d -> d.commands().stream()).toList();
     Figures figures = ScenarioSettings.auditFigures(deployments.get(0), slackUs, 50_000);
     Witness.figures(dir, figures);
@@ -358,22 +381,22 @@
     Witness.commands(dir, "nodes", commands);
     Witness.told(dir, "operator", operatorRecords);
     Map<Asked.Answer, Long> answers = new java.util.EnumMap<>(Asked.Answer.class);
-    asked.forEach(a -> answers.merge(a.answer(), 1L, Long::sum));
+    asked.forEach(request -> answers.merge(request.answer(), 1L, Long::sum));
     Map<String, Histogram> latency = new java.util.TreeMap<>();
-    for (Asked a : asked) {
-      if (a.answer() == Asked.Answer.SERVED) {
-        String key = planOf(a.volume()) + (a.kind() == 0 ? " read" : " write");
+    for (Asked request : asked) {
+      if (request.answer() == Asked.Answer.SERVED) {
+        String key = planOf(request.volume()) + (request.kind() == 0 ? " read" : " write");
         latency.computeIfAbsent(key, k -> new Histogram(600_000_000L, 3))
-            .recordValue(a.answeredUs() - a.askedUs());
+            .recordValue(request.answeredUs() - request.askedUs());
       }
     }
     // The vanishing client reads blocks of another client, which its own block stamps do not cover.
-    List<String> wrong = clients.stream()
-        .filter(c -> !c.thread().getName().equals("leaver"))
-        .flatMap(c -> c.load().wrong().stream())
+    List<String> wrongReads = clients.stream()
+        .filter(client -> !client.thread().getName().equals("leaver"))
+        .flatMap(client -> client.load().wrong().stream())
         .toList();
-    return new Result(Auditor.check(figures, asked, commands, operatorRecords), wrong, answers, latency,
-        clean);
+    return new Result(Auditor.check(figures, asked, commands, operatorRecords), wrongReads, answers, latency,
+        stoppedCleanly);
   }
 
   private String planOf(String volume) {
--- a/src/main/java/hollyslip/load/LatencyLog.java
+++ b/src/main/java/hollyslip/load/LatencyLog.java
@@ -21,8 +21,8 @@
   private final Map<String, TreeMap<Long, Histogram>> byTag = new TreeMap<>();
 
   /** Records the latency of a request that was due in the given second of the run. */
-  public synchronized void add(String tag, long second, long us) {
-    interval(tag, second).recordValue(Math.max(0, Math.min(us, MAX_LATENCY_US)));
+  public synchronized void add(String tag, long second, long latencyUs) {
+    interval(tag, second).recordValue(Math.max(0, Math.min(latencyUs, MAX_LATENCY_US)));
   }
 
   private Histogram interval(String tag, long second) {
@@ -32,17 +32,18 @@
 
   /** Adds all latencies of another log. */
   public synchronized void add(LatencyLog other) {
-    other.byTag.forEach((tag, seconds) -> seconds.forEach((s, h) -> interval(tag, s).add(h)));
+    other.byTag.forEach((tag, seconds) -> seconds.forEach((second, histogram) -> interval(tag, second).add(
+        histogram)));
   }
 
   /** Histogram of a tag over all seconds; null if the tag is absent. */
   public synchronized Histogram all(String tag) {
-    TreeMap<Long, Histogram> seconds = byTag.get(tag);
-    if (seconds == null) {
+    TreeMap<Long, Histogram> bySecond = byTag.get(tag);
+    if (bySecond == null) {
       return null;
     }
     Histogram sum = new Histogram(MAX_LATENCY_US, 3);
-    seconds.values().forEach(sum::add);
+    bySecond.values().forEach(sum::add);
     return sum;
   }
 
@@ -60,17 +61,18 @@
   public synchronized void write(Path file) throws IOException {
     try (PrintStream out = new PrintStream(Files.newOutputStream(file), false,
         java.nio.charset.StandardCharsets.UTF_8)) {
-      HistogramLogWriter w = new HistogramLogWriter(out);
-      w.outputComment("hollyslip load: us from when a request was due to its answer, by second of the run");
-      w.outputLogFormatVersion();
-      w.outputBaseTime(0);
-      w.outputLegend();
-      byTag.forEach((tag, seconds) -> seconds.forEach((s, h) -> {
-        Histogram copy = h.copy();
+      HistogramLogWriter writer = new HistogramLogWriter(out);
+      writer.outputComment(
+          "hollyslip load: us from when a request was due to its answer, by second of the run");
+      writer.outputLogFormatVersion();
+      writer.outputBaseTime(0);
+      writer.outputLegend();
+      byTag.forEach((tag, seconds) -> seconds.forEach((second, histogram) -> {
+        Histogram copy = histogram.copy();
         copy.setTag(tag);
-        copy.setStartTimeStamp(s * 1_000);
-        copy.setEndTimeStamp((s + 1) * 1_000);
-        w.outputIntervalHistogram(copy);
+        copy.setStartTimeStamp(second * 1_000);
+        copy.setEndTimeStamp((second + 1) * 1_000);
+        writer.outputIntervalHistogram(copy);
       }));
     }
   }
@@ -81,22 +83,23 @@
    *           if it cannot be read; the message names the file and the interval */
   public static LatencyLog read(Path file) throws IOException {
     LatencyLog log = new LatencyLog();
-    int n = 0;
+    int intervals = 0;
     try (InputStream in = Files.newInputStream(file)) {
-      HistogramLogReader r = new HistogramLogReader(in);
-      while (r.hasNext()) {
-        n++;
-        EncodableHistogram e = r.nextIntervalHistogram();
-        if (!(e instanceof Histogram h)) {
-          throw new IOException(file + ": interval " + n + " is no histogram of integers");
+      HistogramLogReader reader = new HistogramLogReader(in);
+      while (reader.hasNext()) {
+        intervals++;
+        EncodableHistogram interval = reader.nextIntervalHistogram();
+        if (!(interval instanceof Histogram histogram)) {
+          throw new IOException(file + ": interval " + intervals + " is not an integer histogram");
         }
-        log.interval(h.getTag() == null ? "" : h.getTag(), h.getStartTimeStamp() / 1_000).add(h);
+        log.interval(histogram.getTag() == null ? "" : histogram.getTag(), histogram.getStartTimeStamp()
+            / 1_000).add(histogram);
       }
-    } catch (RuntimeException e) {
-      throw new IOException(file + ": interval " + (n + 1) + ": " + e.getMessage(), e);
+    } catch (RuntimeException interval) {
+      throw new IOException(file + ": interval " + (intervals + 1) + ": " + interval.getMessage(), interval);
     }
-    if (n == 0) {
-      throw new IOException(file + ": holds no interval");
+    if (intervals == 0) {
+      throw new IOException(file + ": contains no interval");
     }
     return log;
   }
--- a/src/main/java/hollyslip/load/LoadBench.java
+++ b/src/main/java/hollyslip/load/LoadBench.java
@@ -60,8 +60,8 @@
     System.out.printf("%10s %8s %14s %14s %14s %8s%n", "due/s", "threads", "answered/s", "late p99 ms",
         "late p99.9 ms", "valid");
     for (int rate : rates) {
-      for (int r = 0; r < rounds; r++) {
-        measure(rate, r);
+      for (int round = 0; round < rounds; round++) {
+        measure(rate, round);
       }
     }
   }
@@ -70,35 +70,37 @@
     Day.VolumeLoad load = new Day.VolumeLoad("v", "p", 64, rate, 0.5, 4, 64, threads,
         ArrivalProcess.Shape.POISSON, 0, 0, 0);
     long start = LoadRun.soon();
-    List<OpenLoop.Stats> ran = new ArrayList<>();
-    List<Thread> all = new ArrayList<>();
+    List<OpenLoop.Stats> stats = new ArrayList<>();
+    List<Thread> threadList = new ArrayList<>();
     for (int t = 0; t < threads; t++) {
       long seed = 100L * round + t;
       LatencyLog log = new LatencyLog();
       OpenLoop loop = new OpenLoop(new ArrivalProcess(load.shape(), (double) rate / threads, seed),
           new RequestMix(
               load, t,
-              threads, 64 << 20, seed), new Echo(), false, d -> log.add("p", (d.dueUs() - start) / 1_000_000,
-                  d
+              threads, 64 << 20, seed), new Echo(), false, completion -> log.add("p", (completion.dueUs()
+                  - start) / 1_000_000,
+                  completion
                       .latencyUs()));
       Thread thread = new Thread(() -> {
-        OpenLoop.Stats mine = loop.run(start, (long) (seconds * 1e6));
-        synchronized (ran) {
-          ran.add(mine);
+        OpenLoop.Stats own = loop.run(start, (long) (seconds * 1e6));
+        synchronized (stats) {
+          stats.add(own);
         }
       });
-      all.add(thread);
+      threadList.add(thread);
       thread.start();
     }
-    for (Thread t : all) {
+    for (Thread t : threadList) {
       t.join();
     }
-    Histogram late = new Histogram(60_000_000L, 3);
-    ran.forEach(r -> late.add(r.lateness()));
-    long answered = ran.stream().mapToLong(OpenLoop.Stats::answered).sum();
+    Histogram lateness = new Histogram(60_000_000L, 3);
+    stats.forEach(s -> lateness.add(s.lateness()));
+    long answered = stats.stream().mapToLong(OpenLoop.Stats::answered).sum();
     System.out.printf(Locale.ROOT, "%10d %8d %14.0f %14.3f %14.3f %8s%n", rate, threads, answered / seconds,
-        late
-            .getValueAtPercentile(99) / 1e3, late.getValueAtPercentile(99.9) / 1e3, late.getValueAtPercentile(
-                99.9) <= 1_000);
+        lateness
+            .getValueAtPercentile(99) / 1e3, lateness.getValueAtPercentile(99.9) / 1e3, lateness
+                .getValueAtPercentile(
+                    99.9) <= 1_000);
   }
 }
--- a/src/main/java/hollyslip/load/LoadRun.java
+++ b/src/main/java/hollyslip/load/LoadRun.java
@@ -47,21 +47,23 @@
      * late. */
     final LatencyLog ownLog = new LatencyLog();
 
-    Client(Day.VolumeLoad v, int number, int all, long seed) throws IOException {
+    Client(Day.VolumeLoad load, int index, int clientCount, long seed) throws IOException {
       Path socket = config.socketDirs()
-          .get(config.day().gatewayOf(v, number) % config.socketDirs().size())
-          .resolve(v.volume() + ".sock");
-      target = new RingTarget(socket, v.depth(), v.maxBlocks() * 4_096);
+          .get(config.day().gatewayOf(load, index) % config.socketDirs().size())
+          .resolve(load.volume() + ".sock");
+      target = new RingTarget(socket, load.depth(), load.maxBlocks() * 4_096);
       SplittableRandom seeds = new SplittableRandom(seed);
-      RequestMix mix = new RequestMix(v, number, all, (long) v.sizeMib() << 20, seeds.nextLong());
-      ArrivalProcess arrivals = new ArrivalProcess(v.shape(), v.rate() / all, seeds.nextLong());
-      String reads = v.plan() + ".read";
-      String writes = v.plan() + ".write";
-      loop = new OpenLoop(arrivals, mix, target, config.closedLoop(), d -> {
-        ends.get(d.end()).incrementAndGet();
-        if (d.end() == OpenLoop.End.SERVED) {
-          ownLog.add(d.operation().kind() == IoKind.READ ? reads : writes, (d.dueUs() - config
-              .startUs()) / 1_000_000, d.latencyUs());
+      RequestMix mix = new RequestMix(load, index, clientCount, (long) load.sizeMib() << 20, seeds
+          .nextLong());
+      ArrivalProcess arrivals = new ArrivalProcess(load.shape(), load.rate() / clientCount, seeds.nextLong());
+      String reads = load.plan() + ".read";
+      String writes = load.plan() + ".write";
+      loop = new OpenLoop(arrivals, mix, target, config.closedLoop(), completion -> {
+        ends.get(completion.end()).incrementAndGet();
+        if (completion.end() == OpenLoop.End.SERVED) {
+          ownLog.add(completion.operation().kind() == IoKind.READ ? reads : writes, (completion.dueUs()
+              - config
+                  .startUs()) / 1_000_000, completion.latencyUs());
         }
       });
     }
@@ -76,17 +78,17 @@
 
   public LoadRun(Config config) throws IOException {
     this.config = config;
-    for (OpenLoop.End e : OpenLoop.End.values()) {
-      ends.put(e, new AtomicLong());
+    for (OpenLoop.End end : OpenLoop.End.values()) {
+      ends.put(end, new AtomicLong());
     }
     SplittableRandom random = new SplittableRandom(config.day().seed());
-    int n = 0;
-    for (Day.VolumeLoad v : config.day().volumes()) {
-      int all = config.day().clientCount(v);
-      for (int c = 0; c < all; c++) {
+    int clientIndex = 0;
+    for (Day.VolumeLoad load : config.day().volumes()) {
+      int clientCount = config.day().clientCount(load);
+      for (int index = 0; index < clientCount; index++) {
         long seed = random.nextLong();
-        if (n++ % config.processes() == config.process()) {
-          clients.add(new Client(v, c, all, seed));
+        if (clientIndex++ % config.processes() == config.process()) {
+          clients.add(new Client(load, index, clientCount, seed));
         }
       }
     }
@@ -99,25 +101,26 @@
 
   /** Runs the schedule; returns after the last answer. */
   public Result run() throws InterruptedException {
-    List<Thread> threads = clients.stream().map(c -> new Thread(c, "load")).toList();
+    List<Thread> threads = clients.stream().map(client -> new Thread(client, "load")).toList();
     threads.forEach(Thread::start);
-    for (Thread t : threads) {
-      t.join();
+    for (Thread thread : threads) {
+      thread.join();
     }
     Histogram lateness = new Histogram(60_000_000L, 3);
-    long due = 0, got = 0, waited = 0;
-    for (Client c : clients) {
-      if (c.stats == null) {
-        throw new IllegalStateException("a client ended with a fault; see the log");
+    long due = 0, answered = 0, waited = 0;
+    for (Client client : clients) {
+      if (client.stats == null) {
+        throw new IllegalStateException("a client thread failed; see the log");
       }
-      lateness.add(c.stats.lateness());
-      due += c.stats.due();
-      got += c.stats.answered();
-      waited += c.stats.waited();
+      lateness.add(client.stats.lateness());
+      due += client.stats.due();
+      answered += client.stats.answered();
+      waited += client.stats.waited();
     }
     Map<OpenLoop.End, Long> counted = new EnumMap<>(OpenLoop.End.class);
-    ends.forEach((e, count) -> counted.put(e, count.get()));
-    return new Result(log, counted, lateness, due, got, waited, new OpenLoop.Stats(due, got, lateness, waited)
+    ends.forEach((end, count) -> counted.put(end, count.get()));
+    return new Result(log, counted, lateness, due, answered, waited, new OpenLoop.Stats(due, answered,
+        lateness, waited)
         .valid(
             config.maxLatenessUs()));
   }
--- a/src/main/java/hollyslip/load/ModuleBench.java
+++ b/src/main/java/hollyslip/load/ModuleBench.java
@@ -27,53 +27,56 @@
   public void run() throws IOException {
     System.out.printf("%-10s %10s %12s%n", "volumes", "held", "ns/request");
     for (int volumes : new int[]{1, 50}) {
-      for (int held : new int[]{10, 1_000, 10_000}) {
-        double[] took = new double[rounds];
+      for (int queued : new int[]{10, 1_000, 10_000}) {
+        double[] nsPerRequest = new double[rounds];
         for (int i = 0; i < rounds; i++) {
-          took[i] = measure(volumes, held);
+          nsPerRequest[i] = measure(volumes, queued);
         }
-        java.util.Arrays.sort(took);
-        System.out.printf(Locale.ROOT, "%-10d %10d %12.0f%n", volumes, held, took[rounds / 2]);
+        java.util.Arrays.sort(nsPerRequest);
+        System.out.printf(Locale.ROOT, "%-10d %10d %12.0f%n", volumes, queued, nsPerRequest[rounds / 2]);
       }
     }
   }
 
   /** Adds one request per answer, so that the number of waiting requests stays constant. */
-  private static double measure(int volumes, int held) throws IOException {
-    TokenBorrowingScheduler choice = new TokenBorrowingScheduler(BenchDeployment.load(Files
+  private static double measure(int volumes, int queued) throws IOException {
+    TokenBorrowingScheduler scheduler = new TokenBorrowingScheduler(BenchDeployment.load(Files
         .createTempDirectory(
             "hollyslip-bench-"), new int[]{1, 2},
         ", hosted = True", "").module());
     List<HostScheduler.Action> actions = new ArrayList<>();
-    ArrayDeque<HostScheduler.Send> out = new ArrayDeque<>();
-    long now = 1_000_000;
-    choice.handle(now, new HostScheduler.NodeList(true, List.of(new NodeEntry(1, "a", 0, NodeState.ON, 0),
+    ArrayDeque<HostScheduler.Send> inFlight = new ArrayDeque<>();
+    long nowUs = 1_000_000;
+    scheduler.handle(nowUs, new HostScheduler.NodeList(true, List.of(new NodeEntry(1, "a", 0, NodeState.ON,
+        0),
         new NodeEntry(2, "a", 1, NodeState.ON, 0))), actions::add);
-    long id = 0;
+    long nextId = 0;
     long from = 0;
-    for (int i = -held; i < 2 * MEASURED_REQUESTS; i++) {
+    for (int i = -queued; i < 2 * MEASURED_REQUESTS; i++) {
       if (i == MEASURED_REQUESTS) {
         from = System.nanoTime();
       }
-      now += 10;
+      nowUs += 10;
       actions.clear();
-      if (i >= 0 && !out.isEmpty()) {
-        HostScheduler.Send s = out.poll();
-        choice.handle(now, new HostScheduler.AttemptEnded(s.request(), 0, s.node(), HostScheduler.Result.OK,
+      if (i >= 0 && !inFlight.isEmpty()) {
+        HostScheduler.Send send = inFlight.poll();
+        scheduler.handle(nowUs, new HostScheduler.AttemptEnded(send.request(), 0, send.node(),
+            HostScheduler.Result.OK,
             true,
             200, 0, 0, null), actions::add);
       }
-      long r = id++;
-      choice.handle(now, new HostScheduler.Request(r, "any", "p", r, r % volumes, 1, (int) (r & 1), 1,
+      long requestId = nextId++;
+      scheduler.handle(nowUs, new HostScheduler.Request(requestId, "any", "p", requestId, requestId % volumes,
+          1, (int) (requestId & 1), 1,
           3_600_000_000L, false), actions::add);
-      for (HostScheduler.Action a : actions) {
-        if (a instanceof HostScheduler.Send s) {
-          out.add(s);
+      for (HostScheduler.Action action : actions) {
+        if (action instanceof HostScheduler.Send send) {
+          inFlight.add(send);
         }
       }
     }
     double ns = (double) (System.nanoTime() - from) / MEASURED_REQUESTS;
-    java.lang.ref.Reference.reachabilityFence(choice);
+    java.lang.ref.Reference.reachabilityFence(scheduler);
     return ns;
   }
 }
--- a/src/main/java/hollyslip/load/OpenLoop.java
+++ b/src/main/java/hollyslip/load/OpenLoop.java
@@ -13,7 +13,7 @@
   public interface Target {
     /** Submits a request; returns false if there is no room. {@link ScheduledRequest#complete} is called from
      * {@link #poll}. */
-    boolean submit(ScheduledRequest shot);
+    boolean submit(ScheduledRequest request);
 
     /** Notifies the destination of the requests submitted since the last call. */
     void flush();
@@ -73,8 +73,8 @@
   public record Stats(long due, long answered, Histogram lateness, long waited) {
     /** Whether the figures are reliable: the generator's lateness at the 99.9th percentile is within the
      * bound. */
-    public boolean valid(long mostUs) {
-      return lateness.getTotalCount() > 0 && lateness.getValueAtPercentile(99.9) <= mostUs;
+    public boolean valid(long maxLatenessUs) {
+      return lateness.getTotalCount() > 0 && lateness.getValueAtPercentile(99.9) <= maxLatenessUs;
     }
   }
 
@@ -91,18 +91,18 @@
   private volatile boolean stopping;
   private long due, answered, waited;
 
-  /** @param closed
+  /** @param closedLoop
    *          whether to run as a closed loop, the baseline that hides stalls: one request at a time, its
    *          latency measured from when it was sent
-   * @param keeper
+   * @param listener
    *          receives every completion */
-  public OpenLoop(ArrivalProcess arrivals, RequestMix mix, Target target, boolean closed,
-      Consumer<Completion> keeper) {
+  public OpenLoop(ArrivalProcess arrivals, RequestMix mix, Target target, boolean closedLoop,
+      Consumer<Completion> listener) {
     this.arrivals = arrivals;
     this.mix = mix;
     this.target = target;
-    this.closedLoop = closed;
-    this.listener = keeper;
+    this.closedLoop = closedLoop;
+    this.listener = listener;
   }
 
   /** Stops submitting requests; {@link #run} returns once all are answered. May be called from any thread. */
@@ -115,24 +115,24 @@
    * @param startUs
    *          the same for all processes that share a schedule */
   public Stats run(long startUs, long lengthUs) {
-    long next = startUs + arrivals.nextDueUs(1);
+    long nextDue = startUs + arrivals.nextDueUs(1);
     long end = startUs + lengthUs;
-    while (next < end && !stopping) {
+    while (nextDue < end && !stopping) {
       target.poll();
       long now = target.now();
-      while (next <= now && next < end && !(closedLoop && due > answered)) {
-        lateness.recordValue(Math.min(now - next, lateness.getHighestTrackableValue()));
-        backlog.add(new ScheduledRequest(this, mix.next(false), closedLoop ? now : next));
+      while (nextDue <= now && nextDue < end && !(closedLoop && due > answered)) {
+        lateness.recordValue(Math.min(now - nextDue, lateness.getHighestTrackableValue()));
+        backlog.add(new ScheduledRequest(this, mix.next(false), closedLoop ? now : nextDue));
         due++;
-        next = startUs + arrivals.nextDueUs(1);
+        nextDue = startUs + arrivals.nextDueUs(1);
         if (closedLoop) {
-          next = Math.max(next, now);
+          nextDue = Math.max(nextDue, now);
         }
       }
       submitBacklog();
       target.flush();
       if (target.poll() == 0) {
-        target.awaitAnswers(closedLoop && due > answered ? end : next);
+        target.awaitAnswers(closedLoop && due > answered ? end : nextDue);
       }
     }
     drain();
@@ -140,8 +140,8 @@
   }
 
   private void submitBacklog() {
-    for (ScheduledRequest s = backlog.peek(); s != null; s = backlog.peek()) {
-      if (!target.submit(s)) {
+    for (ScheduledRequest request = backlog.peek(); request != null; request = backlog.peek()) {
+      if (!target.submit(request)) {
         waited++;
         return;
       }
@@ -150,18 +150,18 @@
   }
 
   private void drain() {
-    long until = target.now() + DRAIN_TIMEOUT_US;
-    while (answered < due && target.now() < until) {
+    long giveUpAt = target.now() + DRAIN_TIMEOUT_US;
+    while (answered < due && target.now() < giveUpAt) {
       submitBacklog();
       target.flush();
       if (target.poll() == 0) {
-        target.awaitAnswers(until);
+        target.awaitAnswers(giveUpAt);
       }
     }
   }
 
-  private void answered(ScheduledRequest s, End end) {
+  private void answered(ScheduledRequest request, End end) {
     answered++;
-    listener.accept(new Completion(s.operation, end, s.dueUs, target.now() - s.dueUs));
+    listener.accept(new Completion(request.operation, end, request.dueUs, target.now() - request.dueUs));
   }
 }
--- a/src/main/java/hollyslip/load/Profile.java
+++ b/src/main/java/hollyslip/load/Profile.java
@@ -40,8 +40,8 @@
     Files.createDirectories(folder);
     Path collapsed = folder.resolve(name + ".collapsed");
     AsyncProfiler profiler = AsyncProfiler.getInstance();
-    String how = event.equals("alloc") ? "alloc=64k" : "event=itimer,interval=1ms";
-    profiler.execute("start," + how + ",threads,cstack=vm");
+    String options = event.equals("alloc") ? "alloc=64k" : "event=itimer,interval=1ms";
+    profiler.execute("start," + options + ",threads,cstack=vm");
     work.run();
     profiler.execute("stop,file=" + collapsed + ",collapsed,total");
     List<String> lines = Files.readAllLines(collapsed);
@@ -50,86 +50,96 @@
   }
 
   private static Frame callTree(List<String> lines) {
-    Frame all = new Frame();
+    Frame root = new Frame();
     for (String line : lines) {
       int space = line.lastIndexOf(' ');
-      long n = Long.parseLong(line.substring(space + 1));
-      Frame at = all;
-      at.samples += n;
-      for (String frame : line.substring(0, space).split(";")) {
-        at = at.callees.computeIfAbsent(frame, k -> new Frame());
-        at.samples += n;
+      long samples = Long.parseLong(line.substring(space + 1));
+      Frame frame = root;
+      frame.samples += samples;
+      for (String name : line.substring(0, space).split(";")) {
+        frame = frame.callees.computeIfAbsent(name, k -> new Frame());
+        frame.samples += samples;
       }
     }
-    return all;
+    return root;
   }
 
   /** Formats the share of samples by thread, and within each thread by top frame. */
   static String table(List<String> lines) {
     Map<String, Map<String, Long>> threads = new TreeMap<>();
-    long all = 0;
+    long sampleCount = 0;
     for (String line : lines) {
       int space = line.lastIndexOf(' ');
-      long n = Long.parseLong(line.substring(space + 1));
+      long samples = Long.parseLong(line.substring(space + 1));
       String[] frames = line.substring(0, space).split(";");
       String thread = frames[0].replaceAll("[0-9]+|tid=|\\[|\\]", "").strip();
-      threads.computeIfAbsent(thread, k -> new TreeMap<>()).merge(frames[frames.length - 1], n, Long::sum);
-      all += n;
+      threads.computeIfAbsent(thread, k -> new TreeMap<>())
+          .merge(frames[frames.length - 1], samples, Long::sum);
+      sampleCount += samples;
     }
-    StringBuilder out = new StringBuilder();
-    long total = Math.max(1, all);
+    StringBuilder text = new StringBuilder();
+    long total = Math.max(1, sampleCount);
     threads.entrySet()
         .stream()
         .sorted((a, b) -> Long.compare(sum(b.getValue()), sum(a.getValue())))
         .limit(8)
-        .forEach(t -> {
-          out.append(String.format(Locale.ROOT, "%5.1f%%  %s%n", 100.0 * sum(t.getValue()) / total, t
-              .getKey()));
-          t.getValue()
+        .forEach(byThread -> {
+          text.append(String.format(Locale.ROOT, "%5.1f%%  %s%n", 100.0 * sum(byThread.getValue()) / total,
+              byThread
+                  .getKey()));
+          byThread.getValue()
               .entrySet()
               .stream()
               .sorted(Map.Entry.<String, Long>comparingByValue().reversed())
               .limit(14)
-              .forEach(m -> out.append(String.format(Locale.ROOT, "        %5.1f%%  %s%n", 100.0 * m
-                  .getValue() / total, m.getKey())));
+              .forEach(method -> text.append(String.format(Locale.ROOT, "        %5.1f%%  %s%n", 100.0
+                  * method
+                      .getValue() / total, method.getKey())));
         });
-    return out.toString();
+    return text.toString();
   }
 
-  private static long sum(Map<String, Long> m) {
-    return m.values().stream().mapToLong(n -> n).sum();
+  private static long sum(Map<String, Long> samplesByMethod) {
+    return samplesByMethod.values().stream().mapToLong(n -> n).sum();
   }
 
   /** Renders the flame graph: one box per frame, its width proportional to its samples. */
-  static String svg(Frame all, String title) {
+  static String svg(Frame root, String title) {
     List<String> boxes = new ArrayList<>();
-    int depth = drawFrame(all, title, 0, WIDTH, 0, Math.max(1, all.samples), boxes);
-    StringBuilder s = new StringBuilder(String.format("<svg xmlns='http://www.w3.org/2000/svg' width='%d' "
+    int depth = drawFrame(root, title, 0, WIDTH, 0, Math.max(1, root.samples), boxes);
+    StringBuilder svg = new StringBuilder(String.format("<svg xmlns='http://www.w3.org/2000/svg' width='%d' "
         + "height='%d' font-family='monospace' font-size='11'>%n", WIDTH, (depth + 1) * ROW_HEIGHT));
-    boxes.forEach(b -> s.append(b).append('\n'));
-    return s.append("</svg>\n").toString();
+    boxes.forEach(box -> svg.append(box).append('\n'));
+    return svg.append("</svg>\n").toString();
   }
 
-  private static int drawFrame(Frame f, String name, double x, double width, int row, long all,
+  private static int drawFrame(Frame frame, String name, double x, double width, int row, long totalSamples,
       List<String> boxes) {
-    String safe = name.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("'", "&apos;");
-    int chars = (int) (width / 7);
+    String escapedName = name.replace("&", "&amp;")
+        .replace("<", "&lt;")
+        .replace(">", "&gt;")
+        .replace("'", "&apos;");
+    int maxChars = (int) (width / 7);
     boxes.add(String.format(Locale.ROOT,
         "<g><title>%s %.1f%%</title><rect x='%.1f' y='%d' width='%.1f' height='%d' fill='hsl(%d,60%%,70%%)' "
-            + "stroke='white' stroke-width='0.5'/><text x='%.1f' y='%d'>%s</text></g>", safe, 100.0
-                * f.samples
-                / all, x, row * ROW_HEIGHT, width, ROW_HEIGHT, Math.floorMod(name.hashCode(), 60), x + 2, row
-                    * ROW_HEIGHT + 12,
-        chars < 4 ? "" : safe.length() <= chars ? safe : safe.substring(0, chars)));
-    int deepest = row;
-    double at = x;
-    for (Map.Entry<String, Frame> e : f.callees.entrySet()) {
-      double w = width * e.getValue().samples / Math.max(1, f.samples);
-      if (w >= MIN_FRAME_WIDTH) {
-        deepest = Math.max(deepest, drawFrame(e.getValue(), e.getKey(), at, w, row + 1, all, boxes));
+            + "stroke='white' stroke-width='0.5'/><text x='%.1f' y='%d'>%s</text></g>", escapedName, 100.0
+                * frame.samples
+                / totalSamples, x, row * ROW_HEIGHT, width, ROW_HEIGHT, Math.floorMod(name.hashCode(), 60), x
+                    + 2, row
+                        * ROW_HEIGHT + 12,
+        maxChars < 4
+            ? ""
+            : escapedName.length() <= maxChars ? escapedName : escapedName.substring(0, maxChars)));
+    int lastRow = row;
+    double calleeX = x;
+    for (Map.Entry<String, Frame> callee : frame.callees.entrySet()) {
+      double calleeWidth = width * callee.getValue().samples / Math.max(1, frame.samples);
+      if (calleeWidth >= MIN_FRAME_WIDTH) {
+        lastRow = Math.max(lastRow, drawFrame(callee.getValue(), callee.getKey(), calleeX, calleeWidth, row
+            + 1, totalSamples, boxes));
       }
-      at += w;
+      calleeX += calleeWidth;
     }
-    return deepest;
+    return lastRow;
   }
 }
--- a/src/main/java/hollyslip/load/RingBench.java
+++ b/src/main/java/hollyslip/load/RingBench.java
@@ -29,17 +29,20 @@
   public record Measurement(String path, int depth, double rate, double p50, double p99, double p999,
       double allocated, double moduleNs) {
     /** Median of each figure. */
-    public static Measurement median(List<Measurement> rows) {
-      Measurement first = rows.get(0);
-      return new Measurement(first.path, first.depth, median(rows, Measurement::rate), median(rows,
-          Measurement::p50), median(rows, Measurement::p99),
-          median(rows, Measurement::p999), median(rows, Measurement::allocated), median(rows,
+    public static Measurement median(List<Measurement> measurements) {
+      Measurement first = measurements.get(0);
+      return new Measurement(first.path, first.depth, median(measurements, Measurement::rate), median(
+          measurements,
+          Measurement::p50), median(measurements, Measurement::p99),
+          median(measurements, Measurement::p999), median(measurements, Measurement::allocated), median(
+              measurements,
               Measurement::moduleNs));
     }
 
-    private static double median(List<Measurement> rows, java.util.function.ToDoubleFunction<Measurement> f) {
-      double[] all = rows.stream().mapToDouble(f).sorted().toArray();
-      return all[all.length / 2];
+    private static double median(List<Measurement> measurements,
+        java.util.function.ToDoubleFunction<Measurement> figure) {
+      double[] sorted = measurements.stream().mapToDouble(figure).sorted().toArray();
+      return sorted[sorted.length / 2];
     }
   }
 
@@ -55,9 +58,9 @@
           System.getProperty("java.class.path"), "hollyslip.cli.Main", "standin", "--name", name)
           .redirectError(ProcessBuilder.Redirect.INHERIT)
           .start();
-      BufferedReader out = new BufferedReader(new InputStreamReader(process.getInputStream(),
+      BufferedReader stdout = new BufferedReader(new InputStreamReader(process.getInputStream(),
           StandardCharsets.UTF_8));
-      address = new InetSocketAddress("127.0.0.1", Integer.parseInt(out.readLine().split(" ")[1]));
+      address = new InetSocketAddress("127.0.0.1", Integer.parseInt(stdout.readLine().split(" ")[1]));
     }
 
     @Override
@@ -82,50 +85,52 @@
 
   private static Measurement measureRing(String path, Path socket, int depth, int block, double seconds,
       long bytes,
-      Supplier<Engine.Totals> totals, boolean sleeps) throws IOException {
-    int size = Integer.highestOneBit(Math.max(4, 2 * depth - 1));
-    try (RingClient c = new RingClient(RingClient.Options.usual(1, size, block))) {
-      c.connect(socket);
-      Histogram h = new Histogram(60_000_000_000L, 3);
+      Supplier<Engine.Totals> totals, boolean blocking) throws IOException {
+    int queueSize = Integer.highestOneBit(Math.max(4, 2 * depth - 1));
+    try (RingClient client = new RingClient(RingClient.Options.usual(1, queueSize, block))) {
+      client.connect(socket);
+      Histogram latencies = new Histogram(60_000_000_000L, 3);
       SplittableRandom random = new SplittableRandom(1);
-      long warm = System.nanoTime() + (long) (seconds * 5e8);
-      long until = warm + (long) (seconds * 1e9);
-      long counted = 0;
+      long warmUpEnd = System.nanoTime() + (long) (seconds * 5e8);
+      long end = warmUpEnd + (long) (seconds * 1e9);
+      long measuredFrom = 0;
       long failed = 0;
       Engine.Totals before = totals.get();
-      Map<Long, Long> allocated = allocatedBytesByThread();
+      Map<Long, Long> allocatedBefore = allocatedBytesByThread();
       boolean measuring = false;
-      int[] bad = {0};
-      for (long now = System.nanoTime(); now < until; now = System.nanoTime()) {
-        if (!measuring && now >= warm) {
+      int[] failures = {0};
+      for (long now = System.nanoTime(); now < end; now = System.nanoTime()) {
+        if (!measuring && now >= warmUpEnd) {
           measuring = true;
-          h.reset();
-          bad[0] = 0;
+          latencies.reset();
+          failures[0] = 0;
           before = totals.get();
-          allocated = allocatedBytesByThread();
-          counted = now;
+          allocatedBefore = allocatedBytesByThread();
+          measuredFrom = now;
         }
-        while (c.out() < depth) {
-          long asked = System.nanoTime();
-          c.submit(0, IoKind.READ, random.nextLong(bytes / block) * block, block, null, (s, r, d) -> {
-            h.recordValue(System.nanoTime() - asked);
-            bad[0] += s == 0 ? 0 : 1;
+        while (client.out() < depth) {
+          long submittedAt = System.nanoTime();
+          client.submit(0, IoKind.READ, random.nextLong(bytes / block) * block, block, null, (status, retryMs,
+              data) -> {
+            latencies.recordValue(System.nanoTime() - submittedAt);
+            failures[0] += status == 0 ? 0 : 1;
           });
         }
-        c.kick();
-        if (c.poll() == 0 && sleeps) {
-          c.await(1);
+        client.kick();
+        if (client.poll() == 0 && blocking) {
+          client.await(1);
         }
       }
-      double took = (System.nanoTime() - counted) / 1e9;
-      failed = bad[0];
+      double elapsedSeconds = (System.nanoTime() - measuredFrom) / 1e9;
+      failed = failures[0];
       Engine.Totals after = totals.get();
-      double n = Math.max(1, h.getTotalCount());
-      long garbage = allocatedSince(allocated);
+      double requests = Math.max(1, latencies.getTotalCount());
+      long allocatedBytes = allocatedSince(allocatedBefore);
       if (failed > 0) {
-        throw new IOException(failed + " of " + (long) n + " requests were not served");
+        throw new IOException(failed + " of " + (long) requests + " requests were not served");
       }
-      return measurement(path, depth, h, took, garbage / n, (after.moduleNs() - before.moduleNs()) / n);
+      return measurement(path, depth, latencies, elapsedSeconds, allocatedBytes / requests, (after.moduleNs()
+          - before.moduleNs()) / requests);
     }
   }
 
@@ -135,65 +140,67 @@
       throws IOException,
       InterruptedException {
     ArrayBlockingQueue<Long> answers = new ArrayBlockingQueue<>(2 * depth);
-    Map<Long, Long> asked = new ConcurrentHashMap<>();
-    Histogram h = new Histogram(60_000_000_000L, 3);
+    Map<Long, Long> submittedAt = new ConcurrentHashMap<>();
+    Histogram latencies = new Histogram(60_000_000_000L, 3);
     SplittableRandom random = new SplittableRandom(1);
-    try (NbdDirect d = new NbdDirect(node, "shard-0", (id, ok) -> answers.add(id))) {
-      ByteBuffer[] into = new ByteBuffer[depth];
-      Arrays.setAll(into, i -> ByteBuffer.allocateDirect(block));
-      long warm = System.nanoTime() + (long) (seconds * 5e8);
-      long until = warm + (long) (seconds * 1e9);
-      long counted = warm;
-      int out = 0;
+    try (NbdDirect client = new NbdDirect(node, "shard-0", (id, ok) -> answers.add(id))) {
+      ByteBuffer[] buffers = new ByteBuffer[depth];
+      Arrays.setAll(buffers, i -> ByteBuffer.allocateDirect(block));
+      long warmUpEnd = System.nanoTime() + (long) (seconds * 5e8);
+      long end = warmUpEnd + (long) (seconds * 1e9);
+      long measuredFrom = warmUpEnd;
+      int outstanding = 0;
       boolean measuring = false;
-      for (long now = System.nanoTime(); now < until; now = System.nanoTime()) {
-        if (!measuring && now >= warm) {
+      for (long now = System.nanoTime(); now < end; now = System.nanoTime()) {
+        if (!measuring && now >= warmUpEnd) {
           measuring = true;
-          h.reset();
-          counted = now;
+          latencies.reset();
+          measuredFrom = now;
         }
-        boolean more = out < depth;
-        for (; out < depth; out++) {
-          long at = System.nanoTime();
-          asked.put(d.read(random.nextLong(bytes / block) * block, into[out]), at);
+        boolean submitted = outstanding < depth;
+        for (; outstanding < depth; outstanding++) {
+          long startedAt = System.nanoTime();
+          submittedAt.put(client.read(random.nextLong(bytes / block) * block, buffers[outstanding]),
+              startedAt);
         }
-        if (more) {
-          d.flush();
+        if (submitted) {
+          client.flush();
         }
         for (Long id = answers.poll(); id != null; id = answers.poll()) {
-          h.recordValue(System.nanoTime() - asked.remove(id));
-          out--;
+          latencies.recordValue(System.nanoTime() - submittedAt.remove(id));
+          outstanding--;
         }
       }
-      return measurement("direct", depth, h, (System.nanoTime() - counted) / 1e9, 0, 0);
+      return measurement("direct", depth, latencies, (System.nanoTime() - measuredFrom) / 1e9, 0, 0);
     }
   }
 
-  private static Measurement measurement(String path, int depth, Histogram h, double seconds,
+  private static Measurement measurement(String path, int depth, Histogram latencies, double seconds,
       double allocated,
       double moduleNs) {
-    return new Measurement(path, depth, h.getTotalCount() / seconds, h.getValueAtPercentile(50) / 1e3, h
-        .getValueAtPercentile(99) / 1e3, h.getValueAtPercentile(99.9) / 1e3, allocated, moduleNs);
+    return new Measurement(path, depth, latencies.getTotalCount() / seconds, latencies.getValueAtPercentile(
+        50) / 1e3, latencies
+            .getValueAtPercentile(99) / 1e3, latencies.getValueAtPercentile(99.9) / 1e3, allocated, moduleNs);
   }
 
   /** Bytes allocated so far by each thread except the client's own. */
   private static Map<Long, Long> allocatedBytesByThread() {
     ThreadMXBean bean = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-    Map<Long, Long> all = new java.util.HashMap<>();
+    Map<Long, Long> bytesByThread = new java.util.HashMap<>();
     List<Long> ids = new ArrayList<>();
     for (long id : bean.getAllThreadIds()) {
       if (id != Thread.currentThread().getId()) {
         ids.add(id);
       }
     }
-    ids.forEach(id -> all.put(id, bean.getThreadAllocatedBytes(id)));
-    return all;
+    ids.forEach(id -> bytesByThread.put(id, bean.getThreadAllocatedBytes(id)));
+    return bytesByThread;
   }
 
   private static long allocatedSince(Map<Long, Long> before) {
     long sum = 0;
-    for (Map.Entry<Long, Long> e : allocatedBytesByThread().entrySet()) {
-      sum += Math.max(0, e.getValue() - before.getOrDefault(e.getKey(), 0L));
+    for (Map.Entry<Long, Long> thread : allocatedBytesByThread().entrySet()) {
+      sum += Math.max(0, thread.getValue() - before.getOrDefault(thread.getKey(), 0L));
     }
     return sum;
   }
--- a/src/main/java/hollyslip/load/RingClient.java
+++ b/src/main/java/hollyslip/load/RingClient.java
@@ -92,13 +92,13 @@
       return baseOffset + (16L * n + 6 + 2 * n + 3) / 4 * 4;
     }
 
-    long slotOffset(int s) {
-      return baseOffset + roundUpToPage(ringBytes(options.queueSize())) + (long) s * slotStride();
+    long slotOffset(int slot) {
+      return baseOffset + roundUpToPage(ringBytes(options.queueSize())) + (long) slot * slotStride();
     }
 
     /** Memory for the data of a slot. */
-    public ByteBuffer data(int s) {
-      return view(slotOffset(s) + INDIRECT_TABLE_BYTES + HEADER_BYTES + TAIL_BYTES, options.slotBytes());
+    public ByteBuffer data(int slot) {
+      return view(slotOffset(slot) + INDIRECT_TABLE_BYTES + HEADER_BYTES + TAIL_BYTES, options.slotBytes());
     }
 
     /** Number of outstanding requests. */
@@ -127,7 +127,7 @@
     this.options = options;
     if (options.queueSize() < 4 || Integer.bitCount(options.queueSize()) != 1) {
       // A chain of three descriptors must fit: virtio 1.2, 2.7.5.3.1.
-      throw new IllegalArgumentException("size: must be a power of two from 4 on, not " + options
+      throw new IllegalArgumentException("queue size must be a power of two of at least 4, not " + options
           .queueSize());
     }
     int slots = options.indirect() ? options.queueSize() : options.queueSize() / 3;
@@ -171,7 +171,7 @@
   }
 
   private void shareInflight() throws IOException {
-    ByteBuffer p = littleEndian(24).putLong(0)
+    ByteBuffer payload = littleEndian(24).putLong(0)
         .putLong(0)
         .putShort((short) queues.length)
         .putShort((short) options.queueSize());
@@ -179,10 +179,10 @@
       tell(Wire.SET_INFLIGHT_FD, inflightState, inflightFd);
       return;
     }
-    send(Wire.GET_INFLIGHT_FD, 0, p.array());
-    Reply r = receive();
-    inflightFd = r.fd;
-    inflightState = r.payload.array();
+    send(Wire.GET_INFLIGHT_FD, 0, payload.array());
+    Reply reply = receive();
+    inflightFd = reply.fd;
+    inflightState = reply.payload.array();
   }
 
   private void startQueue(Queue q) throws IOException {
@@ -218,7 +218,7 @@
     if (request != Wire.SET_PROTOCOL_FEATURES) {
       long result = receive().payload.getLong();
       if (result != 0) {
-        throw new IOException("message " + request + ": result " + result);
+        throw new IOException("message " + request + " failed with result " + result);
       }
     } else {
       receive();
@@ -242,28 +242,28 @@
   }
 
   private Reply receive() throws IOException {
-    com.sun.jna.Memory m = new com.sun.jna.Memory(1024);
-    int have = 0;
+    com.sun.jna.Memory buffer = new com.sun.jna.Memory(1024);
+    int received = 0;
     int fd = -1;
-    int want = Wire.HEADER;
-    while (have < want) {
+    int expected = Wire.HEADER;
+    while (received < expected) {
       Linux.Poll p = new Linux.Poll();
       p.add(socket);
       p.await(10_000);
       if (p.events(0) == 0) {
-        throw new IOException("no reply in 10 s");
+        throw new IOException("no reply within 10 s");
       }
-      Linux.Received r = Linux.receive(socket, m, have, want - have);
-      if (r.bytes() == -1) {
+      Linux.Received part = Linux.receive(socket, buffer, received, expected - received);
+      if (part.bytes() == -1) {
         throw new IOException("the gateway closed the connection");
       }
-      have += Math.max(0, r.bytes());
-      fd = r.fds().length > 0 ? r.fds()[0] : fd;
-      if (have == Wire.HEADER && want == Wire.HEADER) {
-        want += m.getInt(8);
+      received += Math.max(0, part.bytes());
+      fd = part.fds().length > 0 ? part.fds()[0] : fd;
+      if (received == Wire.HEADER && expected == Wire.HEADER) {
+        expected += buffer.getInt(8);
       }
     }
-    return new Reply(ByteBuffer.wrap(m.getByteArray(Wire.HEADER, want - Wire.HEADER))
+    return new Reply(ByteBuffer.wrap(buffer.getByteArray(Wire.HEADER, expected - Wire.HEADER))
         .order(ByteOrder.LITTLE_ENDIAN), fd);
   }
 
@@ -292,37 +292,38 @@
       case DISCARD -> 11;
       case WRITE_ZEROES -> 13;
     };
-    int carried = length;
+    int dataLength = length;
     if (kind == IoKind.DISCARD || kind == IoKind.WRITE_ZEROES) {
       q.data(slot).putLong(0, offset / 512).putInt(8, length / 512).putInt(12, 0);
-      carried = 16;
+      dataLength = 16;
       offset = 0;
     }
-    post(q, slot, type, offset / 512, kind == IoKind.FLUSH ? 0 : carried, kind == IoKind.READ);
+    post(q, slot, type, offset / 512, kind == IoKind.FLUSH ? 0 : dataLength, kind == IoKind.READ);
     return true;
   }
 
   /** Adds a raw request of any type with {@code length} bytes of data to a slot. */
-  public void post(Queue q, int slot, int type, long sector, int length, boolean into) {
-    long base = q.slotOffset(slot);
-    ByteBuffer header = view(base + INDIRECT_TABLE_BYTES, HEADER_BYTES + TAIL_BYTES);
+  public void post(Queue q, int slot, int type, long sector, int length, boolean deviceWrites) {
+    long slotBase = q.slotOffset(slot);
+    ByteBuffer header = view(slotBase + INDIRECT_TABLE_BYTES, HEADER_BYTES + TAIL_BYTES);
     header.putInt(0, type).putInt(4, 0).putLong(8, sector).putLong(HEADER_BYTES, -1L);
     int first = options.indirect() ? slot : 3 * slot;
-    ByteBuffer table = options.indirect() ? view(base, INDIRECT_TABLE_BYTES) : q.table;
+    ByteBuffer table = options.indirect() ? view(slotBase, INDIRECT_TABLE_BYTES) : q.table;
     int d = options.indirect() ? 0 : first;
-    describe(table, d, GUEST_BASE + base + INDIRECT_TABLE_BYTES, HEADER_BYTES, 1, d + 1);
+    describe(table, d, GUEST_BASE + slotBase + INDIRECT_TABLE_BYTES, HEADER_BYTES, 1, d + 1);
     int last = d + 1;
     if (length > 0) {
-      describe(table, last, GUEST_BASE + base + INDIRECT_TABLE_BYTES + HEADER_BYTES + TAIL_BYTES, length, into
-          ? 3
-          : 1, last + 1);
+      describe(table, last, GUEST_BASE + slotBase + INDIRECT_TABLE_BYTES + HEADER_BYTES + TAIL_BYTES, length,
+          deviceWrites
+              ? 3
+              : 1, last + 1);
       last++;
     }
-    describe(table, last, GUEST_BASE + base + INDIRECT_TABLE_BYTES + HEADER_BYTES, options.refusedStatus()
+    describe(table, last, GUEST_BASE + slotBase + INDIRECT_TABLE_BYTES + HEADER_BYTES, options.refusedStatus()
         ? TAIL_BYTES
         : 1, 2, 0);
     if (options.indirect()) {
-      describe(q.table, first, GUEST_BASE + base, 16 * (last + 1), 4, 0);
+      describe(q.table, first, GUEST_BASE + slotBase, 16 * (last + 1), 4, 0);
     }
     publish(q, first);
   }
@@ -345,21 +346,21 @@
 
   /** Notifies the gateway of new requests on the queues for which it asked to be notified. */
   public void kick() {
-    for (Queue q : queues) {
-      if (q.lastKickedIdx == q.availIdx) {
+    for (Queue queue : queues) {
+      if (queue.lastKickedIdx == queue.availIdx) {
         continue;
       }
       VarHandle.fullFence();
-      boolean wants;
+      boolean notify;
       if ((features & Wire.F_EVENT_IDX) != 0) {
-        int event = Short.toUnsignedInt(q.used.getShort(4 + 8 * options.queueSize()));
-        wants = (q.availIdx - event - 1 & 0xffff) < (q.availIdx - q.lastKickedIdx & 0xffff);
+        int eventIdx = Short.toUnsignedInt(queue.used.getShort(4 + 8 * options.queueSize()));
+        notify = (queue.availIdx - eventIdx - 1 & 0xffff) < (queue.availIdx - queue.lastKickedIdx & 0xffff);
       } else {
-        wants = (q.used.getShort(0) & 1) == 0;
+        notify = (queue.used.getShort(0) & 1) == 0;
       }
-      q.lastKickedIdx = q.availIdx;
-      if (wants) {
-        Linux.signal(q.kickFd);
+      queue.lastKickedIdx = queue.availIdx;
+      if (notify) {
+        Linux.signal(queue.kickFd);
       }
     }
   }
@@ -380,7 +381,7 @@
         data.limit(q.lengths[slot]);
         int status = Byte.toUnsignedInt(tail.get(0));
         if (done == null) {
-          throw new IllegalStateException("head " + head + " answered twice");
+          throw new IllegalStateException("descriptor head " + head + " completed twice");
         }
         done.onComplete(status, options.refusedStatus() ? tail.getInt(4) : 0, data);
         q.free.add(slot);
--- a/src/main/java/hollyslip/load/RingComparison.java
+++ b/src/main/java/hollyslip/load/RingComparison.java
@@ -55,29 +55,32 @@
   /** Runs the measurements and prints the table. */
   public void run() throws Exception {
     Path dir = Files.createTempDirectory("hollyslip-bench-");
-    List<StandinProcess> started = new ArrayList<>();
+    List<StandinProcess> standins = new ArrayList<>();
     try {
       for (int i = 0; i < nodes; i++) {
-        started.add(new StandinProcess("node-" + i));
+        standins.add(new StandinProcess("node-" + i));
       }
-      Deployment d = BenchDeployment.load(dir, started.stream().mapToInt(n -> n.address.getPort()).toArray(),
+      Deployment deployment = BenchDeployment.load(dir, standins.stream()
+          .mapToInt(n -> n.address.getPort())
+          .toArray(),
           "",
           String.format(
               "volume('v', plan = 'p', size = 16 * MiB, extent = %d, shards = list(range(%d)), at = 0)%n",
               Math
                   .max(64 << 10, block), nodes));
-      Gateway gateway = new Gateway(d);
-      Engine echo = startEchoEngine(d);
-      VhostServer echoFront = new VhostServer(echo, new hollyslip.front.vhost.Acceptor(), "v", dir.resolve(
-          "echo.sock"), VhostServer.ANYBODY);
+      Gateway gateway = new Gateway(deployment);
+      Engine echoEngine = startEchoEngine(deployment);
+      VhostServer echoFront = new VhostServer(echoEngine, new hollyslip.front.vhost.Acceptor(), "v", dir
+          .resolve(
+              "echo.sock"), VhostServer.ANYBODY);
       Map<String, List<Measurement>> rows = new HashMap<>();
       for (int round = 0; round < rounds; round++) {
         for (int depth : depths) {
           for (String path : paths) {
             add(rows, switch (path) {
               case "echo" -> RingBench.measureRing(path, echoFront.path(), depth, block, seconds, BYTES,
-                  echo::totals);
-              case "direct" -> RingBench.measureNodeClient(started.get(0).address, depth, block, seconds,
+                  echoEngine::totals);
+              case "direct" -> RingBench.measureNodeClient(standins.get(0).address, depth, block, seconds,
                   BYTES);
               default -> RingBench.measureRing(path, gateway.socket("v"), depth, block, seconds, BYTES,
                   gateway
@@ -88,10 +91,10 @@
       }
       print(rows);
       echoFront.close();
-      echo.stop().get();
+      echoEngine.stop().get();
       gateway.close();
     } finally {
-      started.forEach(StandinProcess::close);
+      standins.forEach(StandinProcess::close);
     }
   }
 
@@ -104,27 +107,29 @@
         "p99 us", "p99.9 us", "bytes/req", "module ns", "/direct");
     for (int depth : depths) {
       List<Measurement> baseline = rows.get("direct" + depth);
-      double direct = baseline == null ? Double.NaN : Measurement.median(baseline).rate();
+      double directRate = baseline == null ? Double.NaN : Measurement.median(baseline).rate();
       for (String path : paths) {
-        Measurement r = Measurement.median(rows.get(path + depth));
+        Measurement median = Measurement.median(rows.get(path + depth));
         System.out.printf(Locale.ROOT, "%-8s %6d %10.0f %9.1f %9.1f %9.1f %11.0f %11.0f %8.2f%n", path, depth,
-            r.rate(), r.p50(), r.p99(), r.p999(), r.allocated(), r.moduleNs(), r.rate() / direct);
+            median.rate(), median.p50(), median.p99(), median.p999(), median.allocated(), median.moduleNs(),
+            median.rate() / directRate);
       }
     }
   }
 
   /** Starts an engine whose nodes answer at once without transferring bytes, to measure the cost of ring,
    * engine and scheduler. */
-  private static Engine startEchoEngine(Deployment d) {
-    Engine e = new Engine(new Engine.Config(d.module(), new RequestClassifier(d.rows(), d.gateway()
-        .unitBytes(), d
-            .store()
-            .maxUnits()), new ExtentSplitter(1 << 20), 65_536, 1 << 30, 0), d.byName(),
-        new TokenBorrowingScheduler(d.module()));
-    e.start(new NodeTransport() {
+  private static Engine startEchoEngine(Deployment deployment) {
+    Engine engine = new Engine(new Engine.Config(deployment.module(), new RequestClassifier(deployment.rows(),
+        deployment.gateway()
+            .unitBytes(), deployment
+                .store()
+                .maxUnits()), new ExtentSplitter(1 << 20), 65_536, 1 << 30, 0), deployment.byName(),
+        new TokenBorrowingScheduler(deployment.module()));
+    engine.start(new NodeTransport() {
       @Override
       public void send(Attempt attempt) {
-        e.attemptEnded(attempt, Result.OK, null);
+        engine.attemptEnded(attempt, Result.OK, null);
       }
 
       @Override
@@ -147,10 +152,10 @@
       @Override
       public void close() {}
     });
-    e.updateNodes(new hollyslip.HostScheduler.NodeList(true, d.nodes()
+    engine.updateNodes(new hollyslip.HostScheduler.NodeList(true, deployment.nodes()
         .stream()
         .map(Deployment.Node::listed)
         .toList()));
-    return e;
+    return engine;
   }
 }
--- a/src/main/java/hollyslip/load/RingLoad.java
+++ b/src/main/java/hollyslip/load/RingLoad.java
@@ -100,9 +100,9 @@
       long now = Engine.monotonicMicros();
       if (kind == IoKind.READ && answer == Asked.Answer.SERVED) {
         checksum = crc32(data, length);
-        String fault = stamps.findMismatch(data, offset, minWriteIds);
-        if (fault != null) {
-          wrong.add(config.name() + "/" + id + ": " + fault);
+        String mismatch = stamps.findMismatch(data, offset, minWriteIds);
+        if (mismatch != null) {
+          wrong.add(config.name() + "/" + id + ": " + mismatch);
         }
       }
       if (kind == IoKind.WRITE) {
@@ -126,23 +126,24 @@
     }
   }
 
-  public RingLoad(Plan plan, Path socket) throws IOException {
-    this.config = plan;
+  public RingLoad(Plan config, Path socket) throws IOException {
+    this.config = config;
     this.socket = socket;
-    int size = Integer.highestOneBit(Math.max(4, plan.depth() * 2 - 1));
-    client = new RingClient(RingClient.Options.usual(1, size, plan.maxBlocks() * BlockStamps.BLOCK_BYTES));
-    random = new SplittableRandom(plan.seed());
-    stamps = new BlockStamps(plan.seed() * 1_000_003 + plan.name().hashCode());
-    writeBuffer = ByteBuffer.allocate(plan.maxBlocks() * BlockStamps.BLOCK_BYTES)
+    int queueSize = Integer.highestOneBit(Math.max(4, config.depth() * 2 - 1));
+    client = new RingClient(RingClient.Options.usual(1, queueSize, config.maxBlocks()
+        * BlockStamps.BLOCK_BYTES));
+    random = new SplittableRandom(config.seed());
+    stamps = new BlockStamps(config.seed() * 1_000_003 + config.name().hashCode());
+    writeBuffer = ByteBuffer.allocate(config.maxBlocks() * BlockStamps.BLOCK_BYTES)
         .order(ByteOrder.LITTLE_ENDIAN);
   }
 
   private static long crc32(ByteBuffer data, int length) {
-    CRC32 crc = new CRC32();
+    CRC32 checksum = new CRC32();
     ByteBuffer view = data.duplicate();
     view.position(0).limit(length);
-    crc.update(view);
-    return crc.getValue();
+    checksum.update(view);
+    return checksum.getValue();
   }
 
   /** Stops submitting requests; {@link #run} returns once all are answered. */
@@ -180,9 +181,9 @@
   @Override
   public void run() {
     nextDueUs = Engine.monotonicMicros();
-    long givenUp = Long.MAX_VALUE;
-    boolean done = false;
-    while (!done) {
+    long giveUpAtUs = Long.MAX_VALUE;
+    boolean finished = false;
+    while (!finished) {
       if (!connected && !tryConnect()) {
         continue;
       }
@@ -195,21 +196,21 @@
           client.detach();
         }
       }
-      openRequests.removeIf(o -> o.done);
-      boolean last = finishing || config.maxRequests() > 0 && asked >= config.maxRequests();
-      if (last && givenUp == Long.MAX_VALUE) {
-        givenUp = Engine.monotonicMicros() + 3 * config.deadlineUs() + 5_000_000;
+      openRequests.removeIf(request -> request.done);
+      boolean allSubmitted = finishing || config.maxRequests() > 0 && asked >= config.maxRequests();
+      if (allSubmitted && giveUpAtUs == Long.MAX_VALUE) {
+        giveUpAtUs = Engine.monotonicMicros() + 3 * config.deadlineUs() + 5_000_000;
       }
-      done = last && (openRequests.isEmpty() || Engine.monotonicMicros() > givenUp);
+      finished = allSubmitted && (openRequests.isEmpty() || Engine.monotonicMicros() > giveUpAtUs);
     }
-    openRequests.forEach(o -> o.recordOutcome(0, 0, Asked.Answer.NONE, false));
+    openRequests.forEach(request -> request.recordOutcome(0, 0, Asked.Answer.NONE, false));
     client.close();
   }
 
   private void disconnectAbruptly() {
     client.detach();
-    openRequests.removeIf(o -> o.done);
-    openRequests.forEach(o -> o.recordOutcome(0, 0, Asked.Answer.NONE, true));
+    openRequests.removeIf(request -> request.done);
+    openRequests.forEach(request -> request.recordOutcome(0, 0, Asked.Answer.NONE, true));
     openRequests.clear();
   }
 
@@ -222,7 +223,7 @@
       issueDueRequests();
       client.kick();
       client.poll();
-      openRequests.removeIf(o -> o.done);
+      openRequests.removeIf(request -> request.done);
     }
     disconnectAbruptly();
     client.close();
@@ -233,7 +234,7 @@
       client.connect(socket);
       connected = true;
       // The new gateway process has not taken these requests before, so their deadlines start over.
-      openRequests.forEach(o -> o.deadlineUs = Engine.monotonicMicros() + config.deadlineUs());
+      openRequests.forEach(request -> request.deadlineUs = Engine.monotonicMicros() + config.deadlineUs());
       return true;
     } catch (IOException e) {
       // The gateway is down: retries after 20 ms, like the front end of a virtual machine.
@@ -273,33 +274,33 @@
 
   private void issueRequest() {
     int blocks = 1 + random.nextInt(config.maxBlocks());
-    long room = config.lengthBytes() / BlockStamps.BLOCK_BYTES - blocks;
-    long offset = config.firstByte() + random.nextLong(room + 1) * BlockStamps.BLOCK_BYTES;
+    long freeBlocks = config.lengthBytes() / BlockStamps.BLOCK_BYTES - blocks;
+    long offset = config.firstByte() + random.nextLong(freeBlocks + 1) * BlockStamps.BLOCK_BYTES;
     boolean read = random.nextDouble() < config.readFraction() || readsOnly;
     int length = blocks * BlockStamps.BLOCK_BYTES;
     if (!read && overlapsWrite(offset, length)) {
       read = true;
     }
-    OpenRequest o = new OpenRequest(++asked, read ? IoKind.READ : IoKind.WRITE, offset, length);
+    OpenRequest request = new OpenRequest(++asked, read ? IoKind.READ : IoKind.WRITE, offset, length);
     if (read) {
-      o.minWriteIds = stamps.minWriteIds(offset, length);
+      request.minWriteIds = stamps.minWriteIds(offset, length);
     } else {
-      stamps.fillForWrite(writeBuffer, o.id, length);
-      o.checksum = crc32(writeBuffer, length);
+      stamps.fillForWrite(writeBuffer, request.id, length);
+      request.checksum = crc32(writeBuffer, length);
       offsetsBeingWritten.add(offset);
     }
     writeBuffer.clear();
-    if (!client.submit(0, o.kind, offset, length, read ? null : writeBuffer, o)) {
-      throw new IllegalStateException("no slot though fewer than the depth are out");
+    if (!client.submit(0, request.kind, offset, length, read ? null : writeBuffer, request)) {
+      throw new IllegalStateException("no free slot although fewer requests than the depth are outstanding");
     }
-    openRequests.add(o);
+    openRequests.add(request);
   }
 
   /** Whether a write to any of these blocks is outstanding; a client does not write blocks that it is already
    * writing. */
   private boolean overlapsWrite(long offset, int length) {
-    long most = (long) config.maxBlocks() * BlockStamps.BLOCK_BYTES;
-    return !offsetsBeingWritten.subSet(offset - most + 1, offset + length).isEmpty();
+    long maxBytes = (long) config.maxBlocks() * BlockStamps.BLOCK_BYTES;
+    return !offsetsBeingWritten.subSet(offset - maxBytes + 1, offset + length).isEmpty();
   }
 
   /** Records of all requests; complete once the client has ended. */
--- a/src/main/java/hollyslip/load/RingTarget.java
+++ b/src/main/java/hollyslip/load/RingTarget.java
@@ -20,35 +20,36 @@
   private int inFlight;
   private long writeCount;
 
-  RingTarget(Path socket, int depth, int mostBytes) throws IOException {
+  RingTarget(Path socket, int depth, int maxBytes) throws IOException {
     this.socket = socket;
     this.depth = depth;
-    int size = Integer.highestOneBit(Math.max(4, depth * 2 - 1));
-    client = new RingClient(RingClient.Options.usual(1, size, mostBytes));
-    writeBuffer = ByteBuffer.allocate(mostBytes);
+    int queueSize = Integer.highestOneBit(Math.max(4, depth * 2 - 1));
+    client = new RingClient(RingClient.Options.usual(1, queueSize, maxBytes));
+    writeBuffer = ByteBuffer.allocate(maxBytes);
     client.connect(socket);
   }
 
   @Override
-  public boolean submit(OpenLoop.ScheduledRequest s) {
+  public boolean submit(OpenLoop.ScheduledRequest request) {
     if (inFlight >= depth) {
       return false;
     }
-    boolean write = s.operation.kind() == IoKind.WRITE;
+    boolean write = request.operation.kind() == IoKind.WRITE;
     if (write) {
       writeBuffer.clear();
       writeBuffer.putLong(0, ++writeCount);
     }
-    boolean in = client.submit(0, s.operation.kind(), s.operation.offset(), s.operation.length(), write
-        ? writeBuffer
-        : null, (
-            status,
-            retryMs, data) -> {
-          inFlight--;
-          s.complete(status == 0
-              ? OpenLoop.End.SERVED
-              : status == 0x80 ? OpenLoop.End.REFUSED : OpenLoop.End.FAILED);
-        });
+    boolean in = client.submit(0, request.operation.kind(), request.operation.offset(), request.operation
+        .length(), write
+            ? writeBuffer
+            : null, (
+                status,
+                retryMs, data) -> {
+              inFlight--;
+              request.complete(status == 0
+                  ? OpenLoop.End.SERVED
+                  : status == 0x80 ? OpenLoop.End.REFUSED : OpenLoop.End.FAILED);
+            });
     inFlight += in ? 1 : 0;
     return in;
   }
@@ -65,8 +66,9 @@
 
   @Override
   public void awaitAnswers(long untilUs) {
-    long left = untilUs - now();
-    if (left > SPIN_THRESHOLD_US && !client.await((int) Math.min(100, (left - SPIN_THRESHOLD_US + 999)
+    long remainingUs = untilUs - now();
+    if (remainingUs > SPIN_THRESHOLD_US && !client.await((int) Math.min(100, (remainingUs - SPIN_THRESHOLD_US
+        + 999)
         / 1_000))) {
       reconnect();
     } else {
--- a/src/main/java/hollyslip/load/ScenarioSettings.java
+++ b/src/main/java/hollyslip/load/ScenarioSettings.java
@@ -22,12 +22,13 @@
 
   /** The script {@code fleet.star}, which lists the nodes, each with one shard. */
   public static String nodeListScript(int nodes, IntUnaryOperator port, IntFunction<NodeState> state) {
-    StringBuilder s = new StringBuilder("NODES = [\n");
+    StringBuilder script = new StringBuilder("NODES = [\n");
     for (int i = 0; i < nodes; i++) {
-      s.append(String.format("    (\"store-%d\", %d, \"hall-%s\", %d, \"%s\"),%n", i, port.applyAsInt(i), i
-          % 2 == 0 ? "a" : "b", i, state.apply(i).name().toLowerCase(Locale.ROOT)));
+      script.append(String.format("    (\"store-%d\", %d, \"hall-%s\", %d, \"%s\"),%n", i, port.applyAsInt(i),
+          i
+              % 2 == 0 ? "a" : "b", i, state.apply(i).name().toLowerCase(Locale.ROOT)));
     }
-    return s.append("]\n").toString();
+    return script.append("]\n").toString();
   }
 
   /** The script of one gateway, which loads {@code fleet.star}. */
@@ -49,62 +50,71 @@
 
   /** Units that a freshly started node can always bear within the window of the cold-node rule: a fifth of
    * its full speed, times the multiple at which the rule applies; a command counts as at least one unit. */
-  private static long coldUnits(Day.Nodes n) {
-    double commands = n.cores() * 1e6 / n.baseUs();
-    return (long) Math.max(1, 3 * 0.2 * 2 * commands);
+  private static long coldUnits(Day.Nodes nodes) {
+    double commandsPerSecond = nodes.cores() * 1e6 / nodes.baseUs();
+    return (long) Math.max(1, 3 * 0.2 * 2 * commandsPerSecond);
   }
 
   private static String plansAndVolumes(Day day) {
-    StringBuilder s = new StringBuilder();
-    day.plans().forEach((name, f) -> {
-      s.append("plan(\"").append(name).append('"');
-      f.forEach((k, v) -> s.append(", ").append(k.replace('-', '_')).append(" = ").append(v));
-      s.append(")\n");
+    StringBuilder script = new StringBuilder();
+    day.plans().forEach((name, parameters) -> {
+      script.append("plan(\"").append(name).append('"');
+      parameters.forEach((key, value) -> script.append(", ")
+          .append(key.replace('-', '_'))
+          .append(" = ")
+          .append(value));
+      script.append(")\n");
     });
-    s.append("for name, port, zone, shard, state in NODES:\n"
+    script.append("for name, port, zone, shard, state in NODES:\n"
         + "    node(name, port = port, zone = zone, shard = shard, state = state)\n");
-    int at = 0;
-    int number = 0;
-    for (Day.VolumeLoad v : day.volumes()) {
-      s.append(String.format(
+    int offsetMib = 0;
+    int index = 0;
+    for (Day.VolumeLoad volume : day.volumes()) {
+      script.append(String.format(
           "volume(\"%s\", tenant = \"%s\", plan = \"%s\", size = %d * MiB, extent = 256 * KiB, shards = "
-              + "%s, at = %d * MiB, hosts = %d)%n", v.volume(), v.volume(), v.plan(), v.sizeMib(), shards(day,
-                  v,
-                  number++), at, day.gatewayCount(v)));
-      at += v.sizeMib() / shardCount(day, v) + 1;
+              + "%s, at = %d * MiB, hosts = %d)%n", volume.volume(), volume.volume(), volume.plan(), volume
+                  .sizeMib(), shards(day,
+                      volume,
+                      index++), offsetMib, day.gatewayCount(volume)));
+      offsetMib += volume.sizeMib() / shardCount(day, volume) + 1;
     }
-    return s.toString();
+    return script.toString();
   }
 
-  private static int shardCount(Day day, Day.VolumeLoad v) {
-    return v.maxShards() == 0 ? day.nodes().count() : Math.min(v.maxShards(), day.nodes().count());
+  private static int shardCount(Day day, Day.VolumeLoad load) {
+    return load.maxShards() == 0 ? day.nodes().count() : Math.min(load.maxShards(), day.nodes().count());
   }
 
   /** Shards of a volume: as many as it spreads over, starting after the last shard of the previous volume. */
-  private static List<Integer> shards(Day day, Day.VolumeLoad v, int number) {
-    int n = shardCount(day, v);
-    return IntStream.range(0, n).mapToObj(i -> (number * n + i) % day.nodes().count()).toList();
+  private static List<Integer> shards(Day day, Day.VolumeLoad load, int index) {
+    int count = shardCount(day, load);
+    return IntStream.range(0, count).mapToObj(i -> (index * count + i) % day.nodes().count()).toList();
   }
 
   /** Figures for the audit. {@code slackUs} is the tolerance for late answers, us; {@code skewUs} is the
    * maximum offset between the clocks of the two ends of a request, us. */
-  public static Figures auditFigures(Deployment d, long slackUs, long skewUs) {
+  public static Figures auditFigures(Deployment deployment, long slackUs, long skewUs) {
     Map<String, Figures.Limit> limits = new HashMap<>();
     List<Figures.Area> areas = new ArrayList<>();
-    d.volumes().forEach(v -> {
-      d.plans()
+    deployment.volumes().forEach(volume -> {
+      deployment.plans()
           .stream()
-          .filter(p -> p.name().equals(v.plan()) && p.limit() > 0)
-          .forEach(p -> limits.put(v.name(), new Figures.Limit(p.limit(), p.limitBurst(), p.limitSlack())));
-      for (int i = 0; i < v.extents().size(); i++) {
-        var e = v.extents().get(i);
-        areas.add(new Figures.Area(v.name(), "shard-" + e.shard(), e.offset(), e.offset() + v.extentBytes()));
+          .filter(plan -> plan.name().equals(volume.plan()) && plan.limit() > 0)
+          .forEach(plan -> limits.put(volume.name(), new Figures.Limit(plan.limit(), plan.limitBurst(), plan
+              .limitSlack())));
+      for (int i = 0; i < volume.extents().size(); i++) {
+        var extent = volume.extents().get(i);
+        areas.add(new Figures.Area(volume.name(), "shard-" + extent.shard(), extent.offset(), extent.offset()
+            + volume.extentBytes()));
       }
     });
-    var r = d.rules();
-    return new Figures(r.answerSlackUs() + slackUs, r.drainGraceUs(), r.orderSettleUs(), d.store()
-        .coldUnits(), r.coldFrom(), r.coldUs(), r.fallUs(), r.budgetFree(), r.budgetShare(), r
-            .budgetWindowUs(), skewUs, d.volumes().get(0).extentBytes(), d.gateway().unitBytes(), d.store()
-                .maxUnits(), limits, areas);
+    var rules = deployment.rules();
+    return new Figures(rules.answerSlackUs() + slackUs, rules.drainGraceUs(), rules.orderSettleUs(),
+        deployment.store()
+            .coldUnits(), rules.coldFrom(), rules.coldUs(), rules.fallUs(), rules.budgetFree(), rules
+                .budgetShare(), rules
+                    .budgetWindowUs(), skewUs, deployment.volumes().get(0).extentBytes(), deployment.gateway()
+                        .unitBytes(), deployment.store()
+                            .maxUnits(), limits, areas);
   }
 }
--- a/src/main/java/hollyslip/load/Stage.java
+++ b/src/main/java/hollyslip/load/Stage.java
@@ -34,23 +34,24 @@
   /** Starts everything and returns once clients can connect. */
   public void start() throws IOException {
     Files.createDirectories(dir);
-    Day.Nodes n = day.nodes();
-    for (int i = 0; i < n.count(); i++) {
-      disks.add(new DiskServer(DiskServer.Config.timed("store-" + i, SHARD_BYTES, n.cores(), n.queue(), n
-          .baseUs(),
+    Day.Nodes nodes = day.nodes();
+    for (int i = 0; i < nodes.count(); i++) {
+      disks.add(new DiskServer(DiskServer.Config.timed("store-" + i, SHARD_BYTES, nodes.cores(), nodes
+          .queue(), nodes
+              .baseUs(),
           day.seed() * 100 + i)));
     }
-    NodeState[] on = new NodeState[n.count()];
-    Arrays.fill(on, NodeState.ON);
-    writeNodeList(on);
-    for (int g = 0; g < day.gateways(); g++) {
-      Files.writeString(settingsFile(g), ScenarioSettings.gatewayScript(day, g));
-      Loader.Loaded loaded = Loader.load(settingsFile(g));
+    NodeState[] states = new NodeState[nodes.count()];
+    Arrays.fill(states, NodeState.ON);
+    writeNodeList(states);
+    for (int gateway = 0; gateway < day.gateways(); gateway++) {
+      Files.writeString(settingsFile(gateway), ScenarioSettings.gatewayScript(day, gateway));
+      Loader.Loaded loaded = Loader.load(settingsFile(gateway));
       if (!loaded.faults().isEmpty()) {
-        throw new IOException("settings of the day: " + loaded.faults());
+        throw new IOException("invalid settings for the scenario: " + loaded.faults());
       }
       deployments.add(loaded.deployment());
-      gateways.add(startGateway(g));
+      gateways.add(startGateway(gateway));
     }
   }
 
@@ -65,12 +66,12 @@
 
   /** Atomically replaces the gateways' node list. */
   void writeNodeList(NodeState[] states) throws IOException {
-    Path fresh = dir.resolve("fleet.star.new");
-    Files.writeString(fresh, ScenarioSettings.nodeListScript(disks.size(), i -> disks.get(i)
+    Path newFile = dir.resolve("fleet.star.new");
+    Files.writeString(newFile, ScenarioSettings.nodeListScript(disks.size(), i -> disks.get(i)
         .address()
         .getPort(),
         i -> states[i]));
-    Files.move(fresh, dir.resolve("fleet.star"), StandardCopyOption.ATOMIC_MOVE);
+    Files.move(newFile, dir.resolve("fleet.star"), StandardCopyOption.ATOMIC_MOVE);
   }
 
   /** Directories of the volumes' sockets, one per gateway. */
@@ -80,9 +81,9 @@
 
   @Override
   public void close() throws InterruptedException {
-    for (Child c : gateways) {
-      if (c.isAlive()) {
-        c.kill();
+    for (Child gateway : gateways) {
+      if (gateway.isAlive()) {
+        gateway.kill();
       }
     }
     disks.forEach(DiskServer::close);
--- a/src/main/java/hollyslip/load/TenantBench.java
+++ b/src/main/java/hollyslip/load/TenantBench.java
@@ -72,49 +72,52 @@
   }
 
   private void measure(int volumes) throws IOException {
-    TokenBorrowingScheduler choice = new TokenBorrowingScheduler(settings(Files.createTempDirectory(
+    TokenBorrowingScheduler scheduler = new TokenBorrowingScheduler(settings(Files.createTempDirectory(
         "hollyslip-bench-")));
-    long[] now = {1_000_000};
+    long[] nowUs = {1_000_000};
     List<HostScheduler.Action> actions = new ArrayList<>();
-    choice.handle(now[0], new HostScheduler.NodeList(true, List.of(new NodeEntry(1, "a", 0, NodeState.ON, 0),
+    scheduler.handle(nowUs[0], new HostScheduler.NodeList(true, List.of(new NodeEntry(1, "a", 0, NodeState.ON,
+        0),
         new NodeEntry(2, "a", 1, NodeState.ON, 0))), actions::add);
     System.gc();
-    long before = usedHeapBytes();
+    long heapBefore = usedHeapBytes();
     HostScheduler.Plan plan = new HostScheduler.Plan("p", 10, 1, 1, 1, 0, 0, 0);
     for (int v = 0; v < volumes; v++) {
-      choice.handle(now[0], new HostScheduler.VolumeChanged(v, 1, plan, 1 + v / 5, 1), actions::add);
+      scheduler.handle(nowUs[0], new HostScheduler.VolumeChanged(v, 1, plan, 1 + v / 5, 1), actions::add);
     }
     SplittableRandom random = new SplittableRandom(1);
-    long id = 0;
+    long nextId = 0;
     long from = 0;
-    int counted = 400_000;
-    for (int i = 0; i < counted * 2; i++) {
-      if (i == counted) {
+    int measuredRequests = 400_000;
+    for (int i = 0; i < measuredRequests * 2; i++) {
+      if (i == measuredRequests) {
         from = System.nanoTime();
       }
-      now[0] += 20;
+      nowUs[0] += 20;
       actions.clear();
-      long r = id++;
-      choice.handle(now[0], new HostScheduler.Request(r, "any", "p", r, random.nextInt(volumes), 1, (int) (r
-          & 1), 1, 5_000_000, false), actions::add);
-      for (HostScheduler.Action a : List.copyOf(actions)) {
-        if (a instanceof HostScheduler.Send s) {
-          choice.handle(now[0] + 5, new HostScheduler.AttemptEnded(s.request(), 0, s.node(),
+      long requestId = nextId++;
+      scheduler.handle(nowUs[0], new HostScheduler.Request(requestId, "any", "p", requestId, random.nextInt(
+          volumes), 1, (int) (requestId
+              & 1), 1, 5_000_000, false), actions::add);
+      for (HostScheduler.Action action : List.copyOf(actions)) {
+        if (action instanceof HostScheduler.Send send) {
+          scheduler.handle(nowUs[0] + 5, new HostScheduler.AttemptEnded(send.request(), 0, send.node(),
               HostScheduler.Result.OK, true, 100, 0, 0, null), actions::add);
         }
       }
     }
-    long took = System.nanoTime() - from;
+    long tookNs = System.nanoTime() - from;
     System.gc();
-    System.out.printf(Locale.ROOT, "%-24d %12.0f %14.0f%n", volumes, (double) took / counted, volumes < 100
-        ? 0
-        : (double) (usedHeapBytes() - before) / volumes);
-    java.lang.ref.Reference.reachabilityFence(choice);
+    System.out.printf(Locale.ROOT, "%-24d %12.0f %14.0f%n", volumes, (double) tookNs / measuredRequests,
+        volumes < 100
+            ? 0
+            : (double) (usedHeapBytes() - heapBefore) / volumes);
+    java.lang.ref.Reference.reachabilityFence(scheduler);
   }
 
   private static long usedHeapBytes() {
-    Runtime r = Runtime.getRuntime();
-    return r.totalMemory() - r.freeMemory();
+    Runtime runtime = Runtime.getRuntime();
+    return runtime.totalMemory() - runtime.freeMemory();
   }
 
   // Store.
@@ -152,24 +155,27 @@
         "snapshot, ms");
     for (int tenants : new int[]{10, 1_000, 10_000}) {
       Path folder = dir.resolve("store-" + tenants);
-      Control c = control(folder);
+      Control control = control(folder);
       long from = System.nanoTime();
-      c.command((r, at) -> r.createPlan(at, "bench", new Wish.ForPlan("p", new Terms(10, 1, 1, 1, 0, 0, 0))),
+      control.command((r, at) -> r.createPlan(at, "bench", new Wish.ForPlan("p", new Terms(10, 1, 1, 1, 0, 0,
+          0))),
           r -> null).join();
-      List<CompletableFuture<Object>> all = new ArrayList<>();
+      List<CompletableFuture<Object>> commands = new ArrayList<>();
       for (int t = 0; t < tenants; t++) {
         String name = "t" + t;
-        all.add(c.command((r, at) -> r.createTenant(at, "bench", new Wish.ForTenant(name, 1, new Tenant.Quota(
-            100, 1L << 40, 100), Map.of())), r -> null));
+        commands.add(control.command((r, at) -> r.createTenant(at, "bench", new Wish.ForTenant(name, 1,
+            new Tenant.Quota(
+                100, 1L << 40, 100), Map.of())), r -> null));
         for (int v = 0; v < 5; v++) {
           String volume = "v" + v;
-          all.add(c.command((r, at) -> r.createVolume(at, "bench", name, new Wish.ForVolume(volume, "p", null,
+          commands.add(control.command((r, at) -> r.createVolume(at, "bench", name, new Wish.ForVolume(volume,
+              "p", null,
               16 << 20, 4 << 20)), r -> null));
         }
       }
-      all.forEach(CompletableFuture::join);
-      double rate = all.size() / ((System.nanoTime() - from) / 1e9);
-      c.close();
+      commands.forEach(CompletableFuture::join);
+      double rate = commands.size() / ((System.nanoTime() - from) / 1e9);
+      control.close();
       double log = openMillis(folder, true);
       double snapshot = openMillis(folder, false);
       System.out.printf(Locale.ROOT, "%-24s %10d %12.0f %14.0f %14.0f%n", tenants + " tenants", tenants * 5,
@@ -177,15 +183,15 @@
     }
   }
 
-  /** Time to load the registry, ms; takes a snapshot afterwards if {@code keep} is set. */
-  private static double openMillis(Path folder, boolean keep) throws IOException {
+  /** Time to load the registry, ms; takes a snapshot afterwards if {@code takeSnapshot} is set. */
+  private static double openMillis(Path folder, boolean takeSnapshot) throws IOException {
     long from = System.nanoTime();
-    Control c = control(folder);
+    Control control = control(folder);
     double ms = (System.nanoTime() - from) / 1e6;
-    if (keep) {
-      c.keep().join();
+    if (takeSnapshot) {
+      control.keep().join();
     }
-    c.close();
+    control.close();
     return ms;
   }
 
@@ -196,10 +202,10 @@
   }
 
   private static void request(ApiClient api, String method, String path, String body) throws IOException {
-    ApiClient.Answer a = api.ask(method, path, JSON.readTree(body.replace('\'', '"')), Map.of("If-Match",
+    ApiClient.Answer answer = api.ask(method, path, JSON.readTree(body.replace('\'', '"')), Map.of("If-Match",
         "*"));
-    if (!a.good()) {
-      throw new IOException(path + ": " + a);
+    if (!answer.good()) {
+      throw new IOException(path + ": " + answer);
     }
   }
 
@@ -210,16 +216,16 @@
         .toArray()));
     String token = Files.readString(dir.resolve("state/operator.token")).trim();
     try (ApiClient api = ApiClient.at(dir.resolve("run/admin.sock"), token)) {
-      long me = ((Number) Files.getAttribute(Path.of("/proc/self"), "unix:uid")).longValue();
+      long uid = ((Number) Files.getAttribute(Path.of("/proc/self"), "unix:uid")).longValue();
       request(api, "POST", "/v1/plans", "{'name':'p','reserve':100,'weight':1}");
-      for (String t : List.of("a", "b")) {
-        request(api, "POST", "/v1/tenants", "{'name':'" + t
-            + "','quota':{'reserve':200,'bytes':16777216},'members':{'me':" + me + "}}");
-        request(api, "POST", "/v1/tenants/" + t + "/volumes",
+      for (String tenant : List.of("a", "b")) {
+        request(api, "POST", "/v1/tenants", "{'name':'" + tenant
+            + "','quota':{'reserve':200,'bytes':16777216},'members':{'me':" + uid + "}}");
+        request(api, "POST", "/v1/tenants/" + tenant + "/volumes",
             "{'name':'v','plan':'p','bytes':4194304,'extent_bytes':65536}");
       }
-      for (String t : List.of("a", "b")) {
-        while (!api.ask("GET", "/v1/tenants/" + t + "/volumes/v", null, Map.of())
+      for (String tenant : List.of("a", "b")) {
+        while (!api.ask("GET", "/v1/tenants/" + tenant + "/volumes/v", null, Map.of())
             .body()
             .get("phase")
             .asText()
@@ -241,9 +247,11 @@
     nodes.forEach(StandinProcess::close);
   }
 
-  private static void print(String what, Measurement r, int depth, Histogram changes, double changeSeconds) {
-    System.out.printf(Locale.ROOT, "%-34s %8d %10.0f %9.1f %9.1f %11s %12s%n", what, depth, r.rate(), r.p50(),
-        r.p99(), changes == null
+  private static void print(String what, Measurement measurement, int depth, Histogram changes,
+      double changeSeconds) {
+    System.out.printf(Locale.ROOT, "%-34s %8d %10.0f %9.1f %9.1f %11s %12s%n", what, depth, measurement
+        .rate(), measurement.p50(),
+        measurement.p99(), changes == null
             ? "-"
             : String.format(Locale.ROOT, "%.0f", changes.getTotalCount() / changeSeconds), changes == null
                 ? "-"
@@ -252,32 +260,33 @@
 
   /** Measures tenant b while an administrator changes tenant a, one change after the other. */
   private void measureDuringChanges(Gateway gateway, ApiClient api) throws Exception {
-    Histogram took = new Histogram(60_000_000, 3);
-    boolean[] over = new boolean[1];
+    Histogram changeLatencies = new Histogram(60_000_000, 3);
+    boolean[] stopped = new boolean[1];
     long from = System.nanoTime();
-    Thread t = new Thread(() -> {
-      for (int i = 0; !over[0]; i++) {
-        long at = System.nanoTime();
+    Thread administrator = new Thread(() -> {
+      for (int i = 0; !stopped[0]; i++) {
+        long startedAt = System.nanoTime();
         try {
           request(api, "PATCH", "/v1/tenants/a", "{'weight':" + (1 + i % 7) + "}");
         } catch (IOException e) {
           throw new java.io.UncheckedIOException(e);
         }
-        took.recordValue((System.nanoTime() - at) / 1_000);
+        changeLatencies.recordValue((System.nanoTime() - startedAt) / 1_000);
       }
     });
-    t.start();
-    Measurement r = RingBench.measureRing("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES, gateway
-        .lanes()::totals);
-    over[0] = true;
-    t.join();
-    print("while tenant a is changed", r, 4, took, (System.nanoTime() - from) / 1e9);
+    administrator.start();
+    Measurement measurement = RingBench.measureRing("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES,
+        gateway
+            .lanes()::totals);
+    stopped[0] = true;
+    administrator.join();
+    print("while tenant a is changed", measurement, 4, changeLatencies, (System.nanoTime() - from) / 1e9);
   }
 
   /** Measures tenant b while tenant a keeps its rings full. */
   private void measureDuringFlood(Gateway gateway) throws Exception {
     Measurement[] flood = new Measurement[1];
-    Thread t = new Thread(() -> {
+    Thread flooder = new Thread(() -> {
       try {
         flood[0] = RingBench.measureRing("a", gateway.socket("a", "v"), 256, BLOCK, seconds * 1.5, BYTES,
             gateway
@@ -286,10 +295,11 @@
         throw new IllegalStateException(e);
       }
     });
-    t.start();
-    Measurement r = RingBench.measureRing("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES, gateway
-        .lanes()::totals);
-    t.join();
-    print("while tenant a keeps 256 out", r, 4, null, 0);
+    flooder.start();
+    Measurement measurement = RingBench.measureRing("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES,
+        gateway
+            .lanes()::totals);
+    flooder.join();
+    print("while tenant a keeps 256 out", measurement, 4, null, 0);
   }
 }
--- a/src/test/java/hollyslip/load/ScenarioTest.java
+++ b/src/test/java/hollyslip/load/ScenarioTest.java
@@ -37,13 +37,13 @@
   @Test
   void faultsNameTheLine() {
     assertEquals(5, Day.parse(SHORT).troubles().size());
-    assertEquals("line 2: 'wether' is not known", wrong("day 5\nwether bad\n"));
-    assertTrue(wrong("at 5 flood\n").startsWith("line 1: trouble 'flood' is not known"));
+    assertEquals("line 2: unknown keyword 'wether'", wrong("day 5\nwether bad\n"));
+    assertTrue(wrong("at 5 flood\n").startsWith("line 1: unknown disturbance 'flood'"));
     assertTrue(wrong("nodes count many\n").startsWith(
-        "line 1: nodes: a number must stand where 'many' does"));
-    assertTrue(wrong("day 5\nvolume a plan gold rate 5\n").contains("plan gold is not given"));
+        "line 1: nodes: expected a number, found 'many'"));
+    assertTrue(wrong("day 5\nvolume a plan gold rate 5\n").contains("plan gold is not declared"));
     assertTrue(wrong("day 5\n").contains("no volume"));
-    assertTrue(wrong("plan p rate\n").contains("where 'nothing' does"));
+    assertTrue(wrong("plan p rate\n").contains("found 'end of line'"));
   }
 
   @Test
