--- a/src/main/java/hollyslip/emulator/BadDays.java
+++ b/src/main/java/hollyslip/emulator/BadDays.java
@@ -45,34 +45,34 @@
    * then by the fraction served in time. */
   public List<Found> search(int rounds, int each) {
     List<Found> all = new ArrayList<>();
-    for (int r = 0; r < rounds; r++) {
+    for (int round = 0; round < rounds; round++) {
       List<Day> days = new ArrayList<>();
       for (int i = 0; i < each; i++) {
-        boolean bred = !all.isEmpty() && i % 2 == 0;
+        boolean mutated = !all.isEmpty() && i % 2 == 0;
         days.add(base.with(random.nextLong(1L << 40))
-            .with(bred
+            .with(mutated
                 ? mutate(all.get(random.nextInt(Math.min(each, all.size()))).day().troubles())
                 : randomDisturbances()));
       }
       all.addAll(IntStream.range(0, each).parallel().mapToObj(i -> play(days.get(i))).toList());
       played += each;
-      all.sort(Comparator.comparingInt((Found f) -> f.broken().isEmpty() ? 1 : 0)
+      all.sort(Comparator.comparingInt((Found finding) -> finding.broken().isEmpty() ? 1 : 0)
           .thenComparingDouble(Found::inAim));
     }
     return all;
   }
 
   private static Found play(Day day) {
-    Outcome o = World.play(day);
-    return new Found(day, o.audit()
+    Outcome result = World.play(day);
+    return new Found(day, result.audit()
         .breaches()
         .stream()
         .map(Auditor.Breach::rule)
         .distinct()
         .sorted()
-        .toList(), o
+        .toList(), result
             .all()
-            .inAim(), o.audit().breaches().isEmpty() ? "" : o.audit().breaches().get(0).toString());
+            .inAim(), result.audit().breaches().isEmpty() ? "" : result.audit().breaches().get(0).toString());
   }
 
   /** Shrinks a finding to the smallest scenario that still breaks the first rule that {@code found} broke, by
@@ -82,15 +82,15 @@
     Auditor.Rule rule = found.broken().get(0);
     Found[] smallest = {found};
     Predicate<Day> breaks = day -> {
-      Found f = play(day);
+      Found finding = play(day);
       played++;
-      boolean still = f.broken().contains(rule);
-      smallest[0] = still ? f : smallest[0];
-      return still;
+      boolean stillBreaks = finding.broken().contains(rule);
+      smallest[0] = stillBreaks ? finding : smallest[0];
+      return stillBreaks;
     };
-    for (boolean smaller = true; smaller;) {
+    for (boolean shrunk = true; shrunk;) {
       Optional<Day> next = simplifications(smallest[0].day()).stream().filter(breaks).findFirst();
-      smaller = next.isPresent();
+      shrunk = next.isPresent();
     }
     return smallest[0];
   }
@@ -98,30 +98,35 @@
   /** All scenarios that are one step simpler, the largest steps first. */
   static List<Day> simplifications(Day day) {
     List<Day> all = new ArrayList<>();
-    List<Disturbance> t = day.troubles();
-    for (int i = 0; i < t.size(); i++) {
-      List<Disturbance> fewer = new ArrayList<>(t);
+    List<Disturbance> disturbances = day.troubles();
+    for (int i = 0; i < disturbances.size(); i++) {
+      List<Disturbance> fewer = new ArrayList<>(disturbances);
       fewer.remove(i);
       all.add(day.with(fewer));
     }
-    double last = t.stream().mapToDouble(x -> x.at() + x.seconds()).max().orElse(0);
-    for (double s : new double[]{day.seconds() / 2, day.seconds() * 0.8}) {
-      if (s >= 1 && s >= last) {
-        all.add(day.lasting(s));
+    double lastEnd = disturbances.stream()
+        .mapToDouble(disturbance -> disturbance.at() + disturbance.seconds())
+        .max()
+        .orElse(0);
+    for (double seconds : new double[]{day.seconds() / 2, day.seconds() * 0.8}) {
+      if (seconds >= 1 && seconds >= lastEnd) {
+        all.add(day.lasting(seconds));
       }
     }
-    for (int i = 0; i < t.size(); i++) {
-      Disturbance x = t.get(i);
-      if (x.seconds() >= 2 * MIN_DURATION_S) {
-        all.add(day.with(withReplaced(t, i, new Disturbance(x.at(), x.kind(), x.target(), halved(x.seconds()),
-            x.fraction(),
-            x
+    for (int i = 0; i < disturbances.size(); i++) {
+      Disturbance disturbance = disturbances.get(i);
+      if (disturbance.seconds() >= 2 * MIN_DURATION_S) {
+        all.add(day.with(withReplaced(disturbances, i, new Disturbance(disturbance.at(), disturbance.kind(),
+            disturbance.target(), halved(disturbance.seconds()),
+            disturbance.fraction(),
+            disturbance
                 .size()))));
       }
-      if (x.fraction() > 0.05) {
-        all.add(day.with(withReplaced(t, i, new Disturbance(x.at(), x.kind(), x.target(), x.seconds(), halved(
-            x.fraction()),
-            x
+      if (disturbance.fraction() > 0.05) {
+        all.add(day.with(withReplaced(disturbances, i, new Disturbance(disturbance.at(), disturbance.kind(),
+            disturbance.target(), disturbance.seconds(), halved(
+                disturbance.fraction()),
+            disturbance
                 .size()))));
       }
     }
@@ -132,9 +137,9 @@
     return Math.round(x * 500) / 1_000.0;
   }
 
-  private static List<Disturbance> withReplaced(List<Disturbance> all, int i, Disturbance by) {
+  private static List<Disturbance> withReplaced(List<Disturbance> all, int i, Disturbance replacement) {
     List<Disturbance> next = new ArrayList<>(all);
-    next.set(i, by);
+    next.set(i, replacement);
     return next;
   }
 
@@ -145,24 +150,24 @@
   }
 
   /** Changes, adds or removes one disturbance. */
-  private List<Disturbance> mutate(List<Disturbance> of) {
-    List<Disturbance> next = new ArrayList<>(of);
-    int step = random.nextInt(3);
-    if (step == 0 && next.size() > 1) {
-      next.remove(random.nextInt(next.size()));
-    } else if (step == 1 && next.size() < 2 * MAX_DISTURBANCES) {
-      next.add(randomDisturbance());
+  private List<Disturbance> mutate(List<Disturbance> original) {
+    List<Disturbance> mutated = new ArrayList<>(original);
+    int change = random.nextInt(3);
+    if (change == 0 && mutated.size() > 1) {
+      mutated.remove(random.nextInt(mutated.size()));
+    } else if (change == 1 && mutated.size() < 2 * MAX_DISTURBANCES) {
+      mutated.add(randomDisturbance());
     } else {
-      next.set(random.nextInt(next.size()), randomDisturbance());
+      mutated.set(random.nextInt(mutated.size()), randomDisturbance());
     }
-    return next;
+    return mutated;
   }
 
   private Disturbance randomDisturbance() {
     String kind = KINDS.get(random.nextInt(KINDS.size()));
     double at = roundToTenth(random.nextDouble(base.seconds() * 0.8));
-    double lasts = Math.max(MIN_DURATION_S, roundToTenth(random.nextDouble(base.seconds() / 3)));
-    double part = Math.max(0.05, roundToTenth(random.nextDouble()));
+    double seconds = Math.max(MIN_DURATION_S, roundToTenth(random.nextDouble(base.seconds() / 3)));
+    double fraction = Math.max(0.05, roundToTenth(random.nextDouble()));
     double size = switch (kind) {
       case "answer-lost", "fast-errors", "partition" -> Math.max(0.1, roundToTenth(random.nextDouble()));
       case "slow", "burst", "plan-burst", "volume-burst", "hot-volumes", "scan" -> 1 + roundToTenth(random
@@ -171,12 +176,12 @@
       case "late-write" -> Math.max(0.1, roundToTenth(random.nextDouble(3)));
       default -> 1;
     };
-    List<Day.VolumeLoad> v = base.volumes();
+    List<Day.VolumeLoad> volumes = base.volumes();
     return new Disturbance(at, kind, Day.LOAD_KINDS.contains(kind)
-        ? v.get(random.nextInt(v.size())).volume()
+        ? volumes.get(random.nextInt(volumes.size())).volume()
         : "",
-        lasts,
-        part, size);
+        seconds,
+        fraction, size);
   }
 
   private static double roundToTenth(double x) {
--- a/src/main/java/hollyslip/emulator/EmulatedClient.java
+++ b/src/main/java/hollyslip/emulator/EmulatedClient.java
@@ -60,12 +60,12 @@
       List<ByteBuffer> data = kind.modifiesData()
           ? List.of(ByteBuffer.allocate(Long.BYTES).putLong(0, writeId))
           : List.of();
-      IoRequest mine = new IoRequest(load.volume(), kind, offset, length, data, 0, this, mayHaveStarted);
-      ioRequest = mine;
+      IoRequest request = new IoRequest(load.volume(), kind, offset, length, data, 0, this, mayHaveStarted);
+      ioRequest = request;
       outstanding.add(this);
-      gateway.offer(mine, room -> {
-        accepted = room;
-        if (room) {
+      gateway.offer(request, hasRoom -> {
+        accepted = hasRoom;
+        if (hasRoom) {
           askedUs = emulation.events.now();
           deadlineUs = askedUs + requestClass.deadlineUs();
         } else {
@@ -87,9 +87,9 @@
       }
       answered = true;
       outstanding.remove(this);
-      Asked.Answer kindOfAnswer = Asked.Answer.valueOf(answer.kind().name());
-      recordOutcome(1, kindOfAnswer, false);
-      if (retryImmediately && kindOfAnswer != Asked.Answer.SERVED && !ended) {
+      Asked.Answer outcome = Asked.Answer.valueOf(answer.kind().name());
+      recordOutcome(1, outcome, false);
+      if (retryImmediately && outcome != Asked.Answer.SERVED && !ended) {
         addDueRequest();
       }
       submitBacklog();
@@ -111,15 +111,15 @@
     }
   }
 
-  EmulatedClient(World world, EmulatedGateway site, Day.VolumeLoad load, int number, int all,
+  EmulatedClient(World emulation, EmulatedGateway gateway, Day.VolumeLoad load, int index, int clientCount,
       long volumeBytes, long seed) {
-    this.emulation = world;
-    this.gateway = site;
+    this.emulation = emulation;
+    this.gateway = gateway;
     this.load = load;
-    name = load.volume() + "-" + number;
+    name = load.volume() + "-" + index;
     SplittableRandom seeds = new SplittableRandom(seed);
-    mix = new RequestMix(load, number, all, volumeBytes, seeds.nextLong());
-    arrivals = new ArrivalProcess(load.shape(), load.rate() / all, seeds.nextLong());
+    mix = new RequestMix(load, index, clientCount, volumeBytes, seeds.nextLong());
+    arrivals = new ArrivalProcess(load.shape(), load.rate() / clientCount, seeds.nextLong());
   }
 
   /** Schedules the next request. */
@@ -179,31 +179,31 @@
 
   /** The gateway was killed: outstanding requests are submitted again once it is back. */
   void onGatewayKilled() {
-    List<PendingRequest> again = new ArrayList<>(outstanding);
+    List<PendingRequest> resubmitted = new ArrayList<>(outstanding);
     outstanding.clear();
-    for (int i = again.size() - 1; i >= 0; i--) {
-      again.get(i).mayHaveStarted |= again.get(i).accepted;
-      again.get(i).accepted = false;
-      requeue(again.get(i));
+    for (int i = resubmitted.size() - 1; i >= 0; i--) {
+      resubmitted.get(i).mayHaveStarted |= resubmitted.get(i).accepted;
+      resubmitted.get(i).accepted = false;
+      requeue(resubmitted.get(i));
     }
   }
 
-  private void requeue(PendingRequest ask) {
+  private void requeue(PendingRequest request) {
     if (ended) {
       emulation.never(load.plan(), 1);
     } else {
-      backlog.addFirst(ask);
+      backlog.addFirst(request);
     }
   }
 
   /** Disconnects with all requests outstanding and continues as a new client. */
   void reconnect() {
-    for (PendingRequest a : List.copyOf(outstanding)) {
-      if (a.accepted) {
-        a.abandoned = true;
-        outstanding.remove(a);
-        a.recordOutcome(0, Asked.Answer.NONE, true);
-        gateway.abandon(a.ioRequest);
+    for (PendingRequest request : List.copyOf(outstanding)) {
+      if (request.accepted) {
+        request.abandoned = true;
+        outstanding.remove(request);
+        request.recordOutcome(0, Asked.Answer.NONE, true);
+        gateway.abandon(request.ioRequest);
       }
     }
     submitBacklog();
@@ -211,11 +211,11 @@
 
   /** Records the requests that are still unanswered at the end of the run. */
   void recordUnanswered() {
-    outstanding.forEach(a -> {
-      if (a.accepted) {
-        a.recordOutcome(0, Asked.Answer.NONE, false);
+    outstanding.forEach(request -> {
+      if (request.accepted) {
+        request.recordOutcome(0, Asked.Answer.NONE, false);
       }
     });
-    emulation.never(load.plan(), outstanding.stream().filter(a -> !a.accepted).count());
+    emulation.never(load.plan(), outstanding.stream().filter(request -> !request.accepted).count());
   }
 }
--- a/src/main/java/hollyslip/emulator/EmulatedConnection.java
+++ b/src/main/java/hollyslip/emulator/EmulatedConnection.java
@@ -22,11 +22,11 @@
   private final Set<InFlightCommand> sent = new LinkedHashSet<>();
   private long lastArrivalAtNode, lastArrivalAtGateway;
 
-  EmulatedConnection(EmulatedTransport net, EmulatedNode disk, long serial, EventQueue time) {
-    this.transport = net;
-    this.node = disk;
+  EmulatedConnection(EmulatedTransport transport, EmulatedNode node, long serial, EventQueue events) {
+    this.transport = transport;
+    this.node = node;
     this.serial = serial;
-    this.events = time;
+    this.events = events;
   }
 
   String client() {
@@ -45,14 +45,14 @@
     return waiting.size() + sent.size();
   }
 
-  private void deliverToNode(Runnable what) {
+  private void deliverToNode(Runnable action) {
     lastArrivalAtNode = Math.max(lastArrivalAtNode, transport.arrivalTime(node));
-    events.schedule(lastArrivalAtNode, what);
+    events.schedule(lastArrivalAtNode, action);
   }
 
-  void deliverToGateway(Runnable what) {
+  void deliverToGateway(Runnable action) {
     lastArrivalAtGateway = Math.max(lastArrivalAtGateway, transport.arrivalTime(node));
-    events.schedule(lastArrivalAtGateway, () -> transport.runAtGateway(what));
+    events.schedule(lastArrivalAtGateway, () -> transport.runAtGateway(action));
   }
 
   void connect(long timeoutUs) {
@@ -61,9 +61,9 @@
         deliverToGateway(() -> close(false));
       } else if (state == State.CONNECTING) {
         node.onConnected(this);
-        long boot = node.bootCount();
-        long age = node.ageUs();
-        deliverToGateway(() -> onReady(boot, age));
+        long bootCount = node.bootCount();
+        long ageUs = node.ageUs();
+        deliverToGateway(() -> onReady(bootCount, ageUs));
       }
     });
     events.scheduleAfter(timeoutUs, () -> transport.runAtGateway(() -> {
@@ -73,14 +73,14 @@
     }));
   }
 
-  private void onReady(long boot, long ageUs) {
+  private void onReady(long bootCount, long ageUs) {
     if (state != State.CONNECTING) {
       return;
     }
     state = State.READY;
-    if (transport.recordNodeStart(node, boot, ageUs)) {
+    if (transport.recordNodeStart(node, bootCount, ageUs)) {
       // The scheduler chose the node before it restarted; it decides anew for the cold node.
-      waiting.forEach(f -> transport.reportOutcome(f, Result.MOOT));
+      waiting.forEach(command -> transport.reportOutcome(command, Result.MOOT));
       waiting.clear();
     }
     transport.onFenced(node, serial);
@@ -88,41 +88,41 @@
     waiting.clear();
   }
 
-  void add(InFlightCommand f) {
+  void add(InFlightCommand command) {
     if (state == State.READY) {
-      transmit(f);
+      transmit(command);
     } else {
-      waiting.add(f);
+      waiting.add(command);
     }
   }
 
-  private void transmit(InFlightCommand f) {
-    f.sentUs = events.now();
-    sent.add(f);
+  private void transmit(InFlightCommand command) {
+    command.sentUs = events.now();
+    sent.add(command);
     deliverToNode(() -> {
       // A node process started since then does not know this connection.
       if (node.isConnected(this)) {
-        node.receive(f);
+        node.receive(command);
       }
     });
   }
 
   /** Sends the outcome of a command back to the gateway. */
-  void reply(InFlightCommand f, Result result) {
+  void reply(InFlightCommand command, Result result) {
     deliverToGateway(() -> {
-      if (state != State.CLOSED && sent.remove(f)) {
-        if (f.withdrawn) {
-          transport.reportResolved(f);
+      if (state != State.CLOSED && sent.remove(command)) {
+        if (command.withdrawn) {
+          transport.reportResolved(command);
         } else {
-          transport.reportOutcome(f, result);
+          transport.reportOutcome(command, result);
         }
       }
     });
   }
 
   /** Removes a command that has not been sent; returns false if it has been. */
-  boolean removeUnsent(InFlightCommand f) {
-    return waiting.remove(f);
+  boolean removeUnsent(InFlightCommand command) {
+    return waiting.remove(command);
   }
 
   /** Closes the gateway's end. Commands already sent may still run until a newer connection is made. */
@@ -134,18 +134,18 @@
     if (!broken) {
       deliverToNode(() -> node.onDisconnected(this));
     }
-    waiting.forEach(f -> transport.reportOutcome(f, Result.CONNECT_FAILED));
-    List<InFlightCommand> doubt = new ArrayList<>();
-    for (InFlightCommand f : sent) {
-      if (!f.withdrawn) {
-        transport.reportOutcome(f, Result.RESET);
+    waiting.forEach(command -> transport.reportOutcome(command, Result.CONNECT_FAILED));
+    List<InFlightCommand> uncertain = new ArrayList<>();
+    for (InFlightCommand command : sent) {
+      if (!command.withdrawn) {
+        transport.reportOutcome(command, Result.RESET);
       }
-      if (f.attempt.kind().modifiesData()) {
-        doubt.add(f);
+      if (command.attempt.kind().modifiesData()) {
+        uncertain.add(command);
       }
     }
     waiting.clear();
     sent.clear();
-    transport.onConnectionClosed(this, doubt);
+    transport.onConnectionClosed(this, uncertain);
   }
 }
--- a/src/main/java/hollyslip/emulator/EmulatedGateway.java
+++ b/src/main/java/hollyslip/emulator/EmulatedGateway.java
@@ -43,22 +43,24 @@
   private double busyUntil;
   private boolean runningEngine;
 
-  EmulatedGateway(World world, int index, RequestClassifier classifier, SplittableRandom random) {
-    this.emulation = world;
+  EmulatedGateway(World emulation, int index, RequestClassifier classifier, SplittableRandom random) {
+    this.emulation = emulation;
     this.index = index;
     this.classifier = classifier;
     this.random = random;
     name = "gateway-" + index;
-    HostScheduler.Settings s = world.deployment().module();
-    settings = new HostScheduler.Settings(s.seed(), index, s.hosts(), s.zone(), s.tickUs(), s.listOnRequest(),
-        s
-            .classes(), s.plans(), s.rules(), s.allowed(), s.store(), s.reportSource(), s.reportFields());
-    partitionedUntil = new long[world.nodes().size()];
+    HostScheduler.Settings common = emulation.deployment().module();
+    settings = new HostScheduler.Settings(common.seed(), index, common.hosts(), common.zone(), common
+        .tickUs(), common.listOnRequest(),
+        common
+            .classes(), common.plans(), common.rules(), common.allowed(), common.store(), common
+                .reportSource(), common.reportFields());
+    partitionedUntil = new long[emulation.nodes().size()];
   }
 
-  void add(EmulatedClient caller) {
-    clients.add(caller);
-    volumes.put(caller.load.volume(), emulation.volumes().get(caller.load.volume()));
+  void add(EmulatedClient client) {
+    clients.add(client);
+    volumes.put(client.load.volume(), emulation.volumes().get(client.load.volume()));
   }
 
   boolean isAlive() {
@@ -79,21 +81,21 @@
 
   /** Starts the gateway with the current node list. */
   void start() {
-    var g = emulation.deployment().gateway();
+    var gateway = emulation.deployment().gateway();
     alive = true;
     wakeAt = Long.MAX_VALUE;
     busyUntil = emulation.events.now();
     transport = new EmulatedTransport(this, ++epoch);
-    engine = new Engine(new Engine.Config(settings, classifier, new ExtentSplitter(MAX_COMMAND_BYTES), g
+    engine = new Engine(new Engine.Config(settings, classifier, new ExtentSplitter(MAX_COMMAND_BYTES), gateway
         .mostRequests(),
-        g
+        gateway
             .mostBytes(), 0), volumes, new TokenBorrowingScheduler(settings), emulation.events::now);
     engine.startWithoutThread(transport);
-    Engine mine = engine;
-    membership = new Membership(settings.rules().coldUs(), mine::updateNodes);
+    Engine startedEngine = engine;
+    membership = new Membership(settings.rules().coldUs(), startedEngine::updateNodes);
     membership.replaceAll(emulation.nodeEntries());
     emulation.recordNodeStates(this, emulation.nodeEntries());
-    clients.forEach(c -> c.onGatewayStarted(mine));
+    clients.forEach(client -> client.onGatewayStarted(startedEngine));
     runEngine();
   }
 
@@ -106,25 +108,25 @@
   }
 
   /** Time at which a message sent now arrives at the other end. */
-  long arrivalTime(EmulatedNode disk) {
+  long arrivalTime(EmulatedNode node) {
     long mean = emulation.scenario.nodes().netUs();
     long delay = mean / 2 + (mean > 0 ? random.nextLong(mean + 1) : 0);
-    return Math.max(emulation.events.now(), partitionedUntil[disk.index]) + delay;
+    return Math.max(emulation.events.now(), partitionedUntil[node.index]) + delay;
   }
 
   /** Makes a node unreachable from this gateway for the given time. */
-  void partition(EmulatedNode disk, long us) {
-    partitionedUntil[disk.index] = emulation.events.now() + us;
+  void partition(EmulatedNode node, long durationUs) {
+    partitionedUntil[node.index] = emulation.events.now() + durationUs;
   }
 
   /** Runs an input on the engine's thread, once that is done with earlier input. */
-  void runOnEngine(Runnable what) {
+  void runOnEngine(Runnable action) {
     busyUntil = Math.max(busyUntil, emulation.events.now()) + emulation.scenario.nodes().engineUs() / 2;
     long at = (long) busyUntil;
-    Engine mine = engine;
+    Engine currentEngine = engine;
     emulation.events.schedule(at, () -> {
-      if (engine == mine && alive) {
-        what.run();
+      if (engine == currentEngine && alive) {
+        action.run();
         runEngine();
       }
     });
@@ -136,13 +138,13 @@
       return;
     }
     runningEngine = true;
-    long next = engine.runUntilIdle();
+    long nextWakeUp = engine.runUntilIdle();
     runningEngine = false;
-    if (next < Long.MAX_VALUE && (next < wakeAt || wakeAt <= emulation.events.now())) {
-      wakeAt = next;
-      Engine mine = engine;
-      emulation.events.schedule(next, () -> {
-        if (engine == mine && alive) {
+    if (nextWakeUp < Long.MAX_VALUE && (nextWakeUp < wakeAt || wakeAt <= emulation.events.now())) {
+      wakeAt = nextWakeUp;
+      Engine currentEngine = engine;
+      emulation.events.schedule(nextWakeUp, () -> {
+        if (engine == currentEngine && alive) {
           if (wakeAt <= emulation.events.now()) {
             wakeAt = Long.MAX_VALUE;
           }
@@ -152,23 +154,23 @@
     }
   }
 
-  boolean recordNodeStart(EmulatedNode disk, long boot, long ageUs) {
-    return membership.recordStart(disk.index + 1, boot, ageUs, emulation.events.now());
+  boolean recordNodeStart(EmulatedNode node, long bootCount, long ageUs) {
+    return membership.recordStart(node.index + 1, bootCount, ageUs, emulation.events.now());
   }
 
   /** Delivers the operator's new state of one node. */
-  void updateNodeState(NodeEntry l) {
+  void updateNodeState(NodeEntry entry) {
     runOnEngine(() -> {
-      membership.setState(l.node(), l.state());
-      emulation.recordNodeStates(this, List.of(l));
+      membership.setState(entry.node(), entry.state());
+      emulation.recordNodeStates(this, List.of(entry));
     });
   }
 
   /** Delivers the node list that the scheduler asked for. */
   void requestNodeList() {
-    Engine mine = engine;
+    Engine currentEngine = engine;
     emulation.events.scheduleAfter(emulation.listDelay(random), () -> {
-      if (alive && engine == mine) {
+      if (alive && engine == currentEngine) {
         runOnEngine(() -> {
           if (emulation.nodeListDown()) {
             engine.nodeListFailed();
@@ -182,13 +184,13 @@
   }
 
   /** Offers a request to the engine; the client is told whether it was accepted. */
-  void offer(IoRequest io, Consumer<Boolean> taken) {
-    runOnEngine(() -> taken.accept(engine.offer(io)));
+  void offer(IoRequest request, Consumer<Boolean> listener) {
+    runOnEngine(() -> listener.accept(engine.offer(request)));
   }
 
-  void abandon(IoRequest io) {
+  void abandon(IoRequest request) {
     if (alive) {
-      runOnEngine(() -> engine.abandon(io));
+      runOnEngine(() -> engine.abandon(request));
     }
   }
 }
--- a/src/main/java/hollyslip/emulator/EmulatedNode.java
+++ b/src/main/java/hollyslip/emulator/EmulatedNode.java
@@ -32,13 +32,14 @@
   private long bootCount = 1;
   private long startedAtUs;
 
-  EmulatedNode(int index, EventQueue time, ServiceModel.Config config, SplittableRandom random, long ageUs) {
+  EmulatedNode(int index, EventQueue events, ServiceModel.Config config, SplittableRandom random,
+      long ageUs) {
     name = "store-" + index;
     this.index = index;
-    this.events = time;
+    this.events = events;
     this.config = config;
     this.random = random;
-    startedAtUs = time.now() - ageUs;
+    startedAtUs = events.now() - ageUs;
     model = new ServiceModel(config, random.nextLong(), startedAtUs);
   }
 
@@ -58,19 +59,19 @@
     model.slow(factor);
   }
 
-  void stallFor(long us) {
-    model.stall(events.now() + us);
+  void stallFor(long durationUs) {
+    model.stall(events.now() + durationUs);
   }
 
   /** Ends the node's process: pending commands are never executed, and its connections break. */
   void kill() {
     up = false;
-    pending.forEach(f -> recordCommand(f, 0, Command.Result.SWALLOWED));
+    pending.forEach(command -> recordCommand(command, 0, Command.Result.SWALLOWED));
     pending.clear();
     newestSerialByClient.clear();
     List<EmulatedConnection> broken = List.copyOf(connections);
     connections.clear();
-    broken.forEach(l -> l.deliverToGateway(() -> l.close(true)));
+    broken.forEach(connection -> connection.deliverToGateway(() -> connection.close(true)));
   }
 
   /** Starts the node cold; only its stored data survives. */
@@ -85,65 +86,66 @@
   }
 
   /** Accepts a connection, which fences the client's older ones. */
-  void onConnected(EmulatedConnection link) {
-    connections.add(link);
-    newestSerialByClient.merge(link.client(), link.serial, Math::max);
+  void onConnected(EmulatedConnection connection) {
+    connections.add(connection);
+    newestSerialByClient.merge(connection.client(), connection.serial, Math::max);
   }
 
-  boolean isConnected(EmulatedConnection link) {
-    return connections.contains(link);
+  boolean isConnected(EmulatedConnection connection) {
+    return connections.contains(connection);
   }
 
-  void onDisconnected(EmulatedConnection link) {
-    connections.remove(link);
+  void onDisconnected(EmulatedConnection connection) {
+    connections.remove(connection);
   }
 
   /** Receives a command. */
-  void receive(InFlightCommand f) {
-    f.receivedUs = events.now();
+  void receive(InFlightCommand command) {
+    command.receivedUs = events.now();
     if (faults.silent) {
-      recordCommand(f, 0, Command.Result.SWALLOWED);
+      recordCommand(command, 0, Command.Result.SWALLOWED);
       return;
     }
-    long at = faults.full || faults.draining
+    long doneAt = faults.full || faults.draining
         ? -1
-        : model.doneAt(events.now(), f.length, pending.size(), faults.heavyPart, faults.heavyFactor);
-    if (at < 0) {
-      recordCommand(f, 0, Command.Result.FULL);
-      f.connection.reply(f, hollyslip.HostScheduler.Result.FULL);
+        : model.doneAt(events.now(), command.length, pending.size(), faults.heavyPart, faults.heavyFactor);
+    if (doneAt < 0) {
+      recordCommand(command, 0, Command.Result.FULL);
+      command.connection.reply(command, hollyslip.HostScheduler.Result.FULL);
       return;
     }
-    pending.add(f);
-    events.schedule(at + (f.kind == Nbd.CMD_WRITE ? faults.lateWriteUs : 0), () -> finish(f));
+    pending.add(command);
+    events.schedule(doneAt + (command.kind == Nbd.CMD_WRITE ? faults.lateWriteUs : 0), () -> finish(command));
   }
 
-  private void finish(InFlightCommand f) {
-    if (!pending.remove(f)) {
+  private void finish(InFlightCommand command) {
+    if (!pending.remove(command)) {
       return;
     }
-    double chance = random.nextDouble();
-    if (newestSerialByClient.getOrDefault(f.connection.client(), 0L) > f.connection.serial) {
-      recordCommand(f, 0, Command.Result.FENCED);
-    } else if (chance < faults.errors) {
-      recordCommand(f, 0, Command.Result.ERROR);
-      f.connection.reply(f, hollyslip.HostScheduler.Result.ERROR);
-    } else if (chance < faults.errors + faults.loseAnswers) {
-      recordCommand(f, events.now(), Command.Result.DONE_SILENTLY);
+    double draw = random.nextDouble();
+    if (newestSerialByClient.getOrDefault(command.connection.client(), 0L) > command.connection.serial) {
+      recordCommand(command, 0, Command.Result.FENCED);
+    } else if (draw < faults.errors) {
+      recordCommand(command, 0, Command.Result.ERROR);
+      command.connection.reply(command, hollyslip.HostScheduler.Result.ERROR);
+    } else if (draw < faults.errors + faults.loseAnswers) {
+      recordCommand(command, events.now(), Command.Result.DONE_SILENTLY);
     } else {
-      recordCommand(f, events.now(), Command.Result.DONE);
-      f.connection.reply(f, hollyslip.HostScheduler.Result.OK);
+      recordCommand(command, events.now(), Command.Result.DONE);
+      command.connection.reply(command, hollyslip.HostScheduler.Result.OK);
     }
   }
 
-  private void recordCommand(InFlightCommand f, long done, Command.Result result) {
-    commandLog.add(new Command(name, bootCount, f.connection.process(), f.connection.serial, f.cookie,
-        f.export, f.kind, f.offset,
-        f.length, f.receivedUs, done, f.writeId, result, f.sentUs));
+  private void recordCommand(InFlightCommand command, long doneUs, Command.Result result) {
+    commandLog.add(new Command(name, bootCount, command.connection.process(), command.connection.serial,
+        command.cookie,
+        command.export, command.kind, command.offset,
+        command.length, command.receivedUs, doneUs, command.writeId, result, command.sentUs));
   }
 
   /** All commands received; to be called after the end of the run. */
   List<Command> commandLog() {
-    pending.forEach(f -> recordCommand(f, 0, Command.Result.SWALLOWED));
+    pending.forEach(command -> recordCommand(command, 0, Command.Result.SWALLOWED));
     pending.clear();
     return commandLog;
   }
--- a/src/main/java/hollyslip/emulator/EmulatedTransport.java
+++ b/src/main/java/hollyslip/emulator/EmulatedTransport.java
@@ -20,13 +20,13 @@
   /** The gateway process is gone and receives nothing any more. */
   private boolean closed;
 
-  EmulatedTransport(EmulatedGateway site, long epoch) {
-    this.gateway = site;
+  EmulatedTransport(EmulatedGateway gateway, long epoch) {
+    this.gateway = gateway;
     this.epoch = epoch;
-    connections = new EmulatedConnection[site.emulation.nodes().size()];
-    uncertainCommands = site.emulation.nodes()
+    connections = new EmulatedConnection[gateway.emulation.nodes().size()];
+    uncertainCommands = gateway.emulation.nodes()
         .stream()
-        .map(d -> new TreeMap<Long, List<InFlightCommand>>())
+        .map(node -> new TreeMap<Long, List<InFlightCommand>>())
         .toList();
   }
 
@@ -39,118 +39,120 @@
   }
 
   /** Time at which a message sent now arrives. */
-  long arrivalTime(EmulatedNode disk) {
-    return gateway.arrivalTime(disk);
+  long arrivalTime(EmulatedNode node) {
+    return gateway.arrivalTime(node);
   }
 
   /** Runs an action at the gateway unless the process is gone. */
-  void runAtGateway(Runnable what) {
+  void runAtGateway(Runnable action) {
     if (!closed) {
-      gateway.runOnEngine(what);
+      gateway.runOnEngine(action);
     }
   }
 
-  boolean recordNodeStart(EmulatedNode disk, long boot, long ageUs) {
-    return gateway.recordNodeStart(disk, boot, ageUs);
+  boolean recordNodeStart(EmulatedNode node, long bootCount, long ageUs) {
+    return gateway.recordNodeStart(node, bootCount, ageUs);
   }
 
-  void reportOutcome(InFlightCommand f, Result result) {
-    f.outcomeReported = true;
-    gateway.engine().attemptEnded(f.attempt, result, null);
+  void reportOutcome(InFlightCommand command, Result result) {
+    command.outcomeReported = true;
+    gateway.engine().attemptEnded(command.attempt, result, null);
   }
 
-  void reportResolved(InFlightCommand f) {
-    gateway.engine().attemptResolved(f.attempt);
+  void reportResolved(InFlightCommand command) {
+    gateway.engine().attemptResolved(command.attempt);
   }
 
-  private EmulatedNode node(long node) {
-    return gateway.emulation.nodes().get((int) node - 1);
+  private EmulatedNode node(long nodeId) {
+    return gateway.emulation.nodes().get((int) nodeId - 1);
   }
 
   @Override
   public void send(Attempt attempt) {
-    EmulatedNode disk = node(attempt.node());
-    EmulatedConnection link = connections[disk.index];
-    if (link == null || link.isClosed()) {
-      link = open(disk);
+    EmulatedNode node = node(attempt.node());
+    EmulatedConnection connection = connections[node.index];
+    if (connection == null || connection.isClosed()) {
+      connection = open(node);
     }
-    InFlightCommand f = new InFlightCommand(attempt, link);
-    attempt.handle = f;
-    if (link.commandCount() >= gateway.maxInFlight()) {
-      reportOutcome(f, Result.FULL);
+    InFlightCommand command = new InFlightCommand(attempt, connection);
+    attempt.handle = command;
+    if (connection.commandCount() >= gateway.maxInFlight()) {
+      reportOutcome(command, Result.FULL);
     } else {
-      link.add(f);
+      connection.add(command);
     }
   }
 
-  private EmulatedConnection open(EmulatedNode disk) {
-    EmulatedConnection link = new EmulatedConnection(this, disk, epoch << 32 | ++lastSerial,
+  private EmulatedConnection open(EmulatedNode node) {
+    EmulatedConnection connection = new EmulatedConnection(this, node, epoch << 32 | ++lastSerial,
         gateway.emulation.events);
-    connections[disk.index] = link;
-    link.connect(gateway.connectTimeoutUs());
-    return link;
+    connections[node.index] = connection;
+    connection.connect(gateway.connectTimeoutUs());
+    return connection;
   }
 
   @Override
   public WithdrawResult withdraw(Attempt attempt) {
-    InFlightCommand f = (InFlightCommand) attempt.handle;
-    if (f.outcomeReported) {
+    InFlightCommand command = (InFlightCommand) attempt.handle;
+    if (command.outcomeReported) {
       return WithdrawResult.ENDED;
     }
-    if (f.connection.removeUnsent(f)) {
-      f.outcomeReported = true;
+    if (command.connection.removeUnsent(command)) {
+      command.outcomeReported = true;
       return WithdrawResult.NEVER_SENT;
     }
-    f.withdrawn = true;
-    f.outcomeReported = true;
+    command.withdrawn = true;
+    command.outcomeReported = true;
     return WithdrawResult.MAY_RUN;
   }
 
   @Override
   public void fence(Attempt attempt) {
-    InFlightCommand f = (InFlightCommand) attempt.handle;
-    if (!f.connection.isClosed()) {
-      f.connection.close(false);
+    InFlightCommand command = (InFlightCommand) attempt.handle;
+    if (!command.connection.isClosed()) {
+      command.connection.close(false);
     } else {
-      reconnectIfUncertain(f.connection.node);
+      reconnectIfUncertain(command.connection.node);
     }
   }
 
   /** A newer connection was made, so commands of older connections can no longer take effect. */
-  void onFenced(EmulatedNode disk, long serial) {
-    var older = uncertainCommands.get(disk.index).headMap(serial);
-    List<InFlightCommand> over = older.values().stream().flatMap(List::stream).toList();
+  void onFenced(EmulatedNode node, long serial) {
+    var older = uncertainCommands.get(node.index).headMap(serial);
+    List<InFlightCommand> resolved = older.values().stream().flatMap(List::stream).toList();
     older.clear();
-    over.forEach(this::reportResolved);
+    resolved.forEach(this::reportResolved);
   }
 
   /** A connection was closed while these modifying commands were outstanding. */
-  void onConnectionClosed(EmulatedConnection link, List<InFlightCommand> doubt) {
-    if (connections[link.node.index] == link) {
-      connections[link.node.index] = null;
+  void onConnectionClosed(EmulatedConnection connection, List<InFlightCommand> uncertain) {
+    if (connections[connection.node.index] == connection) {
+      connections[connection.node.index] = null;
     }
-    if (!doubt.isEmpty()) {
-      uncertainCommands.get(link.node.index).put(link.serial, doubt);
-      reconnectIfUncertain(link.node);
-    } else if (!uncertainCommands.get(link.node.index).isEmpty()) {
+    if (!uncertain.isEmpty()) {
+      uncertainCommands.get(connection.node.index).put(connection.serial, uncertain);
+      reconnectIfUncertain(connection.node);
+    } else if (!uncertainCommands.get(connection.node.index).isEmpty()) {
       gateway.emulation.events.scheduleAfter(gateway.connectTimeoutUs(), () -> runAtGateway(
-          () -> reconnectIfUncertain(link.node)));
+          () -> reconnectIfUncertain(connection.node)));
     }
   }
 
-  private void reconnectIfUncertain(EmulatedNode disk) {
-    if (!uncertainCommands.get(disk.index).isEmpty() && connections[disk.index] == null) {
-      open(disk);
+  private void reconnectIfUncertain(EmulatedNode node) {
+    if (!uncertainCommands.get(node.index).isEmpty() && connections[node.index] == null) {
+      open(node);
     }
   }
 
   @Override
   public void probe(long node) {
-    EmulatedNode disk = node(node);
-    long from = gateway.emulation.events.now();
-    boolean up = disk.isUp() && !disk.faults.silent;
-    gateway.emulation.events.schedule(arrivalTime(disk) * 2 - from, () -> runAtGateway(() -> gateway.engine()
-        .probeEnded(node, up ? Result.OK : Result.CONNECT_FAILED, gateway.emulation.events.now() - from,
+    EmulatedNode target = node(node);
+    long sentUs = gateway.emulation.events.now();
+    boolean answers = target.isUp() && !target.faults.silent;
+    gateway.emulation.events.schedule(arrivalTime(target) * 2 - sentUs, () -> runAtGateway(() -> gateway
+        .engine()
+        .probeEnded(node, answers ? Result.OK : Result.CONNECT_FAILED, gateway.emulation.events.now()
+            - sentUs,
             null)));
   }
 
@@ -167,6 +169,8 @@
   @Override
   public void close() {
     closed = true;
-    Arrays.stream(connections).filter(l -> l != null).forEach(l -> l.node.onDisconnected(l));
+    Arrays.stream(connections)
+        .filter(connection -> connection != null)
+        .forEach(connection -> connection.node.onDisconnected(connection));
   }
 }
--- a/src/main/java/hollyslip/emulator/Estimate.java
+++ b/src/main/java/hollyslip/emulator/Estimate.java
@@ -17,17 +17,17 @@
 
   /** Estimates the mean of independent runs. */
   public static Estimate of(double... values) {
-    int n = values.length;
-    if (n == 0) {
+    int runs = values.length;
+    if (runs == 0) {
       throw new IllegalArgumentException("an estimate needs at least one run");
     }
     double mean = Arrays.stream(values).average().orElseThrow();
-    if (n == 1) {
+    if (runs == 1) {
       return new Estimate(mean, Double.POSITIVE_INFINITY, 1);
     }
-    double variance = Arrays.stream(values).map(v -> (v - mean) * (v - mean)).sum() / (n - 1);
-    double t = TDistribution.of(n - 1).inverseCumulativeProbability((1 + CONFIDENCE_LEVEL) / 2);
-    return new Estimate(mean, t * Math.sqrt(variance / n), n);
+    double variance = Arrays.stream(values).map(value -> (value - mean) * (value - mean)).sum() / (runs - 1);
+    double quantile = TDistribution.of(runs - 1).inverseCumulativeProbability((1 + CONFIDENCE_LEVEL) / 2);
+    return new Estimate(mean, quantile * Math.sqrt(variance / runs), runs);
   }
 
   /** Estimates by how much a second variant exceeds the first on the same seeds; pairing removes the variance
@@ -38,9 +38,9 @@
           + " and "
           + second.length);
     }
-    double[] d = new double[first.length];
-    Arrays.setAll(d, i -> second[i] - first[i]);
-    return of(d);
+    double[] differences = new double[first.length];
+    Arrays.setAll(differences, i -> second[i] - first[i]);
+    return of(differences);
   }
 
   /** Whether the mean differs significantly from zero. */
--- a/src/main/java/hollyslip/emulator/EventQueue.java
+++ b/src/main/java/hollyslip/emulator/EventQueue.java
@@ -14,8 +14,8 @@
 
   private record ScheduledEvent(long at, long order, Runnable action) implements Comparable<ScheduledEvent> {
     @Override
-    public int compareTo(ScheduledEvent o) {
-      return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+    public int compareTo(ScheduledEvent other) {
+      return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
     }
   }
 
@@ -24,21 +24,21 @@
   }
 
   /** Runs an action at the given time, or now if that time has passed. */
-  void schedule(long us, Runnable what) {
-    queue.add(new ScheduledEvent(Math.max(now, us), order++, what));
+  void schedule(long timeUs, Runnable action) {
+    queue.add(new ScheduledEvent(Math.max(now, timeUs), order++, action));
   }
 
-  void scheduleAfter(long us, Runnable what) {
-    schedule(now + us, what);
+  void scheduleAfter(long delayUs, Runnable action) {
+    schedule(now + delayUs, action);
   }
 
   /** Processes all events up to the given time. */
   void runUntil(long end) {
     while (!queue.isEmpty() && queue.peek().at <= end) {
-      ScheduledEvent h = queue.poll();
-      now = h.at;
+      ScheduledEvent event = queue.poll();
+      now = event.at;
       processedCount++;
-      h.action.run();
+      event.action.run();
     }
     now = Math.max(now, end);
   }
--- a/src/main/java/hollyslip/emulator/Experiment.java
+++ b/src/main/java/hollyslip/emulator/Experiment.java
@@ -40,8 +40,8 @@
       double refused,
       double failed, double p50, double p99, double p999, @JsonProperty("happenings") long eventCount,
       List<String> broken) {
-    boolean matches(Map<String, String> p, long s, String text) {
-      return point.equals(p) && seed == s && day.equals(text);
+    boolean matches(Map<String, String> otherPoint, long otherSeed, String dayText) {
+      return point.equals(otherPoint) && seed == otherSeed && day.equals(dayText);
     }
   }
 
@@ -63,14 +63,14 @@
   }
 
   private static Map<String, ToDoubleFunction<Run>> measures() {
-    Map<String, ToDoubleFunction<Run>> f = new LinkedHashMap<>();
-    f.put("in aim %", r -> 100 * r.inAim());
-    f.put("served %", r -> 100 * r.served());
-    f.put("refused %", r -> 100 * r.refused());
-    f.put("p50 ms", r -> r.p50() / 1e3);
-    f.put("p99 ms", r -> r.p99() / 1e3);
-    f.put("p99.9 ms", r -> r.p999() / 1e3);
-    return f;
+    Map<String, ToDoubleFunction<Run>> measures = new LinkedHashMap<>();
+    measures.put("in aim %", run -> 100 * run.inAim());
+    measures.put("served %", run -> 100 * run.served());
+    measures.put("refused %", run -> 100 * run.refused());
+    measures.put("p50 ms", run -> run.p50() / 1e3);
+    measures.put("p99 ms", run -> run.p99() / 1e3);
+    measures.put("p99.9 ms", run -> run.p999() / 1e3);
+    return measures;
   }
 
   /** Reads an experiment and its day file.
@@ -78,49 +78,50 @@
    * @throws IllegalArgumentException
    *           if either is invalid; the message names file and line, or the point of the sweep */
   public static Experiment read(Path file) throws IOException {
-    JsonNode said;
+    JsonNode declared;
     try {
       Script script = Script.run(file, FUNCTIONS);
-      said = script.declared();
-    } catch (ScriptError e) {
-      throw new IllegalArgumentException(e.text());
+      declared = script.declared();
+    } catch (ScriptError declaration) {
+      throw new IllegalArgumentException(declaration.text());
     }
-    if (said.path("experiment").size() != 1) {
+    if (declared.path("experiment").size() != 1) {
       throw new IllegalArgumentException(file + ": experiment(...) must occur exactly once");
     }
-    JsonNode e = said.get("experiment").get(0);
-    int seeds = e.path("seeds").asInt(8);
-    if (!e.path("day").isTextual() || seeds < 1 || seeds > 10_000) {
+    JsonNode declaration = declared.get("experiment").get(0);
+    int seeds = declaration.path("seeds").asInt(8);
+    if (!declaration.path("day").isTextual() || seeds < 1 || seeds > 10_000) {
       throw new IllegalArgumentException(file + ": experiment: needs a day and between 1 and 10,000 seeds");
     }
     Map<String, List<String>> sweeps = new LinkedHashMap<>();
     Map<String, Map<String, String>> linked = new LinkedHashMap<>();
-    for (JsonNode s : said.path("sweep")) {
+    for (JsonNode sweep : declared.path("sweep")) {
       List<String> values = new ArrayList<>();
-      String name = s.path("name").asText();
-      for (JsonNode v : s.path("values")) {
+      String name = sweep.path("name").asText();
+      for (JsonNode value : sweep.path("values")) {
         // A dict sets several names at once: the entry under the swept name is the value, the others go
         // with it.
-        values.add(v.isObject() ? v.path(name).asText() : v.asText());
-        v.fields()
-            .forEachRemaining(f -> linked.computeIfAbsent(name + "=" + values.get(values.size() - 1),
-                k -> new LinkedHashMap<>()).put(f.getKey(), f.getValue().asText()));
+        values.add(value.isObject() ? value.path(name).asText() : value.asText());
+        value.fields()
+            .forEachRemaining(entry -> linked.computeIfAbsent(name + "=" + values.get(values.size() - 1),
+                k -> new LinkedHashMap<>()).put(entry.getKey(), entry.getValue().asText()));
       }
-      if (!s.path("name").isTextual() || values.isEmpty()) {
+      if (!sweep.path("name").isTextual() || values.isEmpty()) {
         throw new IllegalArgumentException(file + ": sweep: needs a name and values");
       }
-      sweeps.put(s.get("name").asText(), values);
+      sweeps.put(sweep.get("name").asText(), values);
     }
-    String text = Files.readString(file.toAbsolutePath().resolveSibling(e.get("day").asText()));
-    Experiment x = new Experiment(text, seeds, sweeps, linked);
-    for (Map<String, String> p : x.points()) {
+    String text = Files.readString(file.toAbsolutePath().resolveSibling(declaration.get("day").asText()));
+    Experiment experiment = new Experiment(text, seeds, sweeps, linked);
+    for (Map<String, String> point : experiment.points()) {
       try {
-        x.scenario(p, 0);
-      } catch (IllegalArgumentException wrong) {
-        throw new IllegalArgumentException(e.get("day").asText() + " at " + p + ": " + wrong.getMessage());
+        experiment.scenario(point, 0);
+      } catch (IllegalArgumentException invalid) {
+        throw new IllegalArgumentException(declaration.get("day").asText() + " at " + point + ": " + invalid
+            .getMessage());
       }
     }
-    return x;
+    return experiment;
   }
 
   /** Names of the sweeps, in order. */
@@ -131,13 +132,13 @@
   /** All points of the sweep; the last name varies fastest. */
   public List<Map<String, String>> points() {
     List<Map<String, String>> all = List.of(Map.of());
-    for (Map.Entry<String, List<String>> s : sweeps.entrySet()) {
+    for (Map.Entry<String, List<String>> sweep : sweeps.entrySet()) {
       List<Map<String, String>> next = new ArrayList<>();
-      for (Map<String, String> p : all) {
-        for (String v : s.getValue()) {
-          Map<String, String> q = new LinkedHashMap<>(p);
-          q.put(s.getKey(), v);
-          next.add(q);
+      for (Map<String, String> point : all) {
+        for (String value : sweep.getValue()) {
+          Map<String, String> extended = new LinkedHashMap<>(point);
+          extended.put(sweep.getKey(), value);
+          next.add(extended);
         }
       }
       all = next;
@@ -147,18 +148,18 @@
 
   private String scenarioText(Map<String, String> point) {
     Map<String, String> all = new LinkedHashMap<>();
-    point.forEach((k, v) -> all.putAll(linkedValues.getOrDefault(k + "=" + v, Map.of())));
+    point.forEach((name, value) -> all.putAll(linkedValues.getOrDefault(name + "=" + value, Map.of())));
     all.putAll(point);
-    Matcher m = PLACEHOLDER.matcher(scenarioTemplate);
+    Matcher matcher = PLACEHOLDER.matcher(scenarioTemplate);
     StringBuilder out = new StringBuilder();
-    while (m.find()) {
-      String v = all.get(m.group(1));
-      if (v == null) {
-        throw new IllegalArgumentException("$" + m.group(1) + " is not swept");
+    while (matcher.find()) {
+      String value = all.get(matcher.group(1));
+      if (value == null) {
+        throw new IllegalArgumentException("$" + matcher.group(1) + " is not swept");
       }
-      m.appendReplacement(out, Matcher.quoteReplacement(v));
+      matcher.appendReplacement(out, Matcher.quoteReplacement(value));
     }
-    return m.appendTail(out).toString();
+    return matcher.appendTail(out).toString();
   }
 
   private Day scenario(Map<String, String> point, long seed) {
@@ -173,27 +174,27 @@
    *          called for each new run */
   public List<Run> run(Path kept, int threads, Consumer<Run> progress) throws IOException,
       InterruptedException {
-    List<Run> before = Files.exists(kept) ? readRuns(kept) : List.of();
+    List<Run> stored = Files.exists(kept) ? readRuns(kept) : List.of();
     List<Run> done = new ArrayList<>();
     ForkJoinPool pool = new ForkJoinPool(threads);
     try (Writer out = Files.newBufferedWriter(kept, StandardCharsets.UTF_8, StandardOpenOption.CREATE,
         StandardOpenOption.APPEND)) {
       List<java.util.concurrent.Future<Run>> running = new ArrayList<>();
-      for (Map<String, String> p : points()) {
+      for (Map<String, String> point : points()) {
         for (long seed = 1; seed <= seeds; seed++) {
-          long s = seed;
-          String t = scenarioText(p);
-          before.stream()
-              .filter(r -> r.matches(p, s, t))
+          long runSeed = seed;
+          String dayText = scenarioText(point);
+          stored.stream()
+              .filter(run -> run.matches(point, runSeed, dayText))
               .findFirst()
               .ifPresentOrElse(done::add, () -> running.add(pool
-                  .submit(() -> appendRun(out, play(p, s, t)))));
+                  .submit(() -> appendRun(out, play(point, runSeed, dayText)))));
         }
       }
-      for (var f : running) {
-        Run r = f.get();
-        done.add(r);
-        progress.accept(r);
+      for (var future : running) {
+        Run run = future.get();
+        done.add(run);
+        progress.accept(run);
       }
     } catch (ExecutionException e) {
       throw new IOException(e.getCause());
@@ -210,12 +211,12 @@
    *           if another line cannot be read; the message names it */
   private static List<Run> readRuns(Path kept) throws IOException {
     String text = Files.readString(kept);
-    int whole = text.lastIndexOf('\n') + 1;
-    if (whole < text.length()) {
-      Files.writeString(kept, text.substring(0, whole));
+    int completeLength = text.lastIndexOf('\n') + 1;
+    if (completeLength < text.length()) {
+      Files.writeString(kept, text.substring(0, completeLength));
     }
     List<Run> all = new ArrayList<>();
-    for (String line : text.substring(0, whole).lines().toList()) {
+    for (String line : text.substring(0, completeLength).lines().toList()) {
       try {
         all.add(JSON.readValue(line, Run.class));
       } catch (IOException e) {
@@ -226,28 +227,29 @@
     return all;
   }
 
-  private static Run appendRun(Writer out, Run r) throws IOException {
-    String line = JSON.writeValueAsString(r) + "\n";
+  private static Run appendRun(Writer out, Run run) throws IOException {
+    String line = JSON.writeValueAsString(run) + "\n";
     synchronized (out) {
       out.write(line);
       out.flush();
     }
-    return r;
+    return run;
   }
 
-  private Run play(Map<String, String> point, long seed, String of) {
-    Outcome o = World.play(scenario(point, seed));
-    Outcome.Tally t = o.all();
-    double n = Math.max(1, t.asked());
-    return new Run(point, seed, of, t.inAim(), t.count(Asked.Answer.SERVED) / n, t.count(Asked.Answer.REFUSED)
-        / n, t
-            .count(Asked.Answer.FAILED) / n, t.latency().getValueAtPercentile(50), t.latency()
-                .getValueAtPercentile(99), t
+  private Run play(Map<String, String> point, long seed, String dayText) {
+    Outcome result = World.play(scenario(point, seed));
+    Outcome.Tally tally = result.all();
+    double requests = Math.max(1, tally.asked());
+    return new Run(point, seed, dayText, tally.inAim(), tally.count(Asked.Answer.SERVED) / requests, tally
+        .count(Asked.Answer.REFUSED)
+        / requests, tally
+            .count(Asked.Answer.FAILED) / requests, tally.latency().getValueAtPercentile(50), tally.latency()
+                .getValueAtPercentile(99), tally
                     .latency()
-                    .getValueAtPercentile(99.9), o.happenings(), o.audit()
+                    .getValueAtPercentile(99.9), result.happenings(), result.audit()
                         .breaches()
                         .stream()
-                        .map(b -> b.rule().name())
+                        .map(breach -> breach.rule().name())
                         .distinct()
                         .sorted()
                         .toList());
@@ -256,7 +258,7 @@
   /** Runs at one point, ordered by seed. */
   public static List<Run> of(List<Run> runs, Map<String, String> point) {
     Map<Long, Run> bySeed = new TreeMap<>();
-    runs.stream().filter(r -> r.point().equals(point)).forEach(r -> bySeed.put(r.seed(), r));
+    runs.stream().filter(run -> run.point().equals(point)).forEach(run -> bySeed.put(run.seed(), run));
     return List.copyOf(bySeed.values());
   }
 }
--- a/src/main/java/hollyslip/emulator/Outcome.java
+++ b/src/main/java/hollyslip/emulator/Outcome.java
@@ -33,28 +33,28 @@
     private final Histogram latency = new Histogram(3_600_000_000L, 3);
     private long inAim, abandoned, neverSubmitted;
 
-    void add(Asked.Answer answer, boolean leaver, long tookUs, long aimUs) {
-      if (leaver) {
+    void add(Asked.Answer answer, boolean disconnected, long latencyUs, long aimUs) {
+      if (disconnected) {
         abandoned++;
         return;
       }
       answers.merge(answer, 1L, Long::sum);
       if (answer == Asked.Answer.SERVED) {
-        latency.recordValue(Math.min(tookUs, latency.getHighestTrackableValue()));
-        inAim += tookUs <= aimUs ? 1 : 0;
+        latency.recordValue(Math.min(latencyUs, latency.getHighestTrackableValue()));
+        inAim += latencyUs <= aimUs ? 1 : 0;
       }
     }
 
-    void neverSubmitted(long n) {
-      neverSubmitted += n;
+    void neverSubmitted(long count) {
+      neverSubmitted += count;
     }
 
-    void addAll(Tally o) {
-      o.answers.forEach((a, n) -> answers.merge(a, n, Long::sum));
-      latency.add(o.latency);
-      inAim += o.inAim;
-      abandoned += o.abandoned;
-      neverSubmitted += o.neverSubmitted;
+    void addAll(Tally other) {
+      other.answers.forEach((answer, count) -> answers.merge(answer, count, Long::sum));
+      latency.add(other.latency);
+      inAim += other.inAim;
+      abandoned += other.abandoned;
+      neverSubmitted += other.neverSubmitted;
     }
 
     /** Number of requests that ended with this answer. */
--- a/src/main/java/hollyslip/emulator/World.java
+++ b/src/main/java/hollyslip/emulator/World.java
@@ -77,10 +77,10 @@
    * @throws IllegalArgumentException
    *           if its plans or volumes do not make valid settings; the message names the reason */
   public static Outcome play(Day day) {
-    World w = new World(day, deployment(day));
-    w.build();
-    w.scenario.troubles().forEach(w::scheduleDisturbance);
-    return w.run();
+    World emulation = new World(day, deployment(day));
+    emulation.build();
+    emulation.scenario.troubles().forEach(emulation::scheduleDisturbance);
+    return emulation.run();
   }
 
   /** Settings of the scenario's gateways. */
@@ -98,9 +98,9 @@
         }
         return loaded.deployment();
       } finally {
-        try (Stream<Path> all = Files.walk(dir)) {
-          for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
-            Files.delete(p);
+        try (Stream<Path> files = Files.walk(dir)) {
+          for (Path path : files.sorted(Comparator.reverseOrder()).toList()) {
+            Files.delete(path);
           }
         }
       }
@@ -110,10 +110,11 @@
   }
 
   private void build() {
-    var n = scenario.nodes();
-    for (int i = 0; i < n.count(); i++) {
-      nodes.add(new EmulatedNode(i, events, ServiceModel.timed(n.cores(), n.queue(), n.baseUs()), random
-          .split(),
+    var nodeModel = scenario.nodes();
+    for (int i = 0; i < nodeModel.count(); i++) {
+      nodes.add(new EmulatedNode(i, events, ServiceModel.timed(nodeModel.cores(), nodeModel.queue(), nodeModel
+          .baseUs()), random
+              .split(),
           INITIAL_NODE_AGE_US));
     }
     for (int i = 0; i < scenario.gateways(); i++) {
@@ -121,20 +122,21 @@
     }
     // Drawn exactly as in the load generator, so that both submit the same requests at the same times.
     SplittableRandom clientSeeds = new SplittableRandom(scenario.seed());
-    for (Day.VolumeLoad v : scenario.volumes()) {
-      int all = scenario.clientCount(v);
-      for (int c = 0; c < all; c++) {
-        EmulatedGateway site = gateways.get(scenario.gatewayOf(v, c));
-        EmulatedClient caller = new EmulatedClient(this, site, v, c, all, volumes.get(v.volume()).bytes(),
+    for (Day.VolumeLoad load : scenario.volumes()) {
+      int clientCount = scenario.clientCount(load);
+      for (int index = 0; index < clientCount; index++) {
+        EmulatedGateway gateway = gateways.get(scenario.gatewayOf(load, index));
+        EmulatedClient client = new EmulatedClient(this, gateway, load, index, clientCount, volumes.get(load
+            .volume()).bytes(),
             clientSeeds
                 .nextLong());
-        site.add(caller);
-        clients.add(caller);
+        gateway.add(client);
+        clients.add(client);
       }
     }
-    gateways.forEach(s -> {
-      operatorRecords.add(new Told.Started(s.name, events.now()));
-      s.start();
+    gateways.forEach(emulated -> {
+      operatorRecords.add(new Told.Started(emulated.name, events.now()));
+      emulated.start();
     });
     clients.forEach(EmulatedClient::scheduleNextArrival);
   }
@@ -150,7 +152,7 @@
         .orElseThrow());
     clients.forEach(EmulatedClient::recordUnanswered);
     List<Command> commands = new ArrayList<>();
-    nodes.forEach(d -> commands.addAll(d.commandLog()));
+    nodes.forEach(node -> commands.addAll(node.commandLog()));
     return new Outcome(Auditor.check(ScenarioSettings.auditFigures(deployment, 0, 0), asked, commands,
         operatorRecords), tallies,
         kinds, timeline, events
@@ -175,8 +177,8 @@
     return nodeListDown;
   }
 
-  long listDelay(SplittableRandom of) {
-    return of.nextLong(MAX_LIST_DELAY_US);
+  long listDelay(SplittableRandom source) {
+    return source.nextLong(MAX_LIST_DELAY_US);
   }
 
   long nextWriteId() {
@@ -185,45 +187,51 @@
 
   RequestClass requestClass(IoKind kind, long length) {
     String name = classifier.className(kind, length);
-    return deployment.classes().stream().filter(c -> c.name().equals(name)).findFirst().orElseThrow();
+    return deployment.classes()
+        .stream()
+        .filter(candidate -> candidate.name().equals(name))
+        .findFirst()
+        .orElseThrow();
   }
 
   /** The node list as the operator sees it. */
   List<NodeEntry> nodeEntries() {
-    List<NodeEntry> all = new ArrayList<>();
+    List<NodeEntry> entries = new ArrayList<>();
     for (int i = 0; i < states.length; i++) {
-      all.add(nodeEntries(i));
+      entries.add(nodeEntries(i));
     }
-    return all;
+    return entries;
   }
 
-  private NodeEntry nodeEntries(int disk) {
-    return new NodeEntry(disk + 1, deployment.nodes().get(disk).zone(), disk, states[disk], 0);
+  private NodeEntry nodeEntries(int node) {
+    return new NodeEntry(node + 1, deployment.nodes().get(node).zone(), node, states[node], 0);
   }
 
   /** Records the node states that a gateway has been told. */
-  void recordNodeStates(EmulatedGateway site, List<NodeEntry> list) {
-    for (NodeEntry l : list) {
-      String key = site.name + "/" + l.node();
+  void recordNodeStates(EmulatedGateway gateway, List<NodeEntry> entries) {
+    for (NodeEntry entry : entries) {
+      String key = gateway.name + "/" + entry.node();
       NodeState before = lastToldStates.getOrDefault(key, NodeState.ON);
-      if (before != l.state()) {
-        lastToldStates.put(key, l.state());
-        operatorRecords.add(new Told.State(site.name, nodes.get((int) l.node() - 1).name, l.state(), events
-            .now()));
+      if (before != entry.state()) {
+        lastToldStates.put(key, entry.state());
+        operatorRecords.add(new Told.State(gateway.name, nodes.get((int) entry.node() - 1).name, entry
+            .state(), events
+                .now()));
       }
     }
   }
 
-  void recordRequest(Asked a, String plan, long dueUs, long aimUs) {
-    asked.add(a);
-    tally(plan).add(a.answer(), a.left(), a.answeredUs() - dueUs, aimUs);
-    kinds.computeIfAbsent(plan + (a.kind() == Nbd.CMD_READ ? ".read" : ".write"), k -> new Outcome.Tally())
-        .add(a.answer(), a.left(), a.answeredUs() - dueUs, aimUs);
+  void recordRequest(Asked request, String plan, long dueUs, long aimUs) {
+    asked.add(request);
+    tally(plan).add(request.answer(), request.left(), request.answeredUs() - dueUs, aimUs);
+    kinds.computeIfAbsent(plan + (request.kind() == Nbd.CMD_READ ? ".read" : ".write"),
+        key -> new Outcome.Tally())
+        .add(request.answer(), request.left(), request.answeredUs() - dueUs, aimUs);
     int interval = (int) ((dueUs - EventQueue.START_US) / Outcome.INTERVAL_US);
     while (timeline.size() <= interval) {
       timeline.add(new Outcome.Tally());
     }
-    timeline.get(interval).add(a.answer(), a.left(), a.answeredUs() - dueUs, aimUs);
+    timeline.get(interval).add(request.answer(), request.left(), request.answeredUs() - dueUs, aimUs);
   }
 
   void never(String plan, long count) {
@@ -236,132 +244,155 @@
 
   // Disturbances.
 
-  private void schedule(double seconds, Runnable what) {
-    events.schedule(EventQueue.START_US + (long) (seconds * 1e6), what);
+  private void schedule(double seconds, Runnable action) {
+    events.schedule(EventQueue.START_US + (long) (seconds * 1e6), action);
   }
 
-  private void scheduleDisturbance(Day.Disturbance t) {
-    double end = t.at() + t.seconds();
-    switch (t.kind()) {
-      case "stall" -> scheduleOnNodes(t, d -> d.stallFor((long) (t.seconds() * 1e6)), d -> {});
-      case "hang" -> scheduleOnNodes(t, d -> d.faults.silent = true, d -> d.faults.silent = false);
-      case "vanish" -> scheduleOnNodes(t, d -> d.faults.silent = true, this::restart);
-      case "mass-restart" -> scheduleOnNodes(t, this::restart, d -> {});
-      case "fast-errors" -> scheduleOnNodes(t, d -> d.faults.errors = t.size(), d -> d.faults.errors = 0);
-      case "answer-lost" -> scheduleOnNodes(t, d -> d.faults.loseAnswers = t.size(),
-          d -> d.faults.loseAnswers = 0);
-      case "late-write" -> scheduleOnNodes(t, d -> d.faults.lateWriteUs = (long) (t.size() * 1e6),
-          d -> d.faults.lateWriteUs = 0);
-      case "slow" -> scheduleOnNodes(t, d -> d.setSlowdown(Math.max(0.01, t.size())), d -> d.setSlowdown(1));
-      case "full" -> scheduleOnNodes(t, d -> d.faults.full = true, d -> d.faults.full = false);
-      case "heavy-tail" -> scheduleOnNodes(t, d -> {
-        d.faults.heavyFactor = t.size();
-        d.faults.heavyPart = 0.02;
-      }, d -> d.faults.heavyPart = 0);
-      case "drain" -> scheduleOnNodes(t, d -> setNodeState(d, NodeState.DRAINING), d -> setNodeState(d,
-          NodeState.ON));
-      case "preempt" -> scheduleOnNodes(t, d -> {
-        setNodeState(d, NodeState.DRAINING);
-        events.scheduleAfter((long) (1e6 * t.killDelaySeconds()), d::kill);
-      }, d -> {
-        restart(d);
-        setNodeState(d, NodeState.ON);
+  private void scheduleDisturbance(Day.Disturbance disturbance) {
+    double endSeconds = disturbance.at() + disturbance.seconds();
+    switch (disturbance.kind()) {
+      case "stall" -> scheduleOnNodes(disturbance, node -> node.stallFor((long) (disturbance.seconds()
+          * 1e6)), node -> {});
+      case "hang" -> scheduleOnNodes(disturbance, node -> node.faults.silent = true,
+          node -> node.faults.silent = false);
+      case "vanish" -> scheduleOnNodes(disturbance, node -> node.faults.silent = true, this::restart);
+      case "mass-restart" -> scheduleOnNodes(disturbance, this::restart, node -> {});
+      case "fast-errors" -> scheduleOnNodes(disturbance, node -> node.faults.errors = disturbance.size(),
+          node -> node.faults.errors = 0);
+      case "answer-lost" -> scheduleOnNodes(disturbance, node -> node.faults.loseAnswers = disturbance.size(),
+          node -> node.faults.loseAnswers = 0);
+      case "late-write" -> scheduleOnNodes(disturbance, node -> node.faults.lateWriteUs = (long) (disturbance
+          .size() * 1e6),
+          node -> node.faults.lateWriteUs = 0);
+      case "slow" -> scheduleOnNodes(disturbance, node -> node.setSlowdown(Math.max(0.01, disturbance
+          .size())), node -> node.setSlowdown(1));
+      case "full" -> scheduleOnNodes(disturbance, node -> node.faults.full = true,
+          node -> node.faults.full = false);
+      case "heavy-tail" -> scheduleOnNodes(disturbance, node -> {
+        node.faults.heavyFactor = disturbance.size();
+        node.faults.heavyPart = 0.02;
+      }, node -> node.faults.heavyPart = 0);
+      case "drain" -> scheduleOnNodes(disturbance, node -> setNodeState(node, NodeState.DRAINING),
+          node -> setNodeState(node,
+              NodeState.ON));
+      case "preempt" -> scheduleOnNodes(disturbance, node -> {
+        setNodeState(node, NodeState.DRAINING);
+        events.scheduleAfter((long) (1e6 * disturbance.killDelaySeconds()), node::kill);
+      }, node -> {
+        restart(node);
+        setNodeState(node, NodeState.ON);
       });
       case "partition" -> {
-        List<EmulatedGateway> cut = gateways.stream().filter(s -> random.nextDouble() < t.size()).toList();
-        scheduleOnNodes(t, d -> cut.forEach(s -> s.partition(d, (long) (t.seconds() * 1e6))), d -> {});
+        List<EmulatedGateway> partitioned = gateways.stream()
+            .filter(gateway -> random.nextDouble() < disturbance.size())
+            .toList();
+        scheduleOnNodes(disturbance, node -> partitioned.forEach(gateway -> gateway.partition(node,
+            (long) (disturbance.seconds() * 1e6))), node -> {});
       }
-      case "burst" -> scheduleLoadFactor(t, c -> true);
-      case "plan-burst" -> scheduleLoadFactor(t, c -> c.load.plan().equals(t.target()));
-      case "volume-burst" -> scheduleLoadFactor(t, c -> c.load.volume().equals(t.target()));
+      case "burst" -> scheduleLoadFactor(disturbance, client -> true);
+      case "plan-burst" -> scheduleLoadFactor(disturbance, client -> client.load.plan()
+          .equals(disturbance.target()));
+      case "volume-burst" -> scheduleLoadFactor(disturbance, client -> client.load.volume()
+          .equals(disturbance.target()));
       case "hot-volumes", "scan" -> {
-        List<EmulatedClient> hot = clients.stream().filter(c -> random.nextDouble() < t.fraction()).toList();
-        scheduleLoadFactor(t, hot::contains);
-        boolean scan = t.kind().equals("scan");
-        schedule(t.at(), () -> hot.forEach(c -> c.readsOnly(scan)));
-        schedule(end, () -> hot.forEach(c -> c.readsOnly(false)));
+        List<EmulatedClient> selected = clients.stream()
+            .filter(client -> random.nextDouble() < disturbance.fraction())
+            .toList();
+        scheduleLoadFactor(disturbance, selected::contains);
+        boolean scan = disturbance.kind().equals("scan");
+        schedule(disturbance.at(), () -> selected.forEach(client -> client.readsOnly(scan)));
+        schedule(endSeconds, () -> selected.forEach(client -> client.readsOnly(false)));
       }
       case "retry-abuse" -> {
-        schedule(t.at(), () -> targetClients(t).forEach(c -> c.retryImmediately(true)));
-        schedule(end, () -> targetClients(t).forEach(c -> c.retryImmediately(false)));
+        schedule(disturbance.at(), () -> targetClients(disturbance).forEach(client -> client.retryImmediately(
+            true)));
+        schedule(endSeconds, () -> targetClients(disturbance).forEach(client -> client.retryImmediately(
+            false)));
       }
-      case "reconnect" -> schedule(t.at(), () -> clients.stream()
-          .filter(c -> random.nextDouble() < t.fraction())
+      case "reconnect" -> schedule(disturbance.at(), () -> clients.stream()
+          .filter(client -> random.nextDouble() < disturbance.fraction())
           .forEach(EmulatedClient::reconnect));
-      case "client-vanish" -> schedule(t.at(), () -> targetClients(t).stream()
+      case "client-vanish" -> schedule(disturbance.at(), () -> targetClients(disturbance).stream()
           .limit(1)
           .forEach(EmulatedClient::reconnect));
       case "list-down" -> {
-        schedule(t.at(), () -> nodeListDown = true);
-        schedule(end, () -> {
+        schedule(disturbance.at(), () -> nodeListDown = true);
+        schedule(endSeconds, () -> {
           nodeListDown = false;
           publishNodeList();
         });
       }
-      case "gateway-crash" -> scheduleCrash(gateways.get(random.nextInt(gateways.size())), t);
-      default -> throw new IllegalStateException(t.kind());
+      case "gateway-crash" -> scheduleCrash(gateways.get(random.nextInt(gateways.size())), disturbance);
+      default -> throw new IllegalStateException(disturbance.kind());
     }
   }
 
-  private void scheduleCrash(EmulatedGateway site, Day.Disturbance t) {
-    schedule(t.at(), () -> {
-      if (site.isAlive()) {
-        site.kill();
+  private void scheduleCrash(EmulatedGateway gateway, Day.Disturbance disturbance) {
+    schedule(disturbance.at(), () -> {
+      if (gateway.isAlive()) {
+        gateway.kill();
       }
     });
-    schedule(t.at() + t.seconds(), () -> {
-      if (!site.isAlive()) {
-        operatorRecords.add(new Told.Started(site.name, events.now()));
-        site.start();
+    schedule(disturbance.at() + disturbance.seconds(), () -> {
+      if (!gateway.isAlive()) {
+        operatorRecords.add(new Told.Started(gateway.name, events.now()));
+        gateway.start();
       }
     });
   }
 
-  private void scheduleOnNodes(Day.Disturbance t, Consumer<EmulatedNode> begin, Consumer<EmulatedNode> end) {
-    for (EmulatedNode d : affectedNodes(t)) {
-      schedule(t.at(), () -> begin.accept(d));
-      schedule(t.at() + t.seconds(), () -> end.accept(d));
+  private void scheduleOnNodes(Day.Disturbance disturbance, Consumer<EmulatedNode> begin,
+      Consumer<EmulatedNode> end) {
+    for (EmulatedNode node : affectedNodes(disturbance)) {
+      schedule(disturbance.at(), () -> begin.accept(node));
+      schedule(disturbance.at() + disturbance.seconds(), () -> end.accept(node));
     }
   }
 
-  private List<EmulatedNode> affectedNodes(Day.Disturbance t) {
-    if (!t.target().isEmpty()) {
-      return nodes.stream().filter(d -> d.name.equals(t.target())).toList();
+  private List<EmulatedNode> affectedNodes(Day.Disturbance disturbance) {
+    if (!disturbance.target().isEmpty()) {
+      return nodes.stream().filter(node -> node.name.equals(disturbance.target())).toList();
     }
-    List<EmulatedNode> left = new ArrayList<>(nodes);
+    List<EmulatedNode> remaining = new ArrayList<>(nodes);
     List<EmulatedNode> chosen = new ArrayList<>();
-    for (long n = Math.max(1, Math.round(t.fraction() * nodes.size())); n > 0 && !left.isEmpty(); n--) {
-      chosen.add(left.remove(random.nextInt(left.size())));
+    for (long n = Math.max(1, Math.round(disturbance.fraction() * nodes.size())); n > 0 && !remaining
+        .isEmpty(); n--) {
+      chosen.add(remaining.remove(random.nextInt(remaining.size())));
     }
     return chosen;
   }
 
-  private List<EmulatedClient> targetClients(Day.Disturbance t) {
+  private List<EmulatedClient> targetClients(Day.Disturbance disturbance) {
     return clients.stream()
-        .filter(c -> c.load.volume().equals(t.target()) || c.load.plan().equals(t.target()))
+        .filter(client -> client.load.volume().equals(disturbance.target()) || client.load.plan()
+            .equals(disturbance.target()))
         .toList();
   }
 
-  private void scheduleLoadFactor(Day.Disturbance t, Predicate<EmulatedClient> which) {
-    schedule(t.at(), () -> clients.stream().filter(which).forEach(c -> c.rateFactor(t.size())));
-    schedule(t.at() + t.seconds(), () -> clients.stream().filter(which).forEach(c -> c.rateFactor(1)));
+  private void scheduleLoadFactor(Day.Disturbance disturbance, Predicate<EmulatedClient> filter) {
+    schedule(disturbance.at(), () -> clients.stream()
+        .filter(filter)
+        .forEach(client -> client.rateFactor(disturbance.size())));
+    schedule(disturbance.at() + disturbance.seconds(), () -> clients.stream()
+        .filter(filter)
+        .forEach(client -> client.rateFactor(1)));
   }
 
-  private void restart(EmulatedNode d) {
-    d.faults.clear();
-    d.start();
-    operatorRecords.add(new Told.Born(d.name, events.now()));
+  private void restart(EmulatedNode node) {
+    node.faults.clear();
+    node.start();
+    operatorRecords.add(new Told.Born(node.name, events.now()));
   }
 
-  private void setNodeState(EmulatedNode d, NodeState state) {
-    states[d.index] = state;
+  private void setNodeState(EmulatedNode node, NodeState state) {
+    states[node.index] = state;
     if (!nodeListDown) {
-      NodeEntry l = nodeEntries(d.index);
+      NodeEntry entry = nodeEntries(node.index);
       gateways.stream()
           .filter(EmulatedGateway::isAlive)
-          .forEach(s -> events.scheduleAfter(listDelay(random), () -> {
-            if (s.isAlive() && states[d.index] == state) {
-              s.updateNodeState(l);
+          .forEach(gateway -> events.scheduleAfter(listDelay(random), () -> {
+            if (gateway.isAlive() && states[node.index] == state) {
+              gateway.updateNodeState(entry);
             }
           }));
     }
--- a/src/test/java/hollyslip/emulator/EmulationTest.java
+++ b/src/test/java/hollyslip/emulator/EmulationTest.java
@@ -13,7 +13,7 @@
 /** The emulator is deterministic, has the modelled latencies, and passes the same audit as runs over
  * sockets. */
 class EmulationTest {
-  private static final String SITE = """
+  private static final String SCENARIO = """
       day %s
       seed %d
       gateways 2
@@ -25,17 +25,17 @@
       """;
 
   private static Day day(String seconds, long seed, String... troubles) {
-    return Day.parse(SITE.formatted(seconds, seed) + String.join("\n", troubles));
+    return Day.parse(SCENARIO.formatted(seconds, seed) + String.join("\n", troubles));
   }
 
-  private static String figures(Outcome o) {
-    return o.happenings() + " " + o.all().asked() + " " + o.all().inAim() + " " + o.all()
+  private static String figures(Outcome result) {
+    return result.happenings() + " " + result.all().asked() + " " + result.all().inAim() + " " + result.all()
         .latency()
-        .getValueAtPercentile(99.9) + " " + o.audit().checked();
+        .getValueAtPercentile(99.9) + " " + result.audit().checked();
   }
 
   @Test
-  void equalDaysGiveEqualRunsWhateverThreadsRunThem() {
+  void equalScenariosGiveEqualRunsOnAnyThread() {
     Day day = day("6", 3, "at 1 stall part 0.5 for 1", "at 2 gateway-crash for 1",
         "at 4 answer-lost part 0.5 size 0.2 for 1");
     List<String> runs = LongStream.range(0, 4).parallel().mapToObj(i -> figures(World.play(day))).toList();
@@ -44,30 +44,30 @@
   }
 
   @Test
-  void aQuietDayServesAllInAFewServiceTimes() {
-    Outcome o = World.play(day("10", 1));
-    assertTrue(o.audit().kept(), () -> o.audit().breaches().toString());
-    assertEquals(o.all().asked(), o.all().count(Asked.Answer.SERVED));
+  void undisturbedLoadIsServedWithinAFewServiceTimes() {
+    Outcome result = World.play(day("10", 1));
+    assertTrue(result.audit().kept(), () -> result.audit().breaches().toString());
+    assertEquals(result.all().asked(), result.all().count(Asked.Answer.SERVED));
     // A core takes 0.7 to 1.3 ms, the network 40 us each way.
-    long p50 = o.all().latency().getValueAtPercentile(50);
+    long p50 = result.all().latency().getValueAtPercentile(50);
     assertTrue(p50 > 1_000 && p50 < 2_000, "p50 of " + p50 + " us");
   }
 
   /** Requests due during a stall must all be counted, each late by the remainder of the stall. */
   @Test
-  void aStallShowsInTheTail() {
-    Outcome o = World.play(day("10", 1, "at 4 stall part 1 for 1"));
-    assertTrue(o.audit().kept(), () -> o.audit().breaches().toString());
+  void stallShowsInTailLatency() {
+    Outcome result = World.play(day("10", 1, "at 4 stall part 1 for 1"));
+    assertTrue(result.audit().kept(), () -> result.audit().breaches().toString());
     // A tenth of all requests falls due during the second of the stall, and at least half of these are
     // more than 500 ms late. The nodes have capacity again at once; estimates that took seconds to forget
     // the stall raised the figure to 0.16 of all.
-    double late = 1 - o.all().latency().getPercentileAtOrBelowValue(500_000) / 100;
-    double refused = (double) o.all().count(Asked.Answer.REFUSED) / o.all().asked();
+    double late = 1 - result.all().latency().getPercentileAtOrBelowValue(500_000) / 100;
+    double refused = (double) result.all().count(Asked.Answer.REFUSED) / result.all().asked();
     assertTrue(late + refused > 0.045 && late + refused < 0.11, late + " late, " + refused + " refused");
   }
 
   @Test
-  void aBadDayOfEveryKindKeepsTheRules() {
+  void everyKindOfDisturbanceKeepsTheRules() {
     StringBuilder all = new StringBuilder();
     double at = 1;
     for (String kind : new java.util.TreeSet<>(Day.KINDS)) {
@@ -79,9 +79,10 @@
               Day.LOAD_KINDS.contains(kind) ? " target orders for 1 size 3\n" : " part 0.5 for 1 size 0.3\n");
       at += 0.7;
     }
-    Outcome o = World.play(day("20", 5, all.toString()));
-    assertTrue(o.audit().kept(), () -> o.audit().breaches().toString());
-    assertTrue(o.audit().checked().values().stream().filter(n -> n > 0).count() >= 6, () -> o.audit()
+    Outcome result = World.play(day("20", 5, all.toString()));
+    assertTrue(result.audit().kept(), () -> result.audit().breaches().toString());
+    assertTrue(result.audit().checked().values().stream().filter(n -> n > 0).count() >= 6, () -> result
+        .audit()
         .checked()
         .toString());
   }
@@ -89,28 +90,28 @@
   /** Messages sent during a partition arrive after it; requests made in the meantime must still be answered
    * in time. */
   @Test
-  void aCutNetworkCostsNoRule() {
-    Outcome o = World.play(day("12", 2, "at 3 partition part 1 size 1 for 4"));
-    assertTrue(o.audit().kept(), () -> o.audit().breaches().toString());
-    assertTrue(o.all().count(Asked.Answer.SERVED) > o.all().asked() / 2);
-    assertTrue(o.all().count(Asked.Answer.SERVED) < o.all().asked());
+  void partitionBreaksNoRule() {
+    Outcome result = World.play(day("12", 2, "at 3 partition part 1 size 1 for 4"));
+    assertTrue(result.audit().kept(), () -> result.audit().breaches().toString());
+    assertTrue(result.all().count(Asked.Answer.SERVED) > result.all().asked() / 2);
+    assertTrue(result.all().count(Asked.Answer.SERVED) < result.all().asked());
   }
 
   /** Found by the scenario search: a killed gateway had sent a write and the answer was lost; the next
    * gateway process refused the write as safe to retry. */
   @Test
-  void aWriteThatAKilledGatewayMayHaveDoneIsNotRefused() {
-    Outcome o = World.play(day("10", 17, "at 3.6 answer-lost for 2.6 part 0.9 size 0.7",
+  void writeThatAKilledGatewayMayHaveExecutedIsNotRefused() {
+    Outcome result = World.play(day("10", 17, "at 3.6 answer-lost for 2.6 part 0.9 size 0.7",
         "at 6 gateway-crash for 1.5", "at 7.4 preempt for 2 part 1"));
-    assertTrue(o.audit().kept(), () -> o.audit().breaches().toString());
-    assertTrue(o.all().count(Asked.Answer.FAILED) > 0);
+    assertTrue(result.audit().kept(), () -> result.audit().breaches().toString());
+    assertTrue(result.all().count(Asked.Answer.FAILED) > 0);
   }
 
   /** Found by the scenario search: requests that had waited for seconds in the admission queue earned retries
    * when they were admitted, in a window in which they had not been taken. */
   @Test
-  void whatWaitedAtTheDoorEarnsNoFurtherAttempts() {
-    Outcome o = World.play(Day.parse(
+  void requestsFromTheAdmissionQueueEarnNoRetries() {
+    Outcome result = World.play(Day.parse(
         """
             day 20.0
             seed 814606828664
@@ -124,6 +125,6 @@
             volume scans plan plain size-mib 24 rate 40.0 reads 0.95 most-blocks 64 depth 16 clients 1 shape onoff period 4.0 swing 0.0 hosts 0 spread 0 first 0
             at 10.9 fast-errors for 6.6 part 1.0 size 0.6
             """));
-    assertTrue(o.audit().kept(), () -> o.audit().breaches().toString());
+    assertTrue(result.audit().kept(), () -> result.audit().breaches().toString());
   }
 }
--- a/src/test/java/hollyslip/load/ScenarioTest.java
+++ b/src/test/java/hollyslip/load/ScenarioTest.java
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void faultsNameTheLine() {
+  void errorsNameTheLine() {
     assertEquals(5, Day.parse(SHORT).troubles().size());
     assertEquals("line 2: unknown keyword 'wether'", wrong("day 5\nwether bad\n"));
     assertTrue(wrong("at 5 flood\n").startsWith("line 1: unknown disturbance 'flood'"));
@@ -48,11 +48,11 @@
 
   @Test
   @Timeout(value = 90, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-  void aShortDayKeepsAllRules(@TempDir Path dir) throws Exception {
+  void shortScenarioKeepsAllRules(@TempDir Path dir) throws Exception {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    DayRunner.Result r = new DayRunner(Day.parse(SHORT), dir, new PrintStream(out), 500_000).play();
-    assertTrue(r.kept(), r.audit().breaches() + " " + r.wrongReads() + " " + out);
-    assertTrue(r.audit().checked().values().stream().mapToLong(n -> n).sum() > 500, r.audit()
+    DayRunner.Result result = new DayRunner(Day.parse(SHORT), dir, new PrintStream(out), 500_000).play();
+    assertTrue(result.kept(), result.audit().breaches() + " " + result.wrongReads() + " " + out);
+    assertTrue(result.audit().checked().values().stream().mapToLong(n -> n).sum() > 500, result.audit()
         .checked()
         .toString());
   }
