--- a/src/main/java/hollyslip/emulator/BadDays.java
+++ b/src/main/java/hollyslip/emulator/BadDays.java
@@ -46,15 +46,15 @@
   public List<Found> search(int rounds, int each) {
     List<Found> all = new ArrayList<>();
     for (int round = 0; round < rounds; round++) {
-      List<Day> days = new ArrayList<>();
+      List<Day> scenarios = new ArrayList<>();
       for (int i = 0; i < each; i++) {
         boolean mutated = !all.isEmpty() && i % 2 == 0;
-        days.add(base.with(random.nextLong(1L << 40))
+        scenarios.add(base.with(random.nextLong(1L << 40))
             .with(mutated
                 ? mutate(all.get(random.nextInt(Math.min(each, all.size()))).day().troubles())
                 : randomDisturbances()));
       }
-      all.addAll(IntStream.range(0, each).parallel().mapToObj(i -> play(days.get(i))).toList());
+      all.addAll(IntStream.range(0, each).parallel().mapToObj(i -> play(scenarios.get(i))).toList());
       played += each;
       all.sort(Comparator.comparingInt((Found finding) -> finding.broken().isEmpty() ? 1 : 0)
           .thenComparingDouble(Found::inAim));
@@ -62,9 +62,9 @@
     return all;
   }
 
-  private static Found play(Day day) {
-    Outcome result = World.play(day);
-    return new Found(day, result.audit()
+  private static Found play(Day scenario) {
+    Outcome result = World.play(scenario);
+    return new Found(scenario, result.audit()
         .breaches()
         .stream()
         .map(Auditor.Breach::rule)
@@ -81,8 +81,8 @@
   public Found shrink(Found found) {
     Auditor.Rule rule = found.broken().get(0);
     Found[] smallest = {found};
-    Predicate<Day> breaks = day -> {
-      Found finding = play(day);
+    Predicate<Day> breaks = scenario -> {
+      Found finding = play(scenario);
       played++;
       boolean stillBreaks = finding.broken().contains(rule);
       smallest[0] = stillBreaks ? finding : smallest[0];
@@ -96,34 +96,36 @@
   }
 
   /** All scenarios that are one step simpler, the largest steps first. */
-  static List<Day> simplifications(Day day) {
+  static List<Day> simplifications(Day scenario) {
     List<Day> all = new ArrayList<>();
-    List<Disturbance> disturbances = day.troubles();
+    List<Disturbance> disturbances = scenario.troubles();
     for (int i = 0; i < disturbances.size(); i++) {
       List<Disturbance> fewer = new ArrayList<>(disturbances);
       fewer.remove(i);
-      all.add(day.with(fewer));
+      all.add(scenario.with(fewer));
     }
     double lastEnd = disturbances.stream()
         .mapToDouble(disturbance -> disturbance.at() + disturbance.seconds())
         .max()
         .orElse(0);
-    for (double seconds : new double[]{day.seconds() / 2, day.seconds() * 0.8}) {
+    for (double seconds : new double[]{scenario.seconds() / 2, scenario.seconds() * 0.8}) {
       if (seconds >= 1 && seconds >= lastEnd) {
-        all.add(day.lasting(seconds));
+        all.add(scenario.lasting(seconds));
       }
     }
     for (int i = 0; i < disturbances.size(); i++) {
       Disturbance disturbance = disturbances.get(i);
       if (disturbance.seconds() >= 2 * MIN_DURATION_S) {
-        all.add(day.with(withReplaced(disturbances, i, new Disturbance(disturbance.at(), disturbance.kind(),
+        all.add(scenario.with(withReplaced(disturbances, i, new Disturbance(disturbance.at(), disturbance
+            .kind(),
             disturbance.target(), halved(disturbance.seconds()),
             disturbance.fraction(),
             disturbance
                 .size()))));
       }
       if (disturbance.fraction() > 0.05) {
-        all.add(day.with(withReplaced(disturbances, i, new Disturbance(disturbance.at(), disturbance.kind(),
+        all.add(scenario.with(withReplaced(disturbances, i, new Disturbance(disturbance.at(), disturbance
+            .kind(),
             disturbance.target(), disturbance.seconds(), halved(
                 disturbance.fraction()),
             disturbance
--- a/src/main/java/hollyslip/emulator/EmulatedClient.java
+++ b/src/main/java/hollyslip/emulator/EmulatedClient.java
@@ -100,14 +100,14 @@
       // No memory to free.
     }
 
-    void recordOutcome(int answers, Asked.Answer answer, boolean left) {
+    void recordOutcome(int answers, Asked.Answer answer, boolean disconnected) {
       long now = emulation.events.now();
       emulation.recordRequest(new Asked(name, gateway.name, load.volume(), id, kind == IoKind.READ
           ? Nbd.CMD_READ
           : Nbd.CMD_WRITE, offset, length, 0, -1, writeId, askedUs, deadlineUs, answers, answers > 0
               ? now
               : 0,
-          answer, left), load.plan(), dueUs, requestClass.aimUs());
+          answer, disconnected), load.plan(), dueUs, requestClass.aimUs());
     }
   }
 
@@ -124,9 +124,9 @@
 
   /** Schedules the next request. */
   void scheduleNextArrival() {
-    long at = EventQueue.START_US + arrivals.nextDueUs(rateFactor);
+    long dueUs = EventQueue.START_US + arrivals.nextDueUs(rateFactor);
     if (!ended) {
-      emulation.events.schedule(at, () -> {
+      emulation.events.schedule(dueUs, () -> {
         if (!ended) {
           addDueRequest();
           scheduleNextArrival();
@@ -138,7 +138,7 @@
   /** Stops submitting requests, including those in the backlog. */
   void endLoad() {
     ended = true;
-    emulation.never(load.plan(), backlog.size());
+    emulation.recordNeverSubmitted(load.plan(), backlog.size());
     backlog.clear();
   }
 
@@ -190,7 +190,7 @@
 
   private void requeue(PendingRequest request) {
     if (ended) {
-      emulation.never(load.plan(), 1);
+      emulation.recordNeverSubmitted(load.plan(), 1);
     } else {
       backlog.addFirst(request);
     }
@@ -216,6 +216,8 @@
         request.recordOutcome(0, Asked.Answer.NONE, false);
       }
     });
-    emulation.never(load.plan(), outstanding.stream().filter(request -> !request.accepted).count());
+    emulation.recordNeverSubmitted(load.plan(), outstanding.stream()
+        .filter(request -> !request.accepted)
+        .count());
   }
 }
--- a/src/main/java/hollyslip/emulator/EventQueue.java
+++ b/src/main/java/hollyslip/emulator/EventQueue.java
@@ -9,13 +9,15 @@
 
   private final PriorityQueue<ScheduledEvent> queue = new PriorityQueue<>();
   private long now = START_US;
-  private long order;
+  private long nextOrder;
   private long processedCount;
 
-  private record ScheduledEvent(long at, long order, Runnable action) implements Comparable<ScheduledEvent> {
+  private record ScheduledEvent(long timeUs, long order, Runnable action)
+      implements
+        Comparable<ScheduledEvent> {
     @Override
     public int compareTo(ScheduledEvent other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+      return timeUs != other.timeUs ? Long.compare(timeUs, other.timeUs) : Long.compare(order, other.order);
     }
   }
 
@@ -25,7 +27,7 @@
 
   /** Runs an action at the given time, or now if that time has passed. */
   void schedule(long timeUs, Runnable action) {
-    queue.add(new ScheduledEvent(Math.max(now, timeUs), order++, action));
+    queue.add(new ScheduledEvent(Math.max(now, timeUs), nextOrder++, action));
   }
 
   void scheduleAfter(long delayUs, Runnable action) {
@@ -34,9 +36,9 @@
 
   /** Processes all events up to the given time. */
   void runUntil(long end) {
-    while (!queue.isEmpty() && queue.peek().at <= end) {
+    while (!queue.isEmpty() && queue.peek().timeUs <= end) {
       ScheduledEvent event = queue.poll();
-      now = event.at;
+      now = event.timeUs;
       processedCount++;
       event.action.run();
     }
--- a/src/main/java/hollyslip/emulator/Experiment.java
+++ b/src/main/java/hollyslip/emulator/Experiment.java
@@ -54,10 +54,10 @@
   /** Values of further names that a value of a sweep sets as well, by {@code name=value}. */
   private final Map<String, Map<String, String>> linkedValues;
 
-  private Experiment(String text, int seeds, Map<String, List<String>> sweeps,
-      Map<String, Map<String, String>> linked) {
-    this.linkedValues = linked;
-    this.scenarioTemplate = text;
+  private Experiment(String scenarioTemplate, int seeds, Map<String, List<String>> sweeps,
+      Map<String, Map<String, String>> linkedValues) {
+    this.linkedValues = linkedValues;
+    this.scenarioTemplate = scenarioTemplate;
     this.seeds = seeds;
     this.sweeps = sweeps;
   }
@@ -82,8 +82,8 @@
     try {
       Script script = Script.run(file, FUNCTIONS);
       declared = script.declared();
-    } catch (ScriptError declaration) {
-      throw new IllegalArgumentException(declaration.text());
+    } catch (ScriptError e) {
+      throw new IllegalArgumentException(e.text());
     }
     if (declared.path("experiment").size() != 1) {
       throw new IllegalArgumentException(file + ": experiment(...) must occur exactly once");
@@ -168,16 +168,16 @@
 
   /** Runs what is not stored yet on the given number of threads, and returns all runs of this experiment.
    *
-   * @param kept
+   * @param runsFile
    *          file of stored runs; created if absent
    * @param progress
    *          called for each new run */
-  public List<Run> run(Path kept, int threads, Consumer<Run> progress) throws IOException,
+  public List<Run> run(Path runsFile, int threads, Consumer<Run> progress) throws IOException,
       InterruptedException {
-    List<Run> stored = Files.exists(kept) ? readRuns(kept) : List.of();
+    List<Run> stored = Files.exists(runsFile) ? readRuns(runsFile) : List.of();
     List<Run> done = new ArrayList<>();
     ForkJoinPool pool = new ForkJoinPool(threads);
-    try (Writer out = Files.newBufferedWriter(kept, StandardCharsets.UTF_8, StandardOpenOption.CREATE,
+    try (Writer out = Files.newBufferedWriter(runsFile, StandardCharsets.UTF_8, StandardOpenOption.CREATE,
         StandardOpenOption.APPEND)) {
       List<java.util.concurrent.Future<Run>> running = new ArrayList<>();
       for (Map<String, String> point : points()) {
@@ -209,18 +209,19 @@
    *
    * @throws IOException
    *           if another line cannot be read; the message names it */
-  private static List<Run> readRuns(Path kept) throws IOException {
-    String text = Files.readString(kept);
+  private static List<Run> readRuns(Path runsFile) throws IOException {
+    String text = Files.readString(runsFile);
     int completeLength = text.lastIndexOf('\n') + 1;
     if (completeLength < text.length()) {
-      Files.writeString(kept, text.substring(0, completeLength));
+      Files.writeString(runsFile, text.substring(0, completeLength));
     }
     List<Run> all = new ArrayList<>();
     for (String line : text.substring(0, completeLength).lines().toList()) {
       try {
         all.add(JSON.readValue(line, Run.class));
       } catch (IOException e) {
-        throw new IOException(kept + ": line " + (all.size() + 1) + " is not a valid run: " + e.getMessage(),
+        throw new IOException(runsFile + ": line " + (all.size() + 1) + " is not a valid run: " + e
+            .getMessage(),
             e);
       }
     }
--- a/src/main/java/hollyslip/emulator/World.java
+++ b/src/main/java/hollyslip/emulator/World.java
@@ -61,14 +61,14 @@
   private boolean nodeListDown;
   private long lastWriteId;
 
-  private World(Day day, Deployment deployment) {
-    this.scenario = day;
+  private World(Day scenario, Deployment deployment) {
+    this.scenario = scenario;
     this.deployment = deployment;
     volumes = deployment.byName();
     classifier = new RequestClassifier(deployment.rows(), deployment.gateway().unitBytes(), deployment.store()
         .maxUnits());
-    random = new SplittableRandom(day.seed());
-    states = new NodeState[day.nodes().count()];
+    random = new SplittableRandom(scenario.seed());
+    states = new NodeState[scenario.nodes().count()];
     Arrays.fill(states, NodeState.ON);
   }
 
@@ -76,22 +76,23 @@
    *
    * @throws IllegalArgumentException
    *           if its plans or volumes do not make valid settings; the message names the reason */
-  public static Outcome play(Day day) {
-    World emulation = new World(day, deployment(day));
+  public static Outcome play(Day scenario) {
+    World emulation = new World(scenario, deployment(scenario));
     emulation.build();
     emulation.scenario.troubles().forEach(emulation::scheduleDisturbance);
     return emulation.run();
   }
 
   /** Settings of the scenario's gateways. */
-  private static Deployment deployment(Day day) {
+  private static Deployment deployment(Day scenario) {
     try {
       Path dir = Files.createTempDirectory("hollyslip-emulate");
       try {
-        Files.writeString(dir.resolve("fleet.star"), ScenarioSettings.nodeListScript(day.nodes().count(),
+        Files.writeString(dir.resolve("fleet.star"), ScenarioSettings.nodeListScript(scenario.nodes().count(),
             i -> 1 + i,
             i -> NodeState.ON));
-        Path file = Files.writeString(dir.resolve("gateway-0.star"), ScenarioSettings.gatewayScript(day, 0));
+        Path file = Files.writeString(dir.resolve("gateway-0.star"), ScenarioSettings.gatewayScript(scenario,
+            0));
         Loader.Loaded loaded = Loader.load(file);
         if (!loaded.faults().isEmpty()) {
           throw new IllegalArgumentException("invalid settings for the scenario: " + loaded.faults());
@@ -134,9 +135,9 @@
         clients.add(client);
       }
     }
-    gateways.forEach(emulated -> {
-      operatorRecords.add(new Told.Started(emulated.name, events.now()));
-      emulated.start();
+    gateways.forEach(gateway -> {
+      operatorRecords.add(new Told.Started(gateway.name, events.now()));
+      gateway.start();
     });
     clients.forEach(EmulatedClient::scheduleNextArrival);
   }
@@ -198,12 +199,12 @@
   List<NodeEntry> nodeEntries() {
     List<NodeEntry> entries = new ArrayList<>();
     for (int i = 0; i < states.length; i++) {
-      entries.add(nodeEntries(i));
+      entries.add(nodeEntry(i));
     }
     return entries;
   }
 
-  private NodeEntry nodeEntries(int node) {
+  private NodeEntry nodeEntry(int node) {
     return new NodeEntry(node + 1, deployment.nodes().get(node).zone(), node, states[node], 0);
   }
 
@@ -234,7 +235,7 @@
     timeline.get(interval).add(request.answer(), request.left(), request.answeredUs() - dueUs, aimUs);
   }
 
-  void never(String plan, long count) {
+  void recordNeverSubmitted(String plan, long count) {
     tally(plan).neverSubmitted(count);
   }
 
@@ -387,7 +388,7 @@
   private void setNodeState(EmulatedNode node, NodeState state) {
     states[node.index] = state;
     if (!nodeListDown) {
-      NodeEntry entry = nodeEntries(node.index);
+      NodeEntry entry = nodeEntry(node.index);
       gateways.stream()
           .filter(EmulatedGateway::isAlive)
           .forEach(gateway -> events.scheduleAfter(listDelay(random), () -> {
--- a/src/main/java/hollyslip/load/ArrivalProcess.java
+++ b/src/main/java/hollyslip/load/ArrivalProcess.java
@@ -13,7 +13,7 @@
    * variance is infinite. */
   private static final double PARETO_SHAPE = 1.5;
   /** Upper bound of an on or off time, as a multiple of the mean. */
-  private static final double MAX_MEAN_DURATIONS = 50;
+  private static final double MAX_DURATION_MEANS = 50;
 
   /** How the rate varies over time, and whether the gaps are random. */
   public enum Kind {
@@ -63,14 +63,15 @@
      *
      * @throws IllegalArgumentException
      *           if the keyword is unknown, or a parameter is missing or out of range */
-    public static Shape of(String word, double periodS, double swing) {
-      return word.isEmpty()
+    public static Shape of(String keyword, double periodS, double swing) {
+      return keyword.isEmpty()
           ? POISSON
           : Arrays.stream(Kind.values())
-              .filter(k -> keyword(k).equals(word))
+              .filter(k -> keyword(k).equals(keyword))
               .findFirst()
               .map(k -> new Shape(k, periodS, swing))
-              .orElseThrow(() -> new IllegalArgumentException("unknown shape '" + word + "'; known shapes: "
+              .orElseThrow(() -> new IllegalArgumentException("unknown shape '" + keyword
+                  + "'; known shapes: "
                   + Arrays.stream(Kind.values()).map(Shape::keyword).toList()));
     }
 
@@ -103,13 +104,13 @@
     }
   }
 
-  /** Due time of the next request, us after the start of the schedule. {@code speed} multiplies the rate from
-   * the previous request on. */
-  public long nextDueUs(double speed) {
+  /** Due time of the next request, us after the start of the schedule. {@code rateMultiplier} multiplies the
+   * rate from the previous request on. */
+  public long nextDueUs(double rateMultiplier) {
     double remainingGap = nextGap();
     while (true) {
       double stepEndUs = Math.floor(nowUs / RATE_STEP_US + 1) * RATE_STEP_US;
-      double rate = requestsPerUs * speed * rateFactor(nowUs);
+      double rate = requestsPerUs * rateMultiplier * rateFactor(nowUs);
       double dueUs = rate > 0 ? nowUs + remainingGap / rate : Double.MAX_VALUE;
       if (dueUs <= stepEndUs) {
         nowUs = dueUs;
@@ -147,7 +148,7 @@
   private double paretoDurationUs() {
     double meanUs = shape.periodS() * 1e6 / 2;
     double minimumUs = meanUs * (PARETO_SHAPE - 1) / PARETO_SHAPE;
-    return Math.min(MAX_MEAN_DURATIONS * meanUs, minimumUs / Math.pow(1 - random.nextDouble(), 1
+    return Math.min(MAX_DURATION_MEANS * meanUs, minimumUs / Math.pow(1 - random.nextDouble(), 1
         / PARETO_SHAPE));
   }
 }
--- a/src/main/java/hollyslip/load/BlockStamps.java
+++ b/src/main/java/hollyslip/load/BlockStamps.java
@@ -13,17 +13,17 @@
   private final long clientId;
   private final TreeMap<Long, long[]> newestServedWrite = new TreeMap<>();
 
-  BlockStamps(long who) {
-    this.clientId = who;
+  BlockStamps(long clientId) {
+    this.clientId = clientId;
   }
 
   /** Fills the buffer with the contents of the write with this ID. */
   void fillForWrite(ByteBuffer data, long id, int length) {
-    for (int at = 0; at < length; at += 8) {
-      data.putLong(at, clientId * 31 + id * 0x9e3779b97f4a7c15L + at);
+    for (int position = 0; position < length; position += 8) {
+      data.putLong(position, clientId * 31 + id * 0x9e3779b97f4a7c15L + position);
     }
-    for (int at = 0; at < length; at += BLOCK_BYTES) {
-      data.putLong(at, STAMP_MAGIC).putLong(at + 8, clientId).putLong(at + 16, id);
+    for (int position = 0; position < length; position += BLOCK_BYTES) {
+      data.putLong(position, STAMP_MAGIC).putLong(position + 8, clientId).putLong(position + 16, id);
     }
   }
 
@@ -37,25 +37,25 @@
 
   /** Per block, the ID of the oldest write that a read submitted now may return. */
   long[] minWriteIds(long offset, int length) {
-    long[] floors = new long[length / BLOCK_BYTES];
-    for (int i = 0; i < floors.length; i++) {
+    long[] minWriteIds = new long[length / BLOCK_BYTES];
+    for (int i = 0; i < minWriteIds.length; i++) {
       long[] newest = newestServedWrite.get(offset + (long) i * BLOCK_BYTES);
-      floors[i] = newest == null ? 0 : newest[0];
+      minWriteIds[i] = newest == null ? 0 : newest[0];
     }
-    return floors;
+    return minWriteIds;
   }
 
   /** Describes the first mismatch in the bytes returned by a read; null if there is none. */
-  String findMismatch(ByteBuffer data, long offset, long[] floors) {
-    for (int i = 0; i < floors.length; i++) {
-      int at = i * BLOCK_BYTES;
-      boolean stamped = data.getLong(at) == STAMP_MAGIC;
-      if (stamped && data.getLong(at + 8) != clientId) {
-        return "block " + (offset + at) + " contains data of another client";
+  String findMismatch(ByteBuffer data, long offset, long[] minWriteIds) {
+    for (int i = 0; i < minWriteIds.length; i++) {
+      int position = i * BLOCK_BYTES;
+      boolean stamped = data.getLong(position) == STAMP_MAGIC;
+      if (stamped && data.getLong(position + 8) != clientId) {
+        return "block " + (offset + position) + " contains data of another client";
       }
-      long id = stamped ? data.getLong(at + 16) : 0;
-      if (id < floors[i]) {
-        return "block " + (offset + at) + " contains write " + id + " although write " + floors[i]
+      long id = stamped ? data.getLong(position + 16) : 0;
+      if (id < minWriteIds[i]) {
+        return "block " + (offset + position) + " contains write " + id + " although write " + minWriteIds[i]
             + " was answered before the read";
       }
     }
--- a/src/main/java/hollyslip/load/CoresBench.java
+++ b/src/main/java/hollyslip/load/CoresBench.java
@@ -122,7 +122,7 @@
                     / nodes));
       }
       Deployment deployment = BenchDeployment.load(dir, standins.stream()
-          .mapToInt(index -> index.address.getPort())
+          .mapToInt(standin -> standin.address.getPort())
           .toArray(),
           ", cores = " + cores, volumes.toString());
       Gateway gateway = new Gateway(deployment);
@@ -143,11 +143,11 @@
         });
         clients[volume].start();
       }
-      long from = System.nanoTime();
+      long startNs = System.nanoTime();
       for (Thread client : clients) {
         client.join();
       }
-      double[] busy = busyCores(System.nanoTime() - from);
+      double[] busy = busyCores(System.nanoTime() - startNs);
       gateway.close();
       return Total.of(Arrays.asList(measurements), busy);
     } finally {
--- a/src/main/java/hollyslip/load/DayRunner.java
+++ b/src/main/java/hollyslip/load/DayRunner.java
@@ -32,7 +32,7 @@
    * signal. */
   private static final long SIGNAL_DELAY_US = 200_000;
 
-  private final Day day;
+  private final Day scenario;
   private final Path dir;
   private final PrintStream out;
   private final long slackUs;
@@ -76,18 +76,18 @@
   /** @param slackUs
    *          tolerance added to the promised answer time, us: the gateway's clock of a request starts when it
    *          takes the request, the client's when it publishes it */
-  public DayRunner(Day day, Path dir, PrintStream out, long slackUs) {
-    day.checkPlayableOverSockets();
+  public DayRunner(Day scenario, Path dir, PrintStream out, long slackUs) {
+    scenario.checkPlayableOverSockets();
     this.slackUs = slackUs;
-    this.day = day;
+    this.scenario = scenario;
     this.dir = dir;
     this.out = out;
-    cluster = new Stage(day, dir);
+    cluster = new Stage(scenario, dir);
     disks = cluster.disks;
     gateways = cluster.gateways;
     deployments = cluster.deployments;
-    random = new SplittableRandom(day.seed());
-    states = new NodeState[day.nodes().count()];
+    random = new SplittableRandom(scenario.seed());
+    states = new NodeState[scenario.nodes().count()];
     Arrays.fill(states, NodeState.ON);
     lastToldStates = states.clone();
   }
@@ -97,11 +97,11 @@
     Files.createDirectories(dir);
     try {
       start();
-      long from = System.nanoTime();
+      long startNs = System.nanoTime();
       scheduleSteps();
       while (!steps.isEmpty()) {
         Step step = steps.poll();
-        double delaySeconds = step.atSeconds - (System.nanoTime() - from) / 1e9;
+        double delaySeconds = step.atSeconds - (System.nanoTime() - startNs) / 1e9;
         if (delaySeconds > 0) {
           Thread.sleep((long) (delaySeconds * 1_000));
         }
@@ -121,16 +121,16 @@
     for (Deployment deployment : deployments) {
       operatorRecords.add(new Told.Started(deployment.gateway().name(), Engine.monotonicMicros()));
     }
-    for (Day.VolumeLoad volume : day.volumes()) {
-      for (int client = 0; client < day.clientCount(volume); client++) {
+    for (Day.VolumeLoad volume : scenario.volumes()) {
+      for (int client = 0; client < scenario.clientCount(volume); client++) {
         startClient(volume, client);
       }
     }
   }
 
   private void startClient(Day.VolumeLoad volume, int index) throws IOException {
-    int clientCount = day.clientCount(volume);
-    int gateway = day.gatewayOf(volume, index);
+    int clientCount = scenario.clientCount(volume);
+    int gateway = scenario.gatewayOf(volume, index);
     Deployment deployment = deployments.get(gateway);
     long partBytes = deployment.byName().get(volume.volume()).bytes() / clientCount / 4096 * 4096;
     long deadlineUs = deployment.classes().stream().mapToLong(c -> c.deadlineUs()).max().orElseThrow();
@@ -139,7 +139,7 @@
         index * partBytes, partBytes, 0, volume.depth(), (long) (1e6 * clientCount / volume.rate()), volume
             .readFraction(), volume.maxBlocks(),
         deadlineUs,
-        deployment.gateway().unitBytes(), day.seed() * 1_000 + clients.size()), deployment.gateway()
+        deployment.gateway().unitBytes(), scenario.seed() * 1_000 + clients.size()), deployment.gateway()
             .socketDir()
             .resolve(volume.volume() + ".sock"));
     Thread thread = new Thread(load, "client-" + volume.volume() + "-" + index);
@@ -154,17 +154,17 @@
   }
 
   private void scheduleSteps() {
-    for (Day.Disturbance disturbance : day.troubles()) {
+    for (Day.Disturbance disturbance : scenario.troubles()) {
       scheduleDisturbance(disturbance);
     }
-    for (double atSeconds = 10; atSeconds < day.seconds(); atSeconds += 10) {
+    for (double atSeconds = 10; atSeconds < scenario.seconds(); atSeconds += 10) {
       double now = atSeconds;
       scheduleStep(now, "", () -> out.printf(Locale.ROOT, "%6.1f s  %d requests submitted%n", now, clients
           .stream()
           .mapToInt(c -> c.load().asked())
           .sum()));
     }
-    scheduleStep(day.seconds(), "load ends", () -> clients.forEach(c -> c.load().finish()));
+    scheduleStep(scenario.seconds(), "load ends", () -> clients.forEach(c -> c.load().finish()));
   }
 
   private void scheduleDisturbance(Day.Disturbance disturbance) {
@@ -242,7 +242,7 @@
         });
       }
       case "gateway-crash" -> {
-        int gateway = random.nextInt(day.gateways());
+        int gateway = random.nextInt(scenario.gateways());
         scheduleStep(disturbance.at(), "gateway " + gateway + " is killed", () -> gateways.get(gateway)
             .kill());
         scheduleStep(endSeconds, "gateway " + gateway + " is restarted", () -> {
@@ -340,16 +340,16 @@
 
   /** Starts an additional client that submits requests and disconnects while all are outstanding. */
   private void startVanishingClient(String volume) throws IOException {
-    Day.VolumeLoad volumeLoad = day.volumes()
+    Day.VolumeLoad volumeLoad = scenario.volumes()
         .stream()
         .filter(l -> l.volume().equals(volume))
         .findFirst()
-        .orElse(day.volumes().get(0));
+        .orElse(scenario.volumes().get(0));
     Deployment deployment = deployments.get(0);
     // Reads only, because another client owns this part of the volume.
     RingLoad ringLoad = new RingLoad(new RingLoad.Plan("leaver", deployment.gateway().name(), volumeLoad
         .volume(), 0, 1 << 20, 40,
-        32, 0, 1, 4, 2_000_000, deployment.gateway().unitBytes(), day.seed() + 5), deployment.gateway()
+        32, 0, 1, 4, 2_000_000, deployment.gateway().unitBytes(), scenario.seed() + 5), deployment.gateway()
             .socketDir()
             .resolve(volumeLoad.volume() + ".sock"));
     Thread thread = new Thread(() -> {
@@ -370,8 +370,8 @@
       client.thread().join(120_000);
     }
     boolean stoppedCleanly = true;
-    for (Child client : gateways) {
-      stoppedCleanly &= client.stop() == 0;
+    for (Child gateway : gateways) {
+      stoppedCleanly &= gateway.stop() == 0;
     }
     List<Asked> asked = clients.stream().flatMap(client -> client.load().records().stream()).toList();
     List<Command> commands = disks.stream().flatMap(d -> d.commands().stream()).toList();
--- a/src/main/java/hollyslip/load/LoadRun.java
+++ b/src/main/java/hollyslip/load/LoadRun.java
@@ -25,7 +25,7 @@
    *          start of the schedule on the machine's monotonic clock
    * @param maxLatenessUs
    *          the run is invalid if the generator is later than this, us, for one request in a thousand */
-  public record Config(Day day, List<Path> socketDirs, int process, int processes, long startUs,
+  public record Config(Day scenario, List<Path> socketDirs, int process, int processes, long startUs,
       boolean closedLoop,
       long maxLatenessUs) {}
 
@@ -49,7 +49,7 @@
 
     Client(Day.VolumeLoad load, int index, int clientCount, long seed) throws IOException {
       Path socket = config.socketDirs()
-          .get(config.day().gatewayOf(load, index) % config.socketDirs().size())
+          .get(config.scenario().gatewayOf(load, index) % config.socketDirs().size())
           .resolve(load.volume() + ".sock");
       target = new RingTarget(socket, load.depth(), load.maxBlocks() * 4_096);
       SplittableRandom seeds = new SplittableRandom(seed);
@@ -70,7 +70,7 @@
 
     @Override
     public void run() {
-      stats = loop.run(config.startUs(), (long) (config.day().seconds() * 1e6));
+      stats = loop.run(config.startUs(), (long) (config.scenario().seconds() * 1e6));
       log.add(ownLog);
       target.close();
     }
@@ -81,10 +81,10 @@
     for (OpenLoop.End end : OpenLoop.End.values()) {
       ends.put(end, new AtomicLong());
     }
-    SplittableRandom random = new SplittableRandom(config.day().seed());
+    SplittableRandom random = new SplittableRandom(config.scenario().seed());
     int clientIndex = 0;
-    for (Day.VolumeLoad load : config.day().volumes()) {
-      int clientCount = config.day().clientCount(load);
+    for (Day.VolumeLoad load : config.scenario().volumes()) {
+      int clientCount = config.scenario().clientCount(load);
       for (int index = 0; index < clientCount; index++) {
         long seed = random.nextLong();
         if (clientIndex++ % config.processes() == config.process()) {
--- a/src/main/java/hollyslip/load/ModuleBench.java
+++ b/src/main/java/hollyslip/load/ModuleBench.java
@@ -51,10 +51,10 @@
         0),
         new NodeEntry(2, "a", 1, NodeState.ON, 0))), actions::add);
     long nextId = 0;
-    long from = 0;
+    long startNs = 0;
     for (int i = -queued; i < 2 * MEASURED_REQUESTS; i++) {
       if (i == MEASURED_REQUESTS) {
-        from = System.nanoTime();
+        startNs = System.nanoTime();
       }
       nowUs += 10;
       actions.clear();
@@ -75,7 +75,7 @@
         }
       }
     }
-    double ns = (double) (System.nanoTime() - from) / MEASURED_REQUESTS;
+    double ns = (double) (System.nanoTime() - startNs) / MEASURED_REQUESTS;
     java.lang.ref.Reference.reachabilityFence(scheduler);
     return ns;
   }
--- a/src/main/java/hollyslip/load/OpenLoop.java
+++ b/src/main/java/hollyslip/load/OpenLoop.java
@@ -39,9 +39,9 @@
     private final OpenLoop loop;
     private final long dueUs;
 
-    private ScheduledRequest(OpenLoop loop, RequestMix.Operation ask, long dueUs) {
+    private ScheduledRequest(OpenLoop loop, RequestMix.Operation operation, long dueUs) {
       this.loop = loop;
-      this.operation = ask;
+      this.operation = operation;
       this.dueUs = dueUs;
     }
 
--- a/src/main/java/hollyslip/load/RequestMix.java
+++ b/src/main/java/hollyslip/load/RequestMix.java
@@ -14,13 +14,13 @@
   /** An operation; {@code offset} and {@code length} are in bytes, multiples of 4 KiB. */
   public record Operation(IoKind kind, long offset, int length) {}
 
-  /** @param number
-   *          index of the client among the {@code all} clients of the volume, each of which has its own part
-   *          of the volume */
-  public RequestMix(Day.VolumeLoad load, int number, int all, long volumeBytes, long seed) {
+  /** @param index
+   *          index of the client among the {@code clientCount} clients of the volume, each of which has its
+   *          own part of the volume */
+  public RequestMix(Day.VolumeLoad load, int index, int clientCount, long volumeBytes, long seed) {
     this.load = load;
-    blockCount = volumeBytes / all / BLOCK;
-    firstByte = number * blockCount * BLOCK;
+    blockCount = volumeBytes / clientCount / BLOCK;
+    firstByte = index * blockCount * BLOCK;
     random = new SplittableRandom(seed);
   }
 
--- a/src/main/java/hollyslip/load/RingClient.java
+++ b/src/main/java/hollyslip/load/RingClient.java
@@ -35,8 +35,8 @@
    *          whether the gateway keeps its inflight region in the client's memory */
   public record Options(int queues, int queueSize, int slotBytes, boolean indirect, boolean eventIdx,
       boolean refusedStatus, boolean inflightRegion) {
-    public static Options usual(int queues, int size, int slotBytes) {
-      return new Options(queues, size, slotBytes, true, true, true, true);
+    public static Options usual(int queues, int queueSize, int slotBytes) {
+      return new Options(queues, queueSize, slotBytes, true, true, true, true);
     }
   }
 
@@ -72,14 +72,14 @@
     int kickFd = -1, callFd = -1;
     int availIdx, usedIdx, lastKickedIdx;
 
-    Queue(int index, long at) {
+    Queue(int index, long baseOffset) {
       this.index = index;
-      this.baseOffset = at;
-      int n = options.queueSize();
-      table = view(at, 16 * n);
-      avail = view(at + 16L * n, 6 + 2 * n);
-      used = view(usedRingOffset(), 6 + 8 * n);
-      slots = options.indirect() ? n : n / 3;
+      this.baseOffset = baseOffset;
+      int queueSize = options.queueSize();
+      table = view(baseOffset, 16 * queueSize);
+      avail = view(baseOffset + 16L * queueSize, 6 + 2 * queueSize);
+      used = view(usedRingOffset(), 6 + 8 * queueSize);
+      slots = options.indirect() ? queueSize : queueSize / 3;
       out = new CompletionListener[slots];
       lengths = new int[slots];
       for (int i = 0; i < slots; i++) {
@@ -88,8 +88,8 @@
     }
 
     long usedRingOffset() {
-      int n = options.queueSize();
-      return baseOffset + (16L * n + 6 + 2 * n + 3) / 4 * 4;
+      int queueSize = options.queueSize();
+      return baseOffset + (16L * queueSize + 6 + 2 * queueSize + 3) / 4 * 4;
     }
 
     long slotOffset(int slot) {
@@ -107,20 +107,20 @@
     }
   }
 
-  private static int ringBytes(int n) {
-    return 16 * n + 6 + 2 * n + 4 + 6 + 8 * n;
+  private static int ringBytes(int queueSize) {
+    return 16 * queueSize + 6 + 2 * queueSize + 4 + 6 + 8 * queueSize;
   }
 
-  private static long roundUpToPage(long n) {
-    return (n + PAGE_BYTES - 1) / PAGE_BYTES * PAGE_BYTES;
+  private static long roundUpToPage(long bytes) {
+    return (bytes + PAGE_BYTES - 1) / PAGE_BYTES * PAGE_BYTES;
   }
 
   private long slotStride() {
     return (INDIRECT_TABLE_BYTES + HEADER_BYTES + TAIL_BYTES + options.slotBytes() + 63) / 64 * 64;
   }
 
-  private ByteBuffer view(long at, int length) {
-    return mapping.view(at, length).order(ByteOrder.LITTLE_ENDIAN);
+  private ByteBuffer view(long offset, int length) {
+    return mapping.view(offset, length).order(ByteOrder.LITTLE_ENDIAN);
   }
 
   public RingClient(Options options) throws IOException {
@@ -205,8 +205,8 @@
     Linux.signal(q.kickFd);
   }
 
-  private static ByteBuffer littleEndian(int n) {
-    return ByteBuffer.allocate(n).order(ByteOrder.LITTLE_ENDIAN);
+  private static ByteBuffer littleEndian(int bytes) {
+    return ByteBuffer.allocate(bytes).order(ByteOrder.LITTLE_ENDIAN);
   }
 
   private record Reply(ByteBuffer payload, int fd) {}
@@ -274,13 +274,13 @@
   /** Adds a request to a queue; the gateway sees it after the next {@link #kick}. Returns false if no slot is
    * free. For a write, {@code data} is copied from its position on. */
   public boolean submit(int queue, IoKind kind, long offset, int length, ByteBuffer data,
-      CompletionListener done) {
+      CompletionListener listener) {
     Queue q = queues[queue];
     Integer slot = q.free.poll();
     if (slot == null) {
       return false;
     }
-    q.out[slot] = done;
+    q.out[slot] = listener;
     q.lengths[slot] = length;
     if (data != null) {
       q.data(slot).put(0, data, data.position(), length);
@@ -309,9 +309,10 @@
     header.putInt(0, type).putInt(4, 0).putLong(8, sector).putLong(HEADER_BYTES, -1L);
     int first = options.indirect() ? slot : 3 * slot;
     ByteBuffer table = options.indirect() ? view(slotBase, INDIRECT_TABLE_BYTES) : q.table;
-    int d = options.indirect() ? 0 : first;
-    describe(table, d, GUEST_BASE + slotBase + INDIRECT_TABLE_BYTES, HEADER_BYTES, 1, d + 1);
-    int last = d + 1;
+    int descriptor = options.indirect() ? 0 : first;
+    describe(table, descriptor, GUEST_BASE + slotBase + INDIRECT_TABLE_BYTES, HEADER_BYTES, 1, descriptor
+        + 1);
+    int last = descriptor + 1;
     if (length > 0) {
       describe(table, last, GUEST_BASE + slotBase + INDIRECT_TABLE_BYTES + HEADER_BYTES + TAIL_BYTES, length,
           deviceWrites
@@ -367,7 +368,7 @@
 
   /** Processes the completions that have arrived and returns their number. */
   public int poll() {
-    int n = 0;
+    int completions = 0;
     for (Queue q : queues) {
       while (q.used.getShort(2) != (short) q.usedIdx) {
         VarHandle.acquireFence();
@@ -375,20 +376,20 @@
         q.usedIdx = q.usedIdx + 1 & 0xffff;
         int slot = options.indirect() ? head : head / 3;
         ByteBuffer tail = view(q.slotOffset(slot) + INDIRECT_TABLE_BYTES + HEADER_BYTES, TAIL_BYTES);
-        CompletionListener done = q.out[slot];
+        CompletionListener listener = q.out[slot];
         q.out[slot] = null;
         ByteBuffer data = q.data(slot);
         data.limit(q.lengths[slot]);
         int status = Byte.toUnsignedInt(tail.get(0));
-        if (done == null) {
+        if (listener == null) {
           throw new IllegalStateException("descriptor head " + head + " completed twice");
         }
-        done.onComplete(status, options.refusedStatus() ? tail.getInt(4) : 0, data);
+        listener.onComplete(status, options.refusedStatus() ? tail.getInt(4) : 0, data);
         q.free.add(slot);
-        n++;
+        completions++;
       }
     }
-    return n;
+    return completions;
   }
 
   /** Waits up to {@code ms} milliseconds for completions. Returns false if the gateway closed the
--- a/src/main/java/hollyslip/load/RingComparison.java
+++ b/src/main/java/hollyslip/load/RingComparison.java
@@ -61,7 +61,7 @@
         standins.add(new StandinProcess("node-" + i));
       }
       Deployment deployment = BenchDeployment.load(dir, standins.stream()
-          .mapToInt(n -> n.address.getPort())
+          .mapToInt(standin -> standin.address.getPort())
           .toArray(),
           "",
           String.format(
--- a/src/main/java/hollyslip/load/RingLoad.java
+++ b/src/main/java/hollyslip/load/RingLoad.java
@@ -116,13 +116,13 @@
       recordOutcome(1, now, answer, false);
     }
 
-    void recordOutcome(int answers, long answeredUs, Asked.Answer answer, boolean left) {
+    void recordOutcome(int answers, long answeredUs, Asked.Answer answer, boolean disconnected) {
       int code = kind == IoKind.READ ? Nbd.CMD_READ : Nbd.CMD_WRITE;
       records.add(new Asked(config.name(), config.gateway(), config.volume(), id, code, offset, length, Math
           .max(1,
               length / (double) config.unitBytes()), -1, checksum, askedUs, deadlineUs, answers, answeredUs,
           answer,
-          left));
+          disconnected));
     }
   }
 
--- a/src/main/java/hollyslip/load/RingTarget.java
+++ b/src/main/java/hollyslip/load/RingTarget.java
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 import java.util.concurrent.locks.LockSupport;
 
-/** Submits load to the ring of a gateway. Reconnects when the connection breaks; requests that were
- * outstanding then stay unanswered, since the client's ring is lost with the connection. */
+/** Submits load to the ring of a gateway. Reconnects when the connection breaks; what was outstanding may be
+ * lost with the client's ring. */
 final class RingTarget implements OpenLoop.Target, AutoCloseable {
   /** Within this time of the due time, us, the thread polls the clock instead of sleeping. */
   private static final long SPIN_THRESHOLD_US = 1_500;
@@ -39,19 +39,20 @@
       writeBuffer.clear();
       writeBuffer.putLong(0, ++writeCount);
     }
-    boolean in = client.submit(0, request.operation.kind(), request.operation.offset(), request.operation
-        .length(), write
-            ? writeBuffer
-            : null, (
-                status,
-                retryMs, data) -> {
-              inFlight--;
-              request.complete(status == 0
-                  ? OpenLoop.End.SERVED
-                  : status == 0x80 ? OpenLoop.End.REFUSED : OpenLoop.End.FAILED);
-            });
-    inFlight += in ? 1 : 0;
-    return in;
+    boolean submitted = client.submit(0, request.operation.kind(), request.operation.offset(),
+        request.operation
+            .length(), write
+                ? writeBuffer
+                : null, (
+                    status,
+                    retryMs, data) -> {
+                  inFlight--;
+                  request.complete(status == 0
+                      ? OpenLoop.End.SERVED
+                      : status == 0x80 ? OpenLoop.End.REFUSED : OpenLoop.End.FAILED);
+                });
+    inFlight += submitted ? 1 : 0;
+    return submitted;
   }
 
   @Override
--- a/src/main/java/hollyslip/load/ScenarioSettings.java
+++ b/src/main/java/hollyslip/load/ScenarioSettings.java
@@ -32,19 +32,19 @@
   }
 
   /** The script of one gateway, which loads {@code fleet.star}. */
-  public static String gatewayScript(Day day, int gateway) throws IOException {
+  public static String gatewayScript(Day scenario, int gateway) throws IOException {
     try (InputStream in = ScenarioSettings.class.getResourceAsStream("/hollyslip/example.star")) {
       String example = new String(in.readAllBytes(), StandardCharsets.UTF_8).replace("\"gateway-a\"",
           "\"gateway-" + gateway + "\"")
           .replace("\"run\"", "\"run-" + gateway + "\"")
           .replace("\"state\"", "\"state-" + gateway + "\"")
           .replace("index = 0,", "index = " + gateway + ",")
-          .replace("hosts = 1,", "hosts = " + day.gateways() + ", cores = " + day.lanes() + ",");
-      return day.exampleSettings()
+          .replace("hosts = 1,", "hosts = " + scenario.gateways() + ", cores = " + scenario.lanes() + ",");
+      return scenario.exampleSettings()
           ? example
           : example.substring(0, example.indexOf("# Plans:"))
               .replace("cold_units = 60",
-                  "cold_units = " + coldUnits(day.nodes())) + plansAndVolumes(day);
+                  "cold_units = " + coldUnits(scenario.nodes())) + plansAndVolumes(scenario);
     }
   }
 
@@ -55,9 +55,9 @@
     return (long) Math.max(1, 3 * 0.2 * 2 * commandsPerSecond);
   }
 
-  private static String plansAndVolumes(Day day) {
+  private static String plansAndVolumes(Day scenario) {
     StringBuilder script = new StringBuilder();
-    day.plans().forEach((name, parameters) -> {
+    scenario.plans().forEach((name, parameters) -> {
       script.append("plan(\"").append(name).append('"');
       parameters.forEach((key, value) -> script.append(", ")
           .append(key.replace('-', '_'))
@@ -69,26 +69,28 @@
         + "    node(name, port = port, zone = zone, shard = shard, state = state)\n");
     int offsetMib = 0;
     int index = 0;
-    for (Day.VolumeLoad volume : day.volumes()) {
+    for (Day.VolumeLoad volume : scenario.volumes()) {
       script.append(String.format(
           "volume(\"%s\", tenant = \"%s\", plan = \"%s\", size = %d * MiB, extent = 256 * KiB, shards = "
               + "%s, at = %d * MiB, hosts = %d)%n", volume.volume(), volume.volume(), volume.plan(), volume
-                  .sizeMib(), shards(day,
+                  .sizeMib(), shards(scenario,
                       volume,
-                      index++), offsetMib, day.gatewayCount(volume)));
-      offsetMib += volume.sizeMib() / shardCount(day, volume) + 1;
+                      index++), offsetMib, scenario.gatewayCount(volume)));
+      offsetMib += volume.sizeMib() / shardCount(scenario, volume) + 1;
     }
     return script.toString();
   }
 
-  private static int shardCount(Day day, Day.VolumeLoad load) {
-    return load.maxShards() == 0 ? day.nodes().count() : Math.min(load.maxShards(), day.nodes().count());
+  private static int shardCount(Day scenario, Day.VolumeLoad load) {
+    return load.maxShards() == 0
+        ? scenario.nodes().count()
+        : Math.min(load.maxShards(), scenario.nodes().count());
   }
 
   /** Shards of a volume: as many as it spreads over, starting after the last shard of the previous volume. */
-  private static List<Integer> shards(Day day, Day.VolumeLoad load, int index) {
-    int count = shardCount(day, load);
-    return IntStream.range(0, count).mapToObj(i -> (index * count + i) % day.nodes().count()).toList();
+  private static List<Integer> shards(Day scenario, Day.VolumeLoad load, int index) {
+    int count = shardCount(scenario, load);
+    return IntStream.range(0, count).mapToObj(i -> (index * count + i) % scenario.nodes().count()).toList();
   }
 
   /** Figures for the audit. {@code slackUs} is the tolerance for late answers, us; {@code skewUs} is the
--- a/src/main/java/hollyslip/load/Stage.java
+++ b/src/main/java/hollyslip/load/Stage.java
@@ -20,32 +20,32 @@
   final List<DiskServer> disks = new ArrayList<>();
   final List<Child> gateways = new ArrayList<>();
   final List<Deployment> deployments = new ArrayList<>();
-  private final Day day;
+  private final Day scenario;
   private final Path dir;
 
   /** @param dir
    *          directory of settings, sockets and logs */
-  public Stage(Day day, Path dir) {
-    day.checkPlayableOverSockets();
-    this.day = day;
+  public Stage(Day scenario, Path dir) {
+    scenario.checkPlayableOverSockets();
+    this.scenario = scenario;
     this.dir = dir;
   }
 
   /** Starts everything and returns once clients can connect. */
   public void start() throws IOException {
     Files.createDirectories(dir);
-    Day.Nodes nodes = day.nodes();
+    Day.Nodes nodes = scenario.nodes();
     for (int i = 0; i < nodes.count(); i++) {
       disks.add(new DiskServer(DiskServer.Config.timed("store-" + i, SHARD_BYTES, nodes.cores(), nodes
           .queue(), nodes
               .baseUs(),
-          day.seed() * 100 + i)));
+          scenario.seed() * 100 + i)));
     }
     NodeState[] states = new NodeState[nodes.count()];
     Arrays.fill(states, NodeState.ON);
     writeNodeList(states);
-    for (int gateway = 0; gateway < day.gateways(); gateway++) {
-      Files.writeString(settingsFile(gateway), ScenarioSettings.gatewayScript(day, gateway));
+    for (int gateway = 0; gateway < scenario.gateways(); gateway++) {
+      Files.writeString(settingsFile(gateway), ScenarioSettings.gatewayScript(scenario, gateway));
       Loader.Loaded loaded = Loader.load(settingsFile(gateway));
       if (!loaded.faults().isEmpty()) {
         throw new IOException("invalid settings for the scenario: " + loaded.faults());
--- a/src/main/java/hollyslip/load/TenantBench.java
+++ b/src/main/java/hollyslip/load/TenantBench.java
@@ -87,11 +87,11 @@
     }
     SplittableRandom random = new SplittableRandom(1);
     long nextId = 0;
-    long from = 0;
+    long startNs = 0;
     int measuredRequests = 400_000;
     for (int i = 0; i < measuredRequests * 2; i++) {
       if (i == measuredRequests) {
-        from = System.nanoTime();
+        startNs = System.nanoTime();
       }
       nowUs[0] += 20;
       actions.clear();
@@ -106,7 +106,7 @@
         }
       }
     }
-    long tookNs = System.nanoTime() - from;
+    long tookNs = System.nanoTime() - startNs;
     System.gc();
     System.out.printf(Locale.ROOT, "%-24d %12.0f %14.0f%n", volumes, (double) tookNs / measuredRequests,
         volumes < 100
@@ -156,7 +156,7 @@
     for (int tenants : new int[]{10, 1_000, 10_000}) {
       Path folder = dir.resolve("store-" + tenants);
       Control control = control(folder);
-      long from = System.nanoTime();
+      long startNs = System.nanoTime();
       control.command((r, at) -> r.createPlan(at, "bench", new Wish.ForPlan("p", new Terms(10, 1, 1, 1, 0, 0,
           0))),
           r -> null).join();
@@ -174,7 +174,7 @@
         }
       }
       commands.forEach(CompletableFuture::join);
-      double rate = commands.size() / ((System.nanoTime() - from) / 1e9);
+      double rate = commands.size() / ((System.nanoTime() - startNs) / 1e9);
       control.close();
       double log = openMillis(folder, true);
       double snapshot = openMillis(folder, false);
@@ -185,9 +185,9 @@
 
   /** Time to load the registry, ms; takes a snapshot afterwards if {@code takeSnapshot} is set. */
   private static double openMillis(Path folder, boolean takeSnapshot) throws IOException {
-    long from = System.nanoTime();
+    long startNs = System.nanoTime();
     Control control = control(folder);
-    double ms = (System.nanoTime() - from) / 1e6;
+    double ms = (System.nanoTime() - startNs) / 1e6;
     if (takeSnapshot) {
       control.keep().join();
     }
@@ -212,7 +212,7 @@
   private void measureTraffic(Path dir) throws Exception {
     List<StandinProcess> nodes = List.of(new StandinProcess("node-0"), new StandinProcess("node-1"));
     Gateway gateway = new Gateway(deployment(dir, nodes.stream()
-        .mapToInt(n -> n.address.getPort())
+        .mapToInt(standin -> standin.address.getPort())
         .toArray()));
     String token = Files.readString(dir.resolve("state/operator.token")).trim();
     try (ApiClient api = ApiClient.at(dir.resolve("run/admin.sock"), token)) {
@@ -247,9 +247,9 @@
     nodes.forEach(StandinProcess::close);
   }
 
-  private static void print(String what, Measurement measurement, int depth, Histogram changes,
+  private static void print(String label, Measurement measurement, int depth, Histogram changes,
       double changeSeconds) {
-    System.out.printf(Locale.ROOT, "%-34s %8d %10.0f %9.1f %9.1f %11s %12s%n", what, depth, measurement
+    System.out.printf(Locale.ROOT, "%-34s %8d %10.0f %9.1f %9.1f %11s %12s%n", label, depth, measurement
         .rate(), measurement.p50(),
         measurement.p99(), changes == null
             ? "-"
@@ -262,7 +262,7 @@
   private void measureDuringChanges(Gateway gateway, ApiClient api) throws Exception {
     Histogram changeLatencies = new Histogram(60_000_000, 3);
     boolean[] stopped = new boolean[1];
-    long from = System.nanoTime();
+    long startNs = System.nanoTime();
     Thread administrator = new Thread(() -> {
       for (int i = 0; !stopped[0]; i++) {
         long startedAt = System.nanoTime();
@@ -280,7 +280,7 @@
             .lanes()::totals);
     stopped[0] = true;
     administrator.join();
-    print("while tenant a is changed", measurement, 4, changeLatencies, (System.nanoTime() - from) / 1e9);
+    print("while tenant a is changed", measurement, 4, changeLatencies, (System.nanoTime() - startNs) / 1e9);
   }
 
   /** Measures tenant b while tenant a keeps its rings full. */
--- a/src/test/java/hollyslip/emulator/EmulationTest.java
+++ b/src/test/java/hollyslip/emulator/EmulationTest.java
@@ -24,7 +24,7 @@
       volume returns plan plain rate 100 reads 0.5 most-blocks 2 depth 64
       """;
 
-  private static Day day(String seconds, long seed, String... troubles) {
+  private static Day scenario(String seconds, long seed, String... troubles) {
     return Day.parse(SCENARIO.formatted(seconds, seed) + String.join("\n", troubles));
   }
 
@@ -36,16 +36,19 @@
 
   @Test
   void equalScenariosGiveEqualRunsOnAnyThread() {
-    Day day = day("6", 3, "at 1 stall part 0.5 for 1", "at 2 gateway-crash for 1",
+    Day scenario = scenario("6", 3, "at 1 stall part 0.5 for 1", "at 2 gateway-crash for 1",
         "at 4 answer-lost part 0.5 size 0.2 for 1");
-    List<String> runs = LongStream.range(0, 4).parallel().mapToObj(i -> figures(World.play(day))).toList();
+    List<String> runs = LongStream.range(0, 4)
+        .parallel()
+        .mapToObj(i -> figures(World.play(scenario)))
+        .toList();
     assertEquals(1, runs.stream().distinct().count(), runs::toString);
-    assertNotEquals(runs.get(0), figures(World.play(day.with(4))));
+    assertNotEquals(runs.get(0), figures(World.play(scenario.with(4))));
   }
 
   @Test
   void undisturbedLoadIsServedWithinAFewServiceTimes() {
-    Outcome result = World.play(day("10", 1));
+    Outcome result = World.play(scenario("10", 1));
     assertTrue(result.audit().kept(), () -> result.audit().breaches().toString());
     assertEquals(result.all().asked(), result.all().count(Asked.Answer.SERVED));
     // A core takes 0.7 to 1.3 ms, the network 40 us each way.
@@ -56,7 +59,7 @@
   /** Requests due during a stall must all be counted, each late by the remainder of the stall. */
   @Test
   void stallShowsInTailLatency() {
-    Outcome result = World.play(day("10", 1, "at 4 stall part 1 for 1"));
+    Outcome result = World.play(scenario("10", 1, "at 4 stall part 1 for 1"));
     assertTrue(result.audit().kept(), () -> result.audit().breaches().toString());
     // A tenth of all requests falls due during the second of the stall, and at least half of these are
     // more than 500 ms late. The nodes have capacity again at once; estimates that took seconds to forget
@@ -79,7 +82,7 @@
               Day.LOAD_KINDS.contains(kind) ? " target orders for 1 size 3\n" : " part 0.5 for 1 size 0.3\n");
       at += 0.7;
     }
-    Outcome result = World.play(day("20", 5, all.toString()));
+    Outcome result = World.play(scenario("20", 5, all.toString()));
     assertTrue(result.audit().kept(), () -> result.audit().breaches().toString());
     assertTrue(result.audit().checked().values().stream().filter(n -> n > 0).count() >= 6, () -> result
         .audit()
@@ -91,7 +94,7 @@
    * in time. */
   @Test
   void partitionBreaksNoRule() {
-    Outcome result = World.play(day("12", 2, "at 3 partition part 1 size 1 for 4"));
+    Outcome result = World.play(scenario("12", 2, "at 3 partition part 1 size 1 for 4"));
     assertTrue(result.audit().kept(), () -> result.audit().breaches().toString());
     assertTrue(result.all().count(Asked.Answer.SERVED) > result.all().asked() / 2);
     assertTrue(result.all().count(Asked.Answer.SERVED) < result.all().asked());
@@ -101,7 +104,7 @@
    * gateway process refused the write as safe to retry. */
   @Test
   void writeThatAKilledGatewayMayHaveExecutedIsNotRefused() {
-    Outcome result = World.play(day("10", 17, "at 3.6 answer-lost for 2.6 part 0.9 size 0.7",
+    Outcome result = World.play(scenario("10", 17, "at 3.6 answer-lost for 2.6 part 0.9 size 0.7",
         "at 6 gateway-crash for 1.5", "at 7.4 preempt for 2 part 1"));
     assertTrue(result.audit().kept(), () -> result.audit().breaches().toString());
     assertTrue(result.all().count(Asked.Answer.FAILED) > 0);
--- a/src/test/java/hollyslip/emulator/ExperimentTest.java
+++ b/src/test/java/hollyslip/emulator/ExperimentTest.java
@@ -16,7 +16,7 @@
 
 /** Experiments and the search for scenarios that break a rule. */
 class ExperimentTest {
-  private static final String DAY = """
+  private static final String DAY_FILE = """
       day 1
       nodes count 2 cores 2 queue 64 base-us 500
       plan p rate 1000 reserve 500 weight 1
@@ -26,8 +26,8 @@
   @TempDir
   Path dir;
 
-  private Experiment experiment(String script, String day) throws IOException {
-    Files.writeString(dir.resolve("x.day"), day);
+  private Experiment experiment(String script, String dayFile) throws IOException {
+    Files.writeString(dir.resolve("x.day"), dayFile);
     return Experiment.read(Files.writeString(dir.resolve("x.star"), script));
   }
 
@@ -49,7 +49,7 @@
   void runsAreIndependentOfThreadsAndNotRepeated() throws Exception {
     Experiment experiment = experiment(
         "experiment(day = \"x.day\", seeds = 3)\nsweep(\"rate\", values = [100, 400])",
-        DAY);
+        DAY_FILE);
     assertEquals(2, experiment.points().size());
     List<Experiment.Run> fresh = new ArrayList<>();
     Path kept = dir.resolve("runs.jsonl");
@@ -77,27 +77,27 @@
   @Test
   void errorsNameTheCause() throws IOException {
     String message = assertThrows(IllegalArgumentException.class, () -> experiment(
-        "experiment(day = \"x.day\")\nsweep(\"rates\", values = [1])", DAY)).getMessage();
+        "experiment(day = \"x.day\")\nsweep(\"rates\", values = [1])", DAY_FILE)).getMessage();
     assertTrue(message.contains("$rate is not swept"), message);
     message = assertThrows(IllegalArgumentException.class, () -> experiment(
-        "experiment(day = \"x.day\")\nsweep(\"rate\", values = [1, -1])", DAY)).getMessage();
+        "experiment(day = \"x.day\")\nsweep(\"rate\", values = [1, -1])", DAY_FILE)).getMessage();
     assertTrue(message.contains("{rate=-1}") && message.contains("line 4"), message);
-    message = assertThrows(IllegalArgumentException.class, () -> experiment("experiment(day = \n)", DAY))
+    message = assertThrows(IllegalArgumentException.class, () -> experiment("experiment(day = \n)", DAY_FILE))
         .getMessage();
     assertTrue(message.contains("x.star:2"), message);
   }
 
   @Test
   void scenarioRoundTripsThroughText() {
-    Day day = Day.parse(DAY.replace("$rate", "50 shape burst period 2 swing 3")
+    Day scenario = Day.parse(DAY_FILE.replace("$rate", "50 shape burst period 2 swing 3")
         + "at 0.5 stall part 0.5 for 0.25\n"
         + "at 0.25 volume-burst target v size 3 for 0.5\n");
-    assertEquals(day, Day.parse(day.text()));
+    assertEquals(scenario, Day.parse(scenario.text()));
   }
 
   @Test
   void searchIsDeterministicAndSimplificationsAreSimpler() {
-    Day base = Day.parse(DAY.replace("$rate", "200"));
+    Day base = Day.parse(DAY_FILE.replace("$rate", "200"));
     List<BadDays.Found> once = new BadDays(base, 4).search(2, 6);
     assertEquals(once, new BadDays(base, 4).search(2, 6));
     assertEquals(12, once.size());
