--- a/src/main/java/hollyslip/load/LatencyLog.java
+++ b/src/main/java/hollyslip/load/LatencyLog.java
@@ -95,8 +95,8 @@
         log.interval(histogram.getTag() == null ? "" : histogram.getTag(), histogram.getStartTimeStamp()
             / 1_000).add(histogram);
       }
-    } catch (RuntimeException interval) {
-      throw new IOException(file + ": interval " + (intervals + 1) + ": " + interval.getMessage(), interval);
+    } catch (RuntimeException e) {
+      throw new IOException(file + ": interval " + (intervals + 1) + ": " + e.getMessage(), e);
     }
     if (intervals == 0) {
       throw new IOException(file + ": contains no interval");
--- a/src/main/java/hollyslip/load/LoadBench.java
+++ b/src/main/java/hollyslip/load/LoadBench.java
@@ -26,8 +26,8 @@
     private final ArrayDeque<OpenLoop.ScheduledRequest> inFlight = new ArrayDeque<>();
 
     @Override
-    public boolean submit(OpenLoop.ScheduledRequest shot) {
-      return inFlight.add(shot);
+    public boolean submit(OpenLoop.ScheduledRequest request) {
+      return inFlight.add(request);
     }
 
     @Override
--- a/src/test/java/hollyslip/emulator/EmulationTest.java
+++ b/src/test/java/hollyslip/emulator/EmulationTest.java
@@ -24,8 +24,8 @@
       volume returns plan plain rate 100 reads 0.5 most-blocks 2 depth 64
       """;
 
-  private static Day scenario(String seconds, long seed, String... troubles) {
-    return Day.parse(SCENARIO.formatted(seconds, seed) + String.join("\n", troubles));
+  private static Day scenario(String seconds, long seed, String... disturbances) {
+    return Day.parse(SCENARIO.formatted(seconds, seed) + String.join("\n", disturbances));
   }
 
   private static String figures(Outcome result) {
--- a/src/test/java/hollyslip/emulator/ExperimentTest.java
+++ b/src/test/java/hollyslip/emulator/ExperimentTest.java
@@ -108,7 +108,10 @@
     }
   }
 
-  private static double weight(Day d) {
-    return d.troubles().stream().mapToDouble(t -> 1 + t.seconds() + t.fraction()).sum();
+  private static double weight(Day scenario) {
+    return scenario.troubles()
+        .stream()
+        .mapToDouble(disturbance -> 1 + disturbance.seconds() + disturbance.fraction())
+        .sum();
   }
 }
--- a/src/test/java/hollyslip/load/ScenarioTest.java
+++ b/src/test/java/hollyslip/load/ScenarioTest.java
@@ -30,20 +30,20 @@
       at 3.4 volume-burst target b size 5 for 1
       """;
 
-  private static String wrong(String text) {
+  private static String parseError(String text) {
     return assertThrows(Day.Wrong.class, () -> Day.parse(text)).getMessage();
   }
 
   @Test
   void errorsNameTheLine() {
     assertEquals(5, Day.parse(SHORT).troubles().size());
-    assertEquals("line 2: unknown keyword 'wether'", wrong("day 5\nwether bad\n"));
-    assertTrue(wrong("at 5 flood\n").startsWith("line 1: unknown disturbance 'flood'"));
-    assertTrue(wrong("nodes count many\n").startsWith(
+    assertEquals("line 2: unknown keyword 'wether'", parseError("day 5\nwether bad\n"));
+    assertTrue(parseError("at 5 flood\n").startsWith("line 1: unknown disturbance 'flood'"));
+    assertTrue(parseError("nodes count many\n").startsWith(
         "line 1: nodes: expected a number, found 'many'"));
-    assertTrue(wrong("day 5\nvolume a plan gold rate 5\n").contains("plan gold is not declared"));
-    assertTrue(wrong("day 5\n").contains("no volume"));
-    assertTrue(wrong("plan p rate\n").contains("found 'end of line'"));
+    assertTrue(parseError("day 5\nvolume a plan gold rate 5\n").contains("plan gold is not declared"));
+    assertTrue(parseError("day 5\n").contains("no volume"));
+    assertTrue(parseError("plan p rate\n").contains("found 'end of line'"));
   }
 
   @Test
