--- a/src/main/java/hollyslip/emulator/BadDays.java
+++ b/src/main/java/hollyslip/emulator/BadDays.java
@@ -2,7 +2,7 @@
 
 import hollyslip.audit.Auditor;
 import hollyslip.load.Day;
-import hollyslip.load.Day.Trouble;
+import hollyslip.load.Day.Disturbance;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -12,165 +12,181 @@
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
 
-/** Looks for troubles that break a rule or cost most: draws scripts, goes on from the worst ones, and makes
- * what breaks a rule as small as it gets. Days are played on all cores; what is found depends on the seed
- * alone. */
+/** Searches for scenarios that break a rule or serve the fewest requests in time: generates random
+ * disturbances, mutates the worst scenarios found, and shrinks those that break a rule. Scenarios run on all
+ * cores; the findings depend only on the seed. */
 public final class BadDays {
-  private static final int MOST_TROUBLES = 6;
-  private static final double SHORTEST_S = 0.1;
+  private static final int MAX_DISTURBANCES = 6;
+  private static final double MIN_DURATION_S = 0.1;
   private static final List<String> KINDS = List.copyOf(new TreeSet<>(Day.KINDS));
 
   private final Day base;
   private final SplittableRandom random;
   private int played;
 
-  /** A day that was played: {@code broken} are the rules it broke, {@code inAim} what it served in time. */
+  /** A scenario that was run: {@code broken} are the rules that it broke, {@code inAim} is the fraction of
+   * requests served within their aim. */
   public record Found(Day day, List<Auditor.Rule> broken, double inAim, String first) {}
 
   /** @param base
-   *          a day, of which the troubles are drawn anew */
+   *          scenario whose disturbances are replaced by generated ones */
   public BadDays(Day base, long seed) {
     this.base = base;
     random = new SplittableRandom(seed);
   }
 
-  /** How many days were played. */
+  /** Number of scenarios run. */
   public int played() {
     return played;
   }
 
-  /** Plays {@code rounds} times {@code each} days, each round half drawn and half bred from the worst of all
-   * so far; gives all that broke a rule, and else the few that served least in time, worst first. */
+  /** Runs {@code rounds} rounds of {@code each} scenarios. Half of each round is generated, the other half
+   * mutated from the worst scenarios so far. Returns all scenarios, worst first: those that broke a rule,
+   * then by the fraction served in time. */
   public List<Found> search(int rounds, int each) {
     List<Found> all = new ArrayList<>();
-    for (int r = 0; r < rounds; r++) {
-      List<Day> days = new ArrayList<>();
+    for (int round = 0; round < rounds; round++) {
+      List<Day> scenarios = new ArrayList<>();
       for (int i = 0; i < each; i++) {
-        boolean bred = !all.isEmpty() && i % 2 == 0;
-        days.add(base.with(random.nextLong(1L << 40))
-            .with(bred
-                ? varied(all.get(random.nextInt(Math.min(each, all.size()))).day().troubles())
-                : drawn()));
+        boolean mutated = !all.isEmpty() && i % 2 == 0;
+        scenarios.add(base.with(random.nextLong(1L << 40))
+            .with(mutated
+                ? mutate(all.get(random.nextInt(Math.min(each, all.size()))).day().troubles())
+                : randomDisturbances()));
       }
-      all.addAll(IntStream.range(0, each).parallel().mapToObj(i -> play(days.get(i))).toList());
+      all.addAll(IntStream.range(0, each).parallel().mapToObj(i -> play(scenarios.get(i))).toList());
       played += each;
-      all.sort(Comparator.comparingInt((Found f) -> f.broken().isEmpty() ? 1 : 0)
+      all.sort(Comparator.comparingInt((Found finding) -> finding.broken().isEmpty() ? 1 : 0)
           .thenComparingDouble(Found::inAim));
     }
     return all;
   }
 
-  private static Found play(Day day) {
-    Outcome o = World.play(day);
-    return new Found(day, o.audit()
+  private static Found play(Day scenario) {
+    Outcome result = World.play(scenario);
+    return new Found(scenario, result.audit()
         .breaches()
         .stream()
         .map(Auditor.Breach::rule)
         .distinct()
         .sorted()
-        .toList(), o
+        .toList(), result
             .all()
-            .inAim(), o.audit().breaches().isEmpty() ? "" : o.audit().breaches().get(0).toString());
+            .inAim(), result.audit().breaches().isEmpty() ? "" : result.audit().breaches().get(0).toString());
   }
 
-  /** The smallest day that still breaks the first rule which {@code found} broke: with troubles left out,
-   * made shorter and struck less, and a shorter load, as long as it does. */
+  /** Shrinks a finding to the smallest scenario that still breaks the first rule that {@code found} broke, by
+   * removing disturbances, shortening them, reducing the fraction that they affect, and shortening the
+   * load. */
   public Found shrink(Found found) {
     Auditor.Rule rule = found.broken().get(0);
     Found[] smallest = {found};
-    Predicate<Day> breaks = day -> {
-      Found f = play(day);
+    Predicate<Day> breaks = scenario -> {
+      Found finding = play(scenario);
       played++;
-      boolean still = f.broken().contains(rule);
-      smallest[0] = still ? f : smallest[0];
-      return still;
+      boolean stillBreaks = finding.broken().contains(rule);
+      smallest[0] = stillBreaks ? finding : smallest[0];
+      return stillBreaks;
     };
-    for (boolean smaller = true; smaller;) {
-      Optional<Day> next = simpler(smallest[0].day()).stream().filter(breaks).findFirst();
-      smaller = next.isPresent();
+    for (boolean shrunk = true; shrunk;) {
+      Optional<Day> next = simplifications(smallest[0].day()).stream().filter(breaks).findFirst();
+      shrunk = next.isPresent();
     }
     return smallest[0];
   }
 
-  /** Every day that is one step simpler, the largest steps first. */
-  static List<Day> simpler(Day day) {
+  /** All scenarios that are one step simpler, the largest steps first. */
+  static List<Day> simplifications(Day scenario) {
     List<Day> all = new ArrayList<>();
-    List<Trouble> t = day.troubles();
-    for (int i = 0; i < t.size(); i++) {
-      List<Trouble> fewer = new ArrayList<>(t);
+    List<Disturbance> disturbances = scenario.troubles();
+    for (int i = 0; i < disturbances.size(); i++) {
+      List<Disturbance> fewer = new ArrayList<>(disturbances);
       fewer.remove(i);
-      all.add(day.with(fewer));
+      all.add(scenario.with(fewer));
     }
-    double last = t.stream().mapToDouble(x -> x.at() + x.seconds()).max().orElse(0);
-    for (double s : new double[]{day.seconds() / 2, day.seconds() * 0.8}) {
-      if (s >= 1 && s >= last) {
-        all.add(day.lasting(s));
+    double lastEnd = disturbances.stream()
+        .mapToDouble(disturbance -> disturbance.at() + disturbance.seconds())
+        .max()
+        .orElse(0);
+    for (double seconds : new double[]{scenario.seconds() / 2, scenario.seconds() * 0.8}) {
+      if (seconds >= 1 && seconds >= lastEnd) {
+        all.add(scenario.lasting(seconds));
       }
     }
-    for (int i = 0; i < t.size(); i++) {
-      Trouble x = t.get(i);
-      if (x.seconds() >= 2 * SHORTEST_S) {
-        all.add(day.with(replaced(t, i, new Trouble(x.at(), x.kind(), x.target(), half(x.seconds()), x.part(),
-            x
+    for (int i = 0; i < disturbances.size(); i++) {
+      Disturbance disturbance = disturbances.get(i);
+      if (disturbance.seconds() >= 2 * MIN_DURATION_S) {
+        all.add(scenario.with(withReplaced(disturbances, i, new Disturbance(disturbance.at(), disturbance
+            .kind(),
+            disturbance.target(), halved(disturbance.seconds()),
+            disturbance.fraction(),
+            disturbance
                 .size()))));
       }
-      if (x.part() > 0.05) {
-        all.add(day.with(replaced(t, i, new Trouble(x.at(), x.kind(), x.target(), x.seconds(), half(x.part()),
-            x
+      if (disturbance.fraction() > 0.05) {
+        all.add(scenario.with(withReplaced(disturbances, i, new Disturbance(disturbance.at(), disturbance
+            .kind(),
+            disturbance.target(), disturbance.seconds(), halved(
+                disturbance.fraction()),
+            disturbance
                 .size()))));
       }
     }
     return all;
   }
 
-  private static double half(double x) {
+  private static double halved(double x) {
     return Math.round(x * 500) / 1_000.0;
   }
 
-  private static List<Trouble> replaced(List<Trouble> all, int i, Trouble by) {
-    List<Trouble> next = new ArrayList<>(all);
-    next.set(i, by);
+  private static List<Disturbance> withReplaced(List<Disturbance> all, int i, Disturbance replacement) {
+    List<Disturbance> next = new ArrayList<>(all);
+    next.set(i, replacement);
     return next;
   }
 
-  private List<Trouble> drawn() {
-    return IntStream.rangeClosed(0, random.nextInt(MOST_TROUBLES)).mapToObj(i -> trouble()).toList();
+  private List<Disturbance> randomDisturbances() {
+    return IntStream.rangeClosed(0, random.nextInt(MAX_DISTURBANCES))
+        .mapToObj(i -> randomDisturbance())
+        .toList();
   }
 
-  /** One trouble changed, one more or one less. */
-  private List<Trouble> varied(List<Trouble> of) {
-    List<Trouble> next = new ArrayList<>(of);
-    int step = random.nextInt(3);
-    if (step == 0 && next.size() > 1) {
-      next.remove(random.nextInt(next.size()));
-    } else if (step == 1 && next.size() < 2 * MOST_TROUBLES) {
-      next.add(trouble());
+  /** Changes, adds or removes one disturbance. */
+  private List<Disturbance> mutate(List<Disturbance> original) {
+    List<Disturbance> mutated = new ArrayList<>(original);
+    int change = random.nextInt(3);
+    if (change == 0 && mutated.size() > 1) {
+      mutated.remove(random.nextInt(mutated.size()));
+    } else if (change == 1 && mutated.size() < 2 * MAX_DISTURBANCES) {
+      mutated.add(randomDisturbance());
     } else {
-      next.set(random.nextInt(next.size()), trouble());
+      mutated.set(random.nextInt(mutated.size()), randomDisturbance());
     }
-    return next;
+    return mutated;
   }
 
-  private Trouble trouble() {
+  private Disturbance randomDisturbance() {
     String kind = KINDS.get(random.nextInt(KINDS.size()));
-    double at = tenth(random.nextDouble(base.seconds() * 0.8));
-    double lasts = Math.max(SHORTEST_S, tenth(random.nextDouble(base.seconds() / 3)));
-    double part = Math.max(0.05, tenth(random.nextDouble()));
+    double at = roundToTenth(random.nextDouble(base.seconds() * 0.8));
+    double seconds = Math.max(MIN_DURATION_S, roundToTenth(random.nextDouble(base.seconds() / 3)));
+    double fraction = Math.max(0.05, roundToTenth(random.nextDouble()));
     double size = switch (kind) {
-      case "answer-lost", "fast-errors", "partition" -> Math.max(0.1, tenth(random.nextDouble()));
-      case "slow", "burst", "plan-burst", "volume-burst", "hot-volumes", "scan" -> 1 + tenth(random
+      case "answer-lost", "fast-errors", "partition" -> Math.max(0.1, roundToTenth(random.nextDouble()));
+      case "slow", "burst", "plan-burst", "volume-burst", "hot-volumes", "scan" -> 1 + roundToTenth(random
           .nextDouble(9));
-      case "heavy-tail" -> 1 + tenth(random.nextDouble(100));
-      case "late-write" -> Math.max(0.1, tenth(random.nextDouble(3)));
+      case "heavy-tail" -> 1 + roundToTenth(random.nextDouble(100));
+      case "late-write" -> Math.max(0.1, roundToTenth(random.nextDouble(3)));
       default -> 1;
     };
-    List<Day.Load> v = base.volumes();
-    return new Trouble(at, kind, Day.AT_LOAD.contains(kind) ? v.get(random.nextInt(v.size())).volume() : "",
-        lasts,
-        part, size);
+    List<Day.VolumeLoad> volumes = base.volumes();
+    return new Disturbance(at, kind, Day.LOAD_KINDS.contains(kind)
+        ? volumes.get(random.nextInt(volumes.size())).volume()
+        : "",
+        seconds,
+        fraction, size);
   }
 
-  private static double tenth(double x) {
+  private static double roundToTenth(double x) {
     return Math.round(x * 10) / 10.0;
   }
 }
--- a/src/main/java/hollyslip/emulator/Estimate.java
+++ b/src/main/java/hollyslip/emulator/Estimate.java
@@ -3,46 +3,47 @@
 import java.util.Arrays;
 import org.apache.commons.statistics.distribution.TDistribution;
 
-/** A mean of runs and how far the true one may lie from it: the two-sided interval of Student's t.
+/** Mean of several runs with its two-sided confidence interval by Student's t-distribution.
  *
  * @param mean
- *          of the runs
+ *          mean of the runs
  * @param half
- *          half the interval's width; infinite for a single run
+ *          half the width of the interval; infinite for a single run
  * @param runs
- *          how many */
+ *          number of runs */
 public record Estimate(double mean, double half, int runs) {
-  /** Trust in the interval. */
-  public static final double TRUST = 0.95;
+  /** Confidence level of the interval. */
+  public static final double CONFIDENCE_LEVEL = 0.95;
 
-  /** Of independent runs. */
+  /** Estimates the mean of independent runs. */
   public static Estimate of(double... values) {
-    int n = values.length;
-    if (n == 0) {
-      throw new IllegalArgumentException("an estimate needs a run");
+    int runs = values.length;
+    if (runs == 0) {
+      throw new IllegalArgumentException("an estimate needs at least one run");
     }
     double mean = Arrays.stream(values).average().orElseThrow();
-    if (n == 1) {
+    if (runs == 1) {
       return new Estimate(mean, Double.POSITIVE_INFINITY, 1);
     }
-    double variance = Arrays.stream(values).map(v -> (v - mean) * (v - mean)).sum() / (n - 1);
-    double t = TDistribution.of(n - 1).inverseCumulativeProbability((1 + TRUST) / 2);
-    return new Estimate(mean, t * Math.sqrt(variance / n), n);
+    double variance = Arrays.stream(values).map(value -> (value - mean) * (value - mean)).sum() / (runs - 1);
+    double quantile = TDistribution.of(runs - 1).inverseCumulativeProbability((1 + CONFIDENCE_LEVEL) / 2);
+    return new Estimate(mean, quantile * Math.sqrt(variance / runs), runs);
   }
 
-  /** Of what the second of two variants has more than the first on the same seeds: what all seeds share falls
-   * out. */
+  /** Estimates by how much a second variant exceeds the first on the same seeds; pairing removes the variance
+   * that runs of the same seed share. */
   public static Estimate paired(double[] first, double[] second) {
     if (first.length != second.length) {
-      throw new IllegalArgumentException("pairs need as many runs of both: " + first.length + " and "
+      throw new IllegalArgumentException("paired estimates need equal numbers of runs: " + first.length
+          + " and "
           + second.length);
     }
-    double[] d = new double[first.length];
-    Arrays.setAll(d, i -> second[i] - first[i]);
-    return of(d);
+    double[] differences = new double[first.length];
+    Arrays.setAll(differences, i -> second[i] - first[i]);
+    return of(differences);
   }
 
-  /** Whether it differs from nothing by more than chance. */
+  /** Whether the mean differs significantly from zero. */
   public boolean clear() {
     return Math.abs(mean) > half;
   }
--- a/src/main/java/hollyslip/emulator/Experiment.java
+++ b/src/main/java/hollyslip/emulator/Experiment.java
@@ -1,5 +1,6 @@
 package hollyslip.emulator;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import hollyslip.audit.Asked;
@@ -24,118 +25,120 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A day in the emulator over and over: each point of a sweep, each on the same seeds. What was run is kept
- * in {@code runs.jsonl}, so that an interrupted experiment goes on where it was.
- *
+/** Runs a scenario in the emulator repeatedly: for each point of a parameter sweep, on the same seeds.
+ * Completed runs are stored in {@code runs.jsonl}, so that an interrupted experiment can be resumed.
  * <p>
- * The file is a script like the settings' (docs/settings.md): {@code experiment(day = "x.day", seeds = 8)}
- * and {@code sweep("name", [...])}; in the day's text {@code $name} stands for the value. */
+ * The file is a script like the settings (docs/settings.md): {@code experiment(day = "x.day", seeds = 8)} and
+ * {@code sweep("name", [...])}; in the text of the day file {@code $name} is replaced by the value. */
 public final class Experiment {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final List<String> CALLS = List.of("experiment", "sweep");
-  private static final Pattern NAME = Pattern.compile("\\$([A-Za-z][A-Za-z0-9_]*)");
+  private static final List<String> FUNCTIONS = List.of("experiment", "sweep");
+  private static final Pattern PLACEHOLDER = Pattern.compile("\\$([A-Za-z][A-Za-z0-9_]*)");
 
-  /** One run, as it is kept; latencies in us. */
+  /** One run as it is stored; latencies in us. */
   public record Run(Map<String, String> point, long seed, String day, double inAim, double served,
       double refused,
-      double failed, double p50, double p99, double p999, long happenings, List<String> broken) {
-    boolean is(Map<String, String> p, long s, String text) {
-      return point.equals(p) && seed == s && day.equals(text);
+      double failed, double p50, double p99, double p999, @JsonProperty("happenings") long eventCount,
+      List<String> broken) {
+    boolean matches(Map<String, String> otherPoint, long otherSeed, String dayText) {
+      return point.equals(otherPoint) && seed == otherSeed && day.equals(dayText);
     }
   }
 
-  /** What is told of a run by name. */
-  public static final Map<String, ToDoubleFunction<Run>> FIGURES = figures();
+  /** Measures of a run, by name. */
+  public static final Map<String, ToDoubleFunction<Run>> FIGURES = measures();
 
-  private final String text;
+  private final String scenarioTemplate;
   private final int seeds;
   private final Map<String, List<String>> sweeps;
-  /** What goes with a value of a sweep, by {@code name=value}. */
-  private final Map<String, Map<String, String>> linked;
+  /** Values of further names that a value of a sweep sets as well, by {@code name=value}. */
+  private final Map<String, Map<String, String>> linkedValues;
 
-  private Experiment(String text, int seeds, Map<String, List<String>> sweeps,
-      Map<String, Map<String, String>> linked) {
-    this.linked = linked;
-    this.text = text;
+  private Experiment(String scenarioTemplate, int seeds, Map<String, List<String>> sweeps,
+      Map<String, Map<String, String>> linkedValues) {
+    this.linkedValues = linkedValues;
+    this.scenarioTemplate = scenarioTemplate;
     this.seeds = seeds;
     this.sweeps = sweeps;
   }
 
-  private static Map<String, ToDoubleFunction<Run>> figures() {
-    Map<String, ToDoubleFunction<Run>> f = new LinkedHashMap<>();
-    f.put("in aim %", r -> 100 * r.inAim());
-    f.put("served %", r -> 100 * r.served());
-    f.put("refused %", r -> 100 * r.refused());
-    f.put("p50 ms", r -> r.p50() / 1e3);
-    f.put("p99 ms", r -> r.p99() / 1e3);
-    f.put("p99.9 ms", r -> r.p999() / 1e3);
-    return f;
+  private static Map<String, ToDoubleFunction<Run>> measures() {
+    Map<String, ToDoubleFunction<Run>> measures = new LinkedHashMap<>();
+    measures.put("in aim %", run -> 100 * run.inAim());
+    measures.put("served %", run -> 100 * run.served());
+    measures.put("refused %", run -> 100 * run.refused());
+    measures.put("p50 ms", run -> run.p50() / 1e3);
+    measures.put("p99 ms", run -> run.p99() / 1e3);
+    measures.put("p99.9 ms", run -> run.p999() / 1e3);
+    return measures;
   }
 
-  /** Reads an experiment and its day.
+  /** Reads an experiment and its day file.
    *
    * @throws IllegalArgumentException
-   *           something is wrong with them; names file and line, or the point of the sweep */
+   *           if either is invalid; the message names file and line, or the point of the sweep */
   public static Experiment read(Path file) throws IOException {
-    JsonNode said;
+    JsonNode declared;
     try {
-      Script script = Script.run(file, CALLS);
-      said = script.declared();
+      Script script = Script.run(file, FUNCTIONS);
+      declared = script.declared();
     } catch (ScriptError e) {
       throw new IllegalArgumentException(e.text());
     }
-    if (said.path("experiment").size() != 1) {
-      throw new IllegalArgumentException(file + ": experiment(...) must stand in it once");
+    if (declared.path("experiment").size() != 1) {
+      throw new IllegalArgumentException(file + ": experiment(...) must occur exactly once");
     }
-    JsonNode e = said.get("experiment").get(0);
-    int seeds = e.path("seeds").asInt(8);
-    if (!e.path("day").isTextual() || seeds < 1 || seeds > 10_000) {
-      throw new IllegalArgumentException(file + ": experiment: needs a day, and seeds from 1 to 10,000");
+    JsonNode declaration = declared.get("experiment").get(0);
+    int seeds = declaration.path("seeds").asInt(8);
+    if (!declaration.path("day").isTextual() || seeds < 1 || seeds > 10_000) {
+      throw new IllegalArgumentException(file + ": experiment: needs a day and between 1 and 10,000 seeds");
     }
     Map<String, List<String>> sweeps = new LinkedHashMap<>();
     Map<String, Map<String, String>> linked = new LinkedHashMap<>();
-    for (JsonNode s : said.path("sweep")) {
+    for (JsonNode sweep : declared.path("sweep")) {
       List<String> values = new ArrayList<>();
-      String name = s.path("name").asText();
-      for (JsonNode v : s.path("values")) {
-        // A dict sets several names at once: the one swept is its value, the others go with it.
-        values.add(v.isObject() ? v.path(name).asText() : v.asText());
-        v.fields()
-            .forEachRemaining(f -> linked.computeIfAbsent(name + "=" + values.get(values.size() - 1),
-                k -> new LinkedHashMap<>()).put(f.getKey(), f.getValue().asText()));
+      String name = sweep.path("name").asText();
+      for (JsonNode value : sweep.path("values")) {
+        // A dict sets several names at once: the entry under the swept name is the value, the others go
+        // with it.
+        values.add(value.isObject() ? value.path(name).asText() : value.asText());
+        value.fields()
+            .forEachRemaining(entry -> linked.computeIfAbsent(name + "=" + values.get(values.size() - 1),
+                k -> new LinkedHashMap<>()).put(entry.getKey(), entry.getValue().asText()));
       }
-      if (!s.path("name").isTextual() || values.isEmpty()) {
+      if (!sweep.path("name").isTextual() || values.isEmpty()) {
         throw new IllegalArgumentException(file + ": sweep: needs a name and values");
       }
-      sweeps.put(s.get("name").asText(), values);
+      sweeps.put(sweep.get("name").asText(), values);
     }
-    String text = Files.readString(file.toAbsolutePath().resolveSibling(e.get("day").asText()));
-    Experiment x = new Experiment(text, seeds, sweeps, linked);
-    for (Map<String, String> p : x.points()) {
+    String text = Files.readString(file.toAbsolutePath().resolveSibling(declaration.get("day").asText()));
+    Experiment experiment = new Experiment(text, seeds, sweeps, linked);
+    for (Map<String, String> point : experiment.points()) {
       try {
-        x.day(p, 0);
-      } catch (IllegalArgumentException wrong) {
-        throw new IllegalArgumentException(e.get("day").asText() + " at " + p + ": " + wrong.getMessage());
+        experiment.scenario(point, 0);
+      } catch (IllegalArgumentException invalid) {
+        throw new IllegalArgumentException(declaration.get("day").asText() + " at " + point + ": " + invalid
+            .getMessage());
       }
     }
-    return x;
+    return experiment;
   }
 
-  /** Names of what is swept, in order. */
+  /** Names of the sweeps, in order. */
   public List<String> names() {
     return List.copyOf(sweeps.keySet());
   }
 
-  /** All points of the sweep; the last name moves fastest. */
+  /** All points of the sweep; the last name varies fastest. */
   public List<Map<String, String>> points() {
     List<Map<String, String>> all = List.of(Map.of());
-    for (Map.Entry<String, List<String>> s : sweeps.entrySet()) {
+    for (Map.Entry<String, List<String>> sweep : sweeps.entrySet()) {
       List<Map<String, String>> next = new ArrayList<>();
-      for (Map<String, String> p : all) {
-        for (String v : s.getValue()) {
-          Map<String, String> q = new LinkedHashMap<>(p);
-          q.put(s.getKey(), v);
-          next.add(q);
+      for (Map<String, String> point : all) {
+        for (String value : sweep.getValue()) {
+          Map<String, String> extended = new LinkedHashMap<>(point);
+          extended.put(sweep.getKey(), value);
+          next.add(extended);
         }
       }
       all = next;
@@ -143,55 +146,55 @@
     return all;
   }
 
-  private String text(Map<String, String> point) {
+  private String scenarioText(Map<String, String> point) {
     Map<String, String> all = new LinkedHashMap<>();
-    point.forEach((k, v) -> all.putAll(linked.getOrDefault(k + "=" + v, Map.of())));
+    point.forEach((name, value) -> all.putAll(linkedValues.getOrDefault(name + "=" + value, Map.of())));
     all.putAll(point);
-    Matcher m = NAME.matcher(text);
+    Matcher matcher = PLACEHOLDER.matcher(scenarioTemplate);
     StringBuilder out = new StringBuilder();
-    while (m.find()) {
-      String v = all.get(m.group(1));
-      if (v == null) {
-        throw new IllegalArgumentException("$" + m.group(1) + " is not swept");
+    while (matcher.find()) {
+      String value = all.get(matcher.group(1));
+      if (value == null) {
+        throw new IllegalArgumentException("$" + matcher.group(1) + " is not swept");
       }
-      m.appendReplacement(out, Matcher.quoteReplacement(v));
+      matcher.appendReplacement(out, Matcher.quoteReplacement(value));
     }
-    return m.appendTail(out).toString();
+    return matcher.appendTail(out).toString();
   }
 
-  private Day day(Map<String, String> point, long seed) {
-    return Day.parse(text(point)).with(seed);
+  private Day scenario(Map<String, String> point, long seed) {
+    return Day.parse(scenarioText(point)).with(seed);
   }
 
-  /** Runs what is not kept yet, on so many threads; gives all runs of this experiment.
+  /** Runs what is not stored yet on the given number of threads, and returns all runs of this experiment.
    *
-   * @param kept
-   *          where runs are kept; made if it is not there
+   * @param runsFile
+   *          file of stored runs; created if absent
    * @param progress
-   *          hears of each new run */
-  public List<Run> run(Path kept, int threads, Consumer<Run> progress) throws IOException,
+   *          called for each new run */
+  public List<Run> run(Path runsFile, int threads, Consumer<Run> progress) throws IOException,
       InterruptedException {
-    List<Run> before = Files.exists(kept) ? stored(kept) : List.of();
+    List<Run> stored = Files.exists(runsFile) ? readRuns(runsFile) : List.of();
     List<Run> done = new ArrayList<>();
     ForkJoinPool pool = new ForkJoinPool(threads);
-    try (Writer out = Files.newBufferedWriter(kept, StandardCharsets.UTF_8, StandardOpenOption.CREATE,
+    try (Writer out = Files.newBufferedWriter(runsFile, StandardCharsets.UTF_8, StandardOpenOption.CREATE,
         StandardOpenOption.APPEND)) {
       List<java.util.concurrent.Future<Run>> running = new ArrayList<>();
-      for (Map<String, String> p : points()) {
+      for (Map<String, String> point : points()) {
         for (long seed = 1; seed <= seeds; seed++) {
-          long s = seed;
-          String t = text(p);
-          before.stream()
-              .filter(r -> r.is(p, s, t))
+          long runSeed = seed;
+          String dayText = scenarioText(point);
+          stored.stream()
+              .filter(run -> run.matches(point, runSeed, dayText))
               .findFirst()
               .ifPresentOrElse(done::add, () -> running.add(pool
-                  .submit(() -> keep(out, play(p, s, t)))));
+                  .submit(() -> appendRun(out, play(point, runSeed, dayText)))));
         }
       }
-      for (var f : running) {
-        Run r = f.get();
-        done.add(r);
-        progress.accept(r);
+      for (var future : running) {
+        Run run = future.get();
+        done.add(run);
+        progress.accept(run);
       }
     } catch (ExecutionException e) {
       throw new IOException(e.getCause());
@@ -201,59 +204,62 @@
     return done;
   }
 
-  /** Runs that are kept. An interruption may have cut the last line short: that alone is dropped, from the
-   * file too, as the next run would be written on behind it and be lost with it.
+  /** Reads the stored runs. An interruption may have truncated the last line. Only that line is dropped, and
+   * also removed from the file, because the next run would be appended to it and be lost too.
    *
    * @throws IOException
-   *           another line cannot be read; names it */
-  private static List<Run> stored(Path kept) throws IOException {
-    String text = Files.readString(kept);
-    int whole = text.lastIndexOf('\n') + 1;
-    if (whole < text.length()) {
-      Files.writeString(kept, text.substring(0, whole));
+   *           if another line cannot be read; the message names it */
+  private static List<Run> readRuns(Path runsFile) throws IOException {
+    String text = Files.readString(runsFile);
+    int completeLength = text.lastIndexOf('\n') + 1;
+    if (completeLength < text.length()) {
+      Files.writeString(runsFile, text.substring(0, completeLength));
     }
     List<Run> all = new ArrayList<>();
-    for (String line : text.substring(0, whole).lines().toList()) {
+    for (String line : text.substring(0, completeLength).lines().toList()) {
       try {
         all.add(JSON.readValue(line, Run.class));
       } catch (IOException e) {
-        throw new IOException(kept + ": line " + (all.size() + 1) + " is no run: " + e.getMessage(), e);
+        throw new IOException(runsFile + ": line " + (all.size() + 1) + " is not a valid run: " + e
+            .getMessage(),
+            e);
       }
     }
     return all;
   }
 
-  private static Run keep(Writer out, Run r) throws IOException {
-    String line = JSON.writeValueAsString(r) + "\n";
+  private static Run appendRun(Writer out, Run run) throws IOException {
+    String line = JSON.writeValueAsString(run) + "\n";
     synchronized (out) {
       out.write(line);
       out.flush();
     }
-    return r;
+    return run;
   }
 
-  private Run play(Map<String, String> point, long seed, String of) {
-    Outcome o = World.play(day(point, seed));
-    Outcome.Tally t = o.all();
-    double n = Math.max(1, t.asked());
-    return new Run(point, seed, of, t.inAim(), t.count(Asked.Answer.SERVED) / n, t.count(Asked.Answer.REFUSED)
-        / n, t
-            .count(Asked.Answer.FAILED) / n, t.latency().getValueAtPercentile(50), t.latency()
-                .getValueAtPercentile(99), t
+  private Run play(Map<String, String> point, long seed, String dayText) {
+    Outcome result = World.play(scenario(point, seed));
+    Outcome.Tally tally = result.all();
+    double requests = Math.max(1, tally.asked());
+    return new Run(point, seed, dayText, tally.inAim(), tally.count(Asked.Answer.SERVED) / requests, tally
+        .count(Asked.Answer.REFUSED)
+        / requests, tally
+            .count(Asked.Answer.FAILED) / requests, tally.latency().getValueAtPercentile(50), tally.latency()
+                .getValueAtPercentile(99), tally
                     .latency()
-                    .getValueAtPercentile(99.9), o.happenings(), o.audit()
+                    .getValueAtPercentile(99.9), result.happenings(), result.audit()
                         .breaches()
                         .stream()
-                        .map(b -> b.rule().name())
+                        .map(breach -> breach.rule().name())
                         .distinct()
                         .sorted()
                         .toList());
   }
 
-  /** The runs of one point, in order of their seeds. */
+  /** Runs at one point, ordered by seed. */
   public static List<Run> of(List<Run> runs, Map<String, String> point) {
     Map<Long, Run> bySeed = new TreeMap<>();
-    runs.stream().filter(r -> r.point().equals(point)).forEach(r -> bySeed.put(r.seed(), r));
+    runs.stream().filter(run -> run.point().equals(point)).forEach(run -> bySeed.put(run.seed(), run));
     return List.copyOf(bySeed.values());
   }
 }
--- a/src/main/java/hollyslip/emulator/World.java
+++ b/src/main/java/hollyslip/emulator/World.java
@@ -7,7 +7,7 @@
 import hollyslip.audit.Auditor;
 import hollyslip.audit.Told;
 import hollyslip.load.Day;
-import hollyslip.load.DaySettings;
+import hollyslip.load.ScenarioSettings;
 import hollyslip.node.Nbd;
 import hollyslip.settings.Deployment;
 import hollyslip.settings.Loader;
@@ -31,75 +31,77 @@
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 
-/** A {@link Day} in virtual time: gateways with the product's engine and module, nodes, network and clients
- * as models. One thread plays it; equal days give equal runs. It is a model in figures of our own, so what
- * comes out is called simulated. */
+/** Plays a {@link Day} in virtual time, with the production engine and scheduler and with models of nodes,
+ * network and clients. Single-threaded and deterministic: equal scenarios give equal runs. The models use
+ * parameters of their own, so the results are always labelled as simulated. */
 public final class World {
-  /** The operator's word of a node's state reaches a gateway within this, us. */
-  private static final long LIST_US = 50_000;
-  /** How old nodes are at the start, us: long warm. */
-  private static final long AGE_US = 3_600_000_000L;
-  /** How long after the load's end and the last deadline a run goes on, us. */
-  private static final long AFTER_US = 2_000_000;
-
-  final Day day;
-  final Sequence time = new Sequence();
+  /** Maximum delay until a gateway learns a node state set by the operator, us. */
+  private static final long MAX_LIST_DELAY_US = 50_000;
+  /** Age of the nodes at the start, us; they are long warm. */
+  private static final long INITIAL_NODE_AGE_US = 3_600_000_000L;
+  /** Additional run time after the end of the load and the last deadline, us. */
+  private static final long DRAIN_TIME_US = 2_000_000;
+
+  final Day scenario;
+  final EventQueue events = new EventQueue();
   private final Deployment deployment;
   private final Map<String, Volume> volumes;
   private final RequestClassifier classifier;
   private final SplittableRandom random;
-  private final List<Disk> disks = new ArrayList<>();
-  private final List<Site> sites = new ArrayList<>();
-  private final List<Caller> callers = new ArrayList<>();
+  private final List<EmulatedNode> nodes = new ArrayList<>();
+  private final List<EmulatedGateway> gateways = new ArrayList<>();
+  private final List<EmulatedClient> clients = new ArrayList<>();
   private final NodeState[] states;
   private final List<Asked> asked = new ArrayList<>();
-  private final List<Told> told = new ArrayList<>();
-  private final Map<String, NodeState> lastTold = new HashMap<>();
+  private final List<Told> operatorRecords = new ArrayList<>();
+  private final Map<String, NodeState> lastToldStates = new HashMap<>();
   private final Map<String, Outcome.Tally> tallies = new TreeMap<>();
   private final Map<String, Outcome.Tally> kinds = new TreeMap<>();
   private final List<Outcome.Tally> timeline = new ArrayList<>();
-  private boolean listDown;
-  private long marks;
+  private boolean nodeListDown;
+  private long lastWriteId;
 
-  private World(Day day, Deployment deployment) {
-    this.day = day;
+  private World(Day scenario, Deployment deployment) {
+    this.scenario = scenario;
     this.deployment = deployment;
     volumes = deployment.byName();
     classifier = new RequestClassifier(deployment.rows(), deployment.gateway().unitBytes(), deployment.store()
         .maxUnits());
-    random = new SplittableRandom(day.seed());
-    states = new NodeState[day.nodes().count()];
+    random = new SplittableRandom(scenario.seed());
+    states = new NodeState[scenario.nodes().count()];
     Arrays.fill(states, NodeState.ON);
   }
 
-  /** Plays a day.
+  /** Plays a scenario.
    *
    * @throws IllegalArgumentException
-   *           its plans or volumes do not make settings; names what is wrong */
-  public static Outcome play(Day day) {
-    World w = new World(day, deployment(day));
-    w.build();
-    w.day.troubles().forEach(w::trouble);
-    return w.run();
+   *           if its plans or volumes do not make valid settings; the message names the reason */
+  public static Outcome play(Day scenario) {
+    World emulation = new World(scenario, deployment(scenario));
+    emulation.build();
+    emulation.scenario.troubles().forEach(emulation::scheduleDisturbance);
+    return emulation.run();
   }
 
-  /** The settings of a day's gateways. */
-  private static Deployment deployment(Day day) {
+  /** Settings of the scenario's gateways. */
+  private static Deployment deployment(Day scenario) {
     try {
       Path dir = Files.createTempDirectory("hollyslip-emulate");
       try {
-        Files.writeString(dir.resolve("fleet.star"), DaySettings.fleet(day.nodes().count(), i -> 1 + i,
+        Files.writeString(dir.resolve("fleet.star"), ScenarioSettings.nodeListScript(scenario.nodes().count(),
+            i -> 1 + i,
             i -> NodeState.ON));
-        Path file = Files.writeString(dir.resolve("gateway-0.star"), DaySettings.text(day, 0));
+        Path file = Files.writeString(dir.resolve("gateway-0.star"), ScenarioSettings.gatewayScript(scenario,
+            0));
         Loader.Loaded loaded = Loader.load(file);
         if (!loaded.faults().isEmpty()) {
-          throw new IllegalArgumentException("settings of the day: " + loaded.faults());
+          throw new IllegalArgumentException("invalid settings for the scenario: " + loaded.faults());
         }
         return loaded.deployment();
       } finally {
-        try (Stream<Path> all = Files.walk(dir)) {
-          for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
-            Files.delete(p);
+        try (Stream<Path> files = Files.walk(dir)) {
+          for (Path path : files.sorted(Comparator.reverseOrder()).toList()) {
+            Files.delete(path);
           }
         }
       }
@@ -109,51 +111,56 @@
   }
 
   private void build() {
-    var n = day.nodes();
-    for (int i = 0; i < n.count(); i++) {
-      disks.add(new Disk(i, time, ServiceModel.timed(n.cores(), n.queue(), n.baseUs()), random.split(),
-          AGE_US));
+    var nodeModel = scenario.nodes();
+    for (int i = 0; i < nodeModel.count(); i++) {
+      nodes.add(new EmulatedNode(i, events, ServiceModel.timed(nodeModel.cores(), nodeModel.queue(), nodeModel
+          .baseUs()), random
+              .split(),
+          INITIAL_NODE_AGE_US));
     }
-    for (int i = 0; i < day.gateways(); i++) {
-      sites.add(new Site(this, i, classifier, random.split()));
+    for (int i = 0; i < scenario.gateways(); i++) {
+      gateways.add(new EmulatedGateway(this, i, classifier, random.split()));
     }
-    // Drawn as the generator of load does: both ask the same at the same times.
-    SplittableRandom clients = new SplittableRandom(day.seed());
-    for (Day.Load v : day.volumes()) {
-      int all = day.clients(v);
-      for (int c = 0; c < all; c++) {
-        Site site = sites.get(day.gateway(v, c));
-        Caller caller = new Caller(this, site, v, c, all, volumes.get(v.volume()).bytes(), clients
-            .nextLong());
-        site.add(caller);
-        callers.add(caller);
+    // Drawn exactly as in the load generator, so that both submit the same requests at the same times.
+    SplittableRandom clientSeeds = new SplittableRandom(scenario.seed());
+    for (Day.VolumeLoad load : scenario.volumes()) {
+      int clientCount = scenario.clientCount(load);
+      for (int index = 0; index < clientCount; index++) {
+        EmulatedGateway gateway = gateways.get(scenario.gatewayOf(load, index));
+        EmulatedClient client = new EmulatedClient(this, gateway, load, index, clientCount, volumes.get(load
+            .volume()).bytes(),
+            clientSeeds
+                .nextLong());
+        gateway.add(client);
+        clients.add(client);
       }
     }
-    sites.forEach(s -> {
-      told.add(new Told.Started(s.name, time.now()));
-      s.start();
+    gateways.forEach(gateway -> {
+      operatorRecords.add(new Told.Started(gateway.name, events.now()));
+      gateway.start();
     });
-    callers.forEach(Caller::begin);
+    clients.forEach(EmulatedClient::scheduleNextArrival);
   }
 
   private Outcome run() {
-    long end = Sequence.START + (long) (day.seconds() * 1e6);
-    time.until(end);
-    callers.forEach(Caller::end);
-    time.until(end + AFTER_US + deployment.classes()
+    long end = EventQueue.START_US + (long) (scenario.seconds() * 1e6);
+    events.runUntil(end);
+    clients.forEach(EmulatedClient::endLoad);
+    events.runUntil(end + DRAIN_TIME_US + deployment.classes()
         .stream()
         .mapToLong(RequestClass::deadlineUs)
         .max()
         .orElseThrow());
-    callers.forEach(Caller::finish);
+    clients.forEach(EmulatedClient::recordUnanswered);
     List<Command> commands = new ArrayList<>();
-    disks.forEach(d -> commands.addAll(d.log()));
-    return new Outcome(Auditor.check(DaySettings.figures(deployment, 0, 0), asked, commands, told), tallies,
-        kinds, timeline, time
-            .played());
+    nodes.forEach(node -> commands.addAll(node.commandLog()));
+    return new Outcome(Auditor.check(ScenarioSettings.auditFigures(deployment, 0, 0), asked, commands,
+        operatorRecords), tallies,
+        kinds, timeline, events
+            .processedCount());
   }
 
-  // What its parts ask of it.
+  // Called by the parts of the emulation.
 
   Deployment deployment() {
     return deployment;
@@ -163,202 +170,238 @@
     return volumes;
   }
 
-  List<Disk> disks() {
-    return disks;
+  List<EmulatedNode> nodes() {
+    return nodes;
   }
 
-  boolean listDown() {
-    return listDown;
+  boolean nodeListDown() {
+    return nodeListDown;
   }
 
-  long listDelay(SplittableRandom of) {
-    return of.nextLong(LIST_US);
+  long listDelay(SplittableRandom source) {
+    return source.nextLong(MAX_LIST_DELAY_US);
   }
 
-  long nextMark() {
-    return ++marks;
+  long nextWriteId() {
+    return ++lastWriteId;
   }
 
-  RequestClass rules(IoKind kind, long length) {
+  RequestClass requestClass(IoKind kind, long length) {
     String name = classifier.className(kind, length);
-    return deployment.classes().stream().filter(c -> c.name().equals(name)).findFirst().orElseThrow();
+    return deployment.classes()
+        .stream()
+        .filter(candidate -> candidate.name().equals(name))
+        .findFirst()
+        .orElseThrow();
   }
 
-  /** The list as the operator has it. */
-  List<NodeEntry> listed() {
-    List<NodeEntry> all = new ArrayList<>();
+  /** The node list as the operator sees it. */
+  List<NodeEntry> nodeEntries() {
+    List<NodeEntry> entries = new ArrayList<>();
     for (int i = 0; i < states.length; i++) {
-      all.add(listed(i));
+      entries.add(nodeEntry(i));
     }
-    return all;
+    return entries;
   }
 
-  private NodeEntry listed(int disk) {
-    return new NodeEntry(disk + 1, deployment.nodes().get(disk).zone(), disk, states[disk], 0);
+  private NodeEntry nodeEntry(int node) {
+    return new NodeEntry(node + 1, deployment.nodes().get(node).zone(), node, states[node], 0);
   }
 
-  /** A gateway was told so. */
-  void told(Site site, List<NodeEntry> list) {
-    for (NodeEntry l : list) {
-      String key = site.name + "/" + l.node();
-      NodeState before = lastTold.getOrDefault(key, NodeState.ON);
-      if (before != l.state()) {
-        lastTold.put(key, l.state());
-        told.add(new Told.State(site.name, disks.get((int) l.node() - 1).name, l.state(), time.now()));
+  /** Records the node states that a gateway has been told. */
+  void recordNodeStates(EmulatedGateway gateway, List<NodeEntry> entries) {
+    for (NodeEntry entry : entries) {
+      String key = gateway.name + "/" + entry.node();
+      NodeState before = lastToldStates.getOrDefault(key, NodeState.ON);
+      if (before != entry.state()) {
+        lastToldStates.put(key, entry.state());
+        operatorRecords.add(new Told.State(gateway.name, nodes.get((int) entry.node() - 1).name, entry
+            .state(), events
+                .now()));
       }
     }
   }
 
-  void note(Asked a, String plan, long dueUs, long aimUs) {
-    asked.add(a);
-    tally(plan).add(a.answer(), a.left(), a.answeredUs() - dueUs, aimUs);
-    kinds.computeIfAbsent(plan + (a.kind() == Nbd.CMD_READ ? ".read" : ".write"), k -> new Outcome.Tally())
-        .add(a.answer(), a.left(), a.answeredUs() - dueUs, aimUs);
-    int interval = (int) ((dueUs - Sequence.START) / Outcome.INTERVAL_US);
+  void recordRequest(Asked request, String plan, long dueUs, long aimUs) {
+    asked.add(request);
+    tally(plan).add(request.answer(), request.left(), request.answeredUs() - dueUs, aimUs);
+    kinds.computeIfAbsent(plan + (request.kind() == Nbd.CMD_READ ? ".read" : ".write"),
+        key -> new Outcome.Tally())
+        .add(request.answer(), request.left(), request.answeredUs() - dueUs, aimUs);
+    int interval = (int) ((dueUs - EventQueue.START_US) / Outcome.INTERVAL_US);
     while (timeline.size() <= interval) {
       timeline.add(new Outcome.Tally());
     }
-    timeline.get(interval).add(a.answer(), a.left(), a.answeredUs() - dueUs, aimUs);
+    timeline.get(interval).add(request.answer(), request.left(), request.answeredUs() - dueUs, aimUs);
   }
 
-  void never(String plan, long count) {
-    tally(plan).never(count);
+  void recordNeverSubmitted(String plan, long count) {
+    tally(plan).neverSubmitted(count);
   }
 
   private Outcome.Tally tally(String plan) {
     return tallies.computeIfAbsent(plan, k -> new Outcome.Tally());
   }
 
-  // Trouble.
+  // Disturbances.
 
-  private void at(double seconds, Runnable what) {
-    time.at(Sequence.START + (long) (seconds * 1e6), what);
+  private void schedule(double seconds, Runnable action) {
+    events.schedule(EventQueue.START_US + (long) (seconds * 1e6), action);
   }
 
-  private void trouble(Day.Trouble t) {
-    double end = t.at() + t.seconds();
-    switch (t.kind()) {
-      case "stall" -> nodes(t, d -> d.stall((long) (t.seconds() * 1e6)), d -> {});
-      case "hang" -> nodes(t, d -> d.faults.silent = true, d -> d.faults.silent = false);
-      case "vanish" -> nodes(t, d -> d.faults.silent = true, this::restart);
-      case "mass-restart" -> nodes(t, this::restart, d -> {});
-      case "fast-errors" -> nodes(t, d -> d.faults.errors = t.size(), d -> d.faults.errors = 0);
-      case "answer-lost" -> nodes(t, d -> d.faults.loseAnswers = t.size(), d -> d.faults.loseAnswers = 0);
-      case "late-write" -> nodes(t, d -> d.faults.lateWriteUs = (long) (t.size() * 1e6),
-          d -> d.faults.lateWriteUs = 0);
-      case "slow" -> nodes(t, d -> d.slow(Math.max(0.01, t.size())), d -> d.slow(1));
-      case "full" -> nodes(t, d -> d.faults.full = true, d -> d.faults.full = false);
-      case "heavy-tail" -> nodes(t, d -> {
-        d.faults.heavyFactor = t.size();
-        d.faults.heavyPart = 0.02;
-      }, d -> d.faults.heavyPart = 0);
-      case "drain" -> nodes(t, d -> list(d, NodeState.DRAINING), d -> list(d, NodeState.ON));
-      case "preempt" -> nodes(t, d -> {
-        list(d, NodeState.DRAINING);
-        time.in((long) (1e6 * t.preemptedAfter()), d::kill);
-      }, d -> {
-        restart(d);
-        list(d, NodeState.ON);
+  private void scheduleDisturbance(Day.Disturbance disturbance) {
+    double endSeconds = disturbance.at() + disturbance.seconds();
+    switch (disturbance.kind()) {
+      case "stall" -> scheduleOnNodes(disturbance, node -> node.stallFor((long) (disturbance.seconds()
+          * 1e6)), node -> {});
+      case "hang" -> scheduleOnNodes(disturbance, node -> node.faults.silent = true,
+          node -> node.faults.silent = false);
+      case "vanish" -> scheduleOnNodes(disturbance, node -> node.faults.silent = true, this::restart);
+      case "mass-restart" -> scheduleOnNodes(disturbance, this::restart, node -> {});
+      case "fast-errors" -> scheduleOnNodes(disturbance, node -> node.faults.errors = disturbance.size(),
+          node -> node.faults.errors = 0);
+      case "answer-lost" -> scheduleOnNodes(disturbance, node -> node.faults.loseAnswers = disturbance.size(),
+          node -> node.faults.loseAnswers = 0);
+      case "late-write" -> scheduleOnNodes(disturbance, node -> node.faults.lateWriteUs = (long) (disturbance
+          .size() * 1e6),
+          node -> node.faults.lateWriteUs = 0);
+      case "slow" -> scheduleOnNodes(disturbance, node -> node.setSlowdown(Math.max(0.01, disturbance
+          .size())), node -> node.setSlowdown(1));
+      case "full" -> scheduleOnNodes(disturbance, node -> node.faults.full = true,
+          node -> node.faults.full = false);
+      case "heavy-tail" -> scheduleOnNodes(disturbance, node -> {
+        node.faults.heavyFactor = disturbance.size();
+        node.faults.heavyPart = 0.02;
+      }, node -> node.faults.heavyPart = 0);
+      case "drain" -> scheduleOnNodes(disturbance, node -> setNodeState(node, NodeState.DRAINING),
+          node -> setNodeState(node,
+              NodeState.ON));
+      case "preempt" -> scheduleOnNodes(disturbance, node -> {
+        setNodeState(node, NodeState.DRAINING);
+        events.scheduleAfter((long) (1e6 * disturbance.killDelaySeconds()), node::kill);
+      }, node -> {
+        restart(node);
+        setNodeState(node, NodeState.ON);
       });
       case "partition" -> {
-        List<Site> cut = sites.stream().filter(s -> random.nextDouble() < t.size()).toList();
-        nodes(t, d -> cut.forEach(s -> s.cut(d, (long) (t.seconds() * 1e6))), d -> {});
+        List<EmulatedGateway> partitioned = gateways.stream()
+            .filter(gateway -> random.nextDouble() < disturbance.size())
+            .toList();
+        scheduleOnNodes(disturbance, node -> partitioned.forEach(gateway -> gateway.partition(node,
+            (long) (disturbance.seconds() * 1e6))), node -> {});
       }
-      case "burst" -> loads(t, c -> true);
-      case "plan-burst" -> loads(t, c -> c.load.plan().equals(t.target()));
-      case "volume-burst" -> loads(t, c -> c.load.volume().equals(t.target()));
+      case "burst" -> scheduleLoadFactor(disturbance, client -> true);
+      case "plan-burst" -> scheduleLoadFactor(disturbance, client -> client.load.plan()
+          .equals(disturbance.target()));
+      case "volume-burst" -> scheduleLoadFactor(disturbance, client -> client.load.volume()
+          .equals(disturbance.target()));
       case "hot-volumes", "scan" -> {
-        List<Caller> hot = callers.stream().filter(c -> random.nextDouble() < t.part()).toList();
-        loads(t, hot::contains);
-        boolean scan = t.kind().equals("scan");
-        at(t.at(), () -> hot.forEach(c -> c.readsOnly(scan)));
-        at(end, () -> hot.forEach(c -> c.readsOnly(false)));
+        List<EmulatedClient> selected = clients.stream()
+            .filter(client -> random.nextDouble() < disturbance.fraction())
+            .toList();
+        scheduleLoadFactor(disturbance, selected::contains);
+        boolean scan = disturbance.kind().equals("scan");
+        schedule(disturbance.at(), () -> selected.forEach(client -> client.readsOnly(scan)));
+        schedule(endSeconds, () -> selected.forEach(client -> client.readsOnly(false)));
       }
       case "retry-abuse" -> {
-        at(t.at(), () -> of(t).forEach(c -> c.abusive(true)));
-        at(end, () -> of(t).forEach(c -> c.abusive(false)));
+        schedule(disturbance.at(), () -> targetClients(disturbance).forEach(client -> client.retryImmediately(
+            true)));
+        schedule(endSeconds, () -> targetClients(disturbance).forEach(client -> client.retryImmediately(
+            false)));
       }
-      case "reconnect" -> at(t.at(), () -> callers.stream()
-          .filter(c -> random.nextDouble() < t.part())
-          .forEach(Caller::drop));
-      case "client-vanish" -> at(t.at(), () -> of(t).stream().limit(1).forEach(Caller::drop));
+      case "reconnect" -> schedule(disturbance.at(), () -> clients.stream()
+          .filter(client -> random.nextDouble() < disturbance.fraction())
+          .forEach(EmulatedClient::reconnect));
+      case "client-vanish" -> schedule(disturbance.at(), () -> targetClients(disturbance).stream()
+          .limit(1)
+          .forEach(EmulatedClient::reconnect));
       case "list-down" -> {
-        at(t.at(), () -> listDown = true);
-        at(end, () -> {
-          listDown = false;
-          tellList();
+        schedule(disturbance.at(), () -> nodeListDown = true);
+        schedule(endSeconds, () -> {
+          nodeListDown = false;
+          publishNodeList();
         });
       }
-      case "gateway-crash" -> crash(sites.get(random.nextInt(sites.size())), t);
-      default -> throw new IllegalStateException(t.kind());
+      case "gateway-crash" -> scheduleCrash(gateways.get(random.nextInt(gateways.size())), disturbance);
+      default -> throw new IllegalStateException(disturbance.kind());
     }
   }
 
-  private void crash(Site site, Day.Trouble t) {
-    at(t.at(), () -> {
-      if (site.isAlive()) {
-        site.kill();
+  private void scheduleCrash(EmulatedGateway gateway, Day.Disturbance disturbance) {
+    schedule(disturbance.at(), () -> {
+      if (gateway.isAlive()) {
+        gateway.kill();
       }
     });
-    at(t.at() + t.seconds(), () -> {
-      if (!site.isAlive()) {
-        told.add(new Told.Started(site.name, time.now()));
-        site.start();
+    schedule(disturbance.at() + disturbance.seconds(), () -> {
+      if (!gateway.isAlive()) {
+        operatorRecords.add(new Told.Started(gateway.name, events.now()));
+        gateway.start();
       }
     });
   }
 
-  private void nodes(Day.Trouble t, Consumer<Disk> begin, Consumer<Disk> end) {
-    for (Disk d : struck(t)) {
-      at(t.at(), () -> begin.accept(d));
-      at(t.at() + t.seconds(), () -> end.accept(d));
+  private void scheduleOnNodes(Day.Disturbance disturbance, Consumer<EmulatedNode> begin,
+      Consumer<EmulatedNode> end) {
+    for (EmulatedNode node : affectedNodes(disturbance)) {
+      schedule(disturbance.at(), () -> begin.accept(node));
+      schedule(disturbance.at() + disturbance.seconds(), () -> end.accept(node));
     }
   }
 
-  private List<Disk> struck(Day.Trouble t) {
-    if (!t.target().isEmpty()) {
-      return disks.stream().filter(d -> d.name.equals(t.target())).toList();
+  private List<EmulatedNode> affectedNodes(Day.Disturbance disturbance) {
+    if (!disturbance.target().isEmpty()) {
+      return nodes.stream().filter(node -> node.name.equals(disturbance.target())).toList();
     }
-    List<Disk> left = new ArrayList<>(disks);
-    List<Disk> chosen = new ArrayList<>();
-    for (long n = Math.max(1, Math.round(t.part() * disks.size())); n > 0 && !left.isEmpty(); n--) {
-      chosen.add(left.remove(random.nextInt(left.size())));
+    List<EmulatedNode> remaining = new ArrayList<>(nodes);
+    List<EmulatedNode> chosen = new ArrayList<>();
+    for (long n = Math.max(1, Math.round(disturbance.fraction() * nodes.size())); n > 0 && !remaining
+        .isEmpty(); n--) {
+      chosen.add(remaining.remove(random.nextInt(remaining.size())));
     }
     return chosen;
   }
 
-  private List<Caller> of(Day.Trouble t) {
-    return callers.stream()
-        .filter(c -> c.load.volume().equals(t.target()) || c.load.plan().equals(t.target()))
+  private List<EmulatedClient> targetClients(Day.Disturbance disturbance) {
+    return clients.stream()
+        .filter(client -> client.load.volume().equals(disturbance.target()) || client.load.plan()
+            .equals(disturbance.target()))
         .toList();
   }
 
-  private void loads(Day.Trouble t, Predicate<Caller> which) {
-    at(t.at(), () -> callers.stream().filter(which).forEach(c -> c.speed(t.size())));
-    at(t.at() + t.seconds(), () -> callers.stream().filter(which).forEach(c -> c.speed(1)));
+  private void scheduleLoadFactor(Day.Disturbance disturbance, Predicate<EmulatedClient> filter) {
+    schedule(disturbance.at(), () -> clients.stream()
+        .filter(filter)
+        .forEach(client -> client.rateFactor(disturbance.size())));
+    schedule(disturbance.at() + disturbance.seconds(), () -> clients.stream()
+        .filter(filter)
+        .forEach(client -> client.rateFactor(1)));
   }
 
-  private void restart(Disk d) {
-    d.faults.clear();
-    d.start();
-    told.add(new Told.Born(d.name, time.now()));
+  private void restart(EmulatedNode node) {
+    node.faults.clear();
+    node.start();
+    operatorRecords.add(new Told.Born(node.name, events.now()));
   }
 
-  private void list(Disk d, NodeState state) {
-    states[d.index] = state;
-    if (!listDown) {
-      NodeEntry l = listed(d.index);
-      sites.stream().filter(Site::isAlive).forEach(s -> time.in(listDelay(random), () -> {
-        if (s.isAlive() && states[d.index] == state) {
-          s.state(l);
-        }
-      }));
+  private void setNodeState(EmulatedNode node, NodeState state) {
+    states[node.index] = state;
+    if (!nodeListDown) {
+      NodeEntry entry = nodeEntry(node.index);
+      gateways.stream()
+          .filter(EmulatedGateway::isAlive)
+          .forEach(gateway -> events.scheduleAfter(listDelay(random), () -> {
+            if (gateway.isAlive() && states[node.index] == state) {
+              gateway.updateNodeState(entry);
+            }
+          }));
     }
   }
 
-  private void tellList() {
+  private void publishNodeList() {
     for (int i = 0; i < states.length; i++) {
-      list(disks.get(i), states[i]);
+      setNodeState(nodes.get(i), states[i]);
     }
   }
 }
--- a/src/main/java/hollyslip/load/Day.java
+++ b/src/main/java/hollyslip/load/Day.java
@@ -6,352 +6,378 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A scripted day: nodes, plans, volumes with their load, and what goes wrong when. Read from a small text of
- * our own (docs/replay.md): a line a fact, words and named figures, {@code #} for comments. Free of I/O.
+/** A scenario: nodes, plans, volumes with their load, and the disturbances to inject at given times. Read
+ * from a day file (docs/replay.md), a line-based text format of keywords and named numbers with {@code #} for
+ * comments. Performs no I/O.
  *
  * @param seconds
- *          how long the load lasts
+ *          duration of the load, s
  * @param seed
- *          of all that is drawn
+ *          seed of all random choices
  * @param gateways
- *          gateway processes
+ *          number of gateway processes
  * @param lanes
- *          cores of each
- * @param example
- *          whether the settings that ship are run, with their volumes and plans
+ *          number of lanes of each gateway
+ * @param exampleSettings
+ *          whether to run the shipped example settings with their volumes and plans
  * @param nodes
- *          the stand-ins
+ *          stand-in nodes
  * @param plans
- *          plans by name, with their figures
+ *          parameters of the plans, by plan name
  * @param volumes
  *          volumes and their load
  * @param troubles
- *          what goes wrong, by time */
-public record Day(double seconds, long seed, int gateways, int lanes, boolean example, Nodes nodes,
-    Map<String, Map<String, Double>> plans, List<Load> volumes, List<Trouble> troubles) {
+ *          disturbances in order of time */
+public record Day(double seconds, long seed, int gateways, int lanes, boolean exampleSettings, Nodes nodes,
+    Map<String, Map<String, Double>> plans, List<VolumeLoad> volumes, List<Disturbance> troubles) {
 
-  /** The stand-ins: all alike but for their seeds. For the emulator alone: {@code netUs} is one way on the
-   * network, drawn from half to one and a half of it; {@code engineUs} what one request costs a gateway's
-   * engine. */
+  /** The stand-in nodes; they differ only in their seeds. {@code netUs} and {@code engineUs} apply to the
+   * emulator only: the mean one-way network delay, drawn from half to one and a half of it, and the time that
+   * a gateway's engine spends on one request. */
   public record Nodes(int count, int cores, int queue, long baseUs, long netUs, double engineUs) {}
 
-  /** A volume and what its clients ask: {@code rate} requests a second over all its gateways, {@code hosts}
-   * of them (0: all) from the {@code first} on; {@code spread}: over how many shards it lies, 0: all. */
-  public record Load(String volume, String plan, int sizeMib, double rate, double reads, int mostBlocks,
-      int depth, int clients, Arrivals.Shape shape, int hosts, int spread, int first) {
-    private Load times(double factor) {
-      return new Load(volume, plan, sizeMib, rate * factor, reads, mostBlocks, depth, clients, shape, hosts,
-          spread,
-          first);
+  /** A volume and its load: {@code rate} requests per second in total through {@code maxGateways} gateways
+   * (0: all), starting with {@code firstGateway}. {@code maxShards} is the number of shards that the volume
+   * spreads over; 0: all. */
+  public record VolumeLoad(String volume, String plan, int sizeMib, double rate, double readFraction,
+      int maxBlocks,
+      int depth, int clients, ArrivalProcess.Shape shape, int maxGateways, int maxShards, int firstGateway) {
+    private VolumeLoad scaledBy(double factor) {
+      return new VolumeLoad(volume, plan, sizeMib, rate * factor, readFraction, maxBlocks, depth, clients,
+          shape, maxGateways,
+          maxShards,
+          firstGateway);
     }
 
-    private String text() {
+    private String toText() {
       return "volume " + volume + " plan " + plan + " size-mib " + sizeMib + " rate " + rate + " reads "
-          + reads
-          + " most-blocks " + mostBlocks + " depth " + depth + " clients " + clients + " shape " + shape
-              .word()
-          + " period " + shape.periodS() + " swing " + shape.swing() + " hosts " + hosts + " spread " + spread
-          + " first " + first;
+          + readFraction
+          + " most-blocks " + maxBlocks + " depth " + depth + " clients " + clients + " shape " + shape
+              .keyword()
+          + " period " + shape.periodS() + " swing " + shape.swing() + " hosts " + maxGateways + " spread "
+          + maxShards
+          + " first " + firstGateway;
     }
   }
 
-  /** Something that goes wrong.
+  /** A disturbance to inject.
    *
    * @param at
-   *          s after the start
+   *          start, s
    * @param kind
    *          one of {@link #KINDS}
    * @param target
-   *          name of a node, volume or plan; empty: drawn by {@code part}
+   *          name of a node, volume or plan; empty to choose at random according to {@code fraction}
    * @param seconds
-   *          how long it lasts
-   * @param part
-   *          part of the nodes or volumes struck
+   *          duration, s
+   * @param fraction
+   *          fraction of the nodes or volumes affected
    * @param size
-   *          how bad, as the kind says */
-  public record Trouble(double at, String kind, String target, double seconds, double part, double size) {
-    /** How long after it was told to drain a preempted node dies, s: always before it is back. */
-    public double preemptedAfter() {
+   *          severity; its meaning depends on the kind */
+  public record Disturbance(double at, String kind, String target, double seconds, double fraction,
+      double size) {
+    /** Delay between telling a preempted node to drain and killing it, s. Always less than the duration, so
+     * that the node dies before it returns. */
+    public double killDelaySeconds() {
       return Math.min(2, seconds / 2);
     }
 
-    private String text() {
+    private String toText() {
       return "at " + at + " " + kind + (target.isEmpty() ? "" : " target " + target) + " for " + seconds
           + " part "
-          + part + " size " + size;
+          + fraction + " size " + size;
     }
   }
 
-  /** Kinds of trouble that can be played. */
+  /** Kinds of disturbances. */
   public static final Set<String> KINDS = Set.of("stall", "vanish", "hang", "fast-errors", "burst",
       "plan-burst", "volume-burst", "hot-volumes", "scan", "heavy-tail", "list-down", "gateway-crash",
       "reconnect", "answer-lost", "retry-abuse", "mass-restart", "preempt", "drain", "late-write", "slow",
       "full", "client-vanish", "partition");
 
-  /** Kinds of which {@code target} is a volume or a plan; that of others is a node. */
-  public static final Set<String> AT_LOAD = Set.of("plan-burst", "volume-burst", "retry-abuse",
+  /** Kinds whose {@code target} is a volume or a plan; for all others it is a node. */
+  public static final Set<String> LOAD_KINDS = Set.of("plan-burst", "volume-burst", "retry-abuse",
       "client-vanish");
 
-  /** Kinds that only the emulator plays. */
-  public static final Set<String> EMULATED = Set.of("partition");
+  /** Kinds that only the emulator supports. */
+  public static final Set<String> EMULATOR_ONLY_KINDS = Set.of("partition");
 
-  /** What a description may name; sockets reach {@link #MOST_ON_SOCKETS} of each only. */
-  private static final int MOST_NODES = 1_000, MOST_GATEWAYS = 5_000;
-  private static final int MOST_ON_SOCKETS = 64;
+  /** Limits on the size of a scenario; over sockets {@link #MAX_ON_SOCKETS} applies to nodes and gateways
+   * instead. */
+  private static final int MAX_NODES = 1_000, MAX_GATEWAYS = 5_000;
+  private static final int MAX_ON_SOCKETS = 64;
 
-  private static final Set<String> NODE_WORDS = Set.of("count", "cores", "queue", "base-us", "net-us",
+  private static final Set<String> NODE_KEYS = Set.of("count", "cores", "queue", "base-us", "net-us",
       "engine-us");
-  private static final Set<String> PLAN_WORDS = Set.of("rate", "reserve", "weight", "price", "limit",
+  private static final Set<String> PLAN_KEYS = Set.of("rate", "reserve", "weight", "price", "limit",
       "limit-burst", "limit-slack");
-  private static final Set<String> VOLUME_WORDS = Set.of("plan", "size-mib", "rate", "reads", "most-blocks",
+  private static final Set<String> VOLUME_KEYS = Set.of("plan", "size-mib", "rate", "reads", "most-blocks",
       "depth", "clients", "period", "swing", "hosts", "spread", "first", "copies");
-  private static final Set<String> TROUBLE_WORDS = Set.of("target", "for", "part", "size");
+  private static final Set<String> DISTURBANCE_KEYS = Set.of("target", "for", "part", "size");
 
-  /** Text that is not a day; names the line. */
+  /** Thrown if a text is not a valid scenario; the message names the line. */
   public static final class Wrong extends IllegalArgumentException {
-    Wrong(int line, String what) {
-      super("line " + line + ": " + what);
+    Wrong(int lineNumber, String message) {
+      super("line " + lineNumber + ": " + message);
     }
   }
 
-  /** Reads a day. */
+  /** Parses a scenario. */
   public static Day parse(String text) {
-    return new Reader().read(text);
+    return new Parser().parse(text);
   }
 
-  /** Checks that it can be played over sockets.
+  /** Checks that the scenario can be played over sockets.
    *
    * @throws IllegalArgumentException
-   *           it is too large, or has trouble that only the emulator plays */
-  public void onSockets() {
-    if (nodes.count() > MOST_ON_SOCKETS || gateways > MOST_ON_SOCKETS) {
-      throw new IllegalArgumentException("at most " + MOST_ON_SOCKETS
-          + " nodes and gateways are played over sockets; hollyslip emulate plays more");
+   *           if it is too large, or contains a disturbance that only the emulator supports */
+  public void checkPlayableOverSockets() {
+    if (nodes.count() > MAX_ON_SOCKETS || gateways > MAX_ON_SOCKETS) {
+      throw new IllegalArgumentException("at most " + MAX_ON_SOCKETS
+          + " nodes and gateways are supported over sockets; use 'hollyslip emulate' for more");
     }
-    for (Trouble t : troubles) {
-      if (EMULATED.contains(t.kind())) {
-        throw new IllegalArgumentException("trouble '" + t.kind() + "' at " + t.at()
-            + " is played by hollyslip emulate only");
+    for (Disturbance disturbance : troubles) {
+      if (EMULATOR_ONLY_KINDS.contains(disturbance.kind())) {
+        throw new IllegalArgumentException("disturbance '" + disturbance.kind() + "' at " + disturbance.at()
+            + " is supported by 'hollyslip emulate' only");
       }
     }
   }
 
-  /** The day as text, which {@link #parse} reads back as an equal one. */
+  /** Formats the scenario as text that {@link #parse} parses to an equal scenario. */
   public String text() {
-    StringBuilder s = new StringBuilder();
-    s.append("day ").append(seconds).append("\nseed ").append(seed).append("\ngateways ").append(gateways);
-    s.append("\nlanes ").append(lanes).append(example ? "\nsettings example" : "");
-    s.append("\nnodes count ")
+    StringBuilder text = new StringBuilder();
+    text.append("day ").append(seconds).append("\nseed ").append(seed).append("\ngateways ").append(gateways);
+    text.append("\nlanes ").append(lanes).append(exampleSettings ? "\nsettings example" : "");
+    text.append("\nnodes count ")
         .append(nodes.count())
         .append(" cores ")
         .append(nodes.cores())
         .append(" queue ");
-    s.append(nodes.queue())
+    text.append(nodes.queue())
         .append(" base-us ")
         .append(nodes.baseUs())
         .append(" net-us ")
         .append(nodes.netUs());
-    s.append(" engine-us ").append(nodes.engineUs()).append('\n');
-    plans.forEach((name, figures) -> {
-      s.append("plan ").append(name);
-      new java.util.TreeMap<>(figures).forEach((k, v) -> s.append(' ').append(k).append(' ').append(v));
-      s.append('\n');
+    text.append(" engine-us ").append(nodes.engineUs()).append('\n');
+    plans.forEach((name, parameters) -> {
+      text.append("plan ").append(name);
+      new java.util.TreeMap<>(parameters).forEach((key, value) -> text.append(' ')
+          .append(key)
+          .append(' ')
+          .append(value));
+      text.append('\n');
     });
-    volumes.forEach(v -> s.append(v.text()).append('\n'));
-    troubles.forEach(t -> s.append(t.text()).append('\n'));
-    return s.toString();
+    volumes.forEach(value -> text.append(value.toText()).append('\n'));
+    troubles.forEach(t -> text.append(t.toText()).append('\n'));
+    return text.toString();
   }
 
-  /** The same day with other troubles, in order of time. */
-  public Day with(List<Trouble> others) {
-    List<Trouble> sorted = new ArrayList<>(others);
-    sorted.sort(java.util.Comparator.comparingDouble(Trouble::at));
-    return new Day(seconds, seed, gateways, lanes, example, nodes, plans, volumes, sorted);
+  /** Returns a copy with other disturbances, sorted by time. */
+  public Day with(List<Disturbance> others) {
+    List<Disturbance> sorted = new ArrayList<>(others);
+    sorted.sort(java.util.Comparator.comparingDouble(Disturbance::at));
+    return new Day(seconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes, sorted);
   }
 
-  /** Clients of a volume, over all its gateways. */
-  public int clients(Load v) {
-    return v.clients() * through(v);
+  /** Number of clients of a volume, over all its gateways. */
+  public int clientCount(VolumeLoad load) {
+    return load.clients() * gatewayCount(load);
   }
 
-  /** Through how many gateways a volume's requests come. */
-  public int through(Load v) {
-    return v.hosts() == 0 ? gateways : Math.min(v.hosts(), gateways);
+  /** Number of gateways that requests of a volume come through. */
+  public int gatewayCount(VolumeLoad load) {
+    return load.maxGateways() == 0 ? gateways : Math.min(load.maxGateways(), gateways);
   }
 
-  /** Gateway of one of its clients. */
-  public int gateway(Load v, int client) {
-    return (v.first() + client % through(v)) % gateways;
+  /** Index of the gateway that a client uses. */
+  public int gatewayOf(VolumeLoad load, int client) {
+    return (load.firstGateway() + client % gatewayCount(load)) % gateways;
   }
 
-  /** The same day with so many times the load. */
+  /** Returns a copy with the load multiplied by {@code factor}. */
   public Day times(double factor) {
-    return new Day(seconds, seed, gateways, lanes, example, nodes, plans, volumes.stream()
-        .map(v -> v.times(factor))
+    return new Day(seconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes.stream()
+        .map(v -> v.scaledBy(factor))
         .toList(), troubles);
   }
 
-  /** The same day with a load of so many seconds. */
-  public Day lasting(double s) {
-    return new Day(s, seed, gateways, lanes, example, nodes, plans, volumes, troubles);
+  /** Returns a copy whose load lasts {@code newSeconds} seconds. */
+  public Day lasting(double newSeconds) {
+    return new Day(newSeconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes, troubles);
   }
 
-  /** The same day drawn from another seed. */
+  /** Returns a copy with another seed. */
   public Day with(long otherSeed) {
-    return new Day(seconds, otherSeed, gateways, lanes, example, nodes, plans, volumes, troubles);
+    return new Day(seconds, otherSeed, gateways, lanes, exampleSettings, nodes, plans, volumes, troubles);
   }
 
-  private static final class Reader {
+  private static final class Parser {
     private double seconds = 60;
     private long seed = 1;
     private int gateways = 1;
     private int lanes = 1;
-    private boolean example;
+    private boolean exampleSettings;
     private Nodes nodes = new Nodes(6, 4, 64, 1_000, 40, 9);
     private final Map<String, Map<String, Double>> plans = new java.util.LinkedHashMap<>();
-    private final List<Load> volumes = new ArrayList<>();
-    private final List<Trouble> troubles = new ArrayList<>();
-    private int line;
+    private final List<VolumeLoad> volumes = new ArrayList<>();
+    private final List<Disturbance> disturbances = new ArrayList<>();
+    private int lineNumber;
 
-    Day read(String text) {
+    Day parse(String text) {
       for (String raw : text.split("\n", -1)) {
-        line++;
+        lineNumber++;
         String[] words = raw.replaceFirst("#.*", "").strip().split("\\s+");
         if (!words[0].isEmpty()) {
-          fact(words);
+          parseLine(words);
         }
       }
-      for (Load l : volumes) {
-        if (!example && !plans.containsKey(l.plan())) {
-          throw new Wrong(line, "volume " + l.volume() + ": plan " + l.plan() + " is not given");
+      for (VolumeLoad load : volumes) {
+        if (!exampleSettings && !plans.containsKey(load.plan())) {
+          throw new Wrong(lineNumber, "volume " + load.volume() + ": plan " + load.plan()
+              + " is not declared");
         }
       }
       if (volumes.isEmpty()) {
-        throw new Wrong(line, "no volume is given");
+        throw new Wrong(lineNumber, "no volume is declared");
       }
-      troubles.sort(java.util.Comparator.comparingDouble(Trouble::at));
-      return new Day(seconds, seed, gateways, lanes, example, nodes, plans, volumes, troubles);
+      disturbances.sort(java.util.Comparator.comparingDouble(Disturbance::at));
+      return new Day(seconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes, disturbances);
     }
 
-    private void fact(String[] w) {
-      switch (w[0]) {
-        case "day" -> seconds = number(w, 1, 1, 86_400);
-        case "seed" -> seed = (long) number(w, 1, 0, 1e15);
-        case "gateways" -> gateways = (int) number(w, 1, 1, MOST_GATEWAYS);
-        case "lanes" -> lanes = (int) number(w, 1, 1, 16);
+    private void parseLine(String[] words) {
+      switch (words[0]) {
+        case "day" -> seconds = parseNumber(words, 1, 1, 86_400);
+        case "seed" -> seed = (long) parseNumber(words, 1, 0, 1e15);
+        case "gateways" -> gateways = (int) parseNumber(words, 1, 1, MAX_GATEWAYS);
+        case "lanes" -> lanes = (int) parseNumber(words, 1, 1, 16);
         case "settings" -> {
-          if (w.length != 2 || !w[1].equals("example")) {
-            throw new Wrong(line, "settings: only 'example' is known");
+          if (words.length != 2 || !words[1].equals("example")) {
+            throw new Wrong(lineNumber, "settings: only 'example' is supported");
           }
-          example = true;
+          exampleSettings = true;
         }
         case "nodes" -> {
-          Map<String, Double> f = figures(w, 1, NODE_WORDS);
-          nodes = new Nodes(f.getOrDefault("count", 6.0).intValue(), f.getOrDefault("cores", 4.0).intValue(),
-              f.getOrDefault("queue", 64.0).intValue(), f.getOrDefault("base-us", 1_000.0).longValue(), f
-                  .getOrDefault("net-us", 40.0)
-                  .longValue(), f.getOrDefault("engine-us", 9.0));
-          if (nodes.count() < 1 || nodes.count() > MOST_NODES) {
-            throw new Wrong(line, "nodes: count must be from 1 to " + MOST_NODES);
+          Map<String, Double> numbers = parseNumbers(words, 1, NODE_KEYS);
+          nodes = new Nodes(numbers.getOrDefault("count", 6.0).intValue(), numbers.getOrDefault("cores", 4.0)
+              .intValue(),
+              numbers.getOrDefault("queue", 64.0).intValue(), numbers.getOrDefault("base-us", 1_000.0)
+                  .longValue(), numbers
+                      .getOrDefault("net-us", 40.0)
+                      .longValue(), numbers.getOrDefault("engine-us", 9.0));
+          if (nodes.count() < 1 || nodes.count() > MAX_NODES) {
+            throw new Wrong(lineNumber, "nodes: count must be from 1 to " + MAX_NODES);
           }
         }
-        case "plan" -> plans.put(name(w), figures(w, 2, PLAN_WORDS));
-        case "volume" -> volume(w);
-        case "at" -> trouble(w);
-        default -> throw new Wrong(line, "'" + w[0] + "' is not known");
+        case "plan" -> plans.put(parseName(words), parseNumbers(words, 2, PLAN_KEYS));
+        case "volume" -> parseVolume(words);
+        case "at" -> parseDisturbance(words);
+        default -> throw new Wrong(lineNumber, "unknown keyword '" + words[0] + "'");
       }
     }
 
-    private void volume(String[] w) {
-      String plan = take(w, "plan");
-      Arrivals.Shape shape;
-      String word = take(w, "shape");
-      Map<String, Double> f = figures(w, 2, VOLUME_WORDS);
+    private void parseVolume(String[] words) {
+      String plan = extractValue(words, "plan");
+      ArrivalProcess.Shape shape;
+      String shapeKeyword = extractValue(words, "shape");
+      Map<String, Double> numbers = parseNumbers(words, 2, VOLUME_KEYS);
       try {
-        shape = Arrivals.Shape.of(word, f.getOrDefault("period", 0.0), f.getOrDefault("swing", 0.0));
+        shape = ArrivalProcess.Shape.of(shapeKeyword, numbers.getOrDefault("period", 0.0), numbers
+            .getOrDefault("swing", 0.0));
       } catch (IllegalArgumentException e) {
-        throw new Wrong(line, "volume " + w[1] + ": " + e.getMessage());
+        throw new Wrong(lineNumber, "volume " + words[1] + ": " + e.getMessage());
       }
-      int copies = f.getOrDefault("copies", 1.0).intValue();
+      int copies = numbers.getOrDefault("copies", 1.0).intValue();
       if (copies < 1 || copies > 100_000) {
-        throw new Wrong(line, "volume " + w[1] + ": copies must be from 1 to 100,000");
+        throw new Wrong(lineNumber, "volume " + words[1] + ": copies must be from 1 to 100,000");
       }
-      int hosts = f.getOrDefault("hosts", 0.0).intValue();
-      int first = f.getOrDefault("first", 0.0).intValue();
+      int maxGateways = numbers.getOrDefault("hosts", 0.0).intValue();
+      int firstGateway = numbers.getOrDefault("first", 0.0).intValue();
       for (int i = 0; i < copies; i++) {
-        volumes.add(new Load(copies == 1 ? name(w) : name(w) + "-" + i, plan, f.getOrDefault("size-mib", 24.0)
-            .intValue(), f.getOrDefault("rate", 50.0), f.getOrDefault("reads", 0.6), f.getOrDefault(
-                "most-blocks",
-                4.0).intValue(), f.getOrDefault("depth", 64.0).intValue(), f.getOrDefault("clients", 1.0)
+        volumes.add(new VolumeLoad(copies == 1 ? parseName(words) : parseName(words) + "-" + i, plan, numbers
+            .getOrDefault(
+                "size-mib", 24.0)
+            .intValue(), numbers.getOrDefault("rate", 50.0), numbers.getOrDefault("reads", 0.6), numbers
+                .getOrDefault(
+                    "most-blocks",
+                    4.0)
+                .intValue(), numbers.getOrDefault("depth", 64.0).intValue(), numbers.getOrDefault("clients",
+                    1.0)
                     .intValue(),
-            shape, hosts, f.getOrDefault("spread", 0.0).intValue(), first + i * hosts));
+            shape, maxGateways, numbers.getOrDefault("spread", 0.0).intValue(), firstGateway + i
+                * maxGateways));
       }
-      Load l = volumes.get(volumes.size() - 1);
-      if (!(l.rate() > 0) || l.mostBlocks() < 1 || l.mostBlocks() > 256 || l.depth() < 1 || l.depth() > 512
-          || l.clients() < 1 || l.sizeMib() < 1 || l.sizeMib() > 1_024) {
-        throw new Wrong(line, "volume " + l.volume() + ": a figure is out of range");
+      VolumeLoad load = volumes.get(volumes.size() - 1);
+      if (!(load.rate() > 0) || load.maxBlocks() < 1 || load.maxBlocks() > 256 || load.depth() < 1 || load
+          .depth() > 512
+          || load.clients() < 1 || load.sizeMib() < 1 || load.sizeMib() > 1_024) {
+        throw new Wrong(lineNumber, "volume " + load.volume() + ": a value is out of range");
       }
     }
 
-    private void trouble(String[] w) {
-      double at = number(w, 1, 0, 86_400);
-      String kind = w.length > 2 ? w[2] : "";
+    private void parseDisturbance(String[] words) {
+      double at = parseNumber(words, 1, 0, 86_400);
+      String kind = words.length > 2 ? words[2] : "";
       if (!KINDS.contains(kind)) {
-        throw new Wrong(line, "trouble '" + kind + "' is not known; known are " + new java.util.TreeSet<>(
-            KINDS));
+        throw new Wrong(lineNumber, "unknown disturbance '" + kind + "'; known kinds: "
+            + new java.util.TreeSet<>(
+                KINDS));
       }
-      String target = take(w, "target");
-      Map<String, Double> f = figures(w, 3, TROUBLE_WORDS);
-      troubles.add(new Trouble(at, kind, target, f.getOrDefault("for", 5.0), f.getOrDefault("part", 0.2), f
-          .getOrDefault("size", 1.0)));
+      String target = extractValue(words, "target");
+      Map<String, Double> numbers = parseNumbers(words, 3, DISTURBANCE_KEYS);
+      disturbances.add(new Disturbance(at, kind, target, numbers.getOrDefault("for", 5.0), numbers
+          .getOrDefault("part", 0.2),
+          numbers
+              .getOrDefault("size", 1.0)));
     }
 
-    private String name(String[] w) {
-      if (w.length < 2 || !w[1].matches("[A-Za-z0-9][A-Za-z0-9._-]*")) {
-        throw new Wrong(line, w[0] + ": a name must follow");
+    private String parseName(String[] words) {
+      if (words.length < 2 || !words[1].matches("[A-Za-z0-9][A-Za-z0-9._-]*")) {
+        throw new Wrong(lineNumber, words[0] + ": expected a name");
       }
-      return w[1];
+      return words[1];
     }
 
-    /** The word after {@code key}, which is taken out of the line. */
-    private static String take(String[] w, String key) {
-      for (int i = 1; i + 1 < w.length; i++) {
-        if (w[i].equals(key)) {
-          String value = w[i + 1];
-          w[i] = "";
-          w[i + 1] = "";
+    /** Removes {@code key} and the word after it from the line and returns that word; empty if the key is
+     * absent. */
+    private static String extractValue(String[] words, String key) {
+      for (int i = 1; i + 1 < words.length; i++) {
+        if (words[i].equals(key)) {
+          String value = words[i + 1];
+          words[i] = "";
+          words[i + 1] = "";
           return value;
         }
       }
       return "";
     }
 
-    private Map<String, Double> figures(String[] w, int from, Set<String> known) {
-      Map<String, Double> found = new HashMap<>();
-      for (int i = from; i < w.length; i++) {
-        if (w[i].isEmpty()) {
+    private Map<String, Double> parseNumbers(String[] words, int from, Set<String> known) {
+      Map<String, Double> numbers = new HashMap<>();
+      for (int i = from; i < words.length; i++) {
+        if (words[i].isEmpty()) {
           continue;
         }
-        if (!known.contains(w[i])) {
-          throw new Wrong(line, w[0] + ": '" + w[i] + "' is not known");
+        if (!known.contains(words[i])) {
+          throw new Wrong(lineNumber, words[0] + ": unknown keyword '" + words[i] + "'");
         }
-        found.put(w[i], number(w, i + 1, 0, 1e12));
+        numbers.put(words[i], parseNumber(words, i + 1, 0, 1e12));
         i++;
       }
-      return found;
+      return numbers;
     }
 
-    private double number(String[] w, int i, double least, double most) {
-      String word = i < w.length ? w[i] : "nothing";
+    private double parseNumber(String[] words, int i, double min, double max) {
+      String word = i < words.length ? words[i] : "end of line";
       try {
-        double n = Double.parseDouble(word);
-        if (n >= least && n <= most) {
-          return n;
+        double number = Double.parseDouble(word);
+        if (number >= min && number <= max) {
+          return number;
         }
       } catch (NumberFormatException e) {
-        throw new Wrong(line, w[0] + ": a number must stand where '" + word + "' does");
+        throw new Wrong(lineNumber, words[0] + ": expected a number, found '" + word + "'");
       }
-      throw new Wrong(line, w[0] + ": " + word + " is not from " + least + " to " + most);
+      throw new Wrong(lineNumber, words[0] + ": " + word + " is not in the range from " + min + " to " + max);
     }
   }
 }
--- a/src/main/java/hollyslip/load/DayRunner.java
+++ b/src/main/java/hollyslip/load/DayRunner.java
@@ -25,33 +25,37 @@
 import java.util.SplittableRandom;
 import org.HdrHistogram.Histogram;
 
-/** Plays a {@link Day} in real time: stand-ins in this process, gateways in processes of their own, ring
- * clients on threads; then audits what both ends have written down. The schedule depends on the seed
- * alone. */
+/** Plays a {@link Day} in real time with stand-ins in this process, gateways in separate processes and ring
+ * clients on threads, and then audits the records of both ends. The schedule depends on the seed only. */
 public final class DayRunner {
-  /** How long after its word reached a gateway a change of the list counts as told, us: the signal's way. */
-  private static final long SIGNAL_US = 200_000;
+  /** Delay after which a node state sent to a gateway counts as known there, us; covers the delivery of the
+   * signal. */
+  private static final long SIGNAL_DELAY_US = 200_000;
 
-  private final Day day;
+  private final Day scenario;
   private final Path dir;
   private final PrintStream out;
   private final long slackUs;
   private final SplittableRandom random;
-  private final Stage stage;
+  private final Stage cluster;
   private final List<DiskServer> disks;
-  private final NodeState[] states, lastTold;
+  private final NodeState[] states, lastToldStates;
   private final List<Child> gateways;
   private final List<Deployment> deployments;
   private final List<Client> clients = new ArrayList<>();
-  private final List<Told> told = new ArrayList<>();
+  private final List<Told> operatorRecords = new ArrayList<>();
   private final PriorityQueue<Step> steps = new PriorityQueue<>();
-  private boolean listDown;
-  private int order;
+  private boolean nodeListDown;
+  private int nextStepOrder;
 
-  private record Step(double at, int order, String what, Action action) implements Comparable<Step> {
+  private record Step(double atSeconds, int order, String description, Action action)
+      implements
+        Comparable<Step> {
     @Override
-    public int compareTo(Step o) {
-      return at != o.at ? Double.compare(at, o.at) : Integer.compare(order, o.order);
+    public int compareTo(Step other) {
+      return atSeconds != other.atSeconds
+          ? Double.compare(atSeconds, other.atSeconds)
+          : Integer.compare(order, other.order);
     }
   }
 
@@ -59,9 +63,9 @@
     void run() throws IOException, InterruptedException;
   }
 
-  private record Client(RingLoad load, Thread thread, Day.Load volume, int gateway) {}
+  private record Client(RingLoad load, Thread thread, Day.VolumeLoad volume, int gateway) {}
 
-  /** What came of a day. */
+  /** Result of playing a scenario. */
   public record Result(Auditor.Report audit, List<String> wrongReads, Map<Asked.Answer, Long> answers,
       Map<String, Histogram> latency, boolean stoppedCleanly) {
     public boolean kept() {
@@ -70,295 +74,329 @@
   }
 
   /** @param slackUs
-   *          how much later than a deployment promises an answer may reach its client: the two ends' clocks
-   *          of one request begin at its publishing and its taking */
-  public DayRunner(Day day, Path dir, PrintStream out, long slackUs) {
-    day.onSockets();
+   *          tolerance added to the promised answer time, us: the gateway's clock of a request starts when it
+   *          takes the request, the client's when it publishes it */
+  public DayRunner(Day scenario, Path dir, PrintStream out, long slackUs) {
+    scenario.checkPlayableOverSockets();
     this.slackUs = slackUs;
-    this.day = day;
+    this.scenario = scenario;
     this.dir = dir;
     this.out = out;
-    stage = new Stage(day, dir);
-    disks = stage.disks;
-    gateways = stage.gateways;
-    deployments = stage.deployments;
-    random = new SplittableRandom(day.seed());
-    states = new NodeState[day.nodes().count()];
+    cluster = new Stage(scenario, dir);
+    disks = cluster.disks;
+    gateways = cluster.gateways;
+    deployments = cluster.deployments;
+    random = new SplittableRandom(scenario.seed());
+    states = new NodeState[scenario.nodes().count()];
     Arrays.fill(states, NodeState.ON);
-    lastTold = states.clone();
+    lastToldStates = states.clone();
   }
 
-  /** Plays it and audits; records stay in the folder. */
+  /** Plays and audits the scenario. The records stay in the directory. */
   public Result play() throws IOException, InterruptedException {
     Files.createDirectories(dir);
     try {
       start();
-      long from = System.nanoTime();
-      schedule();
+      long startNs = System.nanoTime();
+      scheduleSteps();
       while (!steps.isEmpty()) {
-        Step s = steps.poll();
-        double wait = s.at - (System.nanoTime() - from) / 1e9;
-        if (wait > 0) {
-          Thread.sleep((long) (wait * 1_000));
+        Step step = steps.poll();
+        double delaySeconds = step.atSeconds - (System.nanoTime() - startNs) / 1e9;
+        if (delaySeconds > 0) {
+          Thread.sleep((long) (delaySeconds * 1_000));
         }
-        if (!s.what.isEmpty()) {
-          out.printf(Locale.ROOT, "%6.1f s  %s%n", s.at, s.what);
+        if (!step.description.isEmpty()) {
+          out.printf(Locale.ROOT, "%6.1f s  %s%n", step.atSeconds, step.description);
         }
-        s.action.run();
+        step.action.run();
       }
       return finish();
     } finally {
-      stage.close();
+      cluster.close();
     }
   }
 
   private void start() throws IOException {
-    stage.start();
-    for (Deployment d : deployments) {
-      told.add(new Told.Started(d.gateway().name(), Engine.monotonicMicros()));
+    cluster.start();
+    for (Deployment deployment : deployments) {
+      operatorRecords.add(new Told.Started(deployment.gateway().name(), Engine.monotonicMicros()));
     }
-    for (Day.Load v : day.volumes()) {
-      for (int c = 0; c < day.clients(v); c++) {
-        startClient(v, c);
+    for (Day.VolumeLoad volume : scenario.volumes()) {
+      for (int client = 0; client < scenario.clientCount(volume); client++) {
+        startClient(volume, client);
       }
     }
   }
 
-  private void startClient(Day.Load v, int number) throws IOException {
-    int all = day.clients(v);
-    int g = day.gateway(v, number);
-    Deployment d = deployments.get(g);
-    long part = d.byName().get(v.volume()).bytes() / all / 4096 * 4096;
-    long deadline = d.classes().stream().mapToLong(c -> c.deadlineUs()).max().orElseThrow();
-    RingLoad load = new RingLoad(new RingLoad.Plan(v.volume() + "-" + number, d.gateway().name(), v.volume(),
-        number * part, part, 0, v.depth(), (long) (1e6 * all / v.rate()), v.reads(), v.mostBlocks(), deadline,
-        d.gateway().unitBytes(), day.seed() * 1_000 + clients.size()), d.gateway()
+  private void startClient(Day.VolumeLoad volume, int index) throws IOException {
+    int clientCount = scenario.clientCount(volume);
+    int gateway = scenario.gatewayOf(volume, index);
+    Deployment deployment = deployments.get(gateway);
+    long partBytes = deployment.byName().get(volume.volume()).bytes() / clientCount / 4096 * 4096;
+    long deadlineUs = deployment.classes().stream().mapToLong(c -> c.deadlineUs()).max().orElseThrow();
+    RingLoad load = new RingLoad(new RingLoad.Plan(volume.volume() + "-" + index, deployment.gateway().name(),
+        volume.volume(),
+        index * partBytes, partBytes, 0, volume.depth(), (long) (1e6 * clientCount / volume.rate()), volume
+            .readFraction(), volume.maxBlocks(),
+        deadlineUs,
+        deployment.gateway().unitBytes(), scenario.seed() * 1_000 + clients.size()), deployment.gateway()
             .socketDir()
-            .resolve(v.volume() + ".sock"));
-    Thread t = new Thread(load, "client-" + v.volume() + "-" + number);
-    clients.add(new Client(load, t, v, g));
-    t.start();
+            .resolve(volume.volume() + ".sock"));
+    Thread thread = new Thread(load, "client-" + volume.volume() + "-" + index);
+    clients.add(new Client(load, thread, volume, gateway));
+    thread.start();
   }
 
-  // Trouble.
+  // Disturbances.
 
-  private void at(double seconds, String what, Action action) {
-    steps.add(new Step(seconds, order++, what, action));
+  private void scheduleStep(double atSeconds, String description, Action action) {
+    steps.add(new Step(atSeconds, nextStepOrder++, description, action));
   }
 
-  private void schedule() {
-    for (Day.Trouble t : day.troubles()) {
-      trouble(t);
+  private void scheduleSteps() {
+    for (Day.Disturbance disturbance : scenario.troubles()) {
+      scheduleDisturbance(disturbance);
     }
-    for (double s = 10; s < day.seconds(); s += 10) {
-      double now = s;
-      at(now, "", () -> out.printf(Locale.ROOT, "%6.1f s  %d requests asked%n", now, clients.stream()
+    for (double atSeconds = 10; atSeconds < scenario.seconds(); atSeconds += 10) {
+      double now = atSeconds;
+      scheduleStep(now, "", () -> out.printf(Locale.ROOT, "%6.1f s  %d requests submitted%n", now, clients
+          .stream()
           .mapToInt(c -> c.load().asked())
           .sum()));
     }
-    at(day.seconds(), "load ends", () -> clients.forEach(c -> c.load().finish()));
+    scheduleStep(scenario.seconds(), "load ends", () -> clients.forEach(c -> c.load().finish()));
   }
 
-  private void trouble(Day.Trouble t) {
-    double end = t.at() + t.seconds();
-    switch (t.kind()) {
-      case "stall" -> nodes(t, d -> d.stall((long) (t.seconds() * 1e6)), null);
-      case "hang" -> nodes(t, d -> d.faults.silent = true, d -> d.faults.silent = false);
-      case "vanish" -> nodes(t, d -> d.faults.silent = true, this::restart);
-      case "mass-restart" -> nodes(t, this::restart, null);
-      case "fast-errors" -> nodes(t, d -> d.faults.errors = t.size(), d -> d.faults.errors = 0);
-      case "answer-lost" -> nodes(t, d -> d.faults.loseAnswers = t.size(), d -> d.faults.loseAnswers = 0);
-      case "late-write" -> nodes(t, d -> d.faults.lateWriteUs = (long) (t.size() * 1e6),
+  private void scheduleDisturbance(Day.Disturbance disturbance) {
+    double endSeconds = disturbance.at() + disturbance.seconds();
+    switch (disturbance.kind()) {
+      case "stall" -> scheduleOnNodes(disturbance, d -> d.stall((long) (disturbance.seconds() * 1e6)), null);
+      case "hang" -> scheduleOnNodes(disturbance, d -> d.faults.silent = true, d -> d.faults.silent = false);
+      case "vanish" -> scheduleOnNodes(disturbance, d -> d.faults.silent = true, this::restart);
+      case "mass-restart" -> scheduleOnNodes(disturbance, this::restart, null);
+      case "fast-errors" -> scheduleOnNodes(disturbance, d -> d.faults.errors = disturbance.size(),
+          d -> d.faults.errors = 0);
+      case "answer-lost" -> scheduleOnNodes(disturbance, d -> d.faults.loseAnswers = disturbance.size(),
+          d -> d.faults.loseAnswers = 0);
+      case "late-write" -> scheduleOnNodes(disturbance, d -> d.faults.lateWriteUs = (long) (disturbance.size()
+          * 1e6),
           d -> d.faults.lateWriteUs = 0);
-      case "slow" -> nodes(t, d -> d.slow(t.size()), d -> d.slow(1));
-      case "full" -> nodes(t, d -> d.faults.full = true, d -> d.faults.full = false);
-      case "heavy-tail" -> nodes(t, d -> {
-        d.faults.heavyFactor = t.size();
+      case "slow" -> scheduleOnNodes(disturbance, d -> d.slow(disturbance.size()), d -> d.slow(1));
+      case "full" -> scheduleOnNodes(disturbance, d -> d.faults.full = true, d -> d.faults.full = false);
+      case "heavy-tail" -> scheduleOnNodes(disturbance, d -> {
+        d.faults.heavyFactor = disturbance.size();
         d.faults.heavyPart = 0.02;
       }, d -> d.faults.heavyPart = 0);
-      case "drain" -> nodes(t, d -> list(d, NodeState.DRAINING), t.seconds() > 0
-          ? d -> list(d, NodeState.ON)
-          : null);
+      case "drain" -> scheduleOnNodes(disturbance, d -> setNodeState(d, NodeState.DRAINING), disturbance
+          .seconds() > 0
+              ? d -> setNodeState(d, NodeState.ON)
+              : null);
       case "preempt" -> {
-        for (DiskServer d : struck(t)) {
-          at(t.at(), "preempt: " + d.name() + " drains", () -> list(d, NodeState.DRAINING));
-          at(t.at() + t.preemptedAfter(), "preempt: " + d.name() + " dies", d::kill);
-          at(end, "preempt: " + d.name() + " is back, cold", () -> {
+        for (DiskServer d : affectedNodes(disturbance)) {
+          scheduleStep(disturbance.at(), "preempt: " + d.name() + " drains", () -> setNodeState(d,
+              NodeState.DRAINING));
+          scheduleStep(disturbance.at() + disturbance.killDelaySeconds(), "preempt: " + d.name()
+              + " is killed", d::kill);
+          scheduleStep(endSeconds, "preempt: " + d.name() + " restarts cold", () -> {
             restart(d);
-            list(d, NodeState.ON);
+            setNodeState(d, NodeState.ON);
           });
         }
       }
-      case "burst" -> loads(t, c -> true);
-      case "plan-burst" -> loads(t, c -> c.volume().plan().equals(t.target()));
-      case "volume-burst" -> loads(t, c -> c.volume().volume().equals(t.target()));
+      case "burst" -> scheduleLoadFactor(disturbance, c -> true);
+      case "plan-burst" -> scheduleLoadFactor(disturbance, c -> c.volume()
+          .plan()
+          .equals(disturbance.target()));
+      case "volume-burst" -> scheduleLoadFactor(disturbance, c -> c.volume()
+          .volume()
+          .equals(disturbance.target()));
       case "hot-volumes", "scan" -> {
-        List<Client> hot = clients.stream().filter(c -> random.nextDouble() < t.part()).toList();
-        loads(t, hot::contains);
-        if (t.kind().equals("scan")) {
-          at(t.at(), "", () -> hot.forEach(c -> c.load().readsOnly(true)));
-          at(end, "", () -> hot.forEach(c -> c.load().readsOnly(false)));
+        List<Client> selected = clients.stream()
+            .filter(c -> random.nextDouble() < disturbance.fraction())
+            .toList();
+        scheduleLoadFactor(disturbance, selected::contains);
+        if (disturbance.kind().equals("scan")) {
+          scheduleStep(disturbance.at(), "", () -> selected.forEach(c -> c.load().readsOnly(true)));
+          scheduleStep(endSeconds, "", () -> selected.forEach(c -> c.load().readsOnly(false)));
         }
       }
       case "retry-abuse" -> {
-        at(t.at(), "clients of " + t.target() + " ask again at once", () -> of(t).forEach(c -> c.load()
-            .abusive(true)));
-        at(end, "", () -> of(t).forEach(c -> c.load().abusive(false)));
+        scheduleStep(disturbance.at(), "clients of " + disturbance.target() + " retry without backoff",
+            () -> targetClients(disturbance)
+                .forEach(c -> c.load()
+                    .retryImmediately(true)));
+        scheduleStep(endSeconds, "", () -> targetClients(disturbance).forEach(c -> c.load()
+            .retryImmediately(false)));
       }
-      case "reconnect" -> at(t.at(), "clients drop and come again", () -> clients.stream()
-          .filter(c -> random.nextDouble() < t.part())
-          .forEach(c -> c.load().drop()));
-      case "client-vanish" -> at(t.at(), "a client vanishes", () -> vanish(t.target()));
+      case "reconnect" -> scheduleStep(disturbance.at(), "clients reconnect", () -> clients.stream()
+          .filter(c -> random.nextDouble() < disturbance.fraction())
+          .forEach(c -> c.load().reconnect()));
+      case "client-vanish" -> scheduleStep(disturbance.at(), "a client vanishes", () -> startVanishingClient(
+          disturbance
+              .target()));
       case "list-down" -> {
-        at(t.at(), "the node list is out of reach", () -> listDown = true);
-        at(end, "the node list is back", () -> {
-          listDown = false;
-          tellList();
+        scheduleStep(disturbance.at(), "the node list becomes unavailable", () -> nodeListDown = true);
+        scheduleStep(endSeconds, "the node list is available again", () -> {
+          nodeListDown = false;
+          publishNodeList();
         });
       }
       case "gateway-crash" -> {
-        int g = random.nextInt(day.gateways());
-        at(t.at(), "gateway " + g + " is killed", () -> gateways.get(g).kill());
-        at(end, "gateway " + g + " is started again", () -> {
-          told.add(new Told.Started(deployments.get(g).gateway().name(), Engine.monotonicMicros()));
-          gateways.set(g, stage.gateway(g));
+        int gateway = random.nextInt(scenario.gateways());
+        scheduleStep(disturbance.at(), "gateway " + gateway + " is killed", () -> gateways.get(gateway)
+            .kill());
+        scheduleStep(endSeconds, "gateway " + gateway + " is restarted", () -> {
+          operatorRecords.add(new Told.Started(deployments.get(gateway).gateway().name(), Engine
+              .monotonicMicros()));
+          gateways.set(gateway, cluster.startGateway(gateway));
         });
       }
-      default -> throw new IllegalStateException(t.kind());
+      default -> throw new IllegalStateException(disturbance.kind());
     }
   }
 
-  private interface OnNode {
-    void run(DiskServer d) throws IOException;
+  private interface NodeAction {
+    void run(DiskServer node) throws IOException;
   }
 
-  private void nodes(Day.Trouble t, OnNode begin, OnNode end) {
-    for (DiskServer d : struck(t)) {
-      at(t.at(), t.kind() + ": " + d.name(), () -> begin.run(d));
+  private void scheduleOnNodes(Day.Disturbance disturbance, NodeAction begin, NodeAction end) {
+    for (DiskServer node : affectedNodes(disturbance)) {
+      scheduleStep(disturbance.at(), disturbance.kind() + ": " + node.name(), () -> begin.run(node));
       if (end != null) {
-        at(t.at() + t.seconds(), t.kind() + " over: " + d.name(), () -> end.run(d));
+        scheduleStep(disturbance.at() + disturbance.seconds(), disturbance.kind() + " over: " + node.name(),
+            () -> end.run(node));
       }
     }
   }
 
-  private List<DiskServer> struck(Day.Trouble t) {
-    if (!t.target().isEmpty()) {
-      return disks.stream().filter(d -> d.name().equals(t.target())).toList();
+  private List<DiskServer> affectedNodes(Day.Disturbance disturbance) {
+    if (!disturbance.target().isEmpty()) {
+      return disks.stream().filter(d -> d.name().equals(disturbance.target())).toList();
     }
-    List<DiskServer> left = new ArrayList<>(disks);
+    List<DiskServer> remaining = new ArrayList<>(disks);
     List<DiskServer> chosen = new ArrayList<>();
-    for (long n = Math.max(1, Math.round(t.part() * disks.size())); n > 0; n--) {
-      chosen.add(left.remove(random.nextInt(left.size())));
+    for (long n = Math.max(1, Math.round(disturbance.fraction() * disks.size())); n > 0; n--) {
+      chosen.add(remaining.remove(random.nextInt(remaining.size())));
     }
     return chosen;
   }
 
-  private List<Client> of(Day.Trouble t) {
+  private List<Client> targetClients(Day.Disturbance disturbance) {
     return clients.stream()
-        .filter(c -> c.volume().volume().equals(t.target()) || c.volume().plan().equals(t.target()))
+        .filter(c -> c.volume().volume().equals(disturbance.target()) || c.volume()
+            .plan()
+            .equals(disturbance.target()))
         .toList();
   }
 
-  private void loads(Day.Trouble t, java.util.function.Predicate<Client> which) {
-    at(t.at(), t.kind() + " " + t.target() + ": " + t.size() + " times the load", () -> clients.stream()
-        .filter(which)
-        .forEach(c -> c.load().speed(t.size())));
-    at(t.at() + t.seconds(), t.kind() + " over", () -> clients.stream()
-        .filter(which)
-        .forEach(c -> c.load().speed(1)));
+  private void scheduleLoadFactor(Day.Disturbance disturbance, java.util.function.Predicate<Client> filter) {
+    scheduleStep(disturbance.at(), disturbance.kind() + " " + disturbance.target() + ": " + disturbance.size()
+        + " times the load", () -> clients
+            .stream()
+            .filter(filter)
+            .forEach(c -> c.load().rateFactor(disturbance.size())));
+    scheduleStep(disturbance.at() + disturbance.seconds(), disturbance.kind() + " over", () -> clients
+        .stream()
+        .filter(filter)
+        .forEach(c -> c.load().rateFactor(1)));
   }
 
-  private void restart(DiskServer d) throws IOException {
-    d.faults.clear();
-    told.add(new Told.Born(d.name(), Engine.monotonicMicros()));
-    d.restart();
+  private void restart(DiskServer node) throws IOException {
+    node.faults.clear();
+    operatorRecords.add(new Told.Born(node.name(), Engine.monotonicMicros()));
+    node.restart();
   }
 
-  private void list(DiskServer d, NodeState state) throws IOException {
-    states[disks.indexOf(d)] = state;
-    tellList();
+  private void setNodeState(DiskServer node, NodeState state) throws IOException {
+    states[disks.indexOf(node)] = state;
+    publishNodeList();
   }
 
-  private void tellList() throws IOException {
-    stage.writeFleet(states);
-    if (listDown) {
+  private void publishNodeList() throws IOException {
+    cluster.writeNodeList(states);
+    if (nodeListDown) {
       return;
     }
-    // Counted against a gateway: the word of a drain once it must have come, the word of its end at once.
+    // For the audit, a drain counts only once the gateway must have been told of it, its end counts at
+    // once.
     long now = Engine.monotonicMicros();
     for (int g = 0; g < gateways.size(); g++) {
       if (gateways.get(g).isAlive()) {
         gateways.get(g).reload();
       }
       for (int i = 0; i < states.length; i++) {
-        // Said again is not said anew: the later word of a drain would count after the one of its end.
-        if (states[i] == lastTold[i]) {
+        // An unchanged state is not recorded again: a later record of a drain would count as newer than
+        // the one of its end.
+        if (states[i] == lastToldStates[i]) {
           continue;
         }
-        told.add(new Told.State(deployments.get(g).gateway().name(), disks.get(i).name(), states[i],
-            states[i] == NodeState.ON ? now : now + SIGNAL_US));
+        operatorRecords.add(new Told.State(deployments.get(g).gateway().name(), disks.get(i).name(),
+            states[i],
+            states[i] == NodeState.ON ? now : now + SIGNAL_DELAY_US));
       }
     }
-    System.arraycopy(states, 0, lastTold, 0, states.length);
+    System.arraycopy(states, 0, lastToldStates, 0, states.length);
   }
 
-  /** One client more that asks and leaves with everything out. */
-  private void vanish(String volume) throws IOException {
-    Day.Load v = day.volumes()
+  /** Starts an additional client that submits requests and disconnects while all are outstanding. */
+  private void startVanishingClient(String volume) throws IOException {
+    Day.VolumeLoad volumeLoad = scenario.volumes()
         .stream()
         .filter(l -> l.volume().equals(volume))
         .findFirst()
-        .orElse(day.volumes().get(0));
-    Deployment d = deployments.get(0);
-    // It only reads: its part of the volume is another client's.
-    RingLoad load = new RingLoad(new RingLoad.Plan("leaver", d.gateway().name(), v.volume(), 0, 1 << 20, 40,
-        32, 0, 1, 4, 2_000_000, d.gateway().unitBytes(), day.seed() + 5), d.gateway()
+        .orElse(scenario.volumes().get(0));
+    Deployment deployment = deployments.get(0);
+    // Reads only, because another client owns this part of the volume.
+    RingLoad ringLoad = new RingLoad(new RingLoad.Plan("leaver", deployment.gateway().name(), volumeLoad
+        .volume(), 0, 1 << 20, 40,
+        32, 0, 1, 4, 2_000_000, deployment.gateway().unitBytes(), scenario.seed() + 5), deployment.gateway()
             .socketDir()
-            .resolve(v.volume() + ".sock"));
-    Thread t = new Thread(() -> {
+            .resolve(volumeLoad.volume() + ".sock"));
+    Thread thread = new Thread(() -> {
       try {
-        load.runThenVanish();
+        ringLoad.runThenVanish();
       } catch (IOException e) {
-        out.println("          the vanishing client found no gateway: " + e.getMessage());
+        out.println("          the vanishing client could not connect: " + e.getMessage());
       }
     }, "leaver");
-    clients.add(new Client(load, t, v, 0));
-    t.start();
+    clients.add(new Client(ringLoad, thread, volumeLoad, 0));
+    thread.start();
   }
 
-  // The end.
+  // Shutdown and audit.
 
   private Result finish() throws IOException, InterruptedException {
-    for (Client c : clients) {
-      c.thread().join(120_000);
+    for (Client client : clients) {
+      client.thread().join(120_000);
     }
-    boolean clean = true;
-    for (Child c : gateways) {
-      clean &= c.stop() == 0;
+    boolean stoppedCleanly = true;
+    for (Child gateway : gateways) {
+      stoppedCleanly &= gateway.stop() == 0;
     }
-    List<Asked> asked = clients.stream().flatMap(c -> c.load().records().stream()).toList();
+    List<Asked> asked = clients.stream().flatMap(client -> client.load().records().stream()).toList();
     List<Command> commands = disks.stream().flatMap(d -> d.commands().stream()).toList();
-    Figures figures = DaySettings.figures(deployments.get(0), slackUs, 50_000);
+    Figures figures = ScenarioSettings.auditFigures(deployments.get(0), slackUs, 50_000);
     Witness.figures(dir, figures);
     Witness.asked(dir, "clients", asked);
     Witness.commands(dir, "nodes", commands);
-    Witness.told(dir, "operator", told);
+    Witness.told(dir, "operator", operatorRecords);
     Map<Asked.Answer, Long> answers = new java.util.EnumMap<>(Asked.Answer.class);
-    asked.forEach(a -> answers.merge(a.answer(), 1L, Long::sum));
+    asked.forEach(request -> answers.merge(request.answer(), 1L, Long::sum));
     Map<String, Histogram> latency = new java.util.TreeMap<>();
-    for (Asked a : asked) {
-      if (a.answer() == Asked.Answer.SERVED) {
-        String key = planOf(a.volume()) + (a.kind() == 0 ? " read" : " write");
+    for (Asked request : asked) {
+      if (request.answer() == Asked.Answer.SERVED) {
+        String key = planOf(request.volume()) + (request.kind() == 0 ? " read" : " write");
         latency.computeIfAbsent(key, k -> new Histogram(600_000_000L, 3))
-            .recordValue(a.answeredUs() - a.askedUs());
+            .recordValue(request.answeredUs() - request.askedUs());
       }
     }
-    // The leaver reads another's blocks, which its own reference copy does not know.
-    List<String> wrong = clients.stream()
-        .filter(c -> !c.thread().getName().equals("leaver"))
-        .flatMap(c -> c.load().wrong().stream())
+    // The vanishing client reads blocks of another client, which its own block stamps do not cover.
+    List<String> wrongReads = clients.stream()
+        .filter(client -> !client.thread().getName().equals("leaver"))
+        .flatMap(client -> client.load().wrong().stream())
         .toList();
-    return new Result(Auditor.check(figures, asked, commands, told), wrong, answers, latency, clean);
+    return new Result(Auditor.check(figures, asked, commands, operatorRecords), wrongReads, answers, latency,
+        stoppedCleanly);
   }
 
   private String planOf(String volume) {
--- a/src/main/java/hollyslip/load/LatencyLog.java
+++ b/src/main/java/hollyslip/load/LatencyLog.java
@@ -13,90 +13,93 @@
 import org.HdrHistogram.HistogramLogReader;
 import org.HdrHistogram.HistogramLogWriter;
 
-/** Latencies by tag and second, kept as HdrHistogram interval logs: those of several processes merge into the
- * figures that one would have had. Safe for several threads. */
+/** Latencies by tag and second, stored as HdrHistogram interval logs. Merging the logs of several processes
+ * gives the same figures as one process recording everything. Thread-safe. */
 public final class LatencyLog {
-  private static final long MOST_US = 3_600_000_000L;
+  private static final long MAX_LATENCY_US = 3_600_000_000L;
 
   private final Map<String, TreeMap<Long, Histogram>> byTag = new TreeMap<>();
 
-  /** One latency of a request that was due in a second of the run. */
-  public synchronized void add(String tag, long second, long us) {
-    at(tag, second).recordValue(Math.max(0, Math.min(us, MOST_US)));
+  /** Records the latency of a request that was due in the given second of the run. */
+  public synchronized void add(String tag, long second, long latencyUs) {
+    interval(tag, second).recordValue(Math.max(0, Math.min(latencyUs, MAX_LATENCY_US)));
   }
 
-  private Histogram at(String tag, long second) {
+  private Histogram interval(String tag, long second) {
     return byTag.computeIfAbsent(tag, k -> new TreeMap<>())
-        .computeIfAbsent(second, k -> new Histogram(MOST_US, 3));
+        .computeIfAbsent(second, k -> new Histogram(MAX_LATENCY_US, 3));
   }
 
-  /** Adds all that another holds. */
+  /** Adds all latencies of another log. */
   public synchronized void add(LatencyLog other) {
-    other.byTag.forEach((tag, seconds) -> seconds.forEach((s, h) -> at(tag, s).add(h)));
+    other.byTag.forEach((tag, seconds) -> seconds.forEach((second, histogram) -> interval(tag, second).add(
+        histogram)));
   }
 
-  /** All seconds of a tag as one; null: there is none. */
+  /** Histogram of a tag over all seconds; null if the tag is absent. */
   public synchronized Histogram all(String tag) {
-    TreeMap<Long, Histogram> seconds = byTag.get(tag);
-    if (seconds == null) {
+    TreeMap<Long, Histogram> bySecond = byTag.get(tag);
+    if (bySecond == null) {
       return null;
     }
-    Histogram sum = new Histogram(MOST_US, 3);
-    seconds.values().forEach(sum::add);
+    Histogram sum = new Histogram(MAX_LATENCY_US, 3);
+    bySecond.values().forEach(sum::add);
     return sum;
   }
 
-  /** Tags, sorted. */
+  /** Tags in sorted order. */
   public synchronized List<String> tags() {
     return List.copyOf(byTag.keySet());
   }
 
-  /** By second of the run. */
+  /** Histograms of a tag by second of the run. */
   public synchronized Map<Long, Histogram> seconds(String tag) {
     return new TreeMap<>(byTag.getOrDefault(tag, new TreeMap<>()));
   }
 
-  /** Writes it in the format of HdrHistogram's log, version 1.3; a tag's seconds become intervals. */
+  /** Writes the log in HdrHistogram's log format, version 1.3, with one interval per tag and second. */
   public synchronized void write(Path file) throws IOException {
     try (PrintStream out = new PrintStream(Files.newOutputStream(file), false,
         java.nio.charset.StandardCharsets.UTF_8)) {
-      HistogramLogWriter w = new HistogramLogWriter(out);
-      w.outputComment("hollyslip load: us from when a request was due to its answer, by second of the run");
-      w.outputLogFormatVersion();
-      w.outputBaseTime(0);
-      w.outputLegend();
-      byTag.forEach((tag, seconds) -> seconds.forEach((s, h) -> {
-        Histogram copy = h.copy();
+      HistogramLogWriter writer = new HistogramLogWriter(out);
+      writer.outputComment(
+          "hollyslip load: us from when a request was due to its answer, by second of the run");
+      writer.outputLogFormatVersion();
+      writer.outputBaseTime(0);
+      writer.outputLegend();
+      byTag.forEach((tag, seconds) -> seconds.forEach((second, histogram) -> {
+        Histogram copy = histogram.copy();
         copy.setTag(tag);
-        copy.setStartTimeStamp(s * 1_000);
-        copy.setEndTimeStamp((s + 1) * 1_000);
-        w.outputIntervalHistogram(copy);
+        copy.setStartTimeStamp(second * 1_000);
+        copy.setEndTimeStamp((second + 1) * 1_000);
+        writer.outputIntervalHistogram(copy);
       }));
     }
   }
 
-  /** Reads one.
+  /** Reads a log.
    *
    * @throws IOException
-   *           it cannot be read; names the file and the interval */
+   *           if it cannot be read; the message names the file and the interval */
   public static LatencyLog read(Path file) throws IOException {
     LatencyLog log = new LatencyLog();
-    int n = 0;
+    int intervals = 0;
     try (InputStream in = Files.newInputStream(file)) {
-      HistogramLogReader r = new HistogramLogReader(in);
-      while (r.hasNext()) {
-        n++;
-        EncodableHistogram e = r.nextIntervalHistogram();
-        if (!(e instanceof Histogram h)) {
-          throw new IOException(file + ": interval " + n + " is no histogram of integers");
+      HistogramLogReader reader = new HistogramLogReader(in);
+      while (reader.hasNext()) {
+        intervals++;
+        EncodableHistogram interval = reader.nextIntervalHistogram();
+        if (!(interval instanceof Histogram histogram)) {
+          throw new IOException(file + ": interval " + intervals + " is not an integer histogram");
         }
-        log.at(h.getTag() == null ? "" : h.getTag(), h.getStartTimeStamp() / 1_000).add(h);
+        log.interval(histogram.getTag() == null ? "" : histogram.getTag(), histogram.getStartTimeStamp()
+            / 1_000).add(histogram);
       }
     } catch (RuntimeException e) {
-      throw new IOException(file + ": interval " + (n + 1) + ": " + e.getMessage(), e);
+      throw new IOException(file + ": interval " + (intervals + 1) + ": " + e.getMessage(), e);
     }
-    if (n == 0) {
-      throw new IOException(file + ": holds no interval");
+    if (intervals == 0) {
+      throw new IOException(file + ": contains no interval");
     }
     return log;
   }
--- a/src/main/java/hollyslip/load/LoadBench.java
+++ b/src/main/java/hollyslip/load/LoadBench.java
@@ -7,8 +7,8 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 
-/** How many arrivals a second the generator holds: against an echo, so that its own lateness is all there
- * is. */
+/** Measures how many arrivals per second the load generator sustains. The target is an echo, so all measured
+ * lateness is the generator's own. */
 public final class LoadBench {
   private final int rounds, threads;
   private final double seconds;
@@ -21,31 +21,31 @@
     this.rates = rates.clone();
   }
 
-  /** Answers at the next look. */
+  /** Answers every request at the next poll. */
   private static final class Echo implements OpenLoop.Target {
-    private final ArrayDeque<OpenLoop.Shot> out = new ArrayDeque<>();
+    private final ArrayDeque<OpenLoop.ScheduledRequest> inFlight = new ArrayDeque<>();
 
     @Override
-    public boolean submit(OpenLoop.Shot shot) {
-      return out.add(shot);
+    public boolean submit(OpenLoop.ScheduledRequest request) {
+      return inFlight.add(request);
     }
 
     @Override
     public void flush() {
-      // Nothing is kept back.
+      // Nothing is buffered.
     }
 
     @Override
     public int poll() {
-      int n = out.size();
+      int n = inFlight.size();
       for (int i = 0; i < n; i++) {
-        out.poll().answered(OpenLoop.End.SERVED);
+        inFlight.poll().complete(OpenLoop.End.SERVED);
       }
       return n;
     }
 
     @Override
-    public void idle(long untilUs) {
+    public void awaitAnswers(long untilUs) {
       Thread.onSpinWait();
     }
 
@@ -55,47 +55,52 @@
     }
   }
 
-  /** Prints a row a rate and round. */
+  /** Prints one row per rate and round. */
   public void run() throws InterruptedException {
     System.out.printf("%10s %8s %14s %14s %14s %8s%n", "due/s", "threads", "answered/s", "late p99 ms",
         "late p99.9 ms", "valid");
     for (int rate : rates) {
-      for (int r = 0; r < rounds; r++) {
-        one(rate, r);
+      for (int round = 0; round < rounds; round++) {
+        measure(rate, round);
       }
     }
   }
 
-  private void one(int rate, int round) throws InterruptedException {
-    Day.Load load = new Day.Load("v", "p", 64, rate, 0.5, 4, 64, threads, Arrivals.Shape.POISSON, 0, 0, 0);
+  private void measure(int rate, int round) throws InterruptedException {
+    Day.VolumeLoad load = new Day.VolumeLoad("v", "p", 64, rate, 0.5, 4, 64, threads,
+        ArrivalProcess.Shape.POISSON, 0, 0, 0);
     long start = LoadRun.soon();
-    List<OpenLoop.Ran> ran = new ArrayList<>();
-    List<Thread> all = new ArrayList<>();
+    List<OpenLoop.Stats> stats = new ArrayList<>();
+    List<Thread> threadList = new ArrayList<>();
     for (int t = 0; t < threads; t++) {
       long seed = 100L * round + t;
       LatencyLog log = new LatencyLog();
-      OpenLoop loop = new OpenLoop(new Arrivals(load.shape(), (double) rate / threads, seed), new RequestMix(
-          load, t,
-          threads, 64 << 20, seed), new Echo(), false, d -> log.add("p", (d.dueUs() - start) / 1_000_000, d
-              .tookUs()));
+      OpenLoop loop = new OpenLoop(new ArrivalProcess(load.shape(), (double) rate / threads, seed),
+          new RequestMix(
+              load, t,
+              threads, 64 << 20, seed), new Echo(), false, completion -> log.add("p", (completion.dueUs()
+                  - start) / 1_000_000,
+                  completion
+                      .latencyUs()));
       Thread thread = new Thread(() -> {
-        OpenLoop.Ran mine = loop.run(start, (long) (seconds * 1e6));
-        synchronized (ran) {
-          ran.add(mine);
+        OpenLoop.Stats own = loop.run(start, (long) (seconds * 1e6));
+        synchronized (stats) {
+          stats.add(own);
         }
       });
-      all.add(thread);
+      threadList.add(thread);
       thread.start();
     }
-    for (Thread t : all) {
+    for (Thread t : threadList) {
       t.join();
     }
-    Histogram late = new Histogram(60_000_000L, 3);
-    ran.forEach(r -> late.add(r.lateness()));
-    long answered = ran.stream().mapToLong(OpenLoop.Ran::answered).sum();
+    Histogram lateness = new Histogram(60_000_000L, 3);
+    stats.forEach(s -> lateness.add(s.lateness()));
+    long answered = stats.stream().mapToLong(OpenLoop.Stats::answered).sum();
     System.out.printf(Locale.ROOT, "%10d %8d %14.0f %14.3f %14.3f %8s%n", rate, threads, answered / seconds,
-        late
-            .getValueAtPercentile(99) / 1e3, late.getValueAtPercentile(99.9) / 1e3, late.getValueAtPercentile(
-                99.9) <= 1_000);
+        lateness
+            .getValueAtPercentile(99) / 1e3, lateness.getValueAtPercentile(99.9) / 1e3, lateness
+                .getValueAtPercentile(
+                    99.9) <= 1_000);
   }
 }
--- a/src/main/java/hollyslip/load/LoadRun.java
+++ b/src/main/java/hollyslip/load/LoadRun.java
@@ -12,23 +12,24 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.Histogram;
 
-/** The clients of a {@link Day} against gateways that run, on schedules that do not wait; a thread a client.
- * Several processes share a day: each plays every so many-th client of one schedule. */
+/** Runs the clients of a {@link Day} against running gateways on open-loop schedules, with one thread per
+ * client. Several processes can share a scenario: each runs every n-th client of the same schedule. */
 public final class LoadRun {
-  /** What a run is.
+  /** Configuration of a run.
    *
-   * @param sockets
-   *          folder of the volumes' sockets, one a gateway
+   * @param socketDirs
+   *          directories of the volumes' sockets, one per gateway
    * @param process
-   *          number of this process among {@code processes}
+   *          index of this process among {@code processes}
    * @param startUs
-   *          when the schedule begins, on the machine's monotonic clock
-   * @param latenessUs
-   *          generators that come later than this to one in a thousand make the run not valid */
-  public record Config(Day day, List<Path> sockets, int process, int processes, long startUs, boolean closed,
-      long latenessUs) {}
+   *          start of the schedule on the machine's monotonic clock
+   * @param maxLatenessUs
+   *          the run is invalid if the generator is later than this, us, for one request in a thousand */
+  public record Config(Day scenario, List<Path> socketDirs, int process, int processes, long startUs,
+      boolean closedLoop,
+      long maxLatenessUs) {}
 
-  /** What came of it; {@code lateness} over all clients. */
+  /** Result of a run; {@code lateness} covers all clients. */
   public record Result(LatencyLog log, Map<OpenLoop.End, Long> ends, Histogram lateness, long due,
       long answered,
       long waited, boolean valid) {}
@@ -41,86 +42,90 @@
   private final class Client implements Runnable {
     final OpenLoop loop;
     final RingTarget target;
-    OpenLoop.Ran ran;
-    /** Its own, merged at the end: threads that wait for one another would be late. */
-    final LatencyLog mine = new LatencyLog();
+    OpenLoop.Stats stats;
+    /** Private to the client and merged at the end, because threads contending for a shared log would become
+     * late. */
+    final LatencyLog ownLog = new LatencyLog();
 
-    Client(Day.Load v, int number, int all, long seed) throws IOException {
-      Path socket = config.sockets()
-          .get(config.day().gateway(v, number) % config.sockets().size())
-          .resolve(v.volume() + ".sock");
-      target = new RingTarget(socket, v.depth(), v.mostBlocks() * 4_096);
+    Client(Day.VolumeLoad load, int index, int clientCount, long seed) throws IOException {
+      Path socket = config.socketDirs()
+          .get(config.scenario().gatewayOf(load, index) % config.socketDirs().size())
+          .resolve(load.volume() + ".sock");
+      target = new RingTarget(socket, load.depth(), load.maxBlocks() * 4_096);
       SplittableRandom seeds = new SplittableRandom(seed);
-      RequestMix mix = new RequestMix(v, number, all, (long) v.sizeMib() << 20, seeds.nextLong());
-      Arrivals arrivals = new Arrivals(v.shape(), v.rate() / all, seeds.nextLong());
-      String reads = v.plan() + ".read";
-      String writes = v.plan() + ".write";
-      loop = new OpenLoop(arrivals, mix, target, config.closed(), d -> {
-        ends.get(d.end()).incrementAndGet();
-        if (d.end() == OpenLoop.End.SERVED) {
-          mine.add(d.ask().kind() == IoKind.READ ? reads : writes, (d.dueUs() - config
-              .startUs()) / 1_000_000, d.tookUs());
+      RequestMix mix = new RequestMix(load, index, clientCount, (long) load.sizeMib() << 20, seeds
+          .nextLong());
+      ArrivalProcess arrivals = new ArrivalProcess(load.shape(), load.rate() / clientCount, seeds.nextLong());
+      String reads = load.plan() + ".read";
+      String writes = load.plan() + ".write";
+      loop = new OpenLoop(arrivals, mix, target, config.closedLoop(), completion -> {
+        ends.get(completion.end()).incrementAndGet();
+        if (completion.end() == OpenLoop.End.SERVED) {
+          ownLog.add(completion.operation().kind() == IoKind.READ ? reads : writes, (completion.dueUs()
+              - config
+                  .startUs()) / 1_000_000, completion.latencyUs());
         }
       });
     }
 
     @Override
     public void run() {
-      ran = loop.run(config.startUs(), (long) (config.day().seconds() * 1e6));
-      log.add(mine);
+      stats = loop.run(config.startUs(), (long) (config.scenario().seconds() * 1e6));
+      log.add(ownLog);
       target.close();
     }
   }
 
   public LoadRun(Config config) throws IOException {
     this.config = config;
-    for (OpenLoop.End e : OpenLoop.End.values()) {
-      ends.put(e, new AtomicLong());
+    for (OpenLoop.End end : OpenLoop.End.values()) {
+      ends.put(end, new AtomicLong());
     }
-    SplittableRandom random = new SplittableRandom(config.day().seed());
-    int n = 0;
-    for (Day.Load v : config.day().volumes()) {
-      int all = config.day().clients(v);
-      for (int c = 0; c < all; c++) {
+    SplittableRandom random = new SplittableRandom(config.scenario().seed());
+    int clientIndex = 0;
+    for (Day.VolumeLoad load : config.scenario().volumes()) {
+      int clientCount = config.scenario().clientCount(load);
+      for (int index = 0; index < clientCount; index++) {
         long seed = random.nextLong();
-        if (n++ % config.processes() == config.process()) {
-          clients.add(new Client(v, c, all, seed));
+        if (clientIndex++ % config.processes() == config.process()) {
+          clients.add(new Client(load, index, clientCount, seed));
         }
       }
     }
   }
 
-  /** Ends the schedule early; {@link #run} returns with what there is. */
+  /** Ends the schedule early; {@link #run} returns the results so far. */
   public void stop() {
     clients.forEach(c -> c.loop.stop());
   }
 
-  /** Plays it; returns after the last answer. */
+  /** Runs the schedule; returns after the last answer. */
   public Result run() throws InterruptedException {
-    List<Thread> threads = clients.stream().map(c -> new Thread(c, "load")).toList();
+    List<Thread> threads = clients.stream().map(client -> new Thread(client, "load")).toList();
     threads.forEach(Thread::start);
-    for (Thread t : threads) {
-      t.join();
+    for (Thread thread : threads) {
+      thread.join();
     }
     Histogram lateness = new Histogram(60_000_000L, 3);
-    long due = 0, got = 0, waited = 0;
-    for (Client c : clients) {
-      if (c.ran == null) {
-        throw new IllegalStateException("a client ended with a fault; see the log");
+    long due = 0, answered = 0, waited = 0;
+    for (Client client : clients) {
+      if (client.stats == null) {
+        throw new IllegalStateException("a client thread failed; see the log");
       }
-      lateness.add(c.ran.lateness());
-      due += c.ran.due();
-      got += c.ran.answered();
-      waited += c.ran.waited();
+      lateness.add(client.stats.lateness());
+      due += client.stats.due();
+      answered += client.stats.answered();
+      waited += client.stats.waited();
     }
     Map<OpenLoop.End, Long> counted = new EnumMap<>(OpenLoop.End.class);
-    ends.forEach((e, count) -> counted.put(e, count.get()));
-    return new Result(log, counted, lateness, due, got, waited, new OpenLoop.Ran(due, got, lateness, waited)
+    ends.forEach((end, count) -> counted.put(end, count.get()));
+    return new Result(log, counted, lateness, due, answered, waited, new OpenLoop.Stats(due, answered,
+        lateness, waited)
         .valid(
-            config.latenessUs()));
+            config.maxLatenessUs()));
   }
 
-  /** A start soon enough for all clients to be there. */
+  /** A start time that leaves all clients enough time to start. */
   public static long soon() {
     return Engine.monotonicMicros() + 200_000;
   }
--- a/src/main/java/hollyslip/load/OpenLoop.java
+++ b/src/main/java/hollyslip/load/OpenLoop.java
@@ -4,26 +4,27 @@
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 
-/** Asks when requests are due, whether or not earlier ones were answered, and counts each one's latency from
- * when it was due: what a stall holds up is late by all that it waited. How late the generator itself came to
- * a request is kept beside, and a run in which that is too much is not valid. One thread; time and target are
- * given, so that it runs in virtual time too. */
+/** Open-loop load generator: submits requests when they are due, whether or not earlier ones were answered,
+ * and measures the latency of each from its due time, so that waiting caused by a stall is counted in full.
+ * The lateness of the generator itself is recorded separately; a run with too much of it is invalid.
+ * Single-threaded; clock and target are injected, so that it also runs in virtual time. */
 public final class OpenLoop {
-  /** Where requests go. */
+  /** Destination of the requests. */
   public interface Target {
-    /** Hands one in; false: no room. {@link Shot#answered} is called from {@link #poll}. */
-    boolean submit(Shot shot);
+    /** Submits a request; returns false if there is no room. {@link ScheduledRequest#complete} is called from
+     * {@link #poll}. */
+    boolean submit(ScheduledRequest request);
 
-    /** Tells of what was handed in since the last call. */
+    /** Notifies the destination of the requests submitted since the last call. */
     void flush();
 
-    /** Takes the answers that have come; how many there were. */
+    /** Processes the answers that have arrived and returns their number. */
     int poll();
 
-    /** Waits for an answer, until then at the latest, us. */
-    void idle(long untilUs);
+    /** Waits for an answer, at most until the given time, us. */
+    void awaitAnswers(long untilUs);
 
-    /** The clock, us. */
+    /** Current time, us. */
     long now();
   }
 
@@ -32,112 +33,115 @@
     SERVED, REFUSED, FAILED
   }
 
-  /** A request. */
-  public static final class Shot {
-    public final RequestMix.Ask ask;
+  /** A request with its due time. */
+  public static final class ScheduledRequest {
+    public final RequestMix.Operation operation;
     private final OpenLoop loop;
     private final long dueUs;
 
-    private Shot(OpenLoop loop, RequestMix.Ask ask, long dueUs) {
+    private ScheduledRequest(OpenLoop loop, RequestMix.Operation operation, long dueUs) {
       this.loop = loop;
-      this.ask = ask;
+      this.operation = operation;
       this.dueUs = dueUs;
     }
 
-    /** Its answer has come. */
-    public void answered(End end) {
+    /** Reports the answer. */
+    public void complete(End end) {
       loop.answered(this, end);
     }
 
-    /** When it was due, us. */
+    /** Due time, us. */
     public long dueUs() {
       return dueUs;
     }
   }
 
-  /** One answer, for whoever keeps them: {@code dueUs} and {@code tookUs} from when the request was due. */
-  public record Done(RequestMix.Ask ask, End end, long dueUs, long tookUs) {}
+  /** An answered request; {@code dueUs} is its due time and {@code latencyUs} the latency measured from
+   * it. */
+  public record Completion(RequestMix.Operation operation, End end, long dueUs, long latencyUs) {}
 
-  /** What came of a run.
+  /** Statistics of a run.
    *
    * @param due
-   *          requests that were due
+   *          number of requests that were due
    * @param answered
-   *          of those
+   *          number of those that were answered
    * @param lateness
-   *          how late the generator came to each, us
+   *          lateness of the generator for each request, us
    * @param waited
-   *          requests that found no room at the target when they were due */
-  public record Ran(long due, long answered, Histogram lateness, long waited) {
-    /** Whether its figures can be believed: the generator's lateness, at 99.9 of a hundred, within the
+   *          number of failed attempts to submit because the target had no room */
+  public record Stats(long due, long answered, Histogram lateness, long waited) {
+    /** Whether the figures are reliable: the generator's lateness at the 99.9th percentile is within the
      * bound. */
-    public boolean valid(long mostUs) {
-      return lateness.getTotalCount() > 0 && lateness.getValueAtPercentile(99.9) <= mostUs;
+    public boolean valid(long maxLatenessUs) {
+      return lateness.getTotalCount() > 0 && lateness.getValueAtPercentile(99.9) <= maxLatenessUs;
     }
   }
 
-  /** How long answers are waited for after the last request, us. */
-  private static final long PATIENCE_US = 10_000_000;
+  /** How long to wait for outstanding answers after the last request, us. */
+  private static final long DRAIN_TIMEOUT_US = 10_000_000;
 
-  private final Arrivals arrivals;
+  private final ArrivalProcess arrivals;
   private final RequestMix mix;
   private final Target target;
-  private final boolean closed;
-  private final Consumer<Done> keeper;
+  private final boolean closedLoop;
+  private final Consumer<Completion> listener;
   private final Histogram lateness = new Histogram(60_000_000L, 3);
-  private final ArrayDeque<Shot> backlog = new ArrayDeque<>();
+  private final ArrayDeque<ScheduledRequest> backlog = new ArrayDeque<>();
   private volatile boolean stopping;
   private long due, answered, waited;
 
-  /** @param closed
-   *          the baseline that hides stalls: one request at a time, and its latency from when it was sent
-   * @param keeper
-   *          hears of every answer */
-  public OpenLoop(Arrivals arrivals, RequestMix mix, Target target, boolean closed, Consumer<Done> keeper) {
+  /** @param closedLoop
+   *          whether to run as a closed loop, the baseline that hides stalls: one request at a time, its
+   *          latency measured from when it was sent
+   * @param listener
+   *          receives every completion */
+  public OpenLoop(ArrivalProcess arrivals, RequestMix mix, Target target, boolean closedLoop,
+      Consumer<Completion> listener) {
     this.arrivals = arrivals;
     this.mix = mix;
     this.target = target;
-    this.closed = closed;
-    this.keeper = keeper;
+    this.closedLoop = closedLoop;
+    this.listener = listener;
   }
 
-  /** Asks nothing more; {@link #run} ends when all is answered. From any thread. */
+  /** Stops submitting requests; {@link #run} returns once all are answered. May be called from any thread. */
   public void stop() {
     stopping = true;
   }
 
-  /** Runs from {@code startUs} for so long, then until the last answer.
+  /** Runs the schedule from {@code startUs} for {@code lengthUs}, then waits for the last answer.
    *
    * @param startUs
-   *          the same for all processes that steer to one schedule */
-  public Ran run(long startUs, long lengthUs) {
-    long next = startUs + arrivals.next(1);
+   *          the same for all processes that share a schedule */
+  public Stats run(long startUs, long lengthUs) {
+    long nextDue = startUs + arrivals.nextDueUs(1);
     long end = startUs + lengthUs;
-    while (next < end && !stopping) {
+    while (nextDue < end && !stopping) {
       target.poll();
       long now = target.now();
-      while (next <= now && next < end && !(closed && due > answered)) {
-        lateness.recordValue(Math.min(now - next, lateness.getHighestTrackableValue()));
-        backlog.add(new Shot(this, mix.next(false), closed ? now : next));
+      while (nextDue <= now && nextDue < end && !(closedLoop && due > answered)) {
+        lateness.recordValue(Math.min(now - nextDue, lateness.getHighestTrackableValue()));
+        backlog.add(new ScheduledRequest(this, mix.next(false), closedLoop ? now : nextDue));
         due++;
-        next = startUs + arrivals.next(1);
-        if (closed) {
-          next = Math.max(next, now);
+        nextDue = startUs + arrivals.nextDueUs(1);
+        if (closedLoop) {
+          nextDue = Math.max(nextDue, now);
         }
       }
-      handIn();
+      submitBacklog();
       target.flush();
       if (target.poll() == 0) {
-        target.idle(closed && due > answered ? end : next);
+        target.awaitAnswers(closedLoop && due > answered ? end : nextDue);
       }
     }
     drain();
-    return new Ran(due, answered, lateness, waited);
+    return new Stats(due, answered, lateness, waited);
   }
 
-  private void handIn() {
-    for (Shot s = backlog.peek(); s != null; s = backlog.peek()) {
-      if (!target.submit(s)) {
+  private void submitBacklog() {
+    for (ScheduledRequest request = backlog.peek(); request != null; request = backlog.peek()) {
+      if (!target.submit(request)) {
         waited++;
         return;
       }
@@ -146,18 +150,18 @@
   }
 
   private void drain() {
-    long until = target.now() + PATIENCE_US;
-    while (answered < due && target.now() < until) {
-      handIn();
+    long giveUpAt = target.now() + DRAIN_TIMEOUT_US;
+    while (answered < due && target.now() < giveUpAt) {
+      submitBacklog();
       target.flush();
       if (target.poll() == 0) {
-        target.idle(until);
+        target.awaitAnswers(giveUpAt);
       }
     }
   }
 
-  private void answered(Shot s, End end) {
+  private void answered(ScheduledRequest request, End end) {
     answered++;
-    keeper.accept(new Done(s.ask, end, s.dueUs, target.now() - s.dueUs));
+    listener.accept(new Completion(request.operation, end, request.dueUs, target.now() - request.dueUs));
   }
 }
--- a/src/main/java/hollyslip/load/RingClient.java
+++ b/src/main/java/hollyslip/load/RingClient.java
@@ -10,43 +10,45 @@
 import java.nio.file.Path;
 import java.util.ArrayDeque;
 
-/** A vhost-user-blk front end: shares memory with a gateway and asks it through split virtqueues. For one
- * thread. Each queue has slots; a slot holds one request in three descriptors or in an indirect table. */
+/** A vhost-user-blk front end that shares memory with a gateway and submits requests through split
+ * virtqueues. Not thread-safe. Each queue has slots; a slot holds one request, either in three descriptors or
+ * in an indirect table. */
 public final class RingClient implements AutoCloseable {
-  private static final int PAGE = 4096, HEADER = 16, TAIL = 8, TABLE = 64;
-  private static final long GUEST = 0x1000_0000L, USER = 0x7000_0000_0000L;
+  private static final int PAGE_BYTES = 4096, HEADER_BYTES = 16, TAIL_BYTES = 8, INDIRECT_TABLE_BYTES = 64;
+  private static final long GUEST_BASE = 0x1000_0000L, USER_BASE = 0x7000_0000_0000L;
 
-  /** What a client asks for.
+  /** Options of a client.
    *
    * @param queues
-   *          queues
-   * @param size
-   *          descriptors of a queue, a power of two
+   *          number of queues
+   * @param queueSize
+   *          descriptors per queue, a power of two
    * @param slotBytes
-   *          most bytes of one request's data
+   *          maximum number of data bytes of a request
    * @param indirect
-   *          whether requests go in indirect tables
+   *          whether to use indirect descriptor tables
    * @param eventIdx
-   *          whether notifications are held back by index
-   * @param refused
-   *          whether refusals get a status of their own
-   * @param inflight
-   *          whether the gateway keeps what is in flight in our memory */
-  public record Options(int queues, int size, int slotBytes, boolean indirect, boolean eventIdx,
-      boolean refused, boolean inflight) {
-    public static Options usual(int queues, int size, int slotBytes) {
-      return new Options(queues, size, slotBytes, true, true, true, true);
+   *          whether to suppress notifications by index (VIRTIO_RING_F_EVENT_IDX)
+   * @param refusedStatus
+   *          whether refused requests get a status of their own
+   * @param inflightRegion
+   *          whether the gateway keeps its inflight region in the client's memory */
+  public record Options(int queues, int queueSize, int slotBytes, boolean indirect, boolean eventIdx,
+      boolean refusedStatus, boolean inflightRegion) {
+    public static Options usual(int queues, int queueSize, int slotBytes) {
+      return new Options(queues, queueSize, slotBytes, true, true, true, true);
     }
   }
 
-  /** Hears the end of a request. */
-  public interface Done {
-    /** {@code status} as of virtio-blk, or ours; {@code data} is the slot's memory, valid during the call. */
-    void done(int status, int retryMs, ByteBuffer data);
+  /** Callback for the completion of a request. */
+  public interface CompletionListener {
+    /** Reports the completion. {@code status} is that of virtio-blk or the extension for refused requests;
+     * {@code data} is the slot's memory and is valid only during the call. */
+    void onComplete(int status, int retryMs, ByteBuffer data);
   }
 
   private final Options options;
-  private final int memory;
+  private final int memoryFd;
   private final long memoryBytes;
   private final Linux.Mapping mapping;
   private final Queue[] queues;
@@ -56,88 +58,91 @@
   private byte[] inflightState;
   private long features;
 
-  /** One queue's memory and what is out on it. */
+  /** Memory and outstanding requests of one queue. */
   public final class Queue {
     final int index;
-    final long at;
+    final long baseOffset;
     public final ByteBuffer table, avail, used;
     final int slots;
-    /** By slot: who waits, how many bytes of data are out, and which are free; for raw requests. */
-    public final Done[] out;
+    /** Per slot, the listener of the outstanding request and its number of data bytes; and the free slots.
+     * Public for tests that submit raw requests. */
+    public final CompletionListener[] out;
     public final int[] lengths;
     public final ArrayDeque<Integer> free = new ArrayDeque<>();
-    int kick = -1, call = -1;
-    int availIdx, usedIdx, kicked;
+    int kickFd = -1, callFd = -1;
+    int availIdx, usedIdx, lastKickedIdx;
 
-    Queue(int index, long at) {
+    Queue(int index, long baseOffset) {
       this.index = index;
-      this.at = at;
-      int n = options.size();
-      table = view(at, 16 * n);
-      avail = view(at + 16L * n, 6 + 2 * n);
-      used = view(usedAt(), 6 + 8 * n);
-      slots = options.indirect() ? n : n / 3;
-      out = new Done[slots];
+      this.baseOffset = baseOffset;
+      int queueSize = options.queueSize();
+      table = view(baseOffset, 16 * queueSize);
+      avail = view(baseOffset + 16L * queueSize, 6 + 2 * queueSize);
+      used = view(usedRingOffset(), 6 + 8 * queueSize);
+      slots = options.indirect() ? queueSize : queueSize / 3;
+      out = new CompletionListener[slots];
       lengths = new int[slots];
       for (int i = 0; i < slots; i++) {
         free.add(i);
       }
     }
 
-    long usedAt() {
-      int n = options.size();
-      return at + (16L * n + 6 + 2 * n + 3) / 4 * 4;
+    long usedRingOffset() {
+      int queueSize = options.queueSize();
+      return baseOffset + (16L * queueSize + 6 + 2 * queueSize + 3) / 4 * 4;
     }
 
-    long slot(int s) {
-      return at + round(ringBytes(options.size())) + (long) s * slotStride();
+    long slotOffset(int slot) {
+      return baseOffset + roundUpToPage(ringBytes(options.queueSize())) + (long) slot * slotStride();
     }
 
-    /** Memory of a slot's data. */
-    public ByteBuffer data(int s) {
-      return view(slot(s) + TABLE + HEADER + TAIL, options.slotBytes());
+    /** Memory for the data of a slot. */
+    public ByteBuffer data(int slot) {
+      return view(slotOffset(slot) + INDIRECT_TABLE_BYTES + HEADER_BYTES + TAIL_BYTES, options.slotBytes());
     }
 
-    /** Requests that are out. */
+    /** Number of outstanding requests. */
     public int out() {
       return slots - free.size();
     }
   }
 
-  private static int ringBytes(int n) {
-    return 16 * n + 6 + 2 * n + 4 + 6 + 8 * n;
+  private static int ringBytes(int queueSize) {
+    return 16 * queueSize + 6 + 2 * queueSize + 4 + 6 + 8 * queueSize;
   }
 
-  private static long round(long n) {
-    return (n + PAGE - 1) / PAGE * PAGE;
+  private static long roundUpToPage(long bytes) {
+    return (bytes + PAGE_BYTES - 1) / PAGE_BYTES * PAGE_BYTES;
   }
 
   private long slotStride() {
-    return (TABLE + HEADER + TAIL + options.slotBytes() + 63) / 64 * 64;
+    return (INDIRECT_TABLE_BYTES + HEADER_BYTES + TAIL_BYTES + options.slotBytes() + 63) / 64 * 64;
   }
 
-  private ByteBuffer view(long at, int length) {
-    return mapping.view(at, length).order(ByteOrder.LITTLE_ENDIAN);
+  private ByteBuffer view(long offset, int length) {
+    return mapping.view(offset, length).order(ByteOrder.LITTLE_ENDIAN);
   }
 
   public RingClient(Options options) throws IOException {
     this.options = options;
-    if (options.size() < 4 || Integer.bitCount(options.size()) != 1) {
-      // A chain of three must fit: virtio 1.2, 2.7.5.3.1.
-      throw new IllegalArgumentException("size: must be a power of two from 4 on, not " + options.size());
+    if (options.queueSize() < 4 || Integer.bitCount(options.queueSize()) != 1) {
+      // A chain of three descriptors must fit: virtio 1.2, 2.7.5.3.1.
+      throw new IllegalArgumentException("queue size must be a power of two of at least 4, not " + options
+          .queueSize());
     }
-    int slots = options.indirect() ? options.size() : options.size() / 3;
-    long queueBytes = round(ringBytes(options.size())) + round(slots * slotStride());
+    int slots = options.indirect() ? options.queueSize() : options.queueSize() / 3;
+    long queueBytes = roundUpToPage(ringBytes(options.queueSize())) + roundUpToPage(slots * slotStride());
     memoryBytes = queueBytes * options.queues();
-    memory = Linux.memfd("ring-client", memoryBytes);
-    mapping = Linux.map(memory, 0, memoryBytes);
+    memoryFd = Linux.memfd("ring-client", memoryBytes);
+    mapping = Linux.map(memoryFd, 0, memoryBytes);
     queues = new Queue[options.queues()];
     for (int i = 0; i < queues.length; i++) {
       queues[i] = new Queue(i, i * queueBytes);
     }
   }
 
-  /** Attaches to a gateway; after a gateway's death attaches again with all that is still out. */
+  /** Connects to a gateway. After a gateway has died, connects to its successor with all requests that are
+   * still outstanding. */
   public void connect(Path path) throws IOException {
     detach();
     socket = Linux.connect(path);
@@ -145,119 +150,120 @@
     features = offered & (Wire.F_PROTOCOL | Wire.F_VERSION_1 | Wire.BLK_FLUSH | Wire.BLK_MQ | Wire.BLK_DISCARD
         | Wire.BLK_WRITE_ZEROES | (options.indirect() ? Wire.F_INDIRECT : 0) | (options.eventIdx()
             ? Wire.F_EVENT_IDX
-            : 0) | (options.refused() ? Wire.BLK_REFUSED : 0));
+            : 0) | (options.refusedStatus() ? Wire.BLK_REFUSED : 0));
     long protocol = ask(Wire.GET_PROTOCOL_FEATURES, new byte[0]).getLong();
     tell(Wire.SET_PROTOCOL_FEATURES, Wire.u64(protocol));
     tell(Wire.SET_OWNER, new byte[0]);
     tell(Wire.SET_FEATURES, Wire.u64(features));
-    if (options.inflight()) {
+    if (options.inflightRegion()) {
       shareInflight();
     }
-    ByteBuffer table = little(8 + 32).putInt(1)
+    ByteBuffer table = littleEndian(8 + 32).putInt(1)
         .putInt(0)
-        .putLong(GUEST)
+        .putLong(GUEST_BASE)
         .putLong(memoryBytes)
-        .putLong(USER)
+        .putLong(USER_BASE)
         .putLong(0);
-    tell(Wire.SET_MEM_TABLE, table.array(), memory);
+    tell(Wire.SET_MEM_TABLE, table.array(), memoryFd);
     for (Queue q : queues) {
       startQueue(q);
     }
   }
 
   private void shareInflight() throws IOException {
-    ByteBuffer p = little(24).putLong(0)
+    ByteBuffer payload = littleEndian(24).putLong(0)
         .putLong(0)
         .putShort((short) queues.length)
-        .putShort((short) options.size());
+        .putShort((short) options.queueSize());
     if (inflightFd >= 0) {
       tell(Wire.SET_INFLIGHT_FD, inflightState, inflightFd);
       return;
     }
-    send(Wire.GET_INFLIGHT_FD, 0, p.array());
-    Reply r = receive();
-    inflightFd = r.fd;
-    inflightState = r.payload.array();
+    send(Wire.GET_INFLIGHT_FD, 0, payload.array());
+    Reply reply = receive();
+    inflightFd = reply.fd;
+    inflightState = reply.payload.array();
   }
 
   private void startQueue(Queue q) throws IOException {
-    q.kick = Linux.eventfd();
-    q.call = Linux.eventfd();
-    tell(Wire.SET_VRING_NUM, Wire.state(q.index, options.size()));
-    // After a back end's death all that is not answered is asked again: the index of the used ring.
+    q.kickFd = Linux.eventfd();
+    q.callFd = Linux.eventfd();
+    tell(Wire.SET_VRING_NUM, Wire.state(q.index, options.queueSize()));
+    // After the back end has died, all unanswered requests are submitted again, from the index of the used
+    // ring on.
     tell(Wire.SET_VRING_BASE, Wire.state(q.index, Short.toUnsignedInt(q.used.getShort(2))));
-    tell(Wire.SET_VRING_ADDR, little(40).putInt(q.index)
+    tell(Wire.SET_VRING_ADDR, littleEndian(40).putInt(q.index)
         .putInt(0)
-        .putLong(USER + q.at)
-        .putLong(USER + q.usedAt())
-        .putLong(USER + q.at + 16L * options.size())
+        .putLong(USER_BASE + q.baseOffset)
+        .putLong(USER_BASE + q.usedRingOffset())
+        .putLong(USER_BASE + q.baseOffset + 16L * options.queueSize())
         .putLong(0)
         .array());
-    tell(Wire.SET_VRING_CALL, Wire.u64(q.index), q.call);
-    tell(Wire.SET_VRING_KICK, Wire.u64(q.index), q.kick);
+    tell(Wire.SET_VRING_CALL, Wire.u64(q.index), q.callFd);
+    tell(Wire.SET_VRING_KICK, Wire.u64(q.index), q.kickFd);
     tell(Wire.SET_VRING_ENABLE, Wire.state(q.index, 1));
-    Linux.signal(q.kick);
+    Linux.signal(q.kickFd);
   }
 
-  private static ByteBuffer little(int n) {
-    return ByteBuffer.allocate(n).order(ByteOrder.LITTLE_ENDIAN);
+  private static ByteBuffer littleEndian(int bytes) {
+    return ByteBuffer.allocate(bytes).order(ByteOrder.LITTLE_ENDIAN);
   }
 
   private record Reply(ByteBuffer payload, int fd) {}
 
-  /** Sends a message that is acknowledged, and waits for that. */
+  /** Sends a message that is acknowledged, and waits for the acknowledgement. */
   public void tell(int request, byte[] payload, int... fds) throws IOException {
     send(request, Wire.NEED_REPLY, payload, fds);
-    // Before the protocol's features are set nothing is acknowledged.
+    // Messages are acknowledged only once the protocol features are set.
     if (request != Wire.SET_PROTOCOL_FEATURES) {
       long result = receive().payload.getLong();
       if (result != 0) {
-        throw new IOException("message " + request + ": result " + result);
+        throw new IOException("message " + request + " failed with result " + result);
       }
     } else {
       receive();
     }
   }
 
-  /** Sends a message that has a reply of its own; its payload. */
+  /** Sends a message that has a reply of its own and returns the payload of the reply. */
   public ByteBuffer ask(int request, byte[] payload) throws IOException {
     send(request, 0, payload);
     return receive().payload;
   }
 
-  /** Sends a message as it is. */
+  /** Sends a message without waiting for a reply. */
   public void send(int request, int flags, byte[] payload, int... fds) throws IOException {
     Linux.send(socket, Wire.message(request, flags, payload), fds);
   }
 
-  /** Sends bytes as they are. */
+  /** Sends raw bytes. */
   public void sendRaw(byte[] bytes, int... fds) throws IOException {
     Linux.send(socket, bytes, fds);
   }
 
   private Reply receive() throws IOException {
-    com.sun.jna.Memory m = new com.sun.jna.Memory(1024);
-    int have = 0;
+    com.sun.jna.Memory buffer = new com.sun.jna.Memory(1024);
+    int received = 0;
     int fd = -1;
-    int want = Wire.HEADER;
-    while (have < want) {
+    int expected = Wire.HEADER;
+    while (received < expected) {
       Linux.Poll p = new Linux.Poll();
       p.add(socket);
       p.await(10_000);
       if (p.events(0) == 0) {
-        throw new IOException("no reply in 10 s");
+        throw new IOException("no reply within 10 s");
       }
-      Linux.Received r = Linux.receive(socket, m, have, want - have);
-      if (r.bytes() == -1) {
+      Linux.Received part = Linux.receive(socket, buffer, received, expected - received);
+      if (part.bytes() == -1) {
         throw new IOException("the gateway closed the connection");
       }
-      have += Math.max(0, r.bytes());
-      fd = r.fds().length > 0 ? r.fds()[0] : fd;
-      if (have == Wire.HEADER && want == Wire.HEADER) {
-        want += m.getInt(8);
+      received += Math.max(0, part.bytes());
+      fd = part.fds().length > 0 ? part.fds()[0] : fd;
+      if (received == Wire.HEADER && expected == Wire.HEADER) {
+        expected += buffer.getInt(8);
       }
     }
-    return new Reply(ByteBuffer.wrap(m.getByteArray(Wire.HEADER, want - Wire.HEADER))
+    return new Reply(ByteBuffer.wrap(buffer.getByteArray(Wire.HEADER, expected - Wire.HEADER))
         .order(ByteOrder.LITTLE_ENDIAN), fd);
   }
 
@@ -265,15 +271,16 @@
     return queues[i];
   }
 
-  /** Puts a request into a queue; it is seen with the next {@link #kick}. False: no slot is free. For a write
-   * {@code data} is copied from its position on. */
-  public boolean submit(int queue, IoKind kind, long offset, int length, ByteBuffer data, Done done) {
+  /** Adds a request to a queue; the gateway sees it after the next {@link #kick}. Returns false if no slot is
+   * free. For a write, {@code data} is copied from its position on. */
+  public boolean submit(int queue, IoKind kind, long offset, int length, ByteBuffer data,
+      CompletionListener listener) {
     Queue q = queues[queue];
     Integer slot = q.free.poll();
     if (slot == null) {
       return false;
     }
-    q.out[slot] = done;
+    q.out[slot] = listener;
     q.lengths[slot] = length;
     if (data != null) {
       q.data(slot).put(0, data, data.position(), length);
@@ -285,33 +292,39 @@
       case DISCARD -> 11;
       case WRITE_ZEROES -> 13;
     };
-    int carried = length;
+    int dataLength = length;
     if (kind == IoKind.DISCARD || kind == IoKind.WRITE_ZEROES) {
       q.data(slot).putLong(0, offset / 512).putInt(8, length / 512).putInt(12, 0);
-      carried = 16;
+      dataLength = 16;
       offset = 0;
     }
-    post(q, slot, type, offset / 512, kind == IoKind.FLUSH ? 0 : carried, kind == IoKind.READ);
+    post(q, slot, type, offset / 512, kind == IoKind.FLUSH ? 0 : dataLength, kind == IoKind.READ);
     return true;
   }
 
-  /** Puts a raw request into a slot: any type, with {@code length} bytes of data. */
-  public void post(Queue q, int slot, int type, long sector, int length, boolean into) {
-    long base = q.slot(slot);
-    ByteBuffer header = view(base + TABLE, HEADER + TAIL);
-    header.putInt(0, type).putInt(4, 0).putLong(8, sector).putLong(HEADER, -1L);
+  /** Adds a raw request of any type with {@code length} bytes of data to a slot. */
+  public void post(Queue q, int slot, int type, long sector, int length, boolean deviceWrites) {
+    long slotBase = q.slotOffset(slot);
+    ByteBuffer header = view(slotBase + INDIRECT_TABLE_BYTES, HEADER_BYTES + TAIL_BYTES);
+    header.putInt(0, type).putInt(4, 0).putLong(8, sector).putLong(HEADER_BYTES, -1L);
     int first = options.indirect() ? slot : 3 * slot;
-    ByteBuffer table = options.indirect() ? view(base, TABLE) : q.table;
-    int d = options.indirect() ? 0 : first;
-    describe(table, d, GUEST + base + TABLE, HEADER, 1, d + 1);
-    int last = d + 1;
+    ByteBuffer table = options.indirect() ? view(slotBase, INDIRECT_TABLE_BYTES) : q.table;
+    int descriptor = options.indirect() ? 0 : first;
+    describe(table, descriptor, GUEST_BASE + slotBase + INDIRECT_TABLE_BYTES, HEADER_BYTES, 1, descriptor
+        + 1);
+    int last = descriptor + 1;
     if (length > 0) {
-      describe(table, last, GUEST + base + TABLE + HEADER + TAIL, length, into ? 3 : 1, last + 1);
+      describe(table, last, GUEST_BASE + slotBase + INDIRECT_TABLE_BYTES + HEADER_BYTES + TAIL_BYTES, length,
+          deviceWrites
+              ? 3
+              : 1, last + 1);
       last++;
     }
-    describe(table, last, GUEST + base + TABLE + HEADER, options.refused() ? TAIL : 1, 2, 0);
+    describe(table, last, GUEST_BASE + slotBase + INDIRECT_TABLE_BYTES + HEADER_BYTES, options.refusedStatus()
+        ? TAIL_BYTES
+        : 1, 2, 0);
     if (options.indirect()) {
-      describe(q.table, first, GUEST + base, 16 * (last + 1), 4, 0);
+      describe(q.table, first, GUEST_BASE + slotBase, 16 * (last + 1), 4, 0);
     }
     publish(q, first);
   }
@@ -324,84 +337,85 @@
         .putShort(16 * i + 14, (short) next);
   }
 
-  /** Makes a head available. */
+  /** Adds a descriptor chain to the available ring. */
   public void publish(Queue q, int head) {
-    q.avail.putShort(4 + 2 * (q.availIdx % options.size()), (short) head);
+    q.avail.putShort(4 + 2 * (q.availIdx % options.queueSize()), (short) head);
     q.availIdx = q.availIdx + 1 & 0xffff;
     VarHandle.releaseFence();
     q.avail.putShort(2, (short) q.availIdx);
   }
 
-  /** Tells the gateway of what is new, where it asked to be told. */
+  /** Notifies the gateway of new requests on the queues for which it asked to be notified. */
   public void kick() {
-    for (Queue q : queues) {
-      if (q.kicked == q.availIdx) {
+    for (Queue queue : queues) {
+      if (queue.lastKickedIdx == queue.availIdx) {
         continue;
       }
       VarHandle.fullFence();
-      boolean wants;
+      boolean notify;
       if ((features & Wire.F_EVENT_IDX) != 0) {
-        int event = Short.toUnsignedInt(q.used.getShort(4 + 8 * options.size()));
-        wants = (q.availIdx - event - 1 & 0xffff) < (q.availIdx - q.kicked & 0xffff);
+        int eventIdx = Short.toUnsignedInt(queue.used.getShort(4 + 8 * options.queueSize()));
+        notify = (queue.availIdx - eventIdx - 1 & 0xffff) < (queue.availIdx - queue.lastKickedIdx & 0xffff);
       } else {
-        wants = (q.used.getShort(0) & 1) == 0;
+        notify = (queue.used.getShort(0) & 1) == 0;
       }
-      q.kicked = q.availIdx;
-      if (wants) {
-        Linux.signal(q.kick);
+      queue.lastKickedIdx = queue.availIdx;
+      if (notify) {
+        Linux.signal(queue.kickFd);
       }
     }
   }
 
-  /** Takes the answers that have come; how many. */
+  /** Processes the completions that have arrived and returns their number. */
   public int poll() {
-    int n = 0;
+    int completions = 0;
     for (Queue q : queues) {
       while (q.used.getShort(2) != (short) q.usedIdx) {
         VarHandle.acquireFence();
-        int head = q.used.getInt(4 + 8 * (q.usedIdx % options.size()));
+        int head = q.used.getInt(4 + 8 * (q.usedIdx % options.queueSize()));
         q.usedIdx = q.usedIdx + 1 & 0xffff;
         int slot = options.indirect() ? head : head / 3;
-        ByteBuffer tail = view(q.slot(slot) + TABLE + HEADER, TAIL);
-        Done done = q.out[slot];
+        ByteBuffer tail = view(q.slotOffset(slot) + INDIRECT_TABLE_BYTES + HEADER_BYTES, TAIL_BYTES);
+        CompletionListener listener = q.out[slot];
         q.out[slot] = null;
         ByteBuffer data = q.data(slot);
         data.limit(q.lengths[slot]);
         int status = Byte.toUnsignedInt(tail.get(0));
-        if (done == null) {
-          throw new IllegalStateException("head " + head + " answered twice");
+        if (listener == null) {
+          throw new IllegalStateException("descriptor head " + head + " completed twice");
         }
-        done.done(status, options.refused() ? tail.getInt(4) : 0, data);
+        listener.onComplete(status, options.refusedStatus() ? tail.getInt(4) : 0, data);
         q.free.add(slot);
-        n++;
+        completions++;
       }
     }
-    return n;
+    return completions;
   }
 
-  /** Waits until there may be answers, up to so many ms. False: the gateway closed the connection. */
+  /** Waits up to {@code ms} milliseconds for completions. Returns false if the gateway closed the
+   * connection. */
   public boolean await(int ms) {
     poll.clear();
     boolean ready = false;
     for (Queue q : queues) {
       if ((features & Wire.F_EVENT_IDX) != 0) {
-        q.avail.putShort(4 + 2 * options.size(), (short) q.usedIdx);
+        q.avail.putShort(4 + 2 * options.queueSize(), (short) q.usedIdx);
       }
       VarHandle.fullFence();
       ready |= q.used.getShort(2) != (short) q.usedIdx;
-      poll.add(q.call);
+      poll.add(q.callFd);
     }
     poll.add(socket);
     poll.await(ready ? 0 : ms);
     for (int i = 0; i < queues.length; i++) {
       if (poll.events(i) != 0) {
-        Linux.drain(queues[i].call);
+        Linux.drain(queues[i].callFd);
       }
     }
     return (poll.events(queues.length) & (Linux.POLLHUP | Linux.POLLERR)) == 0;
   }
 
-  /** Requests that are out. */
+  /** Number of outstanding requests on all queues. */
   public int out() {
     int n = 0;
     for (Queue q : queues) {
@@ -410,27 +424,27 @@
     return n;
   }
 
-  /** Stops a queue; index of the next entry of its available ring. */
+  /** Stops a queue and returns the index of the next entry of its available ring. */
   public int stop(int queue) throws IOException {
     return ask(Wire.GET_VRING_BASE, Wire.state(queue, 0)).getInt(4);
   }
 
-  /** Descriptor by which a queue is kicked. */
+  /** File descriptor by which a queue is kicked. */
   public int kickFd(int queue) {
-    return queues[queue].kick;
+    return queues[queue].kickFd;
   }
 
-  /** Descriptor of the memory shared with the gateway. */
+  /** File descriptor of the memory shared with the gateway. */
   public int memoryFd() {
-    return memory;
+    return memoryFd;
   }
 
-  /** Closes the connection at once and keeps all memory: a client that vanishes. */
+  /** Closes the connection abruptly and keeps all memory, as a client does that vanishes. */
   public void detach() {
     if (socket >= 0) {
       Linux.closeAll(socket);
       for (Queue q : queues) {
-        Linux.closeAll(q.kick, q.call);
+        Linux.closeAll(q.kickFd, q.callFd);
       }
       socket = -1;
     }
@@ -439,7 +453,7 @@
   @Override
   public void close() {
     detach();
-    Linux.closeAll(memory, inflightFd);
+    Linux.closeAll(memoryFd, inflightFd);
     mapping.unmap();
   }
 }
--- a/src/main/java/hollyslip/load/RingComparison.java
+++ b/src/main/java/hollyslip/load/RingComparison.java
@@ -7,8 +7,8 @@
 import hollyslip.engine.NodeTransport;
 import hollyslip.front.vhost.VhostServer;
 import hollyslip.gateway.Gateway;
-import hollyslip.load.RingBench.Node;
-import hollyslip.load.RingBench.Row;
+import hollyslip.load.RingBench.StandinProcess;
+import hollyslip.load.RingBench.Measurement;
 import hollyslip.settings.Deployment;
 import hollyslip.volume.RequestClassifier;
 import hollyslip.volume.ExtentSplitter;
@@ -20,7 +20,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Ring to gateway to node, against the node alone and against the ring alone. */
+/** Compares the path from ring through gateway to node with the node client alone and with the ring alone. */
 public final class RingComparison {
   private static final long BYTES = 16 << 20;
 
@@ -32,17 +32,17 @@
   private final List<String> paths;
 
   /** @param rounds
-   *          of each measurement; medians are shown
+   *          rounds of each measurement; medians are printed
    * @param seconds
-   *          of one measurement, after half of that to warm up
+   *          duration of one measurement, after a warm-up of half that time
    * @param nodes
-   *          stand-ins behind the gateway
+   *          number of stand-ins behind the gateway
    * @param depths
-   *          requests out at a time
+   *          numbers of outstanding requests
    * @param block
    *          bytes of a read
    * @param paths
-   *          of echo, direct and gateway */
+   *          any of echo, direct and gateway */
   public RingComparison(int rounds, double seconds, int nodes, int[] depths, int block, List<String> paths) {
     this.rounds = rounds;
     this.seconds = seconds;
@@ -52,75 +52,84 @@
     this.paths = List.copyOf(paths);
   }
 
-  /** Measures and prints the table. */
+  /** Runs the measurements and prints the table. */
   public void run() throws Exception {
     Path dir = Files.createTempDirectory("hollyslip-bench-");
-    List<Node> started = new ArrayList<>();
+    List<StandinProcess> standins = new ArrayList<>();
     try {
       for (int i = 0; i < nodes; i++) {
-        started.add(new Node("node-" + i));
+        standins.add(new StandinProcess("node-" + i));
       }
-      Deployment d = BenchSite.load(dir, started.stream().mapToInt(n -> n.address.getPort()).toArray(), "",
+      Deployment deployment = BenchDeployment.load(dir, standins.stream()
+          .mapToInt(standin -> standin.address.getPort())
+          .toArray(),
+          "",
           String.format(
               "volume('v', plan = 'p', size = 16 * MiB, extent = %d, shards = list(range(%d)), at = 0)%n",
               Math
                   .max(64 << 10, block), nodes));
-      Gateway gateway = new Gateway(d);
-      Engine echo = echo(d);
-      VhostServer echoFront = new VhostServer(echo, new hollyslip.front.vhost.Acceptor(), "v", dir.resolve(
-          "echo.sock"), VhostServer.ANYBODY);
-      Map<String, List<Row>> rows = new HashMap<>();
+      Gateway gateway = new Gateway(deployment);
+      Engine echoEngine = startEchoEngine(deployment);
+      VhostServer echoFront = new VhostServer(echoEngine, new hollyslip.front.vhost.Acceptor(), "v", dir
+          .resolve(
+              "echo.sock"), VhostServer.ANYBODY);
+      Map<String, List<Measurement>> rows = new HashMap<>();
       for (int round = 0; round < rounds; round++) {
         for (int depth : depths) {
           for (String path : paths) {
             add(rows, switch (path) {
-              case "echo" -> RingBench.ring(path, echoFront.path(), depth, block, seconds, BYTES,
-                  echo::totals);
-              case "direct" -> RingBench.direct(started.get(0).address, depth, block, seconds, BYTES);
-              default -> RingBench.ring(path, gateway.socket("v"), depth, block, seconds, BYTES, gateway
-                  .lanes()::totals);
+              case "echo" -> RingBench.measureRing(path, echoFront.path(), depth, block, seconds, BYTES,
+                  echoEngine::totals);
+              case "direct" -> RingBench.measureNodeClient(standins.get(0).address, depth, block, seconds,
+                  BYTES);
+              default -> RingBench.measureRing(path, gateway.socket("v"), depth, block, seconds, BYTES,
+                  gateway
+                      .lanes()::totals);
             });
           }
         }
       }
       print(rows);
       echoFront.close();
-      echo.stop().get();
+      echoEngine.stop().get();
       gateway.close();
     } finally {
-      started.forEach(Node::close);
+      standins.forEach(StandinProcess::close);
     }
   }
 
-  private static void add(Map<String, List<Row>> rows, Row row) {
+  private static void add(Map<String, List<Measurement>> rows, Measurement row) {
     rows.computeIfAbsent(row.path() + row.depth(), k -> new ArrayList<>()).add(row);
   }
 
-  private void print(Map<String, List<Row>> rows) {
+  private void print(Map<String, List<Measurement>> rows) {
     System.out.printf("%-8s %6s %10s %9s %9s %9s %11s %11s %8s%n", "path", "depth", "requests/s", "p50 us",
         "p99 us", "p99.9 us", "bytes/req", "module ns", "/direct");
     for (int depth : depths) {
-      List<Row> baseline = rows.get("direct" + depth);
-      double direct = baseline == null ? Double.NaN : Row.median(baseline).rate();
+      List<Measurement> baseline = rows.get("direct" + depth);
+      double directRate = baseline == null ? Double.NaN : Measurement.median(baseline).rate();
       for (String path : paths) {
-        Row r = Row.median(rows.get(path + depth));
+        Measurement median = Measurement.median(rows.get(path + depth));
         System.out.printf(Locale.ROOT, "%-8s %6d %10.0f %9.1f %9.1f %9.1f %11.0f %11.0f %8.2f%n", path, depth,
-            r.rate(), r.p50(), r.p99(), r.p999(), r.allocated(), r.moduleNs(), r.rate() / direct);
+            median.rate(), median.p50(), median.p99(), median.p999(), median.allocated(), median.moduleNs(),
+            median.rate() / directRate);
       }
     }
   }
 
-  /** An engine whose nodes answer at once without any bytes: what ring, engine and module cost. */
-  private static Engine echo(Deployment d) {
-    Engine e = new Engine(new Engine.Config(d.module(), new RequestClassifier(d.rows(), d.gateway()
-        .unitBytes(), d
-            .store()
-            .maxUnits()), new ExtentSplitter(1 << 20), 65_536, 1 << 30, 0), d.byName(),
-        new TokenBorrowingScheduler(d.module()));
-    e.start(new NodeTransport() {
+  /** Starts an engine whose nodes answer at once without transferring bytes, to measure the cost of ring,
+   * engine and scheduler. */
+  private static Engine startEchoEngine(Deployment deployment) {
+    Engine engine = new Engine(new Engine.Config(deployment.module(), new RequestClassifier(deployment.rows(),
+        deployment.gateway()
+            .unitBytes(), deployment
+                .store()
+                .maxUnits()), new ExtentSplitter(1 << 20), 65_536, 1 << 30, 0), deployment.byName(),
+        new TokenBorrowingScheduler(deployment.module()));
+    engine.start(new NodeTransport() {
       @Override
       public void send(Attempt attempt) {
-        e.attemptEnded(attempt, Result.OK, null);
+        engine.attemptEnded(attempt, Result.OK, null);
       }
 
       @Override
@@ -143,10 +152,10 @@
       @Override
       public void close() {}
     });
-    e.updateNodes(new hollyslip.HostScheduler.NodeList(true, d.nodes()
+    engine.updateNodes(new hollyslip.HostScheduler.NodeList(true, deployment.nodes()
         .stream()
         .map(Deployment.Node::listed)
         .toList()));
-    return e;
+    return engine;
   }
 }
--- a/src/main/java/hollyslip/load/RingLoad.java
+++ b/src/main/java/hollyslip/load/RingLoad.java
@@ -16,74 +16,75 @@
 import java.util.zip.CRC32;
 import org.HdrHistogram.Histogram;
 
-/** One ring client at work in its own part of a volume: asks on a schedule drawn from a seed, keeps a
- * reference copy, and writes down each request for the audit. One thread runs it. */
+/** A ring client that generates load in its own part of a volume: submits requests on a schedule drawn from a
+ * seed, checks reads against what it wrote, and records each request for the audit. Runs on one thread. */
 public final class RingLoad implements Runnable {
-  /** What it does.
+  /** Configuration of a client.
    *
    * @param name
-   *          of the client
+   *          name of the client
    * @param gateway
-   *          name of the gateway that it asks
+   *          name of the gateway that it connects to
    * @param volume
    *          name of the volume
-   * @param from
+   * @param firstByte
    *          first byte of its part of the volume, a multiple of 4 KiB
-   * @param bytes
+   * @param lengthBytes
    *          length of its part
-   * @param count
-   *          requests in all; 0: until {@link #finish}
+   * @param maxRequests
+   *          total number of requests; 0: until {@link #finish}
    * @param depth
-   *          requests out at most
-   * @param gapUs
-   *          mean time between two requests, us; 0: as fast as answers come
-   * @param reads
-   *          part of the requests that read
-   * @param mostBlocks
-   *          blocks of 4 KiB of one request at most
+   *          maximum number of outstanding requests
+   * @param meanGapUs
+   *          mean time between two requests, us; 0: as fast as answers arrive
+   * @param readFraction
+   *          fraction of the requests that are reads
+   * @param maxBlocks
+   *          maximum number of 4 KiB blocks of a request
    * @param deadlineUs
-   *          how long it waits for one, us
+   *          how long it waits for an answer, us
    * @param unitBytes
-   *          bytes of a unit
+   *          bytes per unit
    * @param seed
-   *          of all that is drawn */
-  public record Plan(String name, String gateway, String volume, long from, long bytes, int count, int depth,
-      long gapUs, double reads, int mostBlocks, long deadlineUs, long unitBytes, long seed) {}
+   *          seed of all random choices */
+  public record Plan(String name, String gateway, String volume, long firstByte, long lengthBytes,
+      int maxRequests, int depth,
+      long meanGapUs, double readFraction, int maxBlocks, long deadlineUs, long unitBytes, long seed) {}
 
-  private final Plan plan;
+  private final Plan config;
   private final Path socket;
   private final RingClient client;
   private final SplittableRandom random;
-  private final Stamps stamps;
-  private final List<Open> open = new ArrayList<>();
+  private final BlockStamps stamps;
+  private final List<OpenRequest> openRequests = new ArrayList<>();
   private final List<Asked> records = new ArrayList<>();
   private final List<String> wrong = new ArrayList<>();
-  private final TreeSet<Long> writing = new TreeSet<>();
-  private final ByteBuffer scratch;
+  private final TreeSet<Long> offsetsBeingWritten = new TreeSet<>();
+  private final ByteBuffer writeBuffer;
   private final Histogram latency = new Histogram(60_000_000L, 3);
   private volatile boolean finishing;
-  private volatile double speed = 1;
-  private volatile boolean abusive;
+  private volatile double rateFactor = 1;
+  private volatile boolean retryImmediately;
   private volatile boolean dropping;
   private volatile boolean readsOnly;
-  private int repeats;
+  private int pendingRetries;
   private volatile int asked;
   private boolean connected;
-  private long nextAt;
+  private long nextDueUs;
 
-  /** A request whose answer is still to come. */
-  private final class Open implements RingClient.Done {
+  /** An outstanding request. */
+  private final class OpenRequest implements RingClient.CompletionListener {
     final long id;
     final IoKind kind;
     final long offset;
     final int length;
     final long askedUs = Engine.monotonicMicros();
-    long deadlineUs = askedUs + plan.deadlineUs();
+    long deadlineUs = askedUs + config.deadlineUs();
     long checksum;
-    long[] floors = {};
-    boolean over;
+    long[] minWriteIds = {};
+    boolean done;
 
-    Open(long id, IoKind kind, long offset, int length) {
+    OpenRequest(long id, IoKind kind, long offset, int length) {
       this.id = id;
       this.kind = kind;
       this.offset = offset;
@@ -91,98 +92,102 @@
     }
 
     @Override
-    public void done(int status, int retryMs, ByteBuffer data) {
-      over = true;
+    public void onComplete(int status, int retryMs, ByteBuffer data) {
+      done = true;
       Asked.Answer answer = status == 0
           ? Asked.Answer.SERVED
           : status == 0x80 ? Asked.Answer.REFUSED : Asked.Answer.FAILED;
       long now = Engine.monotonicMicros();
       if (kind == IoKind.READ && answer == Asked.Answer.SERVED) {
-        checksum = crc(data, length);
-        String fault = stamps.check(data, offset, floors);
-        if (fault != null) {
-          wrong.add(plan.name() + "/" + id + ": " + fault);
+        checksum = crc32(data, length);
+        String mismatch = stamps.findMismatch(data, offset, minWriteIds);
+        if (mismatch != null) {
+          wrong.add(config.name() + "/" + id + ": " + mismatch);
         }
       }
       if (kind == IoKind.WRITE) {
-        writing.remove(offset);
+        offsetsBeingWritten.remove(offset);
         if (answer == Asked.Answer.SERVED) {
-          stamps.served(offset, length, id);
+          stamps.recordServed(offset, length, id);
         }
       }
-      repeats += abusive && answer != Asked.Answer.SERVED ? 1 : 0;
+      pendingRetries += retryImmediately && answer != Asked.Answer.SERVED ? 1 : 0;
       latency.recordValue(Math.min(now - askedUs, latency.getHighestTrackableValue()));
-      note(1, now, answer, false);
+      recordOutcome(1, now, answer, false);
     }
 
-    void note(int answers, long answeredUs, Asked.Answer answer, boolean left) {
+    void recordOutcome(int answers, long answeredUs, Asked.Answer answer, boolean disconnected) {
       int code = kind == IoKind.READ ? Nbd.CMD_READ : Nbd.CMD_WRITE;
-      records.add(new Asked(plan.name(), plan.gateway(), plan.volume(), id, code, offset, length, Math.max(1,
-          length / (double) plan.unitBytes()), -1, checksum, askedUs, deadlineUs, answers, answeredUs, answer,
-          left));
+      records.add(new Asked(config.name(), config.gateway(), config.volume(), id, code, offset, length, Math
+          .max(1,
+              length / (double) config.unitBytes()), -1, checksum, askedUs, deadlineUs, answers, answeredUs,
+          answer,
+          disconnected));
     }
   }
 
-  public RingLoad(Plan plan, Path socket) throws IOException {
-    this.plan = plan;
+  public RingLoad(Plan config, Path socket) throws IOException {
+    this.config = config;
     this.socket = socket;
-    int size = Integer.highestOneBit(Math.max(4, plan.depth() * 2 - 1));
-    client = new RingClient(RingClient.Options.usual(1, size, plan.mostBlocks() * Stamps.BLOCK));
-    random = new SplittableRandom(plan.seed());
-    stamps = new Stamps(plan.seed() * 1_000_003 + plan.name().hashCode());
-    scratch = ByteBuffer.allocate(plan.mostBlocks() * Stamps.BLOCK).order(ByteOrder.LITTLE_ENDIAN);
+    int queueSize = Integer.highestOneBit(Math.max(4, config.depth() * 2 - 1));
+    client = new RingClient(RingClient.Options.usual(1, queueSize, config.maxBlocks()
+        * BlockStamps.BLOCK_BYTES));
+    random = new SplittableRandom(config.seed());
+    stamps = new BlockStamps(config.seed() * 1_000_003 + config.name().hashCode());
+    writeBuffer = ByteBuffer.allocate(config.maxBlocks() * BlockStamps.BLOCK_BYTES)
+        .order(ByteOrder.LITTLE_ENDIAN);
   }
 
-  private static long crc(ByteBuffer data, int length) {
-    CRC32 crc = new CRC32();
+  private static long crc32(ByteBuffer data, int length) {
+    CRC32 checksum = new CRC32();
     ByteBuffer view = data.duplicate();
     view.position(0).limit(length);
-    crc.update(view);
-    return crc.getValue();
+    checksum.update(view);
+    return checksum.getValue();
   }
 
-  /** Asks nothing more; {@link #run} ends when all is answered. */
+  /** Stops submitting requests; {@link #run} returns once all are answered. */
   public void finish() {
     finishing = true;
   }
 
-  /** Asks so many times as fast. */
-  public void speed(double factor) {
-    speed = factor;
+  /** Multiplies the request rate by {@code factor}. */
+  public void rateFactor(double factor) {
+    rateFactor = factor;
   }
 
-  /** Asks again at once, out of turn, for each request that is not served: a client that does not back
-   * off. */
-  public void abusive(boolean on) {
-    abusive = on;
+  /** Whether to submit another request at once, in addition to the schedule, for each request that is not
+   * served: a client without backoff. */
+  public void retryImmediately(boolean on) {
+    retryImmediately = on;
   }
 
-  /** Reads alone, or as planned. */
+  /** Whether to submit reads only. */
   public void readsOnly(boolean on) {
     readsOnly = on;
   }
 
-  /** Drops the connection and comes again. */
-  public void drop() {
+  /** Drops the connection and connects again. */
+  public void reconnect() {
     dropping = true;
   }
 
-  /** Requests asked so far. */
+  /** Number of requests submitted so far. */
   public int asked() {
     return asked;
   }
 
-  /** Works until the last answer, or until nothing can come any more. */
+  /** Runs until the last answer, or until no more answers can arrive. */
   @Override
   public void run() {
-    nextAt = Engine.monotonicMicros();
-    long givenUp = Long.MAX_VALUE;
-    boolean done = false;
-    while (!done) {
-      if (!connected && !attach()) {
+    nextDueUs = Engine.monotonicMicros();
+    long giveUpAtUs = Long.MAX_VALUE;
+    boolean finished = false;
+    while (!finished) {
+      if (!connected && !tryConnect()) {
         continue;
       }
-      ask();
+      issueDueRequests();
       client.kick();
       if (client.poll() == 0) {
         connected = client.await(waitMs()) && !dropping;
@@ -191,48 +196,48 @@
           client.detach();
         }
       }
-      open.removeIf(o -> o.over);
-      boolean last = finishing || plan.count() > 0 && asked >= plan.count();
-      if (last && givenUp == Long.MAX_VALUE) {
-        givenUp = Engine.monotonicMicros() + 3 * plan.deadlineUs() + 5_000_000;
+      openRequests.removeIf(request -> request.done);
+      boolean allSubmitted = finishing || config.maxRequests() > 0 && asked >= config.maxRequests();
+      if (allSubmitted && giveUpAtUs == Long.MAX_VALUE) {
+        giveUpAtUs = Engine.monotonicMicros() + 3 * config.deadlineUs() + 5_000_000;
       }
-      done = last && (open.isEmpty() || Engine.monotonicMicros() > givenUp);
+      finished = allSubmitted && (openRequests.isEmpty() || Engine.monotonicMicros() > giveUpAtUs);
     }
-    open.forEach(o -> o.note(0, 0, Asked.Answer.NONE, false));
+    openRequests.forEach(request -> request.recordOutcome(0, 0, Asked.Answer.NONE, false));
     client.close();
   }
 
-  private void vanish() {
+  private void disconnectAbruptly() {
     client.detach();
-    open.removeIf(o -> o.over);
-    open.forEach(o -> o.note(0, 0, Asked.Answer.NONE, true));
-    open.clear();
+    openRequests.removeIf(request -> request.done);
+    openRequests.forEach(request -> request.recordOutcome(0, 0, Asked.Answer.NONE, true));
+    openRequests.clear();
   }
 
-  /** Runs until so many have been asked, then vanishes with what is out. */
+  /** Submits {@code maxRequests} requests, then disconnects while they are outstanding. */
   public void runThenVanish() throws IOException {
-    nextAt = Engine.monotonicMicros();
+    nextDueUs = Engine.monotonicMicros();
     client.connect(socket);
     connected = true;
-    while (asked < plan.count()) {
-      ask();
+    while (asked < config.maxRequests()) {
+      issueDueRequests();
       client.kick();
       client.poll();
-      open.removeIf(o -> o.over);
+      openRequests.removeIf(request -> request.done);
     }
-    vanish();
+    disconnectAbruptly();
     client.close();
   }
 
-  private boolean attach() {
+  private boolean tryConnect() {
     try {
       client.connect(socket);
       connected = true;
-      // Whoever serves now has not taken these before: their time begins again.
-      open.forEach(o -> o.deadlineUs = Engine.monotonicMicros() + plan.deadlineUs());
+      // The new gateway process has not taken these requests before, so their deadlines start over.
+      openRequests.forEach(request -> request.deadlineUs = Engine.monotonicMicros() + config.deadlineUs());
       return true;
     } catch (IOException e) {
-      // The gateway is away: asked again soon, as a virtual machine's front end does.
+      // The gateway is down: retries after 20 ms, like the front end of a virtual machine.
       client.detach();
       LockSupport.parkNanos(20_000_000);
       return false;
@@ -240,72 +245,75 @@
   }
 
   private int waitMs() {
-    if (plan.gapUs() == 0 || finishing || open.size() >= plan.depth()) {
+    if (config.meanGapUs() == 0 || finishing || openRequests.size() >= config.depth()) {
       return 100;
     }
-    return (int) Math.max(0, Math.min(100, (nextAt - Engine.monotonicMicros() + 999) / 1_000));
+    return (int) Math.max(0, Math.min(100, (nextDueUs - Engine.monotonicMicros() + 999) / 1_000));
   }
 
-  private void ask() {
-    while (!finishing && (plan.count() == 0 || asked < plan.count()) && open.size() < plan.depth()) {
-      if (plan.gapUs() > 0) {
+  private void issueDueRequests() {
+    while (!finishing && (config.maxRequests() == 0 || asked < config.maxRequests()) && openRequests
+        .size() < config.depth()) {
+      if (config.meanGapUs() > 0) {
         long now = Engine.monotonicMicros();
-        if (repeats > 0) {
-          repeats--;
-          one();
+        if (pendingRetries > 0) {
+          pendingRetries--;
+          issueRequest();
           continue;
         }
-        if (now < nextAt) {
+        if (now < nextDueUs) {
           return;
         }
-        nextAt = Math.max(nextAt, now - 1_000_000) + (long) (-Math.log(1 - random.nextDouble()) * plan.gapUs()
-            / speed);
+        nextDueUs = Math.max(nextDueUs, now - 1_000_000) + (long) (-Math.log(1 - random.nextDouble()) * config
+            .meanGapUs()
+            / rateFactor);
       }
-      one();
+      issueRequest();
     }
   }
 
-  private void one() {
-    int blocks = 1 + random.nextInt(plan.mostBlocks());
-    long room = plan.bytes() / Stamps.BLOCK - blocks;
-    long offset = plan.from() + random.nextLong(room + 1) * Stamps.BLOCK;
-    boolean read = random.nextDouble() < plan.reads() || readsOnly;
-    int length = blocks * Stamps.BLOCK;
+  private void issueRequest() {
+    int blocks = 1 + random.nextInt(config.maxBlocks());
+    long freeBlocks = config.lengthBytes() / BlockStamps.BLOCK_BYTES - blocks;
+    long offset = config.firstByte() + random.nextLong(freeBlocks + 1) * BlockStamps.BLOCK_BYTES;
+    boolean read = random.nextDouble() < config.readFraction() || readsOnly;
+    int length = blocks * BlockStamps.BLOCK_BYTES;
     if (!read && overlapsWrite(offset, length)) {
       read = true;
     }
-    Open o = new Open(++asked, read ? IoKind.READ : IoKind.WRITE, offset, length);
+    OpenRequest request = new OpenRequest(++asked, read ? IoKind.READ : IoKind.WRITE, offset, length);
     if (read) {
-      o.floors = stamps.floors(offset, length);
+      request.minWriteIds = stamps.minWriteIds(offset, length);
     } else {
-      stamps.fill(scratch, o.id, length);
-      o.checksum = crc(scratch, length);
-      writing.add(offset);
+      stamps.fillForWrite(writeBuffer, request.id, length);
+      request.checksum = crc32(writeBuffer, length);
+      offsetsBeingWritten.add(offset);
     }
-    scratch.clear();
-    if (!client.submit(0, o.kind, offset, length, read ? null : scratch, o)) {
-      throw new IllegalStateException("no slot though fewer than the depth are out");
+    writeBuffer.clear();
+    if (!client.submit(0, request.kind, offset, length, read ? null : writeBuffer, request)) {
+      throw new IllegalStateException("no free slot although fewer requests than the depth are outstanding");
     }
-    open.add(o);
+    openRequests.add(request);
   }
 
-  /** A client does not write blocks while it waits for another write to them. */
+  /** Whether a write to any of these blocks is outstanding; a client does not write blocks that it is already
+   * writing. */
   private boolean overlapsWrite(long offset, int length) {
-    long most = (long) plan.mostBlocks() * Stamps.BLOCK;
-    return !writing.subSet(offset - most + 1, offset + length).isEmpty();
+    long maxBytes = (long) config.maxBlocks() * BlockStamps.BLOCK_BYTES;
+    return !offsetsBeingWritten.subSet(offset - maxBytes + 1, offset + length).isEmpty();
   }
 
-  /** What it wrote down, once it has ended. */
+  /** Records of all requests; complete once the client has ended. */
   public List<Asked> records() {
     return records;
   }
 
-  /** Reads whose bytes contradict what was answered before. */
+  /** Reads that returned bytes contradicting earlier answers. */
   public List<String> wrong() {
     return wrong;
   }
 
-  /** Time from asking to the answer, us. */
+  /** Time from submission to answer, us. */
   public Histogram latency() {
     return latency;
   }
--- a/src/main/java/hollyslip/load/RingTarget.java
+++ b/src/main/java/hollyslip/load/RingTarget.java
@@ -7,48 +7,52 @@
 import java.nio.file.Path;
 import java.util.concurrent.locks.LockSupport;
 
-/** A gateway's ring as a target of load. A connection that breaks is made again; what was out is lost to the
- * client, as its ring is. */
+/** Submits load to the ring of a gateway. Reconnects when the connection breaks; what was outstanding may be
+ * lost with the client's ring. */
 final class RingTarget implements OpenLoop.Target, AutoCloseable {
-  /** From so near to the due time on, us, the thread looks at the clock without sleeping. */
-  private static final long SPIN_US = 1_500;
+  /** Within this time of the due time, us, the thread polls the clock instead of sleeping. */
+  private static final long SPIN_THRESHOLD_US = 1_500;
 
   private final RingClient client;
   private final Path socket;
   private final int depth;
-  private final ByteBuffer scratch;
-  private int out;
-  private long marks;
+  private final ByteBuffer writeBuffer;
+  private int inFlight;
+  private long writeCount;
 
-  RingTarget(Path socket, int depth, int mostBytes) throws IOException {
+  RingTarget(Path socket, int depth, int maxBytes) throws IOException {
     this.socket = socket;
     this.depth = depth;
-    int size = Integer.highestOneBit(Math.max(4, depth * 2 - 1));
-    client = new RingClient(RingClient.Options.usual(1, size, mostBytes));
-    scratch = ByteBuffer.allocate(mostBytes);
+    int queueSize = Integer.highestOneBit(Math.max(4, depth * 2 - 1));
+    client = new RingClient(RingClient.Options.usual(1, queueSize, maxBytes));
+    writeBuffer = ByteBuffer.allocate(maxBytes);
     client.connect(socket);
   }
 
   @Override
-  public boolean submit(OpenLoop.Shot s) {
-    if (out >= depth) {
+  public boolean submit(OpenLoop.ScheduledRequest request) {
+    if (inFlight >= depth) {
       return false;
     }
-    boolean write = s.ask.kind() == IoKind.WRITE;
+    boolean write = request.operation.kind() == IoKind.WRITE;
     if (write) {
-      scratch.clear();
-      scratch.putLong(0, ++marks);
+      writeBuffer.clear();
+      writeBuffer.putLong(0, ++writeCount);
     }
-    boolean in = client.submit(0, s.ask.kind(), s.ask.offset(), s.ask.length(), write ? scratch : null, (
-        status,
-        retryMs, data) -> {
-      out--;
-      s.answered(status == 0
-          ? OpenLoop.End.SERVED
-          : status == 0x80 ? OpenLoop.End.REFUSED : OpenLoop.End.FAILED);
-    });
-    out += in ? 1 : 0;
-    return in;
+    boolean submitted = client.submit(0, request.operation.kind(), request.operation.offset(),
+        request.operation
+            .length(), write
+                ? writeBuffer
+                : null, (
+                    status,
+                    retryMs, data) -> {
+                  inFlight--;
+                  request.complete(status == 0
+                      ? OpenLoop.End.SERVED
+                      : status == 0x80 ? OpenLoop.End.REFUSED : OpenLoop.End.FAILED);
+                });
+    inFlight += submitted ? 1 : 0;
+    return submitted;
   }
 
   @Override
@@ -62,9 +66,11 @@
   }
 
   @Override
-  public void idle(long untilUs) {
-    long left = untilUs - now();
-    if (left > SPIN_US && !client.await((int) Math.min(100, (left - SPIN_US + 999) / 1_000))) {
+  public void awaitAnswers(long untilUs) {
+    long remainingUs = untilUs - now();
+    if (remainingUs > SPIN_THRESHOLD_US && !client.await((int) Math.min(100, (remainingUs - SPIN_THRESHOLD_US
+        + 999)
+        / 1_000))) {
       reconnect();
     } else {
       Thread.onSpinWait();
