--- a/src/main/java/hollyslip/load/Stage.java
+++ b/src/main/java/hollyslip/load/Stage.java
@@ -12,75 +12,78 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** What a {@link Day} is played on over sockets: stand-ins in this process, gateways in processes of their
- * own. */
+/** Runs the nodes and gateways of a {@link Day} on real sockets: stand-ins in this process, gateways in
+ * separate processes. */
 public final class Stage implements AutoCloseable {
   private static final long SHARD_BYTES = 64 << 20;
 
   final List<DiskServer> disks = new ArrayList<>();
   final List<Child> gateways = new ArrayList<>();
   final List<Deployment> deployments = new ArrayList<>();
-  private final Day day;
+  private final Day scenario;
   private final Path dir;
 
   /** @param dir
-   *          folder of settings, sockets and logs */
-  public Stage(Day day, Path dir) {
-    day.onSockets();
-    this.day = day;
+   *          directory of settings, sockets and logs */
+  public Stage(Day scenario, Path dir) {
+    scenario.checkPlayableOverSockets();
+    this.scenario = scenario;
     this.dir = dir;
   }
 
-  /** Starts all; returns when clients may come. */
+  /** Starts everything and returns once clients can connect. */
   public void start() throws IOException {
     Files.createDirectories(dir);
-    Day.Nodes n = day.nodes();
-    for (int i = 0; i < n.count(); i++) {
-      disks.add(new DiskServer(DiskServer.Config.timed("store-" + i, SHARD_BYTES, n.cores(), n.queue(), n
-          .baseUs(),
-          day.seed() * 100 + i)));
+    Day.Nodes nodes = scenario.nodes();
+    for (int i = 0; i < nodes.count(); i++) {
+      disks.add(new DiskServer(DiskServer.Config.timed("store-" + i, SHARD_BYTES, nodes.cores(), nodes
+          .queue(), nodes
+              .baseUs(),
+          scenario.seed() * 100 + i)));
     }
-    NodeState[] on = new NodeState[n.count()];
-    Arrays.fill(on, NodeState.ON);
-    writeFleet(on);
-    for (int g = 0; g < day.gateways(); g++) {
-      Files.writeString(settings(g), DaySettings.text(day, g));
-      Loader.Loaded loaded = Loader.load(settings(g));
+    NodeState[] states = new NodeState[nodes.count()];
+    Arrays.fill(states, NodeState.ON);
+    writeNodeList(states);
+    for (int gateway = 0; gateway < scenario.gateways(); gateway++) {
+      Files.writeString(settingsFile(gateway), ScenarioSettings.gatewayScript(scenario, gateway));
+      Loader.Loaded loaded = Loader.load(settingsFile(gateway));
       if (!loaded.faults().isEmpty()) {
-        throw new IOException("settings of the day: " + loaded.faults());
+        throw new IOException("invalid settings for the scenario: " + loaded.faults());
       }
       deployments.add(loaded.deployment());
-      gateways.add(gateway(g));
+      gateways.add(startGateway(gateway));
     }
   }
 
-  /** A process of a gateway. */
-  Child gateway(int number) throws IOException {
-    return new Child(settings(number), dir.resolve("gateway-" + number + ".log"));
+  /** Starts the process of a gateway. */
+  Child startGateway(int number) throws IOException {
+    return new Child(settingsFile(number), dir.resolve("gateway-" + number + ".log"));
   }
 
-  private Path settings(int gateway) {
+  private Path settingsFile(int gateway) {
     return dir.resolve("gateway-" + gateway + ".star");
   }
 
-  /** Replaces the gateways' list of nodes. */
-  void writeFleet(NodeState[] states) throws IOException {
-    Path fresh = dir.resolve("fleet.star.new");
-    Files.writeString(fresh, DaySettings.fleet(disks.size(), i -> disks.get(i).address().getPort(),
+  /** Atomically replaces the gateways' node list. */
+  void writeNodeList(NodeState[] states) throws IOException {
+    Path newFile = dir.resolve("fleet.star.new");
+    Files.writeString(newFile, ScenarioSettings.nodeListScript(disks.size(), i -> disks.get(i)
+        .address()
+        .getPort(),
         i -> states[i]));
-    Files.move(fresh, dir.resolve("fleet.star"), StandardCopyOption.ATOMIC_MOVE);
+    Files.move(newFile, dir.resolve("fleet.star"), StandardCopyOption.ATOMIC_MOVE);
   }
 
-  /** Folders of the volumes' sockets, one a gateway. */
+  /** Directories of the volumes' sockets, one per gateway. */
   public List<Path> sockets() {
     return deployments.stream().map(d -> d.gateway().socketDir()).toList();
   }
 
   @Override
   public void close() throws InterruptedException {
-    for (Child c : gateways) {
-      if (c.isAlive()) {
-        c.kill();
+    for (Child gateway : gateways) {
+      if (gateway.isAlive()) {
+        gateway.kill();
       }
     }
     disks.forEach(DiskServer::close);
--- a/src/main/java/hollyslip/load/TenantBench.java
+++ b/src/main/java/hollyslip/load/TenantBench.java
@@ -9,8 +9,8 @@
 import hollyslip.admin.Carrier;
 import hollyslip.admin.Control;
 import hollyslip.gateway.Gateway;
-import hollyslip.load.RingBench.Node;
-import hollyslip.load.RingBench.Row;
+import hollyslip.load.RingBench.StandinProcess;
+import hollyslip.load.RingBench.Measurement;
 import hollyslip.settings.Deployment;
 import hollyslip.store.Folder;
 import hollyslip.tenant.HostedVolume;
@@ -29,8 +29,8 @@
 import java.util.concurrent.CompletableFuture;
 import org.HdrHistogram.Histogram;
 
-/** What tenants cost: changes while requests flow, a neighbour that floods, starts from the store, and the
- * module with many volumes. */
+/** Measures the cost of tenants: changes during traffic, a neighbour that floods, recovery from the store,
+ * and the scheduler with many volumes. */
 public final class TenantBench {
   private static final long BYTES = 4 << 20;
   private static final int BLOCK = 4_096;
@@ -40,29 +40,29 @@
   private final double seconds;
 
   /** @param rounds
-   *          of each measurement
+   *          rounds of each measurement
    * @param seconds
-   *          of one measurement */
+   *          duration of one measurement */
   public TenantBench(int rounds, double seconds) {
     this.rounds = rounds;
     this.seconds = seconds;
   }
 
-  /** Measures and prints the tables. */
+  /** Runs the measurements and prints the tables. */
   public void run() throws Exception {
     Path dir = Files.createTempDirectory("hollyslip-bench-");
-    module();
-    recovery(dir);
-    traffic(dir);
+    measureModule();
+    measureRecovery(dir);
+    measureTraffic(dir);
   }
 
-  // The module alone.
+  // Scheduler alone.
 
   private static HostScheduler.Settings settings(Path dir) throws IOException {
     return deployment(dir, 1, 2).module();
   }
 
-  private void module() throws IOException {
+  private void measureModule() throws IOException {
     System.out.printf("%-24s %12s %14s%n", "module, volumes", "ns/request", "bytes/volume");
     for (int round = 0; round < rounds; round++) {
       for (int volumes : new int[]{10, 50_000}) {
@@ -72,54 +72,57 @@
   }
 
   private void measure(int volumes) throws IOException {
-    TokenBorrowingScheduler choice = new TokenBorrowingScheduler(settings(Files.createTempDirectory(
+    TokenBorrowingScheduler scheduler = new TokenBorrowingScheduler(settings(Files.createTempDirectory(
         "hollyslip-bench-")));
-    long[] now = {1_000_000};
+    long[] nowUs = {1_000_000};
     List<HostScheduler.Action> actions = new ArrayList<>();
-    choice.handle(now[0], new HostScheduler.NodeList(true, List.of(new NodeEntry(1, "a", 0, NodeState.ON, 0),
+    scheduler.handle(nowUs[0], new HostScheduler.NodeList(true, List.of(new NodeEntry(1, "a", 0, NodeState.ON,
+        0),
         new NodeEntry(2, "a", 1, NodeState.ON, 0))), actions::add);
     System.gc();
-    long before = used();
+    long heapBefore = usedHeapBytes();
     HostScheduler.Plan plan = new HostScheduler.Plan("p", 10, 1, 1, 1, 0, 0, 0);
     for (int v = 0; v < volumes; v++) {
-      choice.handle(now[0], new HostScheduler.VolumeChanged(v, 1, plan, 1 + v / 5, 1), actions::add);
+      scheduler.handle(nowUs[0], new HostScheduler.VolumeChanged(v, 1, plan, 1 + v / 5, 1), actions::add);
     }
     SplittableRandom random = new SplittableRandom(1);
-    long id = 0;
-    long from = 0;
-    int counted = 400_000;
-    for (int i = 0; i < counted * 2; i++) {
-      if (i == counted) {
-        from = System.nanoTime();
+    long nextId = 0;
+    long startNs = 0;
+    int measuredRequests = 400_000;
+    for (int i = 0; i < measuredRequests * 2; i++) {
+      if (i == measuredRequests) {
+        startNs = System.nanoTime();
       }
-      now[0] += 20;
+      nowUs[0] += 20;
       actions.clear();
-      long r = id++;
-      choice.handle(now[0], new HostScheduler.Request(r, "any", "p", r, random.nextInt(volumes), 1, (int) (r
-          & 1), 1, 5_000_000, false), actions::add);
-      for (HostScheduler.Action a : List.copyOf(actions)) {
-        if (a instanceof HostScheduler.Send s) {
-          choice.handle(now[0] + 5, new HostScheduler.AttemptEnded(s.request(), 0, s.node(),
+      long requestId = nextId++;
+      scheduler.handle(nowUs[0], new HostScheduler.Request(requestId, "any", "p", requestId, random.nextInt(
+          volumes), 1, (int) (requestId
+              & 1), 1, 5_000_000, false), actions::add);
+      for (HostScheduler.Action action : List.copyOf(actions)) {
+        if (action instanceof HostScheduler.Send send) {
+          scheduler.handle(nowUs[0] + 5, new HostScheduler.AttemptEnded(send.request(), 0, send.node(),
               HostScheduler.Result.OK, true, 100, 0, 0, null), actions::add);
         }
       }
     }
-    long took = System.nanoTime() - from;
+    long tookNs = System.nanoTime() - startNs;
     System.gc();
-    System.out.printf(Locale.ROOT, "%-24d %12.0f %14.0f%n", volumes, (double) took / counted, volumes < 100
-        ? 0
-        : (double) (used() - before) / volumes);
-    java.lang.ref.Reference.reachabilityFence(choice);
+    System.out.printf(Locale.ROOT, "%-24d %12.0f %14.0f%n", volumes, (double) tookNs / measuredRequests,
+        volumes < 100
+            ? 0
+            : (double) (usedHeapBytes() - heapBefore) / volumes);
+    java.lang.ref.Reference.reachabilityFence(scheduler);
   }
 
-  private static long used() {
-    Runtime r = Runtime.getRuntime();
-    return r.totalMemory() - r.freeMemory();
+  private static long usedHeapBytes() {
+    Runtime runtime = Runtime.getRuntime();
+    return runtime.totalMemory() - runtime.freeMemory();
   }
 
-  // The store.
+  // Store.
 
-  private static final class Idle implements Carrier {
+  private static final class NoOpCarrier implements Carrier {
     @Override
     public CompletableFuture<Void> serve(HostedVolume v, Tenant t, HostScheduler.VolumeChanged terms) {
       return CompletableFuture.completedFuture(null);
@@ -144,82 +147,85 @@
     for (int i = 0; i < 36; i++) {
       shards.add(new Shard(i, "zone-" + i % 3, 1e7, 1L << 40, List.of()));
     }
-    return new Control(new Folder(dir), shards, 1 << 20, 1, new Idle(), System::currentTimeMillis);
+    return new Control(new Folder(dir), shards, 1 << 20, 1, new NoOpCarrier(), System::currentTimeMillis);
   }
 
-  private void recovery(Path dir) throws Exception {
+  private void measureRecovery(Path dir) throws Exception {
     System.out.printf("%n%-24s %10s %12s %14s %14s%n", "store", "volumes", "made/s", "log, ms",
         "snapshot, ms");
     for (int tenants : new int[]{10, 1_000, 10_000}) {
       Path folder = dir.resolve("store-" + tenants);
-      Control c = control(folder);
-      long from = System.nanoTime();
-      c.command((r, at) -> r.createPlan(at, "bench", new Wish.ForPlan("p", new Terms(10, 1, 1, 1, 0, 0, 0))),
+      Control control = control(folder);
+      long startNs = System.nanoTime();
+      control.command((r, at) -> r.createPlan(at, "bench", new Wish.ForPlan("p", new Terms(10, 1, 1, 1, 0, 0,
+          0))),
           r -> null).join();
-      List<CompletableFuture<Object>> all = new ArrayList<>();
+      List<CompletableFuture<Object>> commands = new ArrayList<>();
       for (int t = 0; t < tenants; t++) {
         String name = "t" + t;
-        all.add(c.command((r, at) -> r.createTenant(at, "bench", new Wish.ForTenant(name, 1, new Tenant.Quota(
-            100, 1L << 40, 100), Map.of())), r -> null));
+        commands.add(control.command((r, at) -> r.createTenant(at, "bench", new Wish.ForTenant(name, 1,
+            new Tenant.Quota(
+                100, 1L << 40, 100), Map.of())), r -> null));
         for (int v = 0; v < 5; v++) {
           String volume = "v" + v;
-          all.add(c.command((r, at) -> r.createVolume(at, "bench", name, new Wish.ForVolume(volume, "p", null,
+          commands.add(control.command((r, at) -> r.createVolume(at, "bench", name, new Wish.ForVolume(volume,
+              "p", null,
               16 << 20, 4 << 20)), r -> null));
         }
       }
-      all.forEach(CompletableFuture::join);
-      double rate = all.size() / ((System.nanoTime() - from) / 1e9);
-      c.close();
-      double log = open(folder, true);
-      double snapshot = open(folder, false);
+      commands.forEach(CompletableFuture::join);
+      double rate = commands.size() / ((System.nanoTime() - startNs) / 1e9);
+      control.close();
+      double log = openMillis(folder, true);
+      double snapshot = openMillis(folder, false);
       System.out.printf(Locale.ROOT, "%-24s %10d %12.0f %14.0f %14.0f%n", tenants + " tenants", tenants * 5,
           rate, log, snapshot);
     }
   }
 
-  /** Ms until the registry is there; keeps a snapshot then. */
-  private static double open(Path folder, boolean keep) throws IOException {
-    long from = System.nanoTime();
-    Control c = control(folder);
-    double ms = (System.nanoTime() - from) / 1e6;
-    if (keep) {
-      c.keep().join();
+  /** Time to load the registry, ms; takes a snapshot afterwards if {@code takeSnapshot} is set. */
+  private static double openMillis(Path folder, boolean takeSnapshot) throws IOException {
+    long startNs = System.nanoTime();
+    Control control = control(folder);
+    double ms = (System.nanoTime() - startNs) / 1e6;
+    if (takeSnapshot) {
+      control.keep().join();
     }
-    c.close();
+    control.close();
     return ms;
   }
 
   // Over sockets.
 
   private static Deployment deployment(Path dir, int... ports) throws IOException {
-    return BenchSite.load(dir, ports, ", hosted = True", "");
+    return BenchDeployment.load(dir, ports, ", hosted = True", "");
   }
 
-  private static void ask(ApiClient api, String method, String path, String body) throws IOException {
-    ApiClient.Answer a = api.ask(method, path, JSON.readTree(body.replace('\'', '"')), Map.of("If-Match",
+  private static void request(ApiClient api, String method, String path, String body) throws IOException {
+    ApiClient.Answer answer = api.ask(method, path, JSON.readTree(body.replace('\'', '"')), Map.of("If-Match",
         "*"));
-    if (!a.good()) {
-      throw new IOException(path + ": " + a);
+    if (!answer.good()) {
+      throw new IOException(path + ": " + answer);
     }
   }
 
-  private void traffic(Path dir) throws Exception {
-    List<Node> nodes = List.of(new Node("node-0"), new Node("node-1"));
+  private void measureTraffic(Path dir) throws Exception {
+    List<StandinProcess> nodes = List.of(new StandinProcess("node-0"), new StandinProcess("node-1"));
     Gateway gateway = new Gateway(deployment(dir, nodes.stream()
-        .mapToInt(n -> n.address.getPort())
+        .mapToInt(standin -> standin.address.getPort())
         .toArray()));
     String token = Files.readString(dir.resolve("state/operator.token")).trim();
     try (ApiClient api = ApiClient.at(dir.resolve("run/admin.sock"), token)) {
-      long me = ((Number) Files.getAttribute(Path.of("/proc/self"), "unix:uid")).longValue();
-      ask(api, "POST", "/v1/plans", "{'name':'p','reserve':100,'weight':1}");
-      for (String t : List.of("a", "b")) {
-        ask(api, "POST", "/v1/tenants", "{'name':'" + t
-            + "','quota':{'reserve':200,'bytes':16777216},'members':{'me':" + me + "}}");
-        ask(api, "POST", "/v1/tenants/" + t + "/volumes",
+      long uid = ((Number) Files.getAttribute(Path.of("/proc/self"), "unix:uid")).longValue();
+      request(api, "POST", "/v1/plans", "{'name':'p','reserve':100,'weight':1}");
+      for (String tenant : List.of("a", "b")) {
+        request(api, "POST", "/v1/tenants", "{'name':'" + tenant
+            + "','quota':{'reserve':200,'bytes':16777216},'members':{'me':" + uid + "}}");
+        request(api, "POST", "/v1/tenants/" + tenant + "/volumes",
             "{'name':'v','plan':'p','bytes':4194304,'extent_bytes':65536}");
       }
-      for (String t : List.of("a", "b")) {
-        while (!api.ask("GET", "/v1/tenants/" + t + "/volumes/v", null, Map.of())
+      for (String tenant : List.of("a", "b")) {
+        while (!api.ask("GET", "/v1/tenants/" + tenant + "/volumes/v", null, Map.of())
             .body()
             .get("phase")
             .asText()
@@ -230,63 +236,70 @@
       System.out.printf("%n%-34s %8s %10s %9s %9s %11s %12s%n", "requests of b, 4 KiB reads", "depth",
           "requests/s", "p50 us", "p99 us", "changes/s", "change p99");
       for (int round = 0; round < rounds; round++) {
-        print("alone", RingBench.ring("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES, gateway
+        print("alone", RingBench.measureRing("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES, gateway
             .lanes()::totals), 4,
             null, 0);
-        changing(gateway, api);
-        flooded(gateway);
+        measureDuringChanges(gateway, api);
+        measureDuringFlood(gateway);
       }
     }
     gateway.close();
-    nodes.forEach(Node::close);
+    nodes.forEach(StandinProcess::close);
   }
 
-  private static void print(String what, Row r, int depth, Histogram changes, double changeSeconds) {
-    System.out.printf(Locale.ROOT, "%-34s %8d %10.0f %9.1f %9.1f %11s %12s%n", what, depth, r.rate(), r.p50(),
-        r.p99(), changes == null
+  private static void print(String label, Measurement measurement, int depth, Histogram changes,
+      double changeSeconds) {
+    System.out.printf(Locale.ROOT, "%-34s %8d %10.0f %9.1f %9.1f %11s %12s%n", label, depth, measurement
+        .rate(), measurement.p50(),
+        measurement.p99(), changes == null
             ? "-"
             : String.format(Locale.ROOT, "%.0f", changes.getTotalCount() / changeSeconds), changes == null
                 ? "-"
                 : changes.getValueAtPercentile(99) + " us");
   }
 
-  /** One administrator changes tenant a, one change after the other. */
-  private void changing(Gateway gateway, ApiClient api) throws Exception {
-    Histogram took = new Histogram(60_000_000, 3);
-    boolean[] over = new boolean[1];
-    long from = System.nanoTime();
-    Thread t = new Thread(() -> {
-      for (int i = 0; !over[0]; i++) {
-        long at = System.nanoTime();
+  /** Measures tenant b while an administrator changes tenant a, one change after the other. */
+  private void measureDuringChanges(Gateway gateway, ApiClient api) throws Exception {
+    Histogram changeLatencies = new Histogram(60_000_000, 3);
+    boolean[] stopped = new boolean[1];
+    long startNs = System.nanoTime();
+    Thread administrator = new Thread(() -> {
+      for (int i = 0; !stopped[0]; i++) {
+        long startedAt = System.nanoTime();
         try {
-          ask(api, "PATCH", "/v1/tenants/a", "{'weight':" + (1 + i % 7) + "}");
+          request(api, "PATCH", "/v1/tenants/a", "{'weight':" + (1 + i % 7) + "}");
         } catch (IOException e) {
           throw new java.io.UncheckedIOException(e);
         }
-        took.recordValue((System.nanoTime() - at) / 1_000);
+        changeLatencies.recordValue((System.nanoTime() - startedAt) / 1_000);
       }
     });
-    t.start();
-    Row r = RingBench.ring("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES, gateway.lanes()::totals);
-    over[0] = true;
-    t.join();
-    print("while tenant a is changed", r, 4, took, (System.nanoTime() - from) / 1e9);
+    administrator.start();
+    Measurement measurement = RingBench.measureRing("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES,
+        gateway
+            .lanes()::totals);
+    stopped[0] = true;
+    administrator.join();
+    print("while tenant a is changed", measurement, 4, changeLatencies, (System.nanoTime() - startNs) / 1e9);
   }
 
-  /** Tenant a keeps its rings full. */
-  private void flooded(Gateway gateway) throws Exception {
-    Row[] flood = new Row[1];
-    Thread t = new Thread(() -> {
+  /** Measures tenant b while tenant a keeps its rings full. */
+  private void measureDuringFlood(Gateway gateway) throws Exception {
+    Measurement[] flood = new Measurement[1];
+    Thread flooder = new Thread(() -> {
       try {
-        flood[0] = RingBench.ring("a", gateway.socket("a", "v"), 256, BLOCK, seconds * 1.5, BYTES, gateway
-            .lanes()::totals);
+        flood[0] = RingBench.measureRing("a", gateway.socket("a", "v"), 256, BLOCK, seconds * 1.5, BYTES,
+            gateway
+                .lanes()::totals);
       } catch (Exception e) {
         throw new IllegalStateException(e);
       }
     });
-    t.start();
-    Row r = RingBench.ring("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES, gateway.lanes()::totals);
-    t.join();
-    print("while tenant a keeps 256 out", r, 4, null, 0);
+    flooder.start();
+    Measurement measurement = RingBench.measureRing("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES,
+        gateway
+            .lanes()::totals);
+    flooder.join();
+    print("while tenant a keeps 256 out", measurement, 4, null, 0);
   }
 }
--- a/src/test/java/hollyslip/emulator/ExperimentTest.java
+++ b/src/test/java/hollyslip/emulator/ExperimentTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Experiments and the search for bad days. */
+/** Experiments and the search for scenarios that break a rule. */
 class ExperimentTest {
-  private static final String DAY = """
+  private static final String DAY_FILE = """
       day 1
       nodes count 2 cores 2 queue 64 base-us 500
       plan p rate 1000 reserve 500 weight 1
@@ -26,88 +26,92 @@
   @TempDir
   Path dir;
 
-  private Experiment experiment(String script, String day) throws IOException {
-    Files.writeString(dir.resolve("x.day"), day);
+  private Experiment experiment(String script, String dayFile) throws IOException {
+    Files.writeString(dir.resolve("x.day"), dayFile);
     return Experiment.read(Files.writeString(dir.resolve("x.star"), script));
   }
 
-  /** Figures of Student's own: 2.262 at nine degrees of freedom, 4.303 at two. */
+  /** Critical values of Student's t-distribution: 2.262 at nine degrees of freedom, 4.303 at two. */
   @Test
-  void intervalsAreStudents() {
-    Estimate e = Estimate.of(1, 2, 3, 4, 5, 6, 7, 8, 9, 10);
-    assertEquals(5.5, e.mean());
-    assertEquals(2.262 * Math.sqrt(55 / 6.0 / 10), e.half(), 0.002);
-    Estimate d = Estimate.paired(new double[]{10, 20, 30}, new double[]{11, 21.5, 32});
-    assertEquals(1.5, d.mean());
-    assertEquals(4.303 * 0.5 / Math.sqrt(3), d.half(), 0.002);
-    assertTrue(d.clear());
+  void intervalsMatchStudentsT() {
+    Estimate estimate = Estimate.of(1, 2, 3, 4, 5, 6, 7, 8, 9, 10);
+    assertEquals(5.5, estimate.mean());
+    assertEquals(2.262 * Math.sqrt(55 / 6.0 / 10), estimate.half(), 0.002);
+    Estimate difference = Estimate.paired(new double[]{10, 20, 30}, new double[]{11, 21.5, 32});
+    assertEquals(1.5, difference.mean());
+    assertEquals(4.303 * 0.5 / Math.sqrt(3), difference.half(), 0.002);
+    assertTrue(difference.clear());
     assertFalse(Estimate.of(-1, 1).clear());
     assertTrue(Double.isInfinite(Estimate.of(3).half()));
   }
 
   @Test
-  void runsAreTheSameOnAnyThreadsAndNotRunTwice() throws Exception {
-    Experiment x = experiment("experiment(day = \"x.day\", seeds = 3)\nsweep(\"rate\", values = [100, 400])",
-        DAY);
-    assertEquals(2, x.points().size());
+  void runsAreIndependentOfThreadsAndNotRepeated() throws Exception {
+    Experiment experiment = experiment(
+        "experiment(day = \"x.day\", seeds = 3)\nsweep(\"rate\", values = [100, 400])",
+        DAY_FILE);
+    assertEquals(2, experiment.points().size());
     List<Experiment.Run> fresh = new ArrayList<>();
     Path kept = dir.resolve("runs.jsonl");
-    List<Experiment.Run> all = x.run(kept, 4, fresh::add);
+    List<Experiment.Run> all = experiment.run(kept, 4, fresh::add);
     assertEquals(6, fresh.size());
-    assertEquals(all, x.run(dir.resolve("other.jsonl"), 1, r -> {}));
-    // Cut short in its last line, as by a kill: that run alone is run again.
+    assertEquals(all, experiment.run(dir.resolve("other.jsonl"), 1, run -> {}));
+    // The last line is truncated, as by a kill: only that run is repeated.
     String lines = Files.readString(kept);
     Files.writeString(kept, lines.substring(0, lines.length() - 20));
     fresh.clear();
-    List<Experiment.Run> resumed = x.run(kept, 2, fresh::add);
+    List<Experiment.Run> resumed = experiment.run(kept, 2, fresh::add);
     assertEquals(1, fresh.size());
-    for (var p : x.points()) {
-      assertEquals(Experiment.of(all, p), Experiment.of(resumed, p));
+    for (var point : experiment.points()) {
+      assertEquals(Experiment.of(all, point), Experiment.of(resumed, point));
     }
-    // It is kept now: behind the line that was cut short it had been lost each time.
+    // The repeated run must be stored now. Appended to the truncated line, it used to be lost each time.
     fresh.clear();
-    x.run(kept, 2, fresh::add);
+    experiment.run(kept, 2, fresh::add);
     assertEquals(List.of(), fresh);
     Files.writeString(kept, "{no run}\n" + Files.readString(kept));
-    String said = assertThrows(IOException.class, () -> x.run(kept, 1, r -> {})).getMessage();
-    assertTrue(said.contains("line 1"), said);
+    String message = assertThrows(IOException.class, () -> experiment.run(kept, 1, run -> {})).getMessage();
+    assertTrue(message.contains("line 1"), message);
   }
 
   @Test
-  void whatIsWrongIsNamed() throws IOException {
-    String said = assertThrows(IllegalArgumentException.class, () -> experiment(
-        "experiment(day = \"x.day\")\nsweep(\"rates\", values = [1])", DAY)).getMessage();
-    assertTrue(said.contains("$rate is not swept"), said);
-    said = assertThrows(IllegalArgumentException.class, () -> experiment(
-        "experiment(day = \"x.day\")\nsweep(\"rate\", values = [1, -1])", DAY)).getMessage();
-    assertTrue(said.contains("{rate=-1}") && said.contains("line 4"), said);
-    said = assertThrows(IllegalArgumentException.class, () -> experiment("experiment(day = \n)", DAY))
+  void errorsNameTheCause() throws IOException {
+    String message = assertThrows(IllegalArgumentException.class, () -> experiment(
+        "experiment(day = \"x.day\")\nsweep(\"rates\", values = [1])", DAY_FILE)).getMessage();
+    assertTrue(message.contains("$rate is not swept"), message);
+    message = assertThrows(IllegalArgumentException.class, () -> experiment(
+        "experiment(day = \"x.day\")\nsweep(\"rate\", values = [1, -1])", DAY_FILE)).getMessage();
+    assertTrue(message.contains("{rate=-1}") && message.contains("line 4"), message);
+    message = assertThrows(IllegalArgumentException.class, () -> experiment("experiment(day = \n)", DAY_FILE))
         .getMessage();
-    assertTrue(said.contains("x.star:2"), said);
+    assertTrue(message.contains("x.star:2"), message);
   }
 
   @Test
-  void aDayIsReadBackFromItsText() {
-    Day day = Day.parse(DAY.replace("$rate", "50 shape burst period 2 swing 3")
+  void scenarioRoundTripsThroughText() {
+    Day scenario = Day.parse(DAY_FILE.replace("$rate", "50 shape burst period 2 swing 3")
         + "at 0.5 stall part 0.5 for 0.25\n"
         + "at 0.25 volume-burst target v size 3 for 0.5\n");
-    assertEquals(day, Day.parse(day.text()));
+    assertEquals(scenario, Day.parse(scenario.text()));
   }
 
   @Test
-  void searchesAreRepeatableAndStepsAreSimpler() {
-    Day base = Day.parse(DAY.replace("$rate", "200"));
+  void searchIsDeterministicAndSimplificationsAreSimpler() {
+    Day base = Day.parse(DAY_FILE.replace("$rate", "200"));
     List<BadDays.Found> once = new BadDays(base, 4).search(2, 6);
     assertEquals(once, new BadDays(base, 4).search(2, 6));
     assertEquals(12, once.size());
     Day worst = once.get(0).day();
-    for (Day simpler : BadDays.simpler(worst)) {
+    for (Day simpler : BadDays.simplifications(worst)) {
       double before = worst.seconds() + weight(worst);
       assertTrue(simpler.seconds() + weight(simpler) < before, simpler::text);
     }
   }
 
-  private static double weight(Day d) {
-    return d.troubles().stream().mapToDouble(t -> 1 + t.seconds() + t.part()).sum();
+  private static double weight(Day scenario) {
+    return scenario.troubles()
+        .stream()
+        .mapToDouble(disturbance -> 1 + disturbance.seconds() + disturbance.fraction())
+        .sum();
   }
 }
--- a/src/test/java/hollyslip/load/DayTest.java
+++ b/src/test/java/hollyslip/load/ScenarioTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Day files, and a short day played whole. */
-class DayTest {
+/** Parsing of day files, and a short scenario played over sockets. */
+class ScenarioTest {
   private static final String SHORT = """
       day 5
       seed 3
@@ -30,29 +30,29 @@
       at 3.4 volume-burst target b size 5 for 1
       """;
 
-  private static String wrong(String text) {
+  private static String parseError(String text) {
     return assertThrows(Day.Wrong.class, () -> Day.parse(text)).getMessage();
   }
 
   @Test
-  void faultsNameTheLine() {
+  void errorsNameTheLine() {
     assertEquals(5, Day.parse(SHORT).troubles().size());
-    assertEquals("line 2: 'wether' is not known", wrong("day 5\nwether bad\n"));
-    assertTrue(wrong("at 5 flood\n").startsWith("line 1: trouble 'flood' is not known"));
-    assertTrue(wrong("nodes count many\n").startsWith(
-        "line 1: nodes: a number must stand where 'many' does"));
-    assertTrue(wrong("day 5\nvolume a plan gold rate 5\n").contains("plan gold is not given"));
-    assertTrue(wrong("day 5\n").contains("no volume"));
-    assertTrue(wrong("plan p rate\n").contains("where 'nothing' does"));
+    assertEquals("line 2: unknown keyword 'wether'", parseError("day 5\nwether bad\n"));
+    assertTrue(parseError("at 5 flood\n").startsWith("line 1: unknown disturbance 'flood'"));
+    assertTrue(parseError("nodes count many\n").startsWith(
+        "line 1: nodes: expected a number, found 'many'"));
+    assertTrue(parseError("day 5\nvolume a plan gold rate 5\n").contains("plan gold is not declared"));
+    assertTrue(parseError("day 5\n").contains("no volume"));
+    assertTrue(parseError("plan p rate\n").contains("found 'end of line'"));
   }
 
   @Test
   @Timeout(value = 90, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-  void aShortDayKeepsAllRules(@TempDir Path dir) throws Exception {
+  void shortScenarioKeepsAllRules(@TempDir Path dir) throws Exception {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    DayRunner.Result r = new DayRunner(Day.parse(SHORT), dir, new PrintStream(out), 500_000).play();
-    assertTrue(r.kept(), r.audit().breaches() + " " + r.wrongReads() + " " + out);
-    assertTrue(r.audit().checked().values().stream().mapToLong(n -> n).sum() > 500, r.audit()
+    DayRunner.Result result = new DayRunner(Day.parse(SHORT), dir, new PrintStream(out), 500_000).play();
+    assertTrue(result.kept(), result.audit().breaches() + " " + result.wrongReads() + " " + out);
+    assertTrue(result.audit().checked().values().stream().mapToLong(n -> n).sum() > 500, result.audit()
         .checked()
         .toString());
   }
