--- a/src/main/java/hollyslip/door/AdmissionQueue.java
+++ b/src/main/java/hollyslip/door/AdmissionQueue.java
@@ -15,9 +15,9 @@
  * When the queue is full, it rejects the newest request of the tenant with the most waiting requests for its
  * weight, never one of a tenant below its share. A rejected client is told when its queue will have drained;
  * these times are handed out one after another, so that clients that retry as told find the queue short.
- * While such reservations are outstanding, a client that arrives without one gets the next one instead of a
- * place in the queue. Reservations are stored by a hash of their owner ({@link RetryReservations}), the only
- * place where collisions can occur. Times are us. Without I/O, clock or threads.
+ * While such reservations are outstanding, a request that arrives without one is rejected with the next one.
+ * Reservations are stored by a hash of their owner ({@link RetryReservations}), the only place where
+ * collisions can occur. Times are us. Without I/O, clock or threads.
  *
  * @param <T>
  *          a request */
@@ -30,7 +30,7 @@
   public record Owner(String tenant, double tenantWeight, long volume, double volumeWeight) {}
 
   /** A rejected request, and when its client should retry, us from now. */
-  public record Rejected<T>(T item, long retryInUs) {}
+  public record Rejected<T>(T item, long retryAfterUs) {}
 
   /** Handle to a request in the queue, for {@link #cancel} and {@link #release}. */
   public static final class Ticket<T> {
@@ -204,8 +204,7 @@
   /** Appends a request to its volume's queue. */
   public Ticket<T> enqueue(long now, T item, Owner owner, double cost) {
     return append(now, new Ticket<>(item, cost, reservations.consume(now, owner.tenant(), owner.volume()),
-        flowOf(
-            owner)), owner);
+        flowOf(owner)), owner);
   }
 
   private Ticket<T> admitDirectly(Ticket<T> ticket, Owner owner) {
@@ -297,17 +296,17 @@
   /** Of the tenant with the most waiting requests for its weight, the volume with the most for its weight;
    * the newest of equals. */
   private VolumeFlow<T> longestFlow() {
-    TenantFlow<T> most = null;
+    TenantFlow<T> longestTenant = null;
     for (TenantFlow<T> tenant : tenants.values()) {
-      if (tenant.waiting > 0 && (most == null || tenant.waiting / tenant.weight >= most.waiting
-          / most.weight)) {
-        most = tenant;
+      if (tenant.waiting > 0 && (longestTenant == null
+          || tenant.waiting / tenant.weight >= longestTenant.waiting / longestTenant.weight)) {
+        longestTenant = tenant;
       }
     }
     VolumeFlow<T> longest = null;
-    for (VolumeFlow<T> flow : most.volumes.values()) {
-      if (flow.waiting > 0 && (longest == null || flow.waiting / flow.weight >= longest.waiting
-          / longest.weight)) {
+    for (VolumeFlow<T> flow : longestTenant.volumes.values()) {
+      if (flow.waiting > 0 && (longest == null
+          || flow.waiting / flow.weight >= longest.waiting / longest.weight)) {
         longest = flow;
       }
     }
--- a/src/main/java/hollyslip/door/RetryReservations.java
+++ b/src/main/java/hollyslip/door/RetryReservations.java
@@ -3,7 +3,7 @@
 /** Reserved retry times per owner: a table of fixed size, with two candidate slots for each owner by hash. A
  * reservation whose slots are both taken by pending reservations of others is dropped; with n pending in m
  * slots that happens to at most (n / m) squared of them. A dropped reservation costs its owner another
- * rejection; an owner who consumes a reservation of another with the same slot gains a place in the queue. */
+ * rejection; an owner who consumes a reservation of another with the same slot is queued without its own. */
 final class RetryReservations {
   /** Number of slots, a power of two; four bytes each. */
   static final int SLOTS = 1 << 20;
--- a/src/main/java/hollyslip/engine/ActiveRequest.java
+++ b/src/main/java/hollyslip/engine/ActiveRequest.java
@@ -12,7 +12,7 @@
   final IoRequest io;
   final Volume volume;
   final RequestClass requestClass;
-  final long takenAt;
+  final long acceptedAt;
   final long deadline;
   final AnswerAggregator answers;
   private final Engine engine;
@@ -31,13 +31,13 @@
   /** Attempts whose outcome has not been reported; they may still touch the data. */
   int pendingAttempts;
 
-  ActiveRequest(Engine engine, IoRequest io, Volume volume, RequestClass requestClass, long takenAt) {
+  ActiveRequest(Engine engine, IoRequest io, Volume volume, RequestClass requestClass, long acceptedAt) {
     this.engine = engine;
     this.io = io;
     this.volume = volume;
     this.requestClass = requestClass;
-    this.takenAt = takenAt;
-    deadline = takenAt + (io.remainingUs() > 0
+    this.acceptedAt = acceptedAt;
+    deadline = acceptedAt + (io.remainingUs() > 0
         ? io.remainingUs()
         : requestClass == null ? 0 : requestClass.deadlineUs());
     answers = new AnswerAggregator(requestClass == null || requestClass
@@ -46,7 +46,7 @@
 
   /** Maps the combined answer to the one that the client may see. A refusal promises that a retry is
    * harmless, which cannot be said of a write that an earlier gateway process may have run: it is answered as
-   * failed. The cost is that a write which never ran is reported as failed too. */
+   * failed. Drawback: a write that never ran is reported as failed too. */
   Answer clientAnswer(Answer answer) {
     boolean mayHaveRun = io.resumed() && requestClass != null && requestClass
         .effect() != HostScheduler.Effect.SAFE;
--- a/src/main/java/hollyslip/engine/AdaptiveSpinner.java
+++ b/src/main/java/hollyslip/engine/AdaptiveSpinner.java
@@ -3,7 +3,7 @@
 import java.util.function.BooleanSupplier;
 
 /** Spins for work before the thread sleeps, since waking it takes tens of us: longer where work arrives
- * often, shorter where spinning was in vain. The cost is up to {@code MAX_SPIN_NS} of a core before each
+ * often, shorter where spinning was in vain. Drawback: takes up to {@code MAX_SPIN_NS} of a core before each
  * sleep. For a single thread. */
 public final class AdaptiveSpinner {
   private static final long MIN_SPIN_NS = 5_000, MAX_SPIN_NS = 120_000;
--- a/src/main/java/hollyslip/engine/Answer.java
+++ b/src/main/java/hollyslip/engine/Answer.java
@@ -4,11 +4,11 @@
  *
  * @param kind
  *          the outcome
- * @param retryInUs
+ * @param retryAfterUs
  *          for a refusal: how long the client should wait before a retry, us; 0 for no advice */
-public record Answer(Kind kind, long retryInUs) {
-  /** SERVED: done. REFUSED: nothing of it took effect, or doing it again is harmless. FAILED: its effect is
-   * unknown. */
+public record Answer(Kind kind, long retryAfterUs) {
+  /** {@code REFUSED}: the request took no effect, or repeating it is harmless. {@code FAILED}: it is unknown
+   * whether it took effect. */
   public enum Kind {
     SERVED, REFUSED, FAILED
   }
@@ -16,7 +16,7 @@
   static final Answer SERVED = new Answer(Kind.SERVED, 0);
   public static final Answer FAILED = new Answer(Kind.FAILED, 0);
 
-  public static Answer refused(long retryInUs) {
-    return new Answer(Kind.REFUSED, retryInUs);
+  public static Answer refused(long retryAfterUs) {
+    return new Answer(Kind.REFUSED, retryAfterUs);
   }
 }
--- a/src/main/java/hollyslip/engine/AnswerAggregator.java
+++ b/src/main/java/hollyslip/engine/AnswerAggregator.java
@@ -8,7 +8,7 @@
   private int served;
   private int refused;
   private int failed;
-  private long retryInUs;
+  private long retryAfterUs;
 
   /** @param safeToRepeat
    *          whether requests of the class may run again after they took effect */
@@ -19,7 +19,7 @@
   void add(Answer answer) {
     switch (answer.kind()) {
       case SERVED -> served++;
-      case REFUSED -> { refused++; retryInUs = Math.max(retryInUs, answer.retryInUs()); }
+      case REFUSED -> { refused++; retryAfterUs = Math.max(retryAfterUs, answer.retryAfterUs()); }
       case FAILED -> failed++;
     }
   }
@@ -32,6 +32,6 @@
     if (failed > 0 || refused > 0 && served > 0 && !safeToRepeat) {
       return Answer.FAILED;
     }
-    return refused > 0 ? Answer.refused(retryInUs) : Answer.SERVED;
+    return refused > 0 ? Answer.refused(retryAfterUs) : Answer.SERVED;
   }
 }
--- a/src/main/java/hollyslip/engine/Engine.java
+++ b/src/main/java/hollyslip/engine/Engine.java
@@ -72,8 +72,8 @@
   public record Config(HostScheduler.Settings settings, RequestClassifier classifier, ExtentSplitter splitter,
       long maxRequests, long maxBytes, long firstRequestId) {}
 
-  /** Totals since the start; {@code moduleNs} is the time spent inside the scheduler, extrapolated from
-   * samples. */
+  /** Totals since the start, logged under the names of the components; {@code moduleNs} is the time spent
+   * inside the scheduler, extrapolated from samples. */
   public record Totals(long taken, long served, long refused, long failed, long departed, long attempts,
       long held, long moduleNs) {
     Totals plus(Totals o) {
@@ -100,7 +100,7 @@
   private final LongAdder taken = new LongAdder(), served = new LongAdder(), refused = new LongAdder();
   private final LongAdder failed = new LongAdder(), abandoned = new LongAdder(), attempts = new LongAdder();
   /** Written by the engine's thread only. */
-  private volatile long moduleNs;
+  private volatile long schedulerNs;
   private final LogSampler refusalLog = new LogSampler(), failureLog = new LogSampler();
   private final Map<String, Volume> volumes = new ConcurrentHashMap<>();
   private final Map<Long, VolumeState> volumeStates = new ConcurrentHashMap<>();
@@ -108,8 +108,8 @@
   private final Map<Long, NodeState> nodeStates = new HashMap<>();
   private final AdmissionQueue<ActiveRequest> admissionQueue;
   /** Longest time, us, for which an admitted request counts against the admission limit. One that waits
-   * longer, for a rate limit or an unavailable node, no longer keeps others out of the scheduler; the cost is
-   * that the scheduler then holds more requests at a time. */
+   * longer, for a rate limit or an unavailable node, no longer keeps others out of the scheduler. Drawback:
+   * the scheduler then holds more requests at a time. */
   private final long maxAdmittedUs;
   private volatile boolean stopping;
   private volatile boolean refusing;
@@ -281,8 +281,8 @@
   }
 
   /** Reports the outcome of a probe; {@code report} may be null. Thread-safe. */
-  public void probeEnded(long node, Result result, long tookUs, List<Double> report) {
-    mailbox.post(() -> handleEvent(new HostScheduler.ProbeEnded(node, result, tookUs, report)));
+  public void probeEnded(long node, Result result, long latencyUs, List<Double> report) {
+    mailbox.post(() -> handleEvent(new HostScheduler.ProbeEnded(node, result, latencyUs, report)));
   }
 
   /** Runs a task on the engine's thread. */
@@ -308,8 +308,7 @@
     CompletableFuture<Void> applied = new CompletableFuture<>();
     mailbox.post(() -> {
       AdmissionQueue.Owner owner = new AdmissionQueue.Owner(volume.tenant(), terms.groupWeight(), volume.id(),
-          terms.plan()
-              .weight());
+          terms.plan().weight());
       volumeStates.computeIfAbsent(volume.id(), k -> new VolumeState(owner)).resumeWith(owner);
       handleEvent(terms);
       volumes.put(volume.name(), volume);
@@ -400,7 +399,7 @@
   /** Totals since the start. Thread-safe; the figures need not be from the same instant. */
   public Totals totals() {
     return new Totals(taken.sum(), served.sum(), refused.sum(), failed.sum(), abandoned.sum(), attempts.sum(),
-        limits.requests(), moduleNs);
+        limits.requests(), schedulerNs);
   }
 
   private void run() {
@@ -475,7 +474,7 @@
     request.ticket = admissionQueue.enqueue(now, request, state.owner, units);
     for (AdmissionQueue.Rejected<ActiveRequest> rejected = admissionQueue.pollRejected(
         now); rejected != null; rejected = admissionQueue.pollRejected(now)) {
-      refuse(rejected.item(), rejected.retryInUs());
+      refuse(rejected.item(), rejected.retryAfterUs());
     }
     admitWaiting();
     if (request.ticket.waiting()) {
@@ -489,8 +488,8 @@
   }
 
   /** Refuses a request that has not been admitted, so nothing of it has run. */
-  private void refuse(ActiveRequest request, long retryInUs) {
-    answer(request, Answer.refused(retryInUs));
+  private void refuse(ActiveRequest request, long retryAfterUs) {
+    answer(request, Answer.refused(retryAfterUs));
     releaseIfDone(request);
   }
 
@@ -535,26 +534,26 @@
   }
 
   private List<SubRequest> split(ActiveRequest request) {
-    List<SubRequest> parts = new ArrayList<>(1);
+    List<SubRequest> result = new ArrayList<>(1);
     if (request.io.kind() == IoKind.FLUSH) {
       for (int shard : ExtentSplitter.shards(request.volume)) {
-        parts.add(new SubRequest(nextSubRequestId++, request, shard, 0, 0, 0));
+        result.add(new SubRequest(nextSubRequestId++, request, shard, 0, 0, 0));
       }
     } else {
-      for (ExtentSplitter.ShardRange p : config.splitter()
+      for (ExtentSplitter.ShardRange range : config.splitter()
           .split(request.volume, request.io.offset(), request.io.length())) {
-        parts.add(new SubRequest(nextSubRequestId++, request, p.shard(), p.offset(), p.requestOffset(), p
-            .length()));
+        result.add(new SubRequest(nextSubRequestId++, request, range.shard(), range.offset(),
+            range.requestOffset(), range.length()));
       }
     }
-    return parts;
+    return result;
   }
 
-  /** Waits for a block range that another sub-request holds. It is refused one tick before its client's
-   * deadline, which is safe because nothing of it has run. */
+  /** Lets a sub-request wait for a block range that another one holds. It is refused one tick before its
+   * client's deadline, which is safe because nothing of it has run. */
   private void awaitRange(SubRequest subRequest) {
     for (SubRequest holder : rangeLocks.blockers(subRequest)) {
-      holder.attempts.forEach(this::fenceIfAbandoned);
+      holder.attempts.forEach(this::fenceIfUnresolved);
     }
     subRequest.lockWaitTimer = timers.schedule(subRequest.request.deadline - config.settings().tickUs(),
         () -> {
@@ -565,16 +564,15 @@
         });
   }
 
-  private void fenceIfAbandoned(Attempt attempt) {
+  private void fenceIfUnresolved(Attempt attempt) {
     if (attempt.ended && attempt.mayStillRun && !attempt.resolved) {
       transport.fence(attempt);
     }
   }
 
   /** Reports a sub-request whose block range is free to the scheduler. One that waited, for admission or for
-   * its range, earns no further attempts: it counts as taken in an earlier window, and the attempts of a
-   * window must not exceed the requests taken in it. The cost is fewer further attempts while requests
-   * queue. */
+   * its range, adds nothing to the retry budget: it was accepted in an earlier window, and the retries of a
+   * window must be covered by the requests accepted in it. Drawback: fewer retries while requests queue. */
   private void submit(SubRequest subRequest) {
     ActiveRequest request = subRequest.request;
     subRequest.submitted = true;
@@ -584,10 +582,10 @@
     subRequests.put(subRequest.id, subRequest);
     long extent = request.io.offset() / request.volume.extentBytes();
     handleEvent(new HostScheduler.Request(subRequest.id, request.requestClass.name(), request.volume.plan(),
-        request.volume.id() << 24 | extent,
-        request.volume.id(), config.classifier().units(subRequest.kind, subRequest.length), subRequest.shard,
-        request.volume.hosts(),
-        request.deadline - now, request.queuedForAdmission || subRequest.lockWaitTimer != null));
+        request.volume.id() << 24 | extent, request.volume.id(),
+        config.classifier().units(subRequest.kind, subRequest.length), subRequest.shard,
+        request.volume.hosts(), request.deadline - now,
+        request.queuedForAdmission || subRequest.lockWaitTimer != null));
   }
 
   // Events and actions of the scheduler.
@@ -601,7 +599,7 @@
     long startNs = sampled ? System.nanoTime() : 0;
     scheduler.handle(now, event, buffer);
     if (sampled) {
-      moduleNs += (System.nanoTime() - startNs) * (SCHEDULER_TIME_SAMPLE_MASK + 1);
+      schedulerNs += (System.nanoTime() - startNs) * (SCHEDULER_TIME_SAMPLE_MASK + 1);
     }
     for (int i = 0; i < buffer.actions.size(); i++) {
       perform(buffer.actions.get(i));
@@ -638,17 +636,19 @@
     }
   }
 
-  private void send(SubRequest subRequest, HostScheduler.Send order) {
+  private void send(SubRequest subRequest, HostScheduler.Send action) {
     ActiveRequest request = subRequest.request;
-    Attempt attempt = new Attempt(this, subRequest, subRequest.attempts.size(), order.node(), now);
+    Attempt attempt = new Attempt(this, subRequest, subRequest.attempts.size(), action.node(), now);
     subRequest.attempts.add(attempt);
     attempts.increment();
     request.pendingAttempts++;
     if (subRequest.kind.modifiesData()) {
       subRequest.unresolvedAttempts++;
     }
-    long giveUpAt = order.timeoutAt() > 0 ? Math.min(order.timeoutAt(), request.deadline) : request.deadline;
-    attempt.timer = timers.schedule(giveUpAt, attempt);
+    long timeoutAt = action.timeoutAt() > 0
+        ? Math.min(action.timeoutAt(), request.deadline)
+        : request.deadline;
+    attempt.timer = timers.schedule(timeoutAt, attempt);
     transport.send(attempt);
   }
 
@@ -683,12 +683,11 @@
       answerSubRequest(subRequest, Answer.SERVED);
     }
     handleEvent(new HostScheduler.AttemptEnded(subRequest.id, attempt.number, attempt.node(), result,
-        subRequest.answered, Math.max(
-            0, now - attempt.sentAt), 0, 0, report));
+        subRequest.answered, Math.max(0, now - attempt.sentAt), 0, 0, report));
     if (!attempt.mayStillRun) {
       resolve(attempt);
     } else if (subRequest.kind.modifiesData() && rangeLocks.hasWaiters(subRequest)) {
-      fenceIfAbandoned(attempt);
+      fenceIfUnresolved(attempt);
     }
     releaseIfDone(subRequest);
   }
--- a/src/main/java/hollyslip/engine/IoRequest.java
+++ b/src/main/java/hollyslip/engine/IoRequest.java
@@ -47,8 +47,7 @@
    * @param listener
    *          receives the answer */
   public IoRequest(String volume, IoKind kind, long offset, long length, List<ByteBuffer> data,
-      long remainingUs,
-      CompletionListener listener) {
+      long remainingUs, CompletionListener listener) {
     this(volume, kind, offset, length, data, remainingUs, listener, false);
   }
 
@@ -56,8 +55,7 @@
    *          whether an earlier gateway process accepted the request and may have started it; a write can
    *          then no longer be reported as safe to retry */
   public IoRequest(String volume, IoKind kind, long offset, long length, List<ByteBuffer> data,
-      long remainingUs,
-      CompletionListener listener, boolean resumed) {
+      long remainingUs, CompletionListener listener, boolean resumed) {
     this.resumed = resumed;
     this.volume = volume;
     this.kind = kind;
--- a/src/main/java/hollyslip/engine/LaneBalancer.java
+++ b/src/main/java/hollyslip/engine/LaneBalancer.java
@@ -10,8 +10,8 @@
  * <p>
  * This keeps lanes from idling while another is overloaded. A move empties the volume's rate limit bucket and
  * pauses its rings until its last requests are answered, so a move must bring the two lanes closer together,
- * and a volume that was moved stays for a while. The cost is that a volume which alone overloads a lane stays
- * where it is. */
+ * and a volume that was moved stays for a while. Drawback: a volume that alone overloads a lane stays where
+ * it is. */
 final class LaneBalancer {
   /** A lane is hot above this multiple of the mean load. */
   static final double HOT_LANE_RATIO = 1.25;
@@ -59,11 +59,11 @@
     Load best = null;
     long gap = laneLoads[hottest] - laneLoads[coldest];
     for (Load load : loads) {
-      boolean movable = load.lane == hottest && load.requests > 0 && !lastMoveByVolume.containsKey(
-          load.volume);
+      boolean movable = load.lane == hottest && load.requests > 0
+          && !lastMoveByVolume.containsKey(load.volume);
       long gapAfterMove = Math.abs(gap - 2 * load.requests);
-      if (movable && gapAfterMove < gap && (best == null || gapAfterMove < Math.abs(gap - 2
-          * best.requests))) {
+      if (movable && gapAfterMove < gap
+          && (best == null || gapAfterMove < Math.abs(gap - 2 * best.requests))) {
         best = load;
       }
     }
--- a/src/main/java/hollyslip/engine/Mailbox.java
+++ b/src/main/java/hollyslip/engine/Mailbox.java
@@ -9,7 +9,7 @@
 final class Mailbox {
   private static final int CHUNK_SIZE = 4_096;
 
-  private final AdaptiveSpinner spin = new AdaptiveSpinner();
+  private final AdaptiveSpinner spinner = new AdaptiveSpinner();
   private final Queue<Runnable> queue = new MpscUnboundedArrayQueue<>(CHUNK_SIZE);
   private volatile boolean asleep;
   private volatile Thread owner;
@@ -38,10 +38,10 @@
 
   /** Waits for a message, at most for the given us. Owner thread only. */
   void await(long us) {
-    if (spin.spinUntil(us * 1_000, () -> !queue.isEmpty())) {
+    if (spinner.spinUntil(us * 1_000, () -> !queue.isEmpty())) {
       return;
     }
-    long remainingNs = us * 1_000 - spin.lastSpinNs();
+    long remainingNs = us * 1_000 - spinner.lastSpinNs();
     if (remainingNs > 0) {
       asleep = true;
       if (queue.isEmpty()) {
--- a/src/main/java/hollyslip/engine/RangeLocks.java
+++ b/src/main/java/hollyslip/engine/RangeLocks.java
@@ -13,9 +13,9 @@
  *
  * <p>
  * This guards against late writes: a write that was withdrawn here may still sit in its node's queue and land
- * after a newer write to the same blocks was answered, so that reads would go back in time. The cost is that
- * the newer write waits until the node answers, the old write is fenced or it is known to be gone; it is
- * refused if its client's deadline comes first. Reads and writes of other ranges do not wait. */
+ * after a newer write to the same blocks was answered, so that reads would go back in time. Drawback: the
+ * newer write waits until the node answers, or the older write is fenced or known to be gone; it is refused
+ * if its client's deadline comes first. Reads, and writes of other ranges, do not wait. */
 final class RangeLocks {
   private final Map<Integer, ShardLocks> shards = new HashMap<>();
 
@@ -29,9 +29,8 @@
   /** Locks the range and returns true, or queues the sub-request, which a later {@link #unlock} returns. */
   boolean lockOrEnqueue(SubRequest subRequest) {
     ShardLocks shard = shards.computeIfAbsent(subRequest.shard, k -> new ShardLocks());
-    if (!shard.waiting.isEmpty() && shard.waiting.stream().anyMatch(w -> overlaps(w, subRequest)) || blockers(
-        shard,
-        subRequest) != null) {
+    if (!shard.waiting.isEmpty() && shard.waiting.stream().anyMatch(w -> overlaps(w, subRequest))
+        || blockers(shard, subRequest) != null) {
       shard.waiting.add(subRequest);
       return false;
     }
--- a/src/main/java/hollyslip/fleet/Membership.java
+++ b/src/main/java/hollyslip/fleet/Membership.java
@@ -38,8 +38,8 @@
     nodes.clear();
     for (NodeEntry listed : list) {
       KnownNode known = previous.getOrDefault(listed.node(), new KnownNode());
-      long bornUs = Math.max(listed.startedAtUs(), known.entry == null ? 0 : known.entry.startedAtUs());
-      known.entry = new NodeEntry(listed.node(), listed.zone(), listed.cell(), listed.state(), bornUs);
+      long startedAtUs = Math.max(listed.startedAtUs(), known.entry == null ? 0 : known.entry.startedAtUs());
+      known.entry = new NodeEntry(listed.node(), listed.zone(), listed.cell(), listed.state(), startedAtUs);
       nodes.put(listed.node(), known);
     }
     listener.accept(new NodeList(true, list()));
--- a/src/main/java/hollyslip/front/sftp/Session.java
+++ b/src/main/java/hollyslip/front/sftp/Session.java
@@ -411,7 +411,7 @@
         status(id, served ? OK : FAILURE, served
             ? ""
             : answer.kind() == Answer.Kind.REFUSED
-                ? "refused; again is harmless, in " + (answer.retryInUs() + 999) / 1_000 + " ms"
+                ? "refused; again is harmless, in " + (answer.retryAfterUs() + 999) / 1_000 + " ms"
                 : "failed; it may have taken effect");
       }
       if (kind == IoKind.WRITE) {
--- a/src/main/java/hollyslip/front/vhost/Requests.java
+++ b/src/main/java/hollyslip/front/vhost/Requests.java
@@ -189,7 +189,7 @@
         case FAILED -> BlockRequest.IOERR;
       };
       boolean read = t.request.kind() == IoKind.READ && status == BlockRequest.OK;
-      finish(t.ring, t.head, t.request, status, t.answer.retryInUs(), read ? (int) t.request.length() : 0);
+      finish(t.ring, t.head, t.request, status, t.answer.retryAfterUs(), read ? (int) t.request.length() : 0);
     }
     if (any) {
       messages.rings().forEach(Ring::call);
--- a/src/main/java/hollyslip/recovery/EpochElection.java
+++ b/src/main/java/hollyslip/recovery/EpochElection.java
@@ -8,8 +8,8 @@
  *
  * <p>
  * This guards against a state directory that was lost or restored from an older copy: its epochs start over,
- * and nodes that saw a newer one would run nothing of it. The cost is that connections which a host left open
- * when it lost power look like a living gateway until their nodes drop them, and delay a start. */
+ * and nodes that saw a newer one would run nothing of it. Drawback: connections that a host left open when it
+ * lost power look like a running gateway until their nodes drop them, and delay a start. */
 public final class EpochElection {
   private EpochElection() {}
 
@@ -36,7 +36,7 @@
     GO_ON,
     /** Take the epoch of this decision and continue with it. */
     TAKE,
-    /** Another gateway is alive: stop. */
+    /** Another gateway is running: stop. */
     YIELD
   }
 
@@ -48,20 +48,20 @@
    * epoch were left by an earlier process that used the same directory. */
   public static Decision decideAtStart(long recorded, Collection<NodeView> reports) {
     Holder newest = Holder.NONE;
-    Holder living = null;
+    Holder running = null;
     for (NodeView report : reports) {
       newest = report.holder.epoch > newest.epoch ? report.holder : newest;
-      if (report.openConnections > 0 && report.holder.epoch > recorded && (living == null
-          || report.holder.epoch > living.epoch)) {
-        living = report.holder;
+      if (report.openConnections > 0 && report.holder.epoch > recorded
+          && (running == null || report.holder.epoch > running.epoch)) {
+        running = report.holder;
       }
     }
-    return living != null
-        ? new Decision(Action.YIELD, 0, living)
+    return running != null
+        ? new Decision(Action.YIELD, 0, running)
         : new Decision(Action.TAKE, Math.max(recorded, newest.epoch) + 1, newest);
   }
 
-  /** Like {@link #decideAtStart}, when an operator says that no other gateway with the name is alive. */
+  /** Like {@link #decideAtStart}, when an operator asserts that no other gateway of the name is running. */
   public static Decision decideForcedTakeover(long recorded, Collection<NodeView> reports) {
     return decideAtStart(recorded, reports.stream().map(report -> new NodeView(report.holder, 0)).toList());
   }
--- a/src/main/java/hollyslip/recovery/EpochStore.java
+++ b/src/main/java/hollyslip/recovery/EpochStore.java
@@ -14,7 +14,7 @@
  * earlier epochs. Locks its state directory against other processes until {@link #close}. */
 public final class EpochStore implements AutoCloseable {
   private final Path file;
-  private final FileChannel lock;
+  private final FileChannel lockChannel;
   private long last;
 
   /** Opens the epoch file of a state directory.
@@ -25,20 +25,21 @@
   public EpochStore(Path directory) throws IOException {
     Files.createDirectories(directory);
     file = directory.resolve("epoch");
-    lock = FileChannel.open(directory.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    lockChannel = FileChannel.open(directory.resolve("lock"), StandardOpenOption.CREATE,
+        StandardOpenOption.WRITE);
     try {
-      if (lock.tryLock() == null) {
+      if (lockChannel.tryLock() == null) {
         throw new IOException(directory + ": another process uses this state folder");
       }
       last = parse(Files.exists(file) ? Files.readString(file) : null);
     } catch (OverlappingFileLockException e) {
-      lock.close();
+      lockChannel.close();
       throw new IOException(directory + ": another gateway of this process uses this state folder", e);
     } catch (IllegalArgumentException e) {
-      lock.close();
+      lockChannel.close();
       throw new IOException(file + ": " + e.getMessage(), e);
     } catch (IOException e) {
-      lock.close();
+      lockChannel.close();
       throw e;
     }
   }
@@ -84,6 +85,6 @@
 
   @Override
   public void close() throws IOException {
-    lock.close();
+    lockChannel.close();
   }
 }
--- a/src/main/java/hollyslip/recovery/InflightLog.java
+++ b/src/main/java/hollyslip/recovery/InflightLog.java
@@ -22,7 +22,7 @@
   private long nextCounter;
 
   /** @param region
-   *          this queue's part of the shared memory
+   *          this queue's section of the shared memory
    * @param size
    *          number of entries, equal to the number of descriptors of the queue */
   public InflightLog(ByteBuffer region, int size) {
--- a/src/main/java/hollyslip/volume/ExtentSplitter.java
+++ b/src/main/java/hollyslip/volume/ExtentSplitter.java
@@ -13,8 +13,7 @@
   public ExtentSplitter(long maxRangeBytes) {
     if (maxRangeBytes < Volume.BLOCK_BYTES || maxRangeBytes % Volume.BLOCK_BYTES != 0) {
       throw new IllegalArgumentException("maxRangeBytes: must be a multiple of " + Volume.BLOCK_BYTES
-          + ", not "
-          + maxRangeBytes);
+          + ", not " + maxRangeBytes);
     }
     this.maxRangeBytes = maxRangeBytes;
   }
@@ -32,9 +31,9 @@
     List<ShardRange> ranges = new ArrayList<>(1);
     long done = 0;
     while (done < length) {
-      long at = offset + done;
-      Volume.Extent extent = volume.extents().get((int) (at / volume.extentBytes()));
-      long extentOffset = at % volume.extentBytes();
+      long position = offset + done;
+      Volume.Extent extent = volume.extents().get((int) (position / volume.extentBytes()));
+      long extentOffset = position % volume.extentBytes();
       long count = Math.min(Math.min(length - done, volume.extentBytes() - extentOffset), maxRangeBytes);
       ShardRange last = ranges.isEmpty() ? null : ranges.get(ranges.size() - 1);
       if (last != null && last.shard == extent.shard() && last.offset + last.length == extent.offset()
--- a/src/main/java/hollyslip/volume/IoKind.java
+++ b/src/main/java/hollyslip/volume/IoKind.java
@@ -6,8 +6,8 @@
 
   private final boolean modifiesData;
 
-  IoKind(boolean changes) {
-    this.modifiesData = changes;
+  IoKind(boolean modifiesData) {
+    this.modifiesData = modifiesData;
   }
 
   /** Whether the operation changes what later reads return. */
--- a/src/main/java/hollyslip/volume/Volume.java
+++ b/src/main/java/hollyslip/volume/Volume.java
@@ -65,7 +65,6 @@
   /** Whether a byte range lies inside the volume and on block boundaries. */
   public boolean containsRange(long offset, long length) {
     return offset >= 0 && length > 0 && offset % BLOCK_BYTES == 0 && length % BLOCK_BYTES == 0
-        && offset <= bytes
-        && length <= bytes - offset;
+        && offset <= bytes && length <= bytes - offset;
   }
 }
--- a/src/test/java/hollyslip/AllocatorTest.java
+++ b/src/test/java/hollyslip/AllocatorTest.java
@@ -7,12 +7,11 @@
 
 /** The three allocation steps, checked against values computed by hand. */
 class AllocatorTest {
-  private static TokenBorrowingScheduler.VolumeQueue volume(long key, double weight, double asked,
-      double lastAlpha,
-      double record) {
+  private static TokenBorrowingScheduler.VolumeQueue volume(long key, double weight, double requestedUnits,
+      double lastAllocation, double record) {
     TokenBorrowingScheduler.VolumeQueue v = new TokenBorrowingScheduler.VolumeQueue(weight, 6, 0);
-    v.requestedUnits = asked;
-    v.lastAllocation = lastAlpha;
+    v.requestedUnits = requestedUnits;
+    v.lastAllocation = lastAllocation;
     v.allocatedBefore = true;
     v.record = record;
     return v;
--- a/src/test/java/hollyslip/ArchitectureTest.java
+++ b/src/test/java/hollyslip/ArchitectureTest.java
@@ -18,7 +18,7 @@
   @Test
   void packageDependenciesPointInward() {
     layeredArchitecture().consideringOnlyDependenciesInLayers()
-        .layer("module")
+        .layer("scheduler")
         .definedBy("hollyslip")
         .layer("volume")
         .definedBy("hollyslip.volume")
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void decisionModuleDependsOnNoSubpackage() {
+  void schedulerDependsOnNoSubpackage() {
     ArchRuleDefinition.noClasses()
         .that()
         .resideInAPackage("hollyslip")
@@ -94,10 +94,10 @@
         .check(PRODUCTION_CLASSES);
   }
 
-  /** Keeps the platform process small: it depends on the decision module only, not on the gateway or its
+  /** Keeps the platform process small: it depends on the scheduler only, not on the gateway or its
    * libraries. */
   @Test
-  void platformDependsOnlyOnTheDecisionModule() {
+  void platformDependsOnlyOnTheScheduler() {
     ArchRuleDefinition.noClasses()
         .that()
         .resideInAPackage("hollyslip.platform")
@@ -109,7 +109,7 @@
         .check(PRODUCTION_CLASSES);
   }
 
-  /** Code that makes decisions uses no I/O, clock or threads. */
+  /** Decision code, such as the scheduler and the admission queue, does no I/O and uses no locks. */
   @Test
   void decisionCodeDoesNoIo() {
     ArchRuleDefinition.noClasses()
--- a/src/test/java/hollyslip/EventOrderTest.java
+++ b/src/test/java/hollyslip/EventOrderTest.java
@@ -62,25 +62,21 @@
   }
 
   private static final List<Step> STEPS = List.of(submitStep(Fixtures.SAFE.name(), null, "free", 0),
-      submitStep(Fixtures.UNSAFE.name(), null, "limited", 1),
-      submitStep(Fixtures.ORDERED.name(), 5L, "heavy", 0),
-      submitStep("keyed-CELL", 6L, "free", 1),
-      completionStep(true, Result.OK),
-      completionStep(true, Result.FULL),
-      completionStep(true, Result.RESET),
-      completionStep(false, Result.OK),
-      completionStep(false, Result.MOOT),
-      new Step("100 ms", scenario -> true,
-          scenario -> scenario.audit.advanceTo(scenario.audit.now + 100_000)),
-      new Step("1 s", scenario -> true, scenario -> scenario.audit.advanceTo(scenario.audit.now + 1_000_000)),
-      new Step("node 1 drains", scenario -> scenario.firstNodeState == NodeState.ON, scenario -> {
-        scenario.firstNodeState = NodeState.DRAINING;
-        scenario.publishNodes();
-      }), new Step("node 2 starts cold", scenario -> scenario.secondNodeStartedAt == 0, scenario -> {
-        scenario.secondNodeStartedAt = scenario.audit.now;
-        scenario.publishNodes();
-      }), new Step("host restarts", scenario -> scenario.nextId > 0,
-          scenario -> scenario.audit.restart(scenario.nodes())));
+      submitStep(Fixtures.UNSAFE.name(), null, "limited", 1), submitStep(Fixtures.ORDERED.name(), 5L, "heavy",
+          0), submitStep("keyed-CELL", 6L, "free", 1), completionStep(true, Result.OK), completionStep(true,
+              Result.FULL), completionStep(true, Result.RESET), completionStep(false, Result.OK),
+      completionStep(false, Result.MOOT), new Step("100 ms", scenario -> true, scenario -> scenario.audit
+          .advanceTo(scenario.audit.now + 100_000)), new Step("1 s", scenario -> true,
+              scenario -> scenario.audit.advanceTo(scenario.audit.now + 1_000_000)), new Step("node 1 drains",
+                  scenario -> scenario.firstNodeState == NodeState.ON, scenario -> {
+                    scenario.firstNodeState = NodeState.DRAINING;
+                    scenario.publishNodes();
+                  }), new Step("node 2 starts cold", scenario -> scenario.secondNodeStartedAt == 0,
+                      scenario -> {
+                        scenario.secondNodeStartedAt = scenario.audit.now;
+                        scenario.publishNodes();
+                      }), new Step("host restarts", scenario -> scenario.nextId > 0,
+                          scenario -> scenario.audit.restart(scenario.nodes())));
 
   private static Scenario replay(int[] path, int length) {
     Scenario scenario = new Scenario();
--- a/src/test/java/hollyslip/Fixtures.java
+++ b/src/test/java/hollyslip/Fixtures.java
@@ -3,7 +3,7 @@
 import hollyslip.HostScheduler.*;
 import java.util.List;
 
-/** Settings, requests and node list entries for tests of the decision module. */
+/** Settings, requests and node list entries for tests of the scheduler. */
 final class Fixtures {
   static final RequestClass SAFE = new RequestClass("read", Effect.SAFE, DedupScope.ALL, 0, 250_000,
       2_000_000, 2,
@@ -16,8 +16,8 @@
 
   private Fixtures() {}
 
-  static RequestClass keyed(DedupScope group) {
-    return new RequestClass("keyed-" + group, Effect.KEYED, group, 400_000, 250_000, 2_000_000, 2, 0.2, false,
+  static RequestClass keyed(DedupScope scope) {
+    return new RequestClass("keyed-" + scope, Effect.KEYED, scope, 400_000, 250_000, 2_000_000, 2, 0.2, false,
         true);
   }
 
@@ -48,8 +48,8 @@
     return settings(classes(), rules(), false);
   }
 
-  static NodeEntry node(long id, int cell, NodeState state, long bornUs) {
-    return new NodeEntry(id, cell % 2 == 0 ? "a" : "b", cell, state, bornUs);
+  static NodeEntry node(long id, int cell, NodeState state, long startedAtUs) {
+    return new NodeEntry(id, cell % 2 == 0 ? "a" : "b", cell, state, startedAtUs);
   }
 
   static Request request(long id, String className, String plan, Long key, long volume, double units,
--- a/src/test/java/hollyslip/ModuleSizeTest.java
+++ b/src/test/java/hollyslip/ModuleSizeTest.java
@@ -7,19 +7,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Bounds the size of the decision module, which new developers read first. */
+/** Bounds the size of the scheduler, which new developers read first. */
 class ModuleSizeTest {
-  private static final Path MODULE = Path.of("src/main/java/hollyslip/TokenBorrowingScheduler.java");
+  private static final Path SOURCE = Path.of("src/main/java/hollyslip/TokenBorrowingScheduler.java");
 
   @Test
   void hasAtMost1000NonBlankLines() throws Exception {
-    long lines = Files.readAllLines(MODULE).stream().filter(l -> !l.isBlank()).count();
+    long lines = Files.readAllLines(SOURCE).stream().filter(l -> !l.isBlank()).count();
     assertTrue(lines > 0 && lines <= 1000, "non-blank lines: " + lines);
   }
 
   @Test
   void noLineIsLongerThan110Characters() throws Exception {
-    List<String> tooLong = Files.readAllLines(MODULE).stream().filter(l -> l.length() > 110).toList();
+    List<String> tooLong = Files.readAllLines(SOURCE).stream().filter(l -> l.length() > 110).toList();
     assertTrue(tooLong.isEmpty(), "lines longer than 110 characters: " + tooLong);
   }
 }
--- a/src/test/java/hollyslip/QueuedRequestTest.java
+++ b/src/test/java/hollyslip/QueuedRequestTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** How long the module keeps a request that it has not sent, and when it drops the state of volumes. */
+/** How long the scheduler keeps a request that it has not sent, and when it drops the state of volumes. */
 class QueuedRequestTest {
   private static final long START = 50_000_000;
 
@@ -88,13 +88,13 @@
         scheduler.handle(START, Fixtures.request(i, "read", "free", 5L, 9, 2, 0), actions::add);
       }
       scheduler.handle(START + Fixtures.SAFE.aimUs(), new TimerFired(0), actions::add);
-      long retryIn = actions.stream()
+      long retryAfterUs = actions.stream()
           .filter(a -> a instanceof Refuse r && r.request() == beyondWindow)
           .mapToLong(a -> ((Refuse) a).retryAfterUs())
           .findFirst()
           .orElseThrow();
       // The latency estimate exceeds maxRetryAfterUs after so long without a response.
-      assertEquals(allowed ? 90_000 : 0, retryIn);
+      assertEquals(allowed ? 90_000 : 0, retryAfterUs);
     }
   }
 
--- a/src/test/java/hollyslip/RandomEventsTest.java
+++ b/src/test/java/hollyslip/RandomEventsTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** Feeds random events, restarts and outcomes to the module and checks the rules on its actions. */
+/** Feeds random events, restarts and outcomes to the scheduler and checks the rules on its actions. */
 class RandomEventsTest {
   private static final Result[] RESULTS = {Result.OK, Result.OK, Result.OK, Result.ERROR, Result.FULL,
       Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET, Result.CANCELLED, Result.MOOT};
@@ -47,10 +47,10 @@
       } else if (kind < 80) {
         int index = random.nextInt(nodes.size());
         NodeState state = NodeState.values()[random.nextInt(3)];
-        long bornUs = random.nextBoolean()
+        long startedAtUs = random.nextBoolean()
             ? audit.now - random.nextInt(500_000)
             : nodes.get(index).startedAtUs();
-        nodes.set(index, Fixtures.node(100 + index, index, state, bornUs));
+        nodes.set(index, Fixtures.node(100 + index, index, state, startedAtUs));
         audit.updateNodes(random.nextBoolean(), random.nextBoolean() ? nodes : List.of(nodes.get(index)));
       } else if (kind < 81) {
         audit.restart(nodes);
--- a/src/test/java/hollyslip/RuleAudit.java
+++ b/src/test/java/hollyslip/RuleAudit.java
@@ -12,12 +12,12 @@
 
 /** Records every violation of the seven rules in the events and actions of one host. Across restarts of the
  * scheduler it keeps the limit buckets and the traffic sent to cold nodes, as the system does. It does not
- * depend on how the module decides. */
+ * depend on how the scheduler decides. */
 final class RuleAudit {
   /** One attempt, as sent. */
   record Attempt(long request, int number, long node, long sentAt) {}
 
-  /** The state of one request, as seen from outside the module. */
+  /** The state of one request, as seen from outside the scheduler. */
   static final class TrackedRequest {
     final Request request;
     final RequestClass requestClass;
@@ -84,8 +84,8 @@
     updateNodes(true, stale);
   }
 
-  void updateNodes(boolean whole, List<NodeEntry> nodes) {
-    if (whole) {
+  void updateNodes(boolean complete, List<NodeEntry> nodes) {
+    if (complete) {
       Set<Long> named = new HashSet<>();
       nodes.forEach(l -> named.add(l.node()));
       listedNodes.keySet()
@@ -101,7 +101,7 @@
         notOnSince.putIfAbsent(l.node(), now);
       }
     }
-    deliver(new NodeList(whole, nodes));
+    deliver(new NodeList(complete, nodes));
   }
 
   void submit(Request request) {
@@ -248,12 +248,12 @@
         continue;
       }
       NodeEntry previousNode = listedNodes.get(previous.node());
-      boolean inGroup = switch (tracked.requestClass.dedupScope()) {
+      boolean inDedupScope = switch (tracked.requestClass.dedupScope()) {
         case ALL -> true;
         case ZONE -> previousNode.zone().equals(target.zone());
         case CELL -> previousNode.cell() == target.cell();
       };
-      if (tracked.requestClass.effect() == Effect.UNSAFE || !inGroup
+      if (tracked.requestClass.effect() == Effect.UNSAFE || !inDedupScope
           || now > previous.sentAt() + tracked.requestClass.dedupWindowUs()) {
         addViolation("effect may occur twice", tracked.request.id());
       }
--- a/src/test/java/hollyslip/WireHostTest.java
+++ b/src/test/java/hollyslip/WireHostTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The JSON wire adapter, driven by transcripts of its protocol. */
+/** The simulator adapter, driven by transcripts of its protocol. */
 class WireHostTest {
   private static final String CONFIGURATION = "{'balancers':2,'myNumber':0,'az':'x','tick':0.002,'newKey':{'a':1},"
       + "'classes':[{'name':'get','effect':'pure','group':'all','window':5,'aim':0.25,'giveUp':2,'points':1}],"
--- a/src/test/java/hollyslip/door/AdmissionQueueTest.java
+++ b/src/test/java/hollyslip/door/AdmissionQueueTest.java
@@ -38,7 +38,7 @@
     assertEquals(3, cost.get("large") / cost.get("small"), 0.05);
   }
 
-  /** The volumes of a tenant share its part and do not reduce that of another tenant. */
+  /** The volumes of a tenant divide its share and do not reduce that of another tenant. */
   @Test
   void moreVolumesDoNotIncreaseATenantsShare() {
     AdmissionQueue<Long> queue = new AdmissionQueue<>(10_000, 1);
@@ -149,11 +149,11 @@
         queue.enqueue(now, client, owner("client-" + client[1], 1, client[1]), 1);
         for (Rejected<long[]> rejected = queue.pollRejected(now); rejected != null; rejected = queue
             .pollRejected(now)) {
-          assertTrue(rejected.retryInUs() > 0);
+          assertTrue(rejected.retryAfterUs() > 0);
           long firstRejectedAt = rejected.item()[2] == 0 ? now : rejected.item()[2];
-          arrivals.add(new long[]{now + rejected.retryInUs(), rejected.item()[1], firstRejectedAt, rejected
+          arrivals.add(new long[]{now + rejected.retryAfterUs(), rejected.item()[1], firstRejectedAt, rejected
               .item()[3] == 0
-                  ? now + rejected.retryInUs()
+                  ? now + rejected.retryAfterUs()
                   : rejected.item()[3]});
         }
         maxFlows = Math.max(maxFlows, queue.flowCount());
--- a/src/test/java/hollyslip/engine/EngineComponentsTest.java
+++ b/src/test/java/hollyslip/engine/EngineComponentsTest.java
@@ -94,8 +94,8 @@
     assertEquals(refused, combine(false, Answer.refused(10), refused), "longest retry delay");
   }
 
-  private static Answer combine(boolean repeatable, Answer... answers) {
-    AnswerAggregator aggregator = new AnswerAggregator(repeatable);
+  private static Answer combine(boolean safeToRepeat, Answer... answers) {
+    AnswerAggregator aggregator = new AnswerAggregator(safeToRepeat);
     for (Answer a : answers) {
       aggregator.add(a);
     }
--- a/src/test/java/hollyslip/engine/LaneBalancerTest.java
+++ b/src/test/java/hollyslip/engine/LaneBalancerTest.java
@@ -49,9 +49,7 @@
         .of(new Load(1, 0, 100), new Load(2,
             0, 100))));
     assertNull(decideRepeatedly(balancer, LaneBalancer.REST_INTERVALS_AFTER_MOVE / 2, 2, List.of(new Load(1,
-        1, 100), new Load(2, 1, 0), new Load(3,
-            1,
-            1))), "it would move straight back");
+        1, 100), new Load(2, 1, 0), new Load(3, 1, 1))), "it would move straight back");
   }
 
   /** With constant loads, moves must stop; otherwise volumes would move back and forth for ever. */
--- a/src/test/java/hollyslip/platform/CallTest.java
+++ b/src/test/java/hollyslip/platform/CallTest.java
@@ -57,10 +57,7 @@
       throws Exception {
     long now = clock.now();
     Call call = new Call(server, now, now + timeoutUs, w -> HttpSupport.latin1Bytes(REQUEST), () -> maySend, (
-        result,
-        took,
-        headers,
-        body) -> results.add(result));
+        result, took, headers, body) -> results.add(result));
     group.submit(() -> pool.start(call)).sync();
   }
 
--- a/src/test/java/hollyslip/platform/ClientConnectionManagerTest.java
+++ b/src/test/java/hollyslip/platform/ClientConnectionManagerTest.java
@@ -144,9 +144,8 @@
 
   static List<String> invalidChunkedBodies() {
     return List.of("-4\r\nbody\r\n0\r\n\r\n", "+4\r\nbody\r\n0\r\n\r\n", "0x4\r\nbody\r\n0\r\n\r\n",
-        "\r\nbody\r\n0\r\n\r\n",
-        "4\nbody\n0\n\n", "4\r\nbodyX0\r\n\r\n", "ffffffffffffffff4\r\nbody\r\n0\r\n\r\n",
-        "80000000\r\nbody\r\n0\r\n\r\n", "4 4\r\nbody\r\n0\r\n\r\n",
+        "\r\nbody\r\n0\r\n\r\n", "4\nbody\n0\n\n", "4\r\nbodyX0\r\n\r\n",
+        "ffffffffffffffff4\r\nbody\r\n0\r\n\r\n", "80000000\r\nbody\r\n0\r\n\r\n", "4 4\r\nbody\r\n0\r\n\r\n",
         "10001\r\n" + "x".repeat(65537) + "\r\n0\r\n\r\n", ("1000\r\n" + "x".repeat(4096) + "\r\n").repeat(17)
             + "0\r\n\r\n");
   }
@@ -399,8 +398,8 @@
     }
   }
 
-  /** The module is told of the shutdown: a request that no disk server can take is refused promptly, and not
-   * only after half of its remaining time, as a request accepted before the shutdown is. */
+  /** The scheduler is notified of the shutdown: a request that no disk server can take is refused promptly,
+   * and not only after half of its remaining time, as a request accepted before the shutdown is. */
   @Test
   void afterAStopARequestWithoutADiskServerIsRefusedPromptly() throws Exception {
     try (SchedulerFixture site = new SchedulerFixture();
--- a/src/test/java/hollyslip/platform/DiscoveryClientTest.java
+++ b/src/test/java/hollyslip/platform/DiscoveryClientTest.java
@@ -138,11 +138,8 @@
         SchedulerFixture.Client client = site.client()) {
       ScriptedServer.ReceivedRequest watch = site.discovery.nextRequest();
       watch.respond(watchResponse(SchedulerFixture.nodeListJson(42, false, SchedulerFixture.nodeEntryJson(
-          "s-0", site.diskServer, 0,
-          "draining")), SchedulerFixture.nodeListJson(
-              43, false,
-              SchedulerFixture.nodeEntryJson("s-9", other, 0, "up"), SchedulerFixture.nodeEntryJson("s-1",
-                  site.diskServer, 1,
+          "s-0", site.diskServer, 0, "draining")), SchedulerFixture.nodeListJson(43, false, SchedulerFixture
+              .nodeEntryJson("s-9", other, 0, "up"), SchedulerFixture.nodeEntryJson("s-1", site.diskServer, 1,
                   "up"))));
       // The scheduler holds this request until the list is in use.
       client.send(SchedulerFixture.readRequest("first", 1));
--- a/src/test/java/hollyslip/platform/DiskServerResponseTest.java
+++ b/src/test/java/hollyslip/platform/DiskServerResponseTest.java
@@ -31,17 +31,16 @@
 
   static List<String> unusableResponses() {
     return List.of("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n",
-        "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "noise noise noise",
-        "HTTP/1.1 200 OK\r\nX: " + "a".repeat(10_000),
-        "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc",
+        "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "noise noise noise", "HTTP/1.1 200 OK\r\nX: " + "a"
+            .repeat(10_000), "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc",
         "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nabcde",
         "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nabc", "HTTP/1.1 200 OK\r\n\r\nabc<reset>",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nabc<close>",
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n",
         "HTTP/1.1 200 OK\nContent-Length: 3\n\nabc\r\n\r\n", "HTTP/1.1 OK\r\nContent-Length: 3\r\n\r\nabc",
-        "HTTP/1.1 200 OK\r\nX\0Y: 1\r\nContent-Length: 3\r\n\r\nabc",
-        "HTTP/1.1 100 Continue\r\n\r\n".repeat(20), "HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\nabc<close>",
+        "HTTP/1.1 200 OK\r\nX\0Y: 1\r\nContent-Length: 3\r\n\r\nabc", "HTTP/1.1 100 Continue\r\n\r\n".repeat(
+            20), "HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\nabc<close>",
         "HTTP/1.1 200 OK\r\nContent-Le<close>", "<close>");
   }
 
@@ -174,8 +173,7 @@
     try (SchedulerFixture site = new SchedulerFixture();
         ScriptedServer moved = new ScriptedServer();
         SchedulerFixture.Client client = site.client();
-        SchedulerFixture.Client other = site
-            .client()) {
+        SchedulerFixture.Client other = site.client()) {
       client.send(SchedulerFixture.readRequest("t1"));
       ScriptedServer.ReceivedRequest old = site.diskServer.nextRequest();
       site.discovery.nextRequest()
--- a/src/test/java/hollyslip/platform/LoadReportParserTest.java
+++ b/src/test/java/hollyslip/platform/LoadReportParserTest.java
@@ -16,9 +16,7 @@
     return new LoadReportParser(JsonSettingsParser.parse(1, new ObjectMapper().readTree(
         "{\"classes\":[{\"name\":\"c\",\"aim\":1,\"giveUp\":1}],\"policies\":[{\"name\":\"p\"}],"
             + "\"extra\":{\"meter\":" + meter + ",\"tellsElsewhere\":" + tellsElsewhere
-            + "},\"stats\":{\"how\":\""
-            + how
-            + "\",\"names\":[\"outstanding\",\"utilization\"]}}")));
+            + "},\"stats\":{\"how\":\"" + how + "\",\"names\":[\"outstanding\",\"utilization\"]}}")));
   }
 
   private static HttpHeaders headers(String name, String value) {
--- a/src/test/java/hollyslip/platform/LostRequestsTest.java
+++ b/src/test/java/hollyslip/platform/LostRequestsTest.java
@@ -139,7 +139,7 @@
     }
   }
 
-  /** More connections than there are places wait in the accept queue at once. Some have already sent a
+  /** More connections than the limit allows wait in the accept queue at once. Some have already sent a
    * request, and some send one while they are being evicted. */
   @Test
   void atTheConnectionLimitNewRequestsAreAnsweredOrKnownUnread() throws Exception {
--- a/src/test/java/hollyslip/platform/RaceConditionsTest.java
+++ b/src/test/java/hollyslip/platform/RaceConditionsTest.java
@@ -152,7 +152,7 @@
     }
   }
 
-  /** The module chose a disk server, and an update in the same event loop iteration announces that it
+  /** The scheduler chose a disk server, and an update in the same event loop iteration announces that it
    * drains. */
   @Test
   void aRequestProcessedWithADrainUpdateGoesToTheReplacement() throws Exception {
--- a/src/test/java/hollyslip/platform/RequestDispatcherTest.java
+++ b/src/test/java/hollyslip/platform/RequestDispatcherTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests still get a response when the decision module has a fault. */
+/** Requests still get a response when the scheduler has a fault. */
 @Timeout(60)
 class RequestDispatcherTest {
   private static final long REQUEST_TIMEOUT_US = 300_000;
@@ -33,17 +33,18 @@
     log.close();
   }
 
-  /** Sends one request through the module and returns how it was answered. Fails if the response comes more
-   * than half a second after the request's deadline. */
-  private String respondTo(HostScheduler module) throws Exception {
+  /** Sends one request through the scheduler and returns how it was answered. Fails if the response comes
+   * more than half a second after the request's deadline. */
+  private String respondTo(HostScheduler scheduler) throws Exception {
     Settings settings = JsonSettingsParser.parse(5, new ObjectMapper().readTree(SchedulerFixture.SETTINGS));
     DiskConnectionPool disks = new DiskConnectionPool(loop, clock, log, 10, 1 << 20, 1_000_000, 0);
-    RequestDispatcher desk = new RequestDispatcher(module, settings, loop, clock, log, disks, 1 << 20);
+    RequestDispatcher dispatcher = new RequestDispatcher(scheduler, settings, loop, clock, log, disks,
+        1 << 20);
     CompletableFuture<String> response = new CompletableFuture<>();
     RequestHead head = new RequestHead("t1", "GET", "/get/0", "get", "gold", 0, null, REQUEST_TIMEOUT_US, 1,
         1, 0, 1, false,
         false, 0);
-    loop.submit(() -> desk.accept(head, new byte[0], clock.now(), new Exchange.Responder() {
+    loop.submit(() -> dispatcher.accept(head, new byte[0], clock.now(), new Exchange.Responder() {
       @Override
       public void serve(byte[] body) {
         response.complete("served");
@@ -62,12 +63,12 @@
       @Override
       public void readPending() {}
     })).sync();
-    loop.scheduleAtFixedRate(desk::failOverdueRequests, 0, 10, TimeUnit.MILLISECONDS);
+    loop.scheduleAtFixedRate(dispatcher::failOverdueRequests, 0, 10, TimeUnit.MILLISECONDS);
     long start = clock.now();
     String outcome = response.get(20, TimeUnit.SECONDS);
     assertTrue(clock.now() - start < REQUEST_TIMEOUT_US + 500_000,
         "answered within half a second of the deadline");
-    loop.submit(() -> assertEquals(0, desk.openRequestCount())).sync();
+    loop.submit(() -> assertEquals(0, dispatcher.openRequestCount())).sync();
     return outcome;
   }
 
@@ -79,7 +80,7 @@
   @Test
   void aRequestFailsWhenTheModuleThrows() throws Exception {
     assertEquals("failed", respondTo((now, event, out) -> {
-      throw new IllegalStateException("simulated module fault");
+      throw new IllegalStateException("simulated scheduler fault");
     }));
   }
 }
--- a/src/test/java/hollyslip/platform/RequestHeadTest.java
+++ b/src/test/java/hollyslip/platform/RequestHeadTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 class RequestHeadTest {
-  /** The module keeps one limit per volume id: requests on a second plan must not consume the limit of the
+  /** The scheduler keeps one limit per volume id: requests on a second plan must not consume the limit of the
    * first. */
   @Test
   void aVolumeHasADistinctIdForEachPlan() {
--- a/src/test/java/hollyslip/platform/SchedulerProcessTest.java
+++ b/src/test/java/hollyslip/platform/SchedulerProcessTest.java
@@ -42,10 +42,7 @@
     try (ScriptedServer agent = new ScriptedServer()) {
       InetSocketAddress address = EndpointUpdate.parseAddress(agent.address(), "agent");
       DiscoveryClient discovery = new DiscoveryClient((EventLoop) group.next(), new MonotonicClock(),
-          new EventLog(
-              System.out),
-          new WatchRetryPolicy(), address, 41,
-          n -> {}, answered::countDown);
+          new EventLog(System.out), new WatchRetryPolicy(), address, 41, n -> {}, answered::countDown);
       group.submit(discovery::start).sync();
       ScriptedServer.ReceivedRequest watch = agent.nextRequest();
       assertEquals(1, answered.getCount());
