--- a/src/main/java/hollyslip/front/sftp/SftpSession.java
+++ b/src/main/java/hollyslip/front/sftp/SftpSession.java
@@ -421,7 +421,7 @@
         sendStatus(id, served ? OK : FAILURE, served
             ? ""
             : answer.kind() == Answer.Kind.REFUSED
-                ? "refused; again is harmless, in " + (answer.retryInUs() + 999) / 1_000 + " ms"
+                ? "refused; again is harmless, in " + (answer.retryAfterUs() + 999) / 1_000 + " ms"
                 : "failed; it may have taken effect");
       }
       if (kind == IoKind.WRITE) {
--- a/src/main/java/hollyslip/front/vhost/RequestProcessor.java
+++ b/src/main/java/hollyslip/front/vhost/RequestProcessor.java
@@ -196,7 +196,7 @@
         case FAILED -> BlockRequest.IOERR;
       };
       boolean dataRead = pending.request.kind() == IoKind.READ && status == BlockRequest.OK;
-      complete(pending.ring, pending.head, pending.request, status, pending.answer.retryInUs(), dataRead
+      complete(pending.ring, pending.head, pending.request, status, pending.answer.retryAfterUs(), dataRead
           ? (int) pending.request.length()
           : 0);
     }
