--- a/src/test/java/hollyslip/ModuleSizeTest.java
+++ b/src/test/java/hollyslip/SchedulerSizeTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Bounds the size of the scheduler, which new developers read first. */
-class ModuleSizeTest {
+class SchedulerSizeTest {
   private static final Path SOURCE = Path.of("src/main/java/hollyslip/TokenBorrowingScheduler.java");
 
   @Test
--- a/src/test/java/hollyslip/WireHostTest.java
+++ b/src/test/java/hollyslip/SimulatorAdapterTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The simulator adapter, driven by transcripts of its protocol. */
-class WireHostTest {
+class SimulatorAdapterTest {
   private static final String CONFIGURATION = "{'balancers':2,'myNumber':0,'az':'x','tick':0.002,'newKey':{'a':1},"
       + "'classes':[{'name':'get','effect':'pure','group':'all','window':5,'aim':0.25,'giveUp':2,'points':1}],"
       + "'policies':[{'name':'p','nominal':4,'guaranteed':2,'proportion':1,'price':1,'cap':0}],"
--- a/src/test/java/hollyslip/platform/RequestDispatcherTest.java
+++ b/src/test/java/hollyslip/platform/RequestDispatcherTest.java
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void aRequestFailsWhenTheModuleThrows() throws Exception {
+  void aRequestFailsWhenTheSchedulerThrows() throws Exception {
     assertEquals("failed", respondTo((now, event, out) -> {
       throw new IllegalStateException("simulated scheduler fault");
     }));
