--- a/src/test/java/hollyslip/platform/ClientConnectionManagerTest.java
+++ b/src/test/java/hollyslip/platform/ClientConnectionManagerTest.java
@@ -19,9 +19,10 @@
 class ClientConnectionManagerTest {
   @Test
   void aWriteIsRewrittenForTheDiskServerAndItsResponseIsReturnedIntact() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       client.send(SchedulerFixture.writeRequest("put", "9b1f03aa5c7e2d41", "k-1", "some bytes"));
-      ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
+      ScriptedServer.ReceivedRequest attempt = fixture.diskServer.nextRequest();
       assertTrue(attempt.head().startsWith("PUT /put/00/7f3a9c21e0b4d655?a=%20b HTTP/1.1\r\n"), attempt
           .head());
       assertEquals("9b1f03aa5c7e2d41", attempt.header("X-Txn"));
@@ -58,11 +59,12 @@
   @ParameterizedTest
   @MethodSource("invalidRequests")
   void anInvalidRequestIsRejectedAndTheConnectionStaysOpen(String bytes) throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       int status = client.send(bytes).readStatus();
       assertTrue(status >= 400 && status < 500, () -> status + " for " + bytes);
       client.send(SchedulerFixture.readRequest("good"));
-      ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
+      ScriptedServer.ReceivedRequest attempt = fixture.diskServer.nextRequest();
       assertEquals("good", attempt.header("X-Txn"), bytes);
       attempt.respondOk("x");
       assertEquals(200, client.readStatus());
@@ -102,29 +104,30 @@
   @ParameterizedTest
   @MethodSource("invalidFraming")
   void invalidFramingClosesTheConnectionAndForwardsNothing(String bytes) throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture();
-        SchedulerFixture.Client client = site.client();
-        SchedulerFixture.Client other = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client();
+        SchedulerFixture.Client other = fixture.client()) {
       client.send(bytes);
       int status = client.readStatus();
       assertTrue(status == 0 || status >= 400, () -> status + " for " + bytes);
       assertEquals("closed", client.readResponse());
       other.send(SchedulerFixture.readRequest("good"));
-      assertEquals("good", site.diskServer.nextRequest().header("X-Txn"));
-      site.diskServer.assertNoMoreRequests();
+      assertEquals("good", fixture.diskServer.nextRequest().header("X-Txn"));
+      fixture.diskServer.assertNoMoreRequests();
     }
   }
 
   @Test
   void aChunkedBodyIsForwardedWithAContentLength() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       String head = SchedulerFixture.writeRequest("put", "t1", "k", "")
           .replace("Content-Length: 0", "Transfer-Encoding: Chunked");
       for (String piece : (head + "4;x=y\r\nsome\r\n6\r\n bytes\r\n0\r\nX-Last: 1\r\n\r\n").split(
           "(?<=\\G.{7})")) {
         client.send(piece);
       }
-      ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
+      ScriptedServer.ReceivedRequest attempt = fixture.diskServer.nextRequest();
       assertEquals("some bytes", attempt.body());
       assertEquals("10", attempt.header("Content-Length"));
       assertNull(attempt.header("Transfer-Encoding"));
@@ -133,12 +136,12 @@
       assertTrue(client.readResponse().endsWith("stored"));
       client.send(SchedulerFixture.readRequest("t2")
           .replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"));
-      site.diskServer.nextRequest().respondOk("empty");
+      fixture.diskServer.nextRequest().respondOk("empty");
       assertTrue(client.readResponse().endsWith("empty"));
       client.send(SchedulerFixture.readRequest("t3")
           .replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"));
       assertEquals(400, client.readStatus());
-      site.diskServer.assertNoMoreRequests();
+      fixture.diskServer.assertNoMoreRequests();
     }
   }
 
@@ -153,9 +156,9 @@
   @ParameterizedTest
   @MethodSource("invalidChunkedBodies")
   void anInvalidOrOversizedChunkedBodyIsNeverForwarded(String body) throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture();
-        SchedulerFixture.Client client = site.client();
-        SchedulerFixture.Client other = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client();
+        SchedulerFixture.Client other = fixture.client()) {
       client.send(SchedulerFixture.writeRequest("put", "t1", "k", "")
           .replace("Content-Length: 0", "Transfer-Encoding: chunked")
           + body);
@@ -163,38 +166,39 @@
       assertTrue(status == 0 || status >= 400, () -> "" + status);
       assertEquals("closed", client.readResponse());
       other.send(SchedulerFixture.readRequest("good"));
-      assertEquals("good", site.diskServer.nextRequest().header("X-Txn"));
-      site.diskServer.assertNoMoreRequests();
+      assertEquals("good", fixture.diskServer.nextRequest().header("X-Txn"));
+      fixture.diskServer.assertNoMoreRequests();
     }
   }
 
   @Test
   void aDuplicateOfAnOpenIdIsRejectedWithoutAffectingTheFirst() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture();
-        SchedulerFixture.Client first = site.client();
-        SchedulerFixture.Client second = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client first = fixture.client();
+        SchedulerFixture.Client second = fixture.client()) {
       first.send(SchedulerFixture.readRequest("t1"));
-      ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
+      ScriptedServer.ReceivedRequest attempt = fixture.diskServer.nextRequest();
       assertEquals(409, second.send(SchedulerFixture.readRequest("t1")).readStatus());
       attempt.respondOk("mine");
       assertTrue(first.readResponse().endsWith("mine"));
-      site.diskServer.assertNoMoreRequests();
+      fixture.diskServer.assertNoMoreRequests();
     }
   }
 
   @Test
   void pipelinedRequestsAreServedInOrder() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       client.send(SchedulerFixture.readRequest("t1") + SchedulerFixture.readRequest("t2")
           .replace("gold", "lead") + SchedulerFixture.readRequest(
               "t3"));
-      ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
+      ScriptedServer.ReceivedRequest attempt = fixture.diskServer.nextRequest();
       assertEquals("t1", attempt.header("X-Txn"));
-      site.diskServer.assertNoMoreRequests();
+      fixture.diskServer.assertNoMoreRequests();
       attempt.respondOk("one");
       assertTrue(client.readResponse().endsWith("one"));
       assertEquals(400, client.readStatus());
-      ScriptedServer.ReceivedRequest third = site.diskServer.nextRequest();
+      ScriptedServer.ReceivedRequest third = fixture.diskServer.nextRequest();
       third.respondOk("three");
       assertTrue(client.readResponse().endsWith("three"));
     }
@@ -204,8 +208,9 @@
    * refused. */
   @Test
   void pipelinedRequestsBeyondTheQueueLimitAreRefusedInOrder() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
-      site.startEcho();
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
+      fixture.startEcho();
       int requests = 200;
       StringBuilder all = new StringBuilder();
       for (int i = 0; i < requests; i++) {
@@ -228,41 +233,44 @@
 
   @Test
   void aRequestWhoseClientDisconnectedWhileItWaitedIsNotForwarded() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client stays = site.client()) {
-      SchedulerFixture.Client leaves = site.client();
-      ScriptedServer.ReceivedRequest watch = site.discovery.nextRequest();
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client stays = fixture.client()) {
+      SchedulerFixture.Client leaves = fixture.client();
+      ScriptedServer.ReceivedRequest watch = fixture.discovery.nextRequest();
       leaves.send(SchedulerFixture.readRequest("left", 1));
       leaves.socket.shutdownOutput();
       assertEquals("closed", leaves.readResponse());
       stays.send(SchedulerFixture.readRequest("stays", 1));
       watch.respond(SchedulerFixture.WATCH_RESPONSE_HEAD + SchedulerFixture.httpChunk(SchedulerFixture
           .nodeListJson(42, false, SchedulerFixture.nodeEntryJson(
-              "s-1", site.diskServer, 1, "up"))
+              "s-1", fixture.diskServer, 1, "up"))
           + "\n"));
-      assertEquals("stays", site.diskServer.nextRequest().header("X-Txn"));
-      site.diskServer.assertNoMoreRequests();
+      assertEquals("stays", fixture.diskServer.nextRequest().header("X-Txn"));
+      fixture.diskServer.assertNoMoreRequests();
       leaves.close();
     }
   }
 
   @Test
   void aBodySentInPiecesIsAssembled() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       for (String piece : SchedulerFixture.writeRequest("put", "t1", "k", "0123456789")
           .split("(?<=\\G.{40})")) {
         client.send(piece);
       }
-      assertEquals("0123456789", site.diskServer.nextRequest().body());
+      assertEquals("0123456789", fixture.diskServer.nextRequest().body());
     }
   }
 
   /** The error response has a deadline of its own; until then the request ahead of it may still be served. */
   @Test
   void anErrorQueuedBehindAnOpenRequestLeavesItTimeToFinish() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       client.send(SchedulerFixture.readRequest("t1") + SchedulerFixture.readRequest("t2")
           .replace("gold", "lead"));
-      ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
+      ScriptedServer.ReceivedRequest attempt = fixture.diskServer.nextRequest();
       Thread.sleep(600);
       attempt.respondOk("served");
       assertTrue(client.readResponse().endsWith("served"));
@@ -272,13 +280,14 @@
 
   @Test
   void expectContinueIsAnsweredBeforeTheBody() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       String write = SchedulerFixture.writeRequest("put", "t1", "k", "body")
           .replace("\r\n\r\n", "\r\nExpect: 100-continue\r\n\r\n");
       client.send(write.replace("\r\n\r\nbody", "\r\n\r\n"));
       assertEquals("HTTP/1.1 100 Continue\r\n\r\n", ScriptedServer.readHead(client.socket.getInputStream()));
       client.send("body");
-      ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
+      ScriptedServer.ReceivedRequest attempt = fixture.diskServer.nextRequest();
       assertEquals("body", attempt.body());
       attempt.respondOk("x");
       assertEquals(200, client.readStatus());
@@ -288,19 +297,21 @@
   @ParameterizedTest
   @ValueSource(strings = {"", "GET /get/7f3a9c21e0b4d655 HT", "half"})
   void anIncompleteRequestTimesOut(String bytes) throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       client.send(bytes.equals("half")
           ? SchedulerFixture.writeRequest("put", "t1", "k", "0123456789").replace("789", "")
           : bytes);
       int status = client.readStatus();
       assertTrue(status == 0 || status == 408, () -> "" + status);
-      site.diskServer.assertNoMoreRequests();
+      fixture.diskServer.assertNoMoreRequests();
     }
   }
 
   @Test
   void anOversizedContentLengthIsRejectedBeforeTheBody() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       client.send(SchedulerFixture.writeRequest("put", "t1", "k", "x")
           .replace("Content-Length: 1", "Content-Length: 62914560"));
       try {
@@ -312,20 +323,20 @@
       }
       int status = client.readStatus();
       assertTrue(status == 0 || status == 413, () -> "" + status);
-      site.diskServer.assertNoMoreRequests();
+      fixture.diskServer.assertNoMoreRequests();
     }
   }
 
   @Test
   void connectionsWithoutRequestsDoNotBlockOtherClients() throws Exception {
     List<SchedulerFixture.Client> silentClients = new ArrayList<>();
-    try (SchedulerFixture site = new SchedulerFixture()) {
+    try (SchedulerFixture fixture = new SchedulerFixture()) {
       for (int i = 0; i < 300; i++) {
-        silentClients.add(site.client());
+        silentClients.add(fixture.client());
       }
-      try (SchedulerFixture.Client client = site.client()) {
+      try (SchedulerFixture.Client client = fixture.client()) {
         client.send(SchedulerFixture.readRequest("t1"));
-        site.diskServer.nextRequest().respondOk("x");
+        fixture.diskServer.nextRequest().respondOk("x");
         assertEquals(200, client.readStatus());
       }
       for (SchedulerFixture.Client client : silentClients) {
@@ -341,9 +352,10 @@
 
   @Test
   void aClientThatKeepsSendingAfterAFramingErrorIsClosedDespiteAnOpenRequest() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       client.send(SchedulerFixture.readRequest("t1"));
-      site.diskServer.nextRequest();
+      fixture.diskServer.nextRequest();
       client.send("noise \1\r\n\r\n");
       boolean closed = false;
       for (int i = 0; i < 200 && !closed; i++) {
@@ -361,16 +373,17 @@
   @Test
   void anOverloadRefusalIsPromptAndCarriesRetryAfter() throws Exception {
     List<SchedulerFixture.Client> waiting = new ArrayList<>();
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       for (int i = 0; i < 4; i++) {
-        waiting.add(site.client().send(SchedulerFixture.readRequest("out" + i)));
-        site.diskServer.nextRequest();
+        waiting.add(fixture.client().send(SchedulerFixture.readRequest("out" + i)));
+        fixture.diskServer.nextRequest();
       }
       client.send(SchedulerFixture.readRequest("t1").replace("20000m", "400m"));
       String answer = client.readResponse();
       assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
       assertTrue(answer.matches("(?s).*\r\nRetry-After: [0-2]\\.[0-9]{3}\r\n.*"), answer);
-      site.diskServer.assertNoMoreRequests();
+      fixture.diskServer.assertNoMoreRequests();
     } finally {
       for (SchedulerFixture.Client client : waiting) {
         client.close();
@@ -380,21 +393,21 @@
 
   @Test
   void afterAStopOpenRequestsAreAnsweredAndTheProcessEnds() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture();
-        SchedulerFixture.Client open = site.client();
-        SchedulerFixture.Client idle = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client open = fixture.client();
+        SchedulerFixture.Client idle = fixture.client()) {
       open.send(SchedulerFixture.readRequest("t1"));
-      ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
-      site.node.stop();
+      ScriptedServer.ReceivedRequest attempt = fixture.diskServer.nextRequest();
+      fixture.node.stop();
       idle.send(SchedulerFixture.readRequest("t2"));
-      ScriptedServer.ReceivedRequest second = site.diskServer.nextRequest();
+      ScriptedServer.ReceivedRequest second = fixture.diskServer.nextRequest();
       attempt.respondOk("x");
       second.respondOk("y");
       assertTrue(open.readResponse().endsWith("x"));
       assertTrue(idle.readResponse().endsWith("y"));
       assertEquals("closed", open.readResponse());
       assertEquals("closed", idle.readResponse());
-      assertTrue(site.node.awaitTermination(20_000));
+      assertTrue(fixture.node.awaitTermination(20_000));
     }
   }
 
@@ -402,13 +415,13 @@
    * and not only after half of its remaining time, as a request accepted before the shutdown is. */
   @Test
   void afterAStopARequestWithoutADiskServerIsRefusedPromptly() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture();
-        SchedulerFixture.Client before = site.client();
-        SchedulerFixture.Client after = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client before = fixture.client();
+        SchedulerFixture.Client after = fixture.client()) {
       before.send(SchedulerFixture.readRequest("t1", 2).replace("20000m", "2400m"));
-      Awaitility.await().until(() -> site.node.openRequests() == 1);
-      site.node.stop();
-      Awaitility.await().until(() -> site.log.toString().contains("node.stopping"));
+      Awaitility.await().until(() -> fixture.node.openRequests() == 1);
+      fixture.node.stop();
+      Awaitility.await().until(() -> fixture.log.toString().contains("node.stopping"));
       after.send(SchedulerFixture.readRequest("t2", 2));
       assertEquals(503, after.readStatus());
       assertEquals(0, before.socket.getInputStream().available());
--- a/src/test/java/hollyslip/platform/DiscoveryClientTest.java
+++ b/src/test/java/hollyslip/platform/DiscoveryClientTest.java
@@ -32,15 +32,16 @@
 
   @Test
   void newWatchContinuesFromTheLastVersion() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
-      ScriptedServer.ReceivedRequest first = site.discovery.nextRequest();
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
+      ScriptedServer.ReceivedRequest first = fixture.discovery.nextRequest();
       assertTrue(first.head().startsWith("GET /v1/endpoints?stream=1&index=41 HTTP/1.1\r\n"), first.head());
-      first.respond(watchResponse("", upUpdate(43, site.diskServer, 1)));
+      first.respond(watchResponse("", upUpdate(43, fixture.diskServer, 1)));
       client.send(SchedulerFixture.readRequest("t1", 1));
-      site.diskServer.nextRequest().respondOk("x");
+      fixture.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
       first.connection().close();
-      ScriptedServer.ReceivedRequest second = site.discovery.nextRequest();
+      ScriptedServer.ReceivedRequest second = fixture.discovery.nextRequest();
       assertTrue(second.head().contains("&index=43 "), second.head());
     }
   }
@@ -48,23 +49,24 @@
   /** Indented JSON, several updates in one chunk, one update in many chunks, and no line ends. */
   @Test
   void updatesAreParsedInAnyJsonFormatAndAnyChunks() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
-      ScriptedServer.ReceivedRequest watch = site.discovery.nextRequest();
-      String indented = upUpdate(42, site.diskServer, 1).replace(",", ",\n  ").replace("{", "{\r\n\t");
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
+      ScriptedServer.ReceivedRequest watch = fixture.discovery.nextRequest();
+      String indented = upUpdate(42, fixture.diskServer, 1).replace(",", ",\n  ").replace("{", "{\r\n\t");
       watch.respond(SchedulerFixture.WATCH_RESPONSE_HEAD);
       for (String piece : indented.split("(?<=\\G(?s:.{5}))")) {
         watch.respond(SchedulerFixture.httpChunk(piece));
       }
       client.send(SchedulerFixture.readRequest("t1", 1));
-      site.diskServer.nextRequest().respondOk("x");
+      fixture.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
       watch.respond(SchedulerFixture.httpChunk(SchedulerFixture.nodeListJson(43, false, SchedulerFixture
-          .nodeEntryJson("s-1", site.diskServer, 1,
+          .nodeEntryJson("s-1", fixture.diskServer, 1,
               "removed")) + upUpdate(44,
-                  site.diskServer,
+                  fixture.diskServer,
                   2)));
       client.send(SchedulerFixture.readRequest("t2", 2));
-      site.diskServer.nextRequest().respondOk("x");
+      fixture.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
     }
   }
@@ -72,25 +74,25 @@
   /** Discovery was down: an attempt is not answered, or an answered watch falls silent. */
   @Test
   void silentWatchIsReadUntilTheNextIsAnswered() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(new WatchRetryPolicy(
+    try (SchedulerFixture fixture = new SchedulerFixture(new WatchRetryPolicy(
         WatchRetryPolicy.SILENCE_TIMEOUT_US, 3_000_000))) {
-      ScriptedServer.ReceivedRequest silent = site.discovery.nextRequest();
+      ScriptedServer.ReceivedRequest silent = fixture.discovery.nextRequest();
       silent.respond(SchedulerFixture.WATCH_RESPONSE_HEAD);
-      ScriptedServer.ReceivedRequest unanswered = site.discovery.nextRequest();
+      ScriptedServer.ReceivedRequest unanswered = fixture.discovery.nextRequest();
       unanswered.awaitClosed();
-      silent.respond(SchedulerFixture.httpChunk(upUpdate(42, site.diskServer, 1)));
-      assertServed(site, 1);
-      ScriptedServer.ReceivedRequest next = site.discovery.nextRequest();
-      next.respond(watchResponse(upUpdate(43, site.diskServer, 2)));
+      silent.respond(SchedulerFixture.httpChunk(upUpdate(42, fixture.diskServer, 1)));
+      assertServed(fixture, 1);
+      ScriptedServer.ReceivedRequest next = fixture.discovery.nextRequest();
+      next.respond(watchResponse(upUpdate(43, fixture.diskServer, 2)));
       silent.awaitClosed();
-      assertServed(site, 2);
+      assertServed(fixture, 2);
     }
   }
 
-  private static void assertServed(SchedulerFixture site, int shard) throws Exception {
-    try (SchedulerFixture.Client client = site.client()) {
+  private static void assertServed(SchedulerFixture fixture, int shard) throws Exception {
+    try (SchedulerFixture.Client client = fixture.client()) {
       client.send(SchedulerFixture.readRequest("t" + shard, shard));
-      site.diskServer.nextRequest().respondOk("x");
+      fixture.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
     }
   }
@@ -112,38 +114,39 @@
   @ParameterizedTest
   @MethodSource("invalidResponses")
   void invalidWatchIsReplacedAndTheListStays(String bytes) throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
-      site.discovery.nextRequest().respond(bytes);
-      ScriptedServer.ReceivedRequest second = site.discovery.nextRequest();
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
+      fixture.discovery.nextRequest().respond(bytes);
+      ScriptedServer.ReceivedRequest second = fixture.discovery.nextRequest();
       assertTrue(second.head().contains("&index=41 "), second.head());
       client.send(SchedulerFixture.readRequest("t1"));
-      site.diskServer.nextRequest().respondOk("x");
+      fixture.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
     }
   }
 
   @Test
   void olderVersionCausesARequestForTheCompleteList() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture()) {
-      site.discovery.nextRequest().respond(watchResponse(upUpdate(7, site.diskServer, 1)));
-      ScriptedServer.ReceivedRequest second = site.discovery.nextRequest();
+    try (SchedulerFixture fixture = new SchedulerFixture()) {
+      fixture.discovery.nextRequest().respond(watchResponse(upUpdate(7, fixture.diskServer, 1)));
+      ScriptedServer.ReceivedRequest second = fixture.discovery.nextRequest();
       assertTrue(second.head().startsWith("GET /v1/endpoints?stream=1 HTTP/1.1\r\n"), second.head());
     }
   }
 
   @Test
   void drainingAndUnlistedDiskServersGetNoNewRequests() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture();
+    try (SchedulerFixture fixture = new SchedulerFixture();
         ScriptedServer other = new ScriptedServer();
-        SchedulerFixture.Client client = site.client()) {
-      ScriptedServer.ReceivedRequest watch = site.discovery.nextRequest();
+        SchedulerFixture.Client client = fixture.client()) {
+      ScriptedServer.ReceivedRequest watch = fixture.discovery.nextRequest();
       watch.respond(watchResponse(SchedulerFixture.nodeListJson(42, false, SchedulerFixture.nodeEntryJson(
-          "s-0", site.diskServer, 0, "draining")), SchedulerFixture.nodeListJson(43, false, SchedulerFixture
-              .nodeEntryJson("s-9", other, 0, "up"), SchedulerFixture.nodeEntryJson("s-1", site.diskServer, 1,
-                  "up"))));
+          "s-0", fixture.diskServer, 0, "draining")),
+          SchedulerFixture.nodeListJson(43, false, SchedulerFixture.nodeEntryJson("s-9", other, 0, "up"),
+              SchedulerFixture.nodeEntryJson("s-1", fixture.diskServer, 1, "up"))));
       // The scheduler holds this request until the list is in use.
       client.send(SchedulerFixture.readRequest("first", 1));
-      site.diskServer.nextRequest().respondOk("x");
+      fixture.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
       for (int i = 0; i < 10; i++) {
         client.send(SchedulerFixture.readRequest("t" + i));
@@ -151,46 +154,46 @@
         assertEquals(200, client.readStatus());
       }
       watch.respond(SchedulerFixture.httpChunk(SchedulerFixture.nodeListJson(44, true, SchedulerFixture
-          .nodeEntryJson("s-2", site.diskServer, 2,
+          .nodeEntryJson("s-2", fixture.diskServer, 2,
               "up")) + "\n"));
       client.send(SchedulerFixture.readRequest("second", 2));
-      site.diskServer.nextRequest().respondOk("x");
+      fixture.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
       client.send(SchedulerFixture.readRequest("gone", 1));
       watch.respond(SchedulerFixture.httpChunk(SchedulerFixture.nodeListJson(45, false, SchedulerFixture
           .nodeEntryJson("s-3", other, 1, "up"))
           + "\n"));
       assertEquals("gone", other.nextRequest().header("X-Txn"));
-      site.diskServer.assertNoMoreRequests();
+      fixture.diskServer.assertNoMoreRequests();
     }
   }
 
   @Test
   void reloadSwitchesToTheNewAddressAndAnInvalidFileChangesNothing() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture();
+    try (SchedulerFixture fixture = new SchedulerFixture();
         ScriptedServer moved = new ScriptedServer();
-        SchedulerFixture.Client client = site.client()) {
-      site.discovery.nextRequest().respond(watchResponse(upUpdate(42, site.diskServer, 1)));
+        SchedulerFixture.Client client = fixture.client()) {
+      fixture.discovery.nextRequest().respond(watchResponse(upUpdate(42, fixture.diskServer, 1)));
       client.send(SchedulerFixture.readRequest("t1", 1));
-      site.diskServer.nextRequest().respondOk("x");
+      fixture.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
-      String valid = Files.readString(site.configFile);
+      String valid = Files.readString(fixture.configFile);
       for (String invalid : List.of("", "{", "[]", valid.replace("\"discovery\"", "\"other\""), valid.replace(
           "\"giveUp\":20", "\"giveUp\":-1"))) {
-        Files.writeString(site.configFile, invalid);
-        site.node.reload();
+        Files.writeString(fixture.configFile, invalid);
+        fixture.node.reload();
       }
-      site.writeConfig(moved);
-      site.node.reload();
-      site.node.reload();
+      fixture.writeConfig(moved);
+      fixture.node.reload();
+      fixture.node.reload();
       ScriptedServer.ReceivedRequest watch = moved.nextRequest();
       assertTrue(watch.head().contains("&index=42 "), watch.head());
       client.send(SchedulerFixture.readRequest("t2", 1));
-      site.diskServer.nextRequest().respondOk("x");
+      fixture.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
-      watch.respond(watchResponse(upUpdate(43, site.diskServer, 2)));
+      watch.respond(watchResponse(upUpdate(43, fixture.diskServer, 2)));
       client.send(SchedulerFixture.readRequest("t3", 2));
-      site.diskServer.nextRequest().respondOk("x");
+      fixture.diskServer.nextRequest().respondOk("x");
       assertEquals(200, client.readStatus());
       moved.assertNoMoreRequests();
     }
@@ -201,14 +204,14 @@
   @ParameterizedTest
   @ValueSource(ints = {700, 3000})
   void slowDiscoveryIsHeard(int responseDelayMs) throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(new WatchRetryPolicy())) {
-      ScriptedServer.ReceivedRequest first = site.discovery.nextRequest();
+    try (SchedulerFixture fixture = new SchedulerFixture(new WatchRetryPolicy())) {
+      ScriptedServer.ReceivedRequest first = fixture.discovery.nextRequest();
       ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
       timer.schedule(() -> {
-        first.respond(watchResponse(upUpdate(42, site.diskServer, 1)));
+        first.respond(watchResponse(upUpdate(42, fixture.diskServer, 1)));
         return null;
       }, responseDelayMs, TimeUnit.MILLISECONDS);
-      assertServed(site, 1);
+      assertServed(fixture, 1);
       timer.shutdown();
     }
   }
--- a/src/test/java/hollyslip/platform/DiskServerResponseTest.java
+++ b/src/test/java/hollyslip/platform/DiskServerResponseTest.java
@@ -21,10 +21,11 @@
 
   @Test
   void turnedAwayRequestIsRetriedEvenIfItMustNotRunTwice() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       client.send(SchedulerFixture.writeRequest("pay", "t1", null, "x"));
-      site.diskServer.nextRequest().respond(TURNED_AWAY);
-      site.diskServer.nextRequest().respondOk("done");
+      fixture.diskServer.nextRequest().respond(TURNED_AWAY);
+      fixture.diskServer.nextRequest().respondOk("done");
       assertTrue(client.readResponse().endsWith("done"));
     }
   }
@@ -47,9 +48,10 @@
   @ParameterizedTest
   @MethodSource("unusableResponses")
   void unusableResponseIsAFailureAndNothingOfItIsPassedOn(String bytes) throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       client.send(SchedulerFixture.writeRequest("pay", "t1", null, "x"));
-      ScriptedServer.ReceivedRequest request = site.diskServer.nextRequest();
+      ScriptedServer.ReceivedRequest request = fixture.diskServer.nextRequest();
       request.respond(bytes.replace("<close>", "").replace("<reset>", ""));
       if (bytes.endsWith("<reset>")) {
         request.connection().setSoLinger(true, 0);
@@ -61,7 +63,7 @@
       assertTrue(answer.startsWith("HTTP/1.1 502 "), answer);
       assertFalse(answer.contains("abc"), answer);
       client.send(SchedulerFixture.readRequest("t2"));
-      ScriptedServer.ReceivedRequest next = site.diskServer.nextRequest();
+      ScriptedServer.ReceivedRequest next = fixture.diskServer.nextRequest();
       assertEquals("t2", next.header("X-Txn"), "a request that may have run must not be sent again");
       if (!bytes.startsWith("HTTP/1.1 50")) {
         assertNotSame(request.connection(), next.connection());
@@ -73,9 +75,10 @@
 
   @Test
   void interimResponsesAreSkipped() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       client.send(SchedulerFixture.readRequest("t1"));
-      site.diskServer.nextRequest()
+      fixture.diskServer.nextRequest()
           .respond("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
               + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nreal");
       assertTrue(client.readResponse().endsWith("real"));
@@ -85,25 +88,27 @@
   /** Disk servers were seen to send several hundred KiB, more than the limit of a request body. */
   @Test
   void largeResponsesArePassedOnCompletely() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       for (int i = 0; i < 20; i++) {
         String large = ("" + i).repeat(300_000);
         client.send(SchedulerFixture.readRequest("t" + i));
-        site.diskServer.nextRequest().respondOk(large);
+        fixture.diskServer.nextRequest().respondOk(large);
         assertTrue(client.readResponse().endsWith("\r\n\r\n" + large));
       }
       client.send(SchedulerFixture.readRequest("last"));
-      site.diskServer.nextRequest().respond("HTTP/1.1 200 OK\r\nContent-Length: 4194305\r\n\r\n");
-      site.diskServer.nextRequest().respondOk("small");
+      fixture.diskServer.nextRequest().respond("HTTP/1.1 200 OK\r\nContent-Length: 4194305\r\n\r\n");
+      fixture.diskServer.nextRequest().respondOk("small");
       assertTrue(client.readResponse().endsWith("small"));
     }
   }
 
   @Test
   void chunkedResponsesAreReadCompletely() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       client.send(SchedulerFixture.readRequest("t1"));
-      site.diskServer.nextRequest()
+      fixture.diskServer.nextRequest()
           .respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n3\r\ncde\r\n0\r\n\r\n");
       assertTrue(client.readResponse().endsWith("\r\n\r\nabcde"));
     }
@@ -115,9 +120,10 @@
     String duplicate = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy";
     for (String extra : List.of(duplicate, "noise", "HTTP/1.1 2", "\r\n")) {
       for (boolean later : List.of(false, true)) {
-        try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+        try (SchedulerFixture fixture = new SchedulerFixture();
+            SchedulerFixture.Client client = fixture.client()) {
           client.send(SchedulerFixture.readRequest("t1"));
-          ScriptedServer.ReceivedRequest request = site.diskServer.nextRequest();
+          ScriptedServer.ReceivedRequest request = fixture.diskServer.nextRequest();
           request.respond("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine" + (later ? "" : extra));
           assertTrue(client.readResponse().endsWith("mine"));
           if (later) {
@@ -125,7 +131,7 @@
           }
           request.awaitClosed();
           client.send(SchedulerFixture.readRequest("t2"));
-          ScriptedServer.ReceivedRequest next = site.diskServer.nextRequest();
+          ScriptedServer.ReceivedRequest next = fixture.diskServer.nextRequest();
           assertNotSame(request.connection(), next.connection());
           next.respondOk("next");
           assertTrue(client.readResponse().endsWith("next"));
@@ -137,10 +143,11 @@
   /** A response without a length is complete at an orderly close of the connection, but not at a reset. */
   @Test
   void responseWithoutALengthIsCompleteAtTheEndOfItsConnection() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       for (String header : List.of("", "Connection: close\r\n")) {
         client.send(SchedulerFixture.writeRequest("pay", "t" + header.length(), null, "x"));
-        ScriptedServer.ReceivedRequest request = site.diskServer.nextRequest();
+        ScriptedServer.ReceivedRequest request = fixture.diskServer.nextRequest();
         request.respond("HTTP/1.1 200 OK\r\n" + header + "\r\nall ");
         request.respond("of it");
         request.connection().shutdownOutput();
@@ -152,13 +159,14 @@
 
   @Test
   void connectionsAreReusedForOneRequestAtATime() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       Set<Socket> seen = new HashSet<>();
       int requests = 0;
       boolean reused = false;
       while (!reused) {
         client.send(SchedulerFixture.readRequest("t" + requests++));
-        ScriptedServer.ReceivedRequest request = site.diskServer.nextRequest();
+        ScriptedServer.ReceivedRequest request = fixture.diskServer.nextRequest();
         reused = !seen.add(request.connection());
         request.respondOk("x");
         assertEquals(200, client.readStatus());
@@ -170,13 +178,13 @@
   /** Discovery moves a disk server while a request is in progress at its old address. */
   @Test
   void connectionToAFormerAddressIsNotKept() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture();
+    try (SchedulerFixture fixture = new SchedulerFixture();
         ScriptedServer moved = new ScriptedServer();
-        SchedulerFixture.Client client = site.client();
-        SchedulerFixture.Client other = site.client()) {
+        SchedulerFixture.Client client = fixture.client();
+        SchedulerFixture.Client other = fixture.client()) {
       client.send(SchedulerFixture.readRequest("t1"));
-      ScriptedServer.ReceivedRequest old = site.diskServer.nextRequest();
-      site.discovery.nextRequest()
+      ScriptedServer.ReceivedRequest old = fixture.diskServer.nextRequest();
+      fixture.discovery.nextRequest()
           .respond(SchedulerFixture.WATCH_RESPONSE_HEAD + SchedulerFixture.httpChunk(SchedulerFixture
               .nodeListJson(42, false, SchedulerFixture.nodeEntryJson(
                   "s-0", moved, 0, "up"), SchedulerFixture.nodeEntryJson(
@@ -191,10 +199,11 @@
 
   @Test
   void connectionClosedByTheDiskServerIsNotUsed() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       for (int i = 0; i < 20; i++) {
         client.send(SchedulerFixture.writeRequest("pay", "t" + i, null, "x"));
-        ScriptedServer.ReceivedRequest request = site.diskServer.nextRequest();
+        ScriptedServer.ReceivedRequest request = fixture.diskServer.nextRequest();
         request.respondOk("x");
         request.connection().shutdownOutput();
         request.awaitClosed();
--- a/src/test/java/hollyslip/platform/FaultSoakTest.java
+++ b/src/test/java/hollyslip/platform/FaultSoakTest.java
@@ -41,21 +41,22 @@
       for (int i = 0; i < SchedulerProcessFixture.SOAK_SHARDS; i++) {
         diskServers.add(new SoakDiskServer(audit, random.nextLong()));
       }
-      try (SchedulerProcessFixture site = new SchedulerProcessFixture(random.nextBoolean() ? 400 : 150, random
-          .nextInt(3) == 0
+      try (SchedulerProcessFixture fixture = new SchedulerProcessFixture(random.nextBoolean() ? 400 : 150,
+          random.nextInt(3) == 0
               ? SyscallFaults.environment("FAULT_ACCEPT_EVERY", "" + (2 + random.nextInt(5)))
-              : java.util.Map.of(), diskServers.stream().map(SoakDiskServer::address).toList())) {
-        warmUp(site, audit);
+              : java.util.Map.of(),
+          diskServers.stream().map(SoakDiskServer::address).toList())) {
+        warmUp(fixture, audit);
         List<Thread> clients = IntStream.range(0, CLIENTS)
-            .mapToObj(i -> new Thread(new SoakClient(site, audit, "c" + i, random.nextLong(),
+            .mapToObj(i -> new Thread(new SoakClient(fixture, audit, "c" + i, random.nextLong(),
                 keepRunning::get, mayConnect::get)))
             .toList();
         clients.forEach(Thread::start);
-        runWithStops(site, audit, random);
-        site.signal("TERM");
+        runWithStops(fixture, audit, random);
+        fixture.signal("TERM");
         Thread.sleep(NEW_CONNECTIONS_MS);
         mayConnect.set(false);
-        boolean ended = site.process.waitFor(SchedulerProcessFixture.KILL_AFTER_MS - NEW_CONNECTIONS_MS,
+        boolean ended = fixture.process.waitFor(SchedulerProcessFixture.KILL_AFTER_MS - NEW_CONNECTIONS_MS,
             TimeUnit.MILLISECONDS);
         keepRunning.set(false);
         for (Thread client : clients) {
@@ -64,7 +65,7 @@
         List<String> violations = audit.violations();
         System.out.println("soak seed " + seed + ": " + audit);
         assertTrue(violations.isEmpty(), () -> "seed " + seed + ": " + String.join("\n", violations) + "\n"
-            + String.join("\n", site.log));
+            + String.join("\n", fixture.log));
         assertTrue(ended, "seed " + seed + ": should end before it would be killed");
         assertTrue(audit.requests() > 100, "seed " + seed + ": " + audit);
       }
@@ -78,8 +79,8 @@
   /** Loads the classes of the process, which a test starts without a class archive: its first requests load
    * classes between reading the clock and writing, for longer than the platform may stop a scheduler. Their
    * times are not audited. */
-  private static void warmUp(SchedulerProcessFixture site, SoakAudit audit) throws Exception {
-    try (SchedulerFixture.Client client = site.client()) {
+  private static void warmUp(SchedulerProcessFixture fixture, SoakAudit audit) throws Exception {
+    try (SchedulerFixture.Client client = fixture.client()) {
       for (int i = 0; i < WARM_UP_REQUESTS; i++) {
         String id = "warm" + i;
         audit.sending(id, Integer.MAX_VALUE, true);
@@ -90,15 +91,15 @@
   }
 
   /** Lets the process run for a while and stops it at random times. */
-  private static void runWithStops(SchedulerProcessFixture site, SoakAudit audit, SplittableRandom random)
+  private static void runWithStops(SchedulerProcessFixture fixture, SoakAudit audit, SplittableRandom random)
       throws Exception {
     long until = SoakAudit.nowMs() + RUN_MS;
     while (SoakAudit.nowMs() < until) {
       Thread.sleep(300 + random.nextInt(1_500));
       long stoppedAt = SoakAudit.nowMs();
-      site.signal("STOP");
+      fixture.signal("STOP");
       Thread.sleep(random.nextLong(MAX_STOP_MS));
-      site.signal("CONT");
+      fixture.signal("CONT");
       audit.schedulerStopped(stoppedAt);
     }
   }
--- a/src/test/java/hollyslip/platform/LostRequestsTest.java
+++ b/src/test/java/hollyslip/platform/LostRequestsTest.java
@@ -63,9 +63,9 @@
 
   @Test
   void pipelinedRequestsAreAllAnswered() throws Exception {
-    try (SchedulerProcessFixture site = new SchedulerProcessFixture();
-        SchedulerFixture.Client client = site.client()) {
-      site.startEcho();
+    try (SchedulerProcessFixture fixture = new SchedulerProcessFixture();
+        SchedulerFixture.Client client = fixture.client()) {
+      fixture.startEcho();
       int requests = 200;
       StringBuilder all = new StringBuilder();
       for (int i = 0; i < requests; i++) {
@@ -89,10 +89,10 @@
 
   @Test
   void aRequestQueuedBehindASlowOneIsAnsweredInTime() throws Exception {
-    try (SchedulerProcessFixture site = new SchedulerProcessFixture();
-        SchedulerFixture.Client client = site.client()) {
+    try (SchedulerProcessFixture fixture = new SchedulerProcessFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       client.send(read("slow", 15_000).replace("/get/", "/scan/"));
-      site.diskServer.nextRequest();
+      fixture.diskServer.nextRequest();
       long start = nowMs();
       client.send(read("fast", 800));
       assertTrue(client.readStatus() > 0, "the slow request must be answered");
@@ -131,8 +131,8 @@
    * time. */
   @Test
   void aRequestThatRacesWithAnIdleCloseIsNotReadAndDropped() throws Exception {
-    try (SchedulerProcessFixture site = new SchedulerProcessFixture(); Socket client = site.connect()) {
-      site.startEcho();
+    try (SchedulerProcessFixture fixture = new SchedulerProcessFixture(); Socket client = fixture.connect()) {
+      fixture.startEcho();
       assertEquals(ConnectionEnd.CLOSED, awaitEnd(client, 10_000));
       write(client, read("crossing", 2000));
       assertTrue(isReset(client), "the request was read after the close and is never answered");
@@ -144,28 +144,28 @@
   @Test
   void atTheConnectionLimitNewRequestsAreAnsweredOrKnownUnread() throws Exception {
     List<Socket> sockets = new ArrayList<>();
-    try (SchedulerProcessFixture site = new SchedulerProcessFixture(200, Map.of())) {
-      site.startEcho();
+    try (SchedulerProcessFixture fixture = new SchedulerProcessFixture(200, Map.of())) {
+      fixture.startEcho();
       for (int round = 0; round < 5; round++) {
-        site.signal("STOP");
+        fixture.signal("STOP");
         List<Socket> requestSockets = new ArrayList<>();
         List<Socket> silentSockets = new ArrayList<>();
         for (int i = 0; i < 150; i++) {
-          silentSockets.add(site.connect());
+          silentSockets.add(fixture.connect());
           if (i % 5 == 0) {
-            Socket asks = site.connect();
+            Socket asks = fixture.connect();
             write(asks, read("r" + round + "i" + i, 2000));
             requestSockets.add(asks);
           }
           if (i % 7 == 0) {
-            Socket leaves = site.connect();
+            Socket leaves = fixture.connect();
             leaves.setSoLinger(true, 0);
             leaves.close();
           }
         }
         sockets.addAll(requestSockets);
         sockets.addAll(silentSockets);
-        site.signal("CONT");
+        fixture.signal("CONT");
         for (int i = 0; i < silentSockets.size(); i += 3) {
           try {
             write(silentSockets.get(i), read("s" + round + "i" + i, 2000));
@@ -198,12 +198,12 @@
 
   @Test
   void acceptErrorsDoNotDelayClients() throws Exception {
-    try (SchedulerProcessFixture site = new SchedulerProcessFixture(400, SyscallFaults.environment(
+    try (SchedulerProcessFixture fixture = new SchedulerProcessFixture(400, SyscallFaults.environment(
         "FAULT_ACCEPT_EVERY", "3"))) {
-      site.startEcho();
+      fixture.startEcho();
       for (int i = 0; i < 60; i++) {
         long start = nowMs();
-        try (SchedulerFixture.Client client = site.client()) {
+        try (SchedulerFixture.Client client = fixture.client()) {
           assertEquals(200, client.send(read("t" + i, 400)).readStatus());
         }
         assertTrue(nowMs() - start < 400 + MAX_LATENESS_MS, "connection " + i + " took ms: " + (nowMs()
@@ -214,9 +214,9 @@
 
   @Test
   void aPartialPipelinedRequestTimesOut() throws Exception {
-    try (SchedulerProcessFixture site = new SchedulerProcessFixture();
-        SchedulerFixture.Client client = site.client()) {
-      site.startEcho();
+    try (SchedulerProcessFixture fixture = new SchedulerProcessFixture();
+        SchedulerFixture.Client client = fixture.client()) {
+      fixture.startEcho();
       long start = nowMs();
       client.send(read("whole", 2000) + read("part", 2000).substring(0, 30));
       assertEquals(200, client.readStatus());
@@ -229,18 +229,18 @@
 
   @Test
   void aPartialPipelinedRequestDoesNotDelayShutdown() throws Exception {
-    try (SchedulerProcessFixture site = new SchedulerProcessFixture();
-        SchedulerFixture.Client client = site.client()) {
-      site.startEcho();
+    try (SchedulerProcessFixture fixture = new SchedulerProcessFixture();
+        SchedulerFixture.Client client = fixture.client()) {
+      fixture.startEcho();
       client.send(read("whole", 2000));
       assertEquals(200, client.readStatus());
-      site.signal("TERM");
+      fixture.signal("TERM");
       Thread.sleep(SchedulerProcessFixture.KILL_AFTER_MS - 500);
       client.send(read("whole2", 2000) + read("part", 2000).substring(0, 30));
       assertTrue(client.readStatus() > 0);
-      assertTrue(site.process.waitFor(500, TimeUnit.MILLISECONDS),
+      assertTrue(fixture.process.waitFor(500, TimeUnit.MILLISECONDS),
           "the process must end before it is killed");
-      assertEquals(0, site.process.exitValue());
+      assertEquals(0, fixture.process.exitValue());
     }
   }
 
@@ -248,13 +248,13 @@
   @Test
   void aPartlyWrittenAttemptStopsWhenItsClientDisconnects() throws Exception {
     try (ServerSocket disk = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        SchedulerProcessFixture site = new SchedulerProcessFixture(400, SyscallFaults.environment(
+        SchedulerProcessFixture fixture = new SchedulerProcessFixture(400, SyscallFaults.environment(
             "FAULT_WRITE_PORT", "" + disk
                 .getLocalPort(), "FAULT_WRITE_BYTES", "1000", "FAULT_WRITE_PAUSE_MS", "20"), List.of(
                     "127.0.0.1:"
                         + disk.getLocalPort()))) {
       String body = "x".repeat(60_000);
-      Socket client = site.connect();
+      Socket client = fixture.connect();
       write(client, SchedulerFixture.writeRequest("pay", "left", null, body));
       try (Socket attempt = disk.accept()) {
         InputStream in = attempt.getInputStream();
@@ -289,13 +289,14 @@
   @Test
   void aClientThatDisconnectsDuringAConnectIsNotServed() throws Exception {
     try (ServerSocket disk = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        SchedulerProcessFixture site = new SchedulerProcessFixture(400, Map.of(), List.of("127.0.0.1:" + disk
-            .getLocalPort()))) {
+        SchedulerProcessFixture fixture = new SchedulerProcessFixture(400, Map.of(), List.of("127.0.0.1:"
+            + disk
+                .getLocalPort()))) {
       List<Socket> fill = new ArrayList<>();
       for (int i = 0; i < 2; i++) {
         fill.add(new Socket(disk.getInetAddress(), disk.getLocalPort()));
       }
-      Socket client = site.connect();
+      Socket client = fixture.connect();
       write(client, SchedulerFixture.writeRequest("pay", "left", null, "x"));
       Thread.sleep(300);
       client.close();
@@ -315,20 +316,20 @@
 
   @Test
   void theForwardedDeadlineIncludesTimeTheProcessWasSuspended() throws Exception {
-    try (SchedulerProcessFixture site = new SchedulerProcessFixture();
-        SchedulerFixture.Client client = site.client()) {
+    try (SchedulerProcessFixture fixture = new SchedulerProcessFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       for (int i = 0; i < 3; i++) {
         client.send(read("warm" + i, 2000));
-        site.diskServer.nextRequest().respondOk("x");
+        fixture.diskServer.nextRequest().respondOk("x");
         assertEquals(200, client.readStatus());
       }
       for (int heldMs : new int[]{140, 450, 900}) {
-        site.signal("STOP");
+        fixture.signal("STOP");
         long sentAt = nowMs();
         client.send(unsafeWrite("held" + heldMs, 2000));
         Thread.sleep(heldMs);
-        site.signal("CONT");
-        ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
+        fixture.signal("CONT");
+        ScriptedServer.ReceivedRequest attempt = fixture.diskServer.nextRequest();
         long leftMs = 2000 - (nowMs() - sentAt);
         long forwardedMs = Long.parseLong(attempt.header("X-Remaining").replace("u", "")) / 1000;
         assertTrue(forwardedMs <= leftMs + 150, "held for " + heldMs + " ms: forwarded " + forwardedMs
@@ -343,18 +344,18 @@
    * from when they were sent, both on a kept connection and on one that waits in the accept queue. */
   @Test
   void aRequestThatWaitedUnreadIsAnsweredInTime() throws Exception {
-    try (SchedulerProcessFixture site = new SchedulerProcessFixture();
-        SchedulerFixture.Client kept = site.client()) {
+    try (SchedulerProcessFixture fixture = new SchedulerProcessFixture();
+        SchedulerFixture.Client kept = fixture.client()) {
       kept.send(read("warm", 2000));
-      site.diskServer.nextRequest().respondOk("x");
+      fixture.diskServer.nextRequest().respondOk("x");
       assertEquals(200, kept.readStatus());
-      site.signal("STOP");
+      fixture.signal("STOP");
       long start = nowMs();
       kept.send(unsafeWrite("kept", 1000));
-      try (SchedulerFixture.Client queued = site.client()) {
+      try (SchedulerFixture.Client queued = fixture.client()) {
         queued.send(unsafeWrite("queued", 1000));
         Thread.sleep(800);
-        site.signal("CONT");
+        fixture.signal("CONT");
         for (SchedulerFixture.Client client : List.of(kept, queued)) {
           int status = client.readStatus();
           assertTrue(status == 502 || status == 503, "" + status);
@@ -374,24 +375,24 @@
    * been in use for a while. The second response must not be taken for the response to the next request. */
   @Test
   void aDelayedSecondResponseIsNotMatchedToTheNextRequest() throws Exception {
-    try (SchedulerProcessFixture site = new SchedulerProcessFixture();
-        SchedulerFixture.Client client = site.client()) {
+    try (SchedulerProcessFixture fixture = new SchedulerProcessFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       for (int i = 0; i < 10; i++) {
         for (int k = 0; k < 10; k++) {
           client.send(read("warm" + k, 2000));
-          site.diskServer.nextRequest().respondOk("x");
+          fixture.diskServer.nextRequest().respondOk("x");
           assertEquals(200, client.readStatus());
           Thread.sleep(28);
         }
         client.send(read("a" + i, 2000));
-        ScriptedServer.ReceivedRequest attempt = site.diskServer.nextRequest();
+        ScriptedServer.ReceivedRequest attempt = fixture.diskServer.nextRequest();
         Thread.sleep(5);
         attempt.respondOk("a" + i);
         attempt.respondOk("second");
         assertTrue(client.readResponse().endsWith("\r\n\r\na" + i));
         Thread.sleep(27);
         client.send(read("b" + i, 2000));
-        site.diskServer.nextRequest().respondOk("b" + i);
+        fixture.diskServer.nextRequest().respondOk("b" + i);
         String answer = client.readResponse();
         assertTrue(answer.endsWith("\r\n\r\nb" + i), answer);
       }
--- a/src/test/java/hollyslip/platform/SchedulerProcessTest.java
+++ b/src/test/java/hollyslip/platform/SchedulerProcessTest.java
@@ -24,7 +24,8 @@
 
   @Test
   void becomesReadyWhileDiscoveryIsDown() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
       int status = 503;
       while (status == 503) {
         status = client.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus();
@@ -70,13 +71,14 @@
   /** Guards against leaks by requests whose ids, volumes, keys and disk servers are new each time. */
   @Test
   void endedRequestsAndRemovedDiskServersLeaveNothingBehind() throws Exception {
-    try (SchedulerFixture site = new SchedulerFixture(); SchedulerFixture.Client client = site.client()) {
-      ScriptedServer.ReceivedRequest watch = site.discovery.nextRequest();
+    try (SchedulerFixture fixture = new SchedulerFixture();
+        SchedulerFixture.Client client = fixture.client()) {
+      ScriptedServer.ReceivedRequest watch = fixture.discovery.nextRequest();
       watch.respond(SchedulerFixture.WATCH_RESPONSE_HEAD);
       Thread disk = new Thread(() -> {
         try {
           while (true) {
-            site.diskServer.nextRequest().respondOk("x");
+            fixture.diskServer.nextRequest().respondOk("x");
           }
         } catch (Exception | AssertionError ended) {
           // The test has ended.
@@ -89,7 +91,7 @@
         if (i % 20 == 0) {
           watch.respond(SchedulerFixture.httpChunk(SchedulerFixture.nodeListJson(42 + i, true,
               SchedulerFixture.nodeEntryJson("s-" + i,
-                  site.diskServer, 0, "up")) + "\n"));
+                  fixture.diskServer, 0, "up")) + "\n"));
         }
         client.send(SchedulerFixture.readRequest("t" + i)
             .replace("00000003b4d60021", String.format("%016x", i)));
@@ -103,8 +105,8 @@
       assertEquals(before, descriptors(), 150, "descriptors");
       // Once this is answered, the event loop has released the last request.
       assertEquals(200, client.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
-      assertEquals(0, site.node.openRequests());
-      assertTrue(site.node.diskServerCount() <= 3, () -> "" + site.node.diskServerCount());
+      assertEquals(0, fixture.node.openRequests());
+      assertTrue(fixture.node.diskServerCount() <= 3, () -> "" + fixture.node.diskServerCount());
     }
   }
 
--- a/src/test/java/hollyslip/platform/SoakClient.java
+++ b/src/test/java/hollyslip/platform/SoakClient.java
@@ -19,7 +19,7 @@
 
   private static final int MAX_PIPELINED_REQUESTS = 40;
 
-  private final SchedulerProcessFixture site;
+  private final SchedulerProcessFixture fixture;
   private final SoakAudit audit;
   private final SplittableRandom random;
   private final BooleanSupplier keepRunning, mayConnect;
@@ -27,10 +27,10 @@
   private int requestCount;
   private Socket socket;
 
-  SoakClient(SchedulerProcessFixture site, SoakAudit audit, String name, long seed,
+  SoakClient(SchedulerProcessFixture fixture, SoakAudit audit, String name, long seed,
       BooleanSupplier keepRunning,
       BooleanSupplier mayConnect) {
-    this.site = site;
+    this.fixture = fixture;
     this.audit = audit;
     this.name = name;
     random = new SplittableRandom(seed);
@@ -82,7 +82,7 @@
     if (!mayConnect.getAsBoolean()) {
       throw new IOException("new connections go to another scheduler now");
     }
-    socket = site.connect();
+    socket = fixture.connect();
   }
 
   private String newRequest(List<String> ids) {
