--- a/src/main/java/hollyslip/SimulatorAdapter.java
+++ b/src/main/java/hollyslip/SimulatorAdapter.java
@@ -198,7 +198,8 @@
     };
     return new HostScheduler.NodeEntry(number(entry, "server"), entry.path("regionPart").asText(""), entry
         .path(
-            "cluster").asInt(-1), state, isPresent(entry, "born") ? micros(entry.get("born")) : 0);
+            "cluster")
+        .asInt(-1), state, isPresent(entry, "born") ? micros(entry.get("born")) : 0);
   }
 
   private static HostScheduler.Result result(String code) {
--- a/src/main/java/hollyslip/cli/AdminCommand.java
+++ b/src/main/java/hollyslip/cli/AdminCommand.java
@@ -23,8 +23,9 @@
  * with dots into objects, as the API names the fields. */
 abstract class AdminCommand implements Callable<Integer> {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final Pattern SIZE = Pattern.compile("(\\d+)(KiB|MiB|GiB|TiB)");
-  private static final Map<String, Long> SIZES = Map.of("KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30,
+  private static final Pattern SIZE_PATTERN = Pattern.compile("(\\d+)(KiB|MiB|GiB|TiB)");
+  private static final Map<String, Long> SIZE_UNITS = Map.of("KiB", 1L << 10, "MiB", 1L << 20, "GiB",
+      1L << 30,
       "TiB", 1L << 40);
 
   enum Verb {
@@ -34,7 +35,7 @@
   @Parameters(index = "0", paramLabel = "VERB", description = "${COMPLETION-CANDIDATES}")
   Verb verb;
   @Parameters(index = "1..*", paramLabel = "NAME|FIELD=VALUE", description = "whose; a volume is TENANT/NAME; then fields as the API names them, sizes also with KiB, MiB, GiB")
-  List<String> words = new ArrayList<>();
+  List<String> arguments = new ArrayList<>();
   @Option(names = "--socket", paramLabel = "FILE", description = "the gateway's admin.sock", defaultValue = "run/admin.sock")
   Path socket;
   @Option(names = "--port", description = "its port on the loopback address, instead of the socket")
@@ -56,84 +57,84 @@
   }
 
   /** Path of the collection. */
-  abstract String collection(String name);
+  abstract String collectionPath(String name);
 
   /** Path of one. */
-  String path(String name) {
-    return collection(name) + "/" + name;
+  String itemPath(String name) {
+    return collectionPath(name) + "/" + name;
   }
 
-  Set<Verb> verbs() {
+  Set<Verb> supportedVerbs() {
     return Set.of(Verb.LIST, Verb.SHOW, Verb.CREATE, Verb.SET, Verb.REMOVE);
   }
 
   private String name() throws IOException {
-    if (words.isEmpty() || words.get(0).contains("=")) {
+    if (arguments.isEmpty() || arguments.get(0).contains("=")) {
       throw new IOException("a name is needed");
     }
-    return words.get(0);
+    return arguments.get(0);
   }
 
   @Override
   public Integer call() {
-    if (!verbs().contains(verb)) {
-      System.err.println("this cannot be done to it; can be: " + verbs());
-      return Main.WRONG;
+    if (!supportedVerbs().contains(verb)) {
+      System.err.println("this cannot be done to it; can be: " + supportedVerbs());
+      return Main.EXIT_USAGE;
     }
-    Logs.to(Logs.Form.text, ch.qos.logback.classic.Level.WARN);
+    LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.WARN);
     String token;
     try {
       token = Files.readString(tokenFile).trim();
     } catch (IOException e) {
       System.err.println("--token-file: " + tokenFile + " cannot be read: " + e.getClass().getSimpleName());
-      return Main.WRONG;
+      return Main.EXIT_USAGE;
     }
     try (ApiClient api = port == null ? ApiClient.at(socket, token) : ApiClient.at(port, trust, token)) {
-      return answer(api);
+      return execute(api);
     } catch (IOException e) {
       System.err.println(e.getMessage());
-      return Main.FAILED;
+      return Main.EXIT_FAILURE;
     }
   }
 
-  private int answer(ApiClient api) throws IOException {
+  private int execute(ApiClient api) throws IOException {
     return switch (verb) {
-      case LIST -> list(api);
-      case SHOW -> print(api.ask("GET", path(name()), null, Map.of()));
+      case LIST -> listAll(api);
+      case SHOW -> printResponse(api.ask("GET", itemPath(name()), null, Map.of()));
       case CREATE -> {
-        ObjectNode body = fields(words.subList(1, words.size()));
+        ObjectNode body = parseFields(arguments.subList(1, arguments.size()));
         body.put("name", name().substring(name().indexOf('/') + 1));
-        yield print(api.ask("POST", collection(name()), body, Map.of()));
+        yield printResponse(api.ask("POST", collectionPath(name()), body, Map.of()));
       }
-      case SET -> change(api, "PATCH", fields(words.subList(1, words.size())));
-      case DRAIN -> change(api, "PATCH", JSON.createObjectNode().put("state", "draining"));
-      case UNDRAIN -> change(api, "PATCH", JSON.createObjectNode().put("state", "on"));
-      case REMOVE -> change(api, "DELETE", null);
+      case SET -> update(api, "PATCH", parseFields(arguments.subList(1, arguments.size())));
+      case DRAIN -> update(api, "PATCH", JSON.createObjectNode().put("state", "draining"));
+      case UNDRAIN -> update(api, "PATCH", JSON.createObjectNode().put("state", "on"));
+      case REMOVE -> update(api, "DELETE", null);
     };
   }
 
-  private int change(ApiClient api, String method, JsonNode body) throws IOException {
+  private int update(ApiClient api, String method, JsonNode body) throws IOException {
     String tag = revision == null ? null : "\"" + revision + "\"";
     if (tag == null) {
-      ApiClient.Answer now = api.ask("GET", path(name()), null, Map.of());
+      ApiClient.Answer now = api.ask("GET", itemPath(name()), null, Map.of());
       if (!now.good()) {
-        return print(now);
+        return printResponse(now);
       }
       tag = now.tag();
     }
-    return print(api.ask(method, path(name()), body, Map.of("If-Match", tag)));
+    return printResponse(api.ask(method, itemPath(name()), body, Map.of("If-Match", tag)));
   }
 
   /** All pages. */
-  private int list(ApiClient api) throws IOException {
+  private int listAll(ApiClient api) throws IOException {
     List<JsonNode> items = new ArrayList<>();
-    String base = collection(words.isEmpty() ? "" : words.get(0) + "/");
+    String base = collectionPath(arguments.isEmpty() ? "" : arguments.get(0) + "/");
     String after = null;
     do {
       ApiClient.Answer a = api.ask("GET", base + "?limit=1000" + (after == null ? "" : "&after=" + after),
           null, Map.of());
       if (!a.good()) {
-        return print(a);
+        return printResponse(a);
       }
       a.body().get("items").forEach(items::add);
       after = a.body().path("next").asText(null);
@@ -141,12 +142,12 @@
     if (json) {
       items.forEach(System.out::println);
     } else {
-      table(items);
+      printTable(items);
     }
-    return Main.DONE;
+    return Main.EXIT_OK;
   }
 
-  private void table(List<JsonNode> items) {
+  private void printTable(List<JsonNode> items) {
     List<String[]> rows = new ArrayList<>();
     String[] heads = columns.split(" ");
     rows.add(heads);
@@ -173,23 +174,23 @@
     }
   }
 
-  private int print(ApiClient.Answer a) {
+  private int printResponse(ApiClient.Answer a) {
     if (a.good()) {
       if (a.body() != null) {
         System.out.println(json ? a.body().toString() : a.body().toPrettyString());
       }
-      return Main.DONE;
+      return Main.EXIT_OK;
     }
     JsonNode b = a.body() == null ? JSON.createObjectNode() : a.body();
     System.err.println(json
         ? b.toString()
         : a.status() + " " + b.path("title").asText() + (b.has("field") ? ": " + b.get("field").asText() : "")
             + ": " + b.path("detail").asText() + (b.has("figures") ? " " + b.get("figures") : ""));
-    return a.status() < 500 ? Main.WRONG : Main.FAILED;
+    return a.status() < 500 ? Main.EXIT_USAGE : Main.EXIT_FAILURE;
   }
 
   /** {@code a.b=1} as an object. */
-  static ObjectNode fields(List<String> words) throws IOException {
+  static ObjectNode parseFields(List<String> words) throws IOException {
     ObjectNode top = JSON.createObjectNode();
     for (String w : words) {
       int eq = w.indexOf('=');
@@ -201,15 +202,15 @@
       for (int i = 0; i < path.length - 1; i++) {
         in = in.withObjectProperty(path[i]);
       }
-      in.set(path[path.length - 1], value(w.substring(eq + 1)));
+      in.set(path[path.length - 1], parseValue(w.substring(eq + 1)));
     }
     return top;
   }
 
-  private static JsonNode value(String text) {
-    Matcher size = SIZE.matcher(text);
+  private static JsonNode parseValue(String text) {
+    Matcher size = SIZE_PATTERN.matcher(text);
     if (size.matches()) {
-      return JSON.getNodeFactory().numberNode(Long.parseLong(size.group(1)) * SIZES.get(size.group(2)));
+      return JSON.getNodeFactory().numberNode(Long.parseLong(size.group(1)) * SIZE_UNITS.get(size.group(2)));
     }
     try {
       JsonNode n = JSON.readTree(text);
@@ -226,7 +227,7 @@
     }
 
     @Override
-    String collection(String name) {
+    String collectionPath(String name) {
       return "/v1/tenants";
     }
   }
@@ -238,7 +239,7 @@
     }
 
     @Override
-    String collection(String name) {
+    String collectionPath(String name) {
       return "/v1/plans";
     }
   }
@@ -250,14 +251,14 @@
     }
 
     @Override
-    String collection(String name) {
+    String collectionPath(String name) {
       int slash = name.indexOf('/');
       return "/v1/tenants/" + (slash < 0 ? name : name.substring(0, slash)) + "/volumes";
     }
 
     @Override
-    String path(String name) {
-      return collection(name) + "/" + name.substring(name.indexOf('/') + 1);
+    String itemPath(String name) {
+      return collectionPath(name) + "/" + name.substring(name.indexOf('/') + 1);
     }
   }
 
@@ -268,12 +269,12 @@
     }
 
     @Override
-    String collection(String name) {
+    String collectionPath(String name) {
       return "/v1/nodes";
     }
 
     @Override
-    Set<Verb> verbs() {
+    Set<Verb> supportedVerbs() {
       return Set.of(Verb.LIST, Verb.SHOW, Verb.DRAIN, Verb.UNDRAIN);
     }
   }
--- a/src/main/java/hollyslip/cli/AuditCommand.java
+++ b/src/main/java/hollyslip/cli/AuditCommand.java
@@ -11,7 +11,7 @@
 /** Audits the records of a run. */
 @Command(name = "audit", mixinStandardHelpOptions = true, description = "Checks the seven rules in the records of a run: figures.json, asked-*.jsonl, commands-*.jsonl and told-*.jsonl.")
 final class AuditCommand implements Callable<Integer> {
-  private static final int MOST_LINES = 20;
+  private static final int MAX_BREACHES_SHOWN = 20;
 
   @Parameters(paramLabel = "DIR", description = "folder with the records")
   Path dir;
@@ -19,21 +19,21 @@
   @Override
   public Integer call() {
     try {
-      return print(Witness.audit(dir)) ? Main.DONE : Main.FAILED;
+      return printReport(Witness.audit(dir)) ? Main.EXIT_OK : Main.EXIT_FAILURE;
     } catch (IOException e) {
       System.err.println(e.getMessage());
-      return Main.WRONG;
+      return Main.EXIT_USAGE;
     }
   }
 
   /** Prints a report; whether all rules were kept. */
-  static boolean print(Auditor.Report report) {
+  static boolean printReport(Auditor.Report report) {
     System.out.printf("%-22s %10s %9s%n", "rule", "looked at", "breaches");
     report.checked()
         .forEach((rule, n) -> System.out.printf("%-22s %10d %9d%n", rule.name()
             .toLowerCase(java.util.Locale.ROOT)
             .replace('_', ' '), n, report.breaches().stream().filter(b -> b.rule() == rule).count()));
-    report.breaches().stream().limit(MOST_LINES).forEach(b -> System.out.println("  " + b));
+    report.breaches().stream().limit(MAX_BREACHES_SHOWN).forEach(b -> System.out.println("  " + b));
     return report.kept();
   }
 }
--- a/src/main/java/hollyslip/cli/BenchCommand.java
+++ b/src/main/java/hollyslip/cli/BenchCommand.java
@@ -21,7 +21,7 @@
   @Override
   public Integer call() {
     picocli.CommandLine.usage(this, System.err);
-    return Main.WRONG;
+    return Main.EXIT_USAGE;
   }
 
   /** What all measurements have. */
@@ -40,14 +40,14 @@
 
     @Override
     public Integer call() throws Exception {
-      Logs.to(Logs.Form.text, ch.qos.logback.classic.Level.WARN);
+      LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.WARN);
       if (profile == null) {
         run();
       } else {
         Profile.run(event, profile, event + "-" + getClass().getSimpleName().toLowerCase(Locale.ROOT),
             this::run);
       }
-      return Main.DONE;
+      return Main.EXIT_OK;
     }
   }
 
--- a/src/main/java/hollyslip/cli/CheckCommand.java
+++ b/src/main/java/hollyslip/cli/CheckCommand.java
@@ -18,12 +18,12 @@
     loaded.faults().forEach(System.out::println);
     if (!loaded.faults().isEmpty()) {
       System.out.println(loaded.faults().size() + " faults");
-      return Main.WRONG;
+      return Main.EXIT_USAGE;
     }
     var d = loaded.deployment();
     System.out.println("no faults: " + d.nodes().size() + " nodes, " + d.volumes().size() + " volumes, " + d
         .plans()
         .size() + " plans, " + d.classes().size() + " request classes");
-    return Main.DONE;
+    return Main.EXIT_OK;
   }
 }
--- a/src/main/java/hollyslip/cli/Days.java
+++ b/src/main/java/hollyslip/cli/DayPlayback.java
@@ -8,16 +8,16 @@
 import java.util.Locale;
 
 /** Plays a day and prints what came of it: what demo and replay share. */
-final class Days {
+final class DayPlayback {
   /** Between a request's publishing and its taking, also while a restarted gateway warms up, us. */
-  private static final long SLACK_US = 100_000;
+  private static final long CLOCK_SLACK_US = 100_000;
 
-  private Days() {}
+  private DayPlayback() {}
 
   static int play(Day day, Path dir) throws IOException, InterruptedException {
     Path records = dir == null ? Files.createTempDirectory("hollyslip-day-") : dir;
     System.out.println("records and logs: " + records);
-    DayRunner.Result r = new DayRunner(day, records, System.out, SLACK_US).play();
+    DayRunner.Result r = new DayRunner(day, records, System.out, CLOCK_SLACK_US).play();
     System.out.println();
     System.out.printf("%-12s %10s%n", "answer", "requests");
     r.answers().forEach((a, n) -> System.out.printf("%-12s %10d%n", a.name().toLowerCase(Locale.ROOT), n));
@@ -28,11 +28,11 @@
             .getTotalCount(), h.getValueAtPercentile(50) / 1e3, h.getValueAtPercentile(99) / 1e3, h
                 .getValueAtPercentile(99.9) / 1e3));
     System.out.println();
-    boolean kept = AuditCommand.print(r.audit());
+    boolean kept = AuditCommand.printReport(r.audit());
     r.wrongReads().stream().limit(10).forEach(w -> System.out.println("  wrong read: " + w));
     System.out.printf("reads that contradict what was answered before: %d%n", r.wrongReads().size());
     System.out.println(r.stoppedCleanly() ? "gateways stopped cleanly" : "a gateway did not stop cleanly");
     System.out.println(r.kept() && kept ? "all rules kept" : "NOT all rules kept");
-    return r.kept() ? Main.DONE : Main.FAILED;
+    return r.kept() ? Main.EXIT_OK : Main.EXIT_FAILURE;
   }
 }
--- a/src/main/java/hollyslip/cli/DemoCommand.java
+++ b/src/main/java/hollyslip/cli/DemoCommand.java
@@ -17,9 +17,9 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    Logs.to(Logs.Form.text, ch.qos.logback.classic.Level.WARN);
+    LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.WARN);
     try (InputStream in = DemoCommand.class.getResourceAsStream("/hollyslip/demo.day")) {
-      return Days.play(Day.parse(new String(in.readAllBytes(), StandardCharsets.UTF_8)), dir);
+      return DayPlayback.play(Day.parse(new String(in.readAllBytes(), StandardCharsets.UTF_8)), dir);
     }
   }
 }
--- a/src/main/java/hollyslip/cli/EmulateCommand.java
+++ b/src/main/java/hollyslip/cli/EmulateCommand.java
@@ -22,11 +22,11 @@
   Long seed;
 
   @Option(names = "--timeline", description = "a row for each quarter of a second in which requests were due")
-  boolean timeline;
+  boolean printTimeline;
 
   @Override
   public Integer call() throws IOException {
-    Logs.to(Logs.Form.text, ch.qos.logback.classic.Level.ERROR);
+    LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.ERROR);
     Day day;
     try {
       day = Day.parse(Files.readString(file));
@@ -34,39 +34,39 @@
       long from = System.nanoTime();
       Outcome o = World.play(day);
       double took = (System.nanoTime() - from) / 1e9;
-      print(o);
-      if (timeline) {
-        timeline(o);
+      printPlans(o);
+      if (printTimeline) {
+        printTimeline(o);
       }
       System.out.printf(Locale.ROOT,
           "simulated: %.0f s of %d gateways and %d nodes in %.2f s, %,.0f happenings a second%n", day
               .seconds(), day.gateways(), day.nodes().count(), took, o.happenings() / took);
-      return AuditCommand.print(o.audit()) ? Main.DONE : Main.FAILED;
+      return AuditCommand.printReport(o.audit()) ? Main.EXIT_OK : Main.EXIT_FAILURE;
     } catch (IllegalArgumentException e) {
       System.err.println(file + ": " + e.getMessage());
-      return Main.WRONG;
+      return Main.EXIT_USAGE;
     }
   }
 
   /** A row a plan. */
-  static void print(Outcome o) {
-    head("plan");
-    o.plans().forEach(EmulateCommand::row);
+  static void printPlans(Outcome o) {
+    printHeader("plan");
+    o.plans().forEach(EmulateCommand::printRow);
   }
 
-  private static void timeline(Outcome o) {
-    head("due at, s");
+  private static void printTimeline(Outcome o) {
+    printHeader("due at, s");
     for (int i = 0; i < o.timeline().size(); i++) {
-      row(String.format(Locale.ROOT, "%.2f", i * Outcome.INTERVAL_US / 1e6), o.timeline().get(i));
+      printRow(String.format(Locale.ROOT, "%.2f", i * Outcome.INTERVAL_US / 1e6), o.timeline().get(i));
     }
   }
 
-  private static void head(String first) {
+  private static void printHeader(String first) {
     System.out.printf("%-14s %9s %8s %8s %8s %8s %9s %9s %9s%n", first, "asked", "served", "refused",
         "failed", "in aim", "p50 ms", "p99 ms", "p99.9 ms");
   }
 
-  private static void row(String name, Outcome.Tally t) {
+  private static void printRow(String name, Outcome.Tally t) {
     double n = Math.max(1, t.asked());
     System.out.printf(Locale.ROOT, "%-14s %9d %7.2f%% %7.2f%% %7.2f%% %7.2f%% %9.2f %9.2f %9.2f%n", name, t
         .asked(), 100 * t.count(Asked.Answer.SERVED) / n, 100 * t.count(Asked.Answer.REFUSED) / n, 100 * t
--- a/src/main/java/hollyslip/cli/ExperimentCommand.java
+++ b/src/main/java/hollyslip/cli/ExperimentCommand.java
@@ -33,13 +33,13 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    Logs.to(Logs.Form.text, ch.qos.logback.classic.Level.OFF);
+    LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.OFF);
     Experiment x;
     try {
       x = Experiment.read(file);
     } catch (IllegalArgumentException | java.nio.file.NoSuchFileException e) {
       System.err.println(e.getMessage());
-      return Main.WRONG;
+      return Main.EXIT_USAGE;
     }
     Files.createDirectories(out);
     int n = threads > 0 ? threads : Runtime.getRuntime().availableProcessors();
@@ -47,18 +47,18 @@
         "%s seed %d: %.1f%% in aim%s%n", r.point(), r.seed(), 100 * r.inAim(), r.broken().isEmpty()
             ? ""
             : " BROKEN " + r.broken()));
-    String table = table(x, runs);
+    String table = formatTable(x, runs);
     Files.writeString(out.resolve("table.txt"), table);
     System.out.print(table);
-    plots(x, runs);
-    return runs.stream().allMatch(r -> r.broken().isEmpty()) ? Main.DONE : Main.FAILED;
+    writePlots(x, runs);
+    return runs.stream().allMatch(r -> r.broken().isEmpty()) ? Main.EXIT_OK : Main.EXIT_FAILURE;
   }
 
   private static double[] values(List<Run> runs, ToDoubleFunction<Run> figure) {
     return runs.stream().mapToDouble(figure).toArray();
   }
 
-  private static String table(Experiment x, List<Run> runs) {
+  private static String formatTable(Experiment x, List<Run> runs) {
     StringBuilder s = new StringBuilder(
         "simulated; mean and half the interval of 95 in 100 over the seeds\n");
     s.append(String.format("%-40s", String.join(", ", x.names())));
@@ -69,14 +69,14 @@
       List<Run> mine = Experiment.of(runs, p);
       s.append(String.format("%-40s", String.join(", ", p.values())));
       for (var f : Experiment.FIGURES.values()) {
-        s.append(estimate(Estimate.of(values(mine, f)), ""));
+        s.append(formatEstimate(Estimate.of(values(mine, f)), ""));
       }
       s.append(String.format(" %7d%n", mine.stream().filter(r -> !r.broken().isEmpty()).count()));
-      if (before != null && neighbours(x, before, p)) {
+      if (before != null && differOnlyInLastName(x, before, p)) {
         s.append(String.format("%-40s", "  more than the one above"));
         for (var f : Experiment.FIGURES.values()) {
           Estimate d = Estimate.paired(values(Experiment.of(runs, before), f), values(mine, f));
-          s.append(estimate(d, d.clear() ? "*" : ""));
+          s.append(formatEstimate(d, d.clear() ? "*" : ""));
         }
         s.append(System.lineSeparator());
       }
@@ -85,13 +85,13 @@
     return s.append("* differs by more than chance, paired by seed\n").toString();
   }
 
-  private static String estimate(Estimate e, String mark) {
+  private static String formatEstimate(Estimate e, String mark) {
     return String.format(Locale.ROOT, " %18s", String.format(Locale.ROOT, "%.2f +-%.2f%s", e.mean(), e.half(),
         mark));
   }
 
   /** Whether two points differ in the last name alone. */
-  private static boolean neighbours(Experiment x, Map<String, String> a, Map<String, String> b) {
+  private static boolean differOnlyInLastName(Experiment x, Map<String, String> a, Map<String, String> b) {
     List<String> names = x.names();
     return names.size() > 1 && names.subList(0, names.size() - 1)
         .stream()
@@ -100,7 +100,7 @@
 
   /** A plot for each figure: over the first name swept where that is a number, a line for each value of the
    * others. */
-  private void plots(Experiment x, List<Run> runs) throws IOException {
+  private void writePlots(Experiment x, List<Run> runs) throws IOException {
     System.setProperty("java.awt.headless", "true");
     if (x.names().isEmpty()) {
       return;
--- a/src/main/java/hollyslip/cli/LoadCommand.java
+++ b/src/main/java/hollyslip/cli/LoadCommand.java
@@ -30,7 +30,7 @@
   @Override
   public Integer call() {
     picocli.CommandLine.usage(this, System.err);
-    return Main.WRONG;
+    return Main.EXIT_USAGE;
   }
 
   /** Plays the volumes of a day file. */
@@ -47,32 +47,32 @@
     @Option(names = "--closed", description = "baseline: each client waits for its answer before it asks again, as if that were the load")
     boolean closed;
     @Option(names = "--lateness-ms", defaultValue = "1", description = "how late the generator may come to one request in a thousand")
-    double lateness;
+    double maxLatenessMs;
     @Option(names = "--process", defaultValue = "0/1", description = "i/n: plays every n-th client of the schedule, from the i-th")
     String process;
     @Option(names = "--start-us", description = "when the schedule begins, on the machine's monotonic clock: the same for all processes of a run")
-    Long start;
+    Long startUs;
     @Option(names = "--log", description = "where the HdrHistogram log goes")
-    Path log;
+    Path logFile;
     @Option(names = "--json", description = "where the figures go as JSON")
-    Path json;
+    Path jsonFile;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-      Logs.to(Logs.Form.text, ch.qos.logback.classic.Level.WARN);
+      LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.WARN);
       LoadRun run;
       Day day;
       try {
         day = Day.parse(Files.readString(file));
         day = seconds == null ? day : day.lasting(seconds);
         day = seed == null ? day : day.with(seed);
-        int[] which = which();
-        run = new LoadRun(new LoadRun.Config(day, sockets, which[0], which[1], start == null
+        int[] which = parseProcess();
+        run = new LoadRun(new LoadRun.Config(day, sockets, which[0], which[1], startUs == null
             ? LoadRun.soon()
-            : start, closed, (long) (lateness * 1_000)));
+            : startUs, closed, (long) (maxLatenessMs * 1_000)));
       } catch (IllegalArgumentException e) {
         System.err.println(file + ": " + e.getMessage());
-        return Main.WRONG;
+        return Main.EXIT_USAGE;
       }
       // Ctrl-C ends the schedule; the report is still written.
       CountDownLatch reported = new CountDownLatch(1);
@@ -87,20 +87,20 @@
       Runtime.getRuntime().addShutdownHook(hook);
       try {
         LoadRun.Result r = run.run();
-        if (log != null) {
-          r.log().write(log);
+        if (logFile != null) {
+          r.log().write(logFile);
         }
-        if (json != null) {
-          JSON.writerWithDefaultPrettyPrinter().writeValue(json.toFile(), figures(r));
+        if (jsonFile != null) {
+          JSON.writerWithDefaultPrettyPrinter().writeValue(jsonFile.toFile(), toJson(r));
         }
-        print(r);
-        return r.valid() ? Main.DONE : Main.FAILED;
+        printResult(r);
+        return r.valid() ? Main.EXIT_OK : Main.EXIT_FAILURE;
       } finally {
         reported.countDown();
       }
     }
 
-    private int[] which() {
+    private int[] parseProcess() {
       String[] w = process.split("/");
       try {
         int i = Integer.parseInt(w[0]);
@@ -114,7 +114,7 @@
       throw new IllegalArgumentException("--process: must be i/n with i below n, not " + process);
     }
 
-    private static ObjectNode figures(LoadRun.Result r) {
+    private static ObjectNode toJson(LoadRun.Result r) {
       ObjectNode o = JSON.createObjectNode();
       o.put("valid", r.valid()).put("due", r.due()).put("answered", r.answered()).put("waited", r.waited());
       o.put("lateness_p999_us", r.lateness().getValueAtPercentile(99.9));
@@ -129,8 +129,8 @@
       return o;
     }
 
-    private void print(LoadRun.Result r) {
-      table(r.log());
+    private void printResult(LoadRun.Result r) {
+      printTable(r.log());
       System.out.printf(Locale.ROOT, "measured: %d due, %s, %d found no room at first%n", r.due(), r.ends()
           .toString()
           .toLowerCase(Locale.ROOT), r.waited());
@@ -158,26 +158,26 @@
     @Override
     public Integer call() {
       try {
-        LatencyLog all = merged(logs);
-        table(all);
+        LatencyLog all = readAndMerge(logs);
+        printTable(all);
         if (bySecond) {
-          seconds(all);
+          printSeconds(all);
         }
-        return Main.DONE;
+        return Main.EXIT_OK;
       } catch (IOException e) {
         System.err.println(e.getMessage());
-        return Main.WRONG;
+        return Main.EXIT_USAGE;
       }
     }
 
-    private static void seconds(LatencyLog all) {
+    private static void printSeconds(LatencyLog all) {
       java.util.TreeMap<Long, Histogram> sums = new java.util.TreeMap<>();
       for (String tag : all.tags()) {
         all.seconds(tag)
             .forEach((s, h) -> sums.computeIfAbsent(s, k -> new Histogram(3_600_000_000L, 3)).add(h));
       }
-      head("second");
-      sums.forEach((s, h) -> row(String.valueOf(s), h));
+      printHeader("second");
+      sums.forEach((s, h) -> printRow(String.valueOf(s), h));
     }
   }
 
@@ -206,10 +206,10 @@
             }
           }
         }
-        return Main.DONE;
+        return Main.EXIT_OK;
       } catch (IOException e) {
         System.err.println(e.getMessage());
-        return Main.WRONG;
+        return Main.EXIT_USAGE;
       }
     }
   }
@@ -220,26 +220,26 @@
     @Parameters(paramLabel = "FILE", description = "day file")
     Path file;
     @Option(names = "--times", split = ",", defaultValue = "1", description = "the load in so many times that of the file, one after the other")
-    double[] times;
+    double[] loadFactors;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-      Logs.to(Logs.Form.text, ch.qos.logback.classic.Level.WARN);
+      LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.WARN);
       try {
         Day day = Day.parse(Files.readString(file)).with(List.of());
         System.out.printf("%-6s %-16s %26s %26s %26s%n", "load", "plan.kind", "served a second", "p50 ms",
             "p99 ms");
-        for (double t : times) {
-          one(day.times(t), t);
+        for (double t : loadFactors) {
+          compareAtLoad(day.times(t), t);
         }
-        return Main.DONE;
+        return Main.EXIT_OK;
       } catch (IllegalArgumentException e) {
         System.err.println(file + ": " + e.getMessage());
-        return Main.WRONG;
+        return Main.EXIT_USAGE;
       }
     }
 
-    private static void one(Day day, double times) throws IOException, InterruptedException {
+    private static void compareAtLoad(Day day, double times) throws IOException, InterruptedException {
       Path dir = Files.createTempDirectory("hollyslip-forecast");
       LoadRun.Result r;
       try (Stage stage = new Stage(day, dir)) {
@@ -254,22 +254,24 @@
         Histogram is = r.log().all(tag);
         Histogram was = o.kinds().get(tag).latency();
         double s = day.seconds();
-        System.out.printf(Locale.ROOT, "%-6s %-16s %s %s %s%n", times, tag, pair(is.getTotalCount() / s, was
-            .getTotalCount() / s), pair(is.getValueAtPercentile(50) / 1e3, was.getValueAtPercentile(50)
-                / 1e3), pair(is
-                    .getValueAtPercentile(99) / 1e3, was.getValueAtPercentile(99) / 1e3));
+        System.out.printf(Locale.ROOT, "%-6s %-16s %s %s %s%n", times, tag, formatPair(is.getTotalCount() / s,
+            was
+                .getTotalCount() / s), formatPair(is.getValueAtPercentile(50) / 1e3, was.getValueAtPercentile(
+                    50)
+                    / 1e3), formatPair(is
+                        .getValueAtPercentile(99) / 1e3, was.getValueAtPercentile(99) / 1e3));
       }
       System.out.printf(Locale.ROOT, "       generator late by %.3f ms at p99.9: %s%n", r.lateness()
           .getValueAtPercentile(99.9) / 1e3, r.valid() ? "valid" : "NOT VALID");
     }
 
     /** Measured, simulated, and their ratio. */
-    private static String pair(double measured, double simulated) {
+    private static String formatPair(double measured, double simulated) {
       return String.format(Locale.ROOT, "%9.2f %9.2f %6.2f", measured, simulated, simulated / measured);
     }
   }
 
-  private static LatencyLog merged(List<Path> logs) throws IOException {
+  private static LatencyLog readAndMerge(List<Path> logs) throws IOException {
     LatencyLog all = new LatencyLog();
     for (Path p : logs) {
       all.add(LatencyLog.read(p));
@@ -277,12 +279,12 @@
     return all;
   }
 
-  private static void table(LatencyLog log) {
-    head("plan.kind");
-    log.tags().forEach(tag -> row(tag, log.all(tag)));
+  private static void printTable(LatencyLog log) {
+    printHeader("plan.kind");
+    log.tags().forEach(tag -> printRow(tag, log.all(tag)));
   }
 
-  private static void head(String first) {
+  private static void printHeader(String first) {
     System.out.printf("%-20s %9s", first, "served");
     for (double p : PERCENTILES) {
       System.out.printf(" %10s", p == 100 ? "max ms" : "p" + (p % 1 == 0 ? (int) p : p) + " ms");
@@ -290,7 +292,7 @@
     System.out.println();
   }
 
-  private static void row(String name, Histogram h) {
+  private static void printRow(String name, Histogram h) {
     System.out.printf("%-20s %9d", name, h.getTotalCount());
     for (double p : PERCENTILES) {
       System.out.printf(Locale.ROOT, " %10.3f", h.getValueAtPercentile(p) / 1e3);
--- a/src/main/java/hollyslip/cli/Logs.java
+++ b/src/main/java/hollyslip/cli/LogSetup.java
@@ -12,19 +12,19 @@
 
 /** Logs go to standard error: JSON lines, or lines to be read at a terminal. One event a fact; its name is
  * the message, its figures are fields. */
-final class Logs {
+final class LogSetup {
   /** How logs are written. */
   enum Form {
     auto, json, text
   }
 
-  private Logs() {}
+  private LogSetup() {}
 
-  static void to(Form form, Level level) {
+  static void configure(Form form, Level level) {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
     context.reset();
     boolean json = form == Form.json || form == Form.auto && System.console() == null;
-    Encoder<ILoggingEvent> encoder = json ? json(context) : text(context);
+    Encoder<ILoggingEvent> encoder = json ? jsonEncoder(context) : textEncoder(context);
     ConsoleAppender<ILoggingEvent> out = new ConsoleAppender<>();
     out.setContext(context);
     out.setTarget("System.err");
@@ -36,14 +36,14 @@
     context.getLogger("hollyslip").setLevel(level);
   }
 
-  private static Encoder<ILoggingEvent> json(LoggerContext context) {
+  private static Encoder<ILoggingEvent> jsonEncoder(LoggerContext context) {
     LogstashEncoder e = new LogstashEncoder();
     e.setContext(context);
     e.start();
     return e;
   }
 
-  private static Encoder<ILoggingEvent> text(LoggerContext context) {
+  private static Encoder<ILoggingEvent> textEncoder(LoggerContext context) {
     PatternLayoutEncoder e = new PatternLayoutEncoder();
     e.setContext(context);
     e.setPattern("%d{HH:mm:ss.SSS} %-5level %msg %kvp{NONE}%n%ex{short}");
--- a/src/main/java/hollyslip/cli/Main.java
+++ b/src/main/java/hollyslip/cli/Main.java
@@ -16,13 +16,14 @@
     SftpCommand.class, StandinCommand.class, AuditCommand.class, BenchCommand.class, EmulateCommand.class,
     SearchCommand.class, ExperimentCommand.class, LoadCommand.class,
     AdminCommand.Tenants.class, AdminCommand.Volumes.class, AdminCommand.Plans.class,
-    AdminCommand.Nodes.class, Main.Wire.class, Main.Platform.class, GenerateCompletion.class,
+    AdminCommand.Nodes.class, Main.WireHostCommand.class, Main.PlatformCommand.class,
+    GenerateCompletion.class,
     HelpCommand.class}, exitCodeListHeading = "%nExit codes:%n", exitCodeList = {
         "0:done; for demo, replay and audit: all rules kept",
         "1:something failed; for demo, replay and audit: a rule was broken",
         "2:the command line, the settings or the input are wrong"}, footerHeading = "%n", footer = "Settings are described in docs/settings.md, operation in docs/operators.md.")
 public final class Main implements Callable<Integer> {
-  static final int DONE = 0, FAILED = 1, WRONG = 2;
+  static final int EXIT_OK = 0, EXIT_FAILURE = 1, EXIT_USAGE = 2;
 
   public static void main(String[] args) throws IOException, InterruptedException {
     // These two are started often and by many, the second with little memory: they load nothing of all this.
@@ -40,29 +41,29 @@
   @Override
   public Integer call() {
     CommandLine.usage(this, System.err);
-    return WRONG;
+    return EXIT_USAGE;
   }
 
   /** Listed for the help; {@link #main} runs it. */
   @Command(name = "wirehost", description = "Hosts instances of the decision module on the simulator's wire, on standard input and output.")
-  static final class Wire implements Callable<Integer> {
+  static final class WireHostCommand implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
       SimulatorAdapter.main(new String[]{"wirehost"});
-      return DONE;
+      return EXIT_OK;
     }
   }
 
   /** Listed for the help; {@link #main} runs it. */
   @Command(name = "platform", description = "Runs one scheduler on the platform, told what it needs by PROXY_CONFIG and the variables beside it (docs/platform.md), until SIGTERM.")
-  static final class Platform implements Callable<Integer> {
+  static final class PlatformCommand implements Callable<Integer> {
     @Option(names = "--rehearse", description = "play against a peer of its own on loopback, then end: for the class archive that the build makes")
     boolean rehearse;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
       SchedulerProcess.main(new String[]{"platform"});
-      return DONE;
+      return EXIT_OK;
     }
   }
 }
--- a/src/main/java/hollyslip/cli/ReplayCommand.java
+++ b/src/main/java/hollyslip/cli/ReplayCommand.java
@@ -19,14 +19,14 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    Logs.to(Logs.Form.text, ch.qos.logback.classic.Level.WARN);
+    LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.WARN);
     Day day;
     try {
       day = Day.parse(Files.readString(file));
     } catch (Day.Wrong e) {
       System.err.println(file + ": " + e.getMessage());
-      return Main.WRONG;
+      return Main.EXIT_USAGE;
     }
-    return Days.play(day, dir);
+    return DayPlayback.play(day, dir);
   }
 }
--- a/src/main/java/hollyslip/cli/RingCommand.java
+++ b/src/main/java/hollyslip/cli/RingCommand.java
@@ -16,18 +16,19 @@
 @Command(name = "ring", mixinStandardHelpOptions = true, description = "A ring client at the socket of a volume.", subcommands = {
     RingCommand.Read.class, RingCommand.Write.class, RingCommand.Burst.class})
 final class RingCommand implements Callable<Integer> {
-  private static final int MOST = 1 << 20;
+  private static final int MAX_BYTES = 1 << 20;
 
   @Override
   public Integer call() {
     picocli.CommandLine.usage(this, System.err);
-    return Main.WRONG;
+    return Main.EXIT_USAGE;
   }
 
   /** Runs one request and waits; its status. */
-  private static int one(Path socket, IoKind kind, long offset, int length, ByteBuffer data, byte[] into)
+  private static int runRequest(Path socket, IoKind kind, long offset, int length, ByteBuffer data,
+      byte[] into)
       throws IOException {
-    try (RingClient c = new RingClient(RingClient.Options.usual(1, 16, MOST))) {
+    try (RingClient c = new RingClient(RingClient.Options.usual(1, 16, MAX_BYTES))) {
       c.connect(socket);
       int[] status = {-1};
       c.submit(0, kind, offset, length, data, (s, retry, d) -> {
@@ -50,11 +51,11 @@
     }
   }
 
-  private static int report(int status) {
+  private static int exitCode(int status) {
     if (status != 0 && status != 0x80) {
       System.err.println(status == 1 ? "failed" : "not supported");
     }
-    return status == 0 ? Main.DONE : Main.FAILED;
+    return status == 0 ? Main.EXIT_OK : Main.EXIT_FAILURE;
   }
 
   /** Reads bytes to standard output. */
@@ -69,13 +70,13 @@
 
     @Override
     public Integer call() throws IOException {
-      byte[] bytes = new byte[Math.min(MOST, length)];
-      int status = one(socket, IoKind.READ, offset, bytes.length, null, bytes);
+      byte[] bytes = new byte[Math.min(MAX_BYTES, length)];
+      int status = runRequest(socket, IoKind.READ, offset, bytes.length, null, bytes);
       if (status == 0) {
         System.out.write(bytes);
         System.out.flush();
       }
-      return report(status);
+      return exitCode(status);
     }
   }
 
@@ -89,9 +90,9 @@
 
     @Override
     public Integer call() throws IOException {
-      byte[] in = System.in.readNBytes(MOST);
+      byte[] in = System.in.readNBytes(MAX_BYTES);
       byte[] full = Arrays.copyOf(in, Math.max(512, (in.length + 511) / 512 * 512));
-      return report(one(socket, IoKind.WRITE, offset, full.length, ByteBuffer.wrap(full), null));
+      return exitCode(runRequest(socket, IoKind.WRITE, offset, full.length, ByteBuffer.wrap(full), null));
     }
   }
 
@@ -118,7 +119,7 @@
       System.out.printf("%d answers; ms p50 %.2f p99 %.2f most %.2f%n", h.getTotalCount(), h
           .getValueAtPercentile(50) / 1e3, h.getValueAtPercentile(99) / 1e3, h.getMaxValue() / 1e3);
       load.wrong().forEach(System.out::println);
-      return load.wrong().isEmpty() && h.getTotalCount() == count ? Main.DONE : Main.FAILED;
+      return load.wrong().isEmpty() && h.getTotalCount() == count ? Main.EXIT_OK : Main.EXIT_FAILURE;
     }
   }
 }
--- a/src/main/java/hollyslip/cli/SearchCommand.java
+++ b/src/main/java/hollyslip/cli/SearchCommand.java
@@ -31,7 +31,7 @@
 
   @Override
   public Integer call() throws IOException {
-    Logs.to(Logs.Form.text, ch.qos.logback.classic.Level.OFF);
+    LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.OFF);
     try {
       BadDays search = new BadDays(Day.parse(Files.readString(file)), seed);
       List<Found> all = search.search(rounds, days);
@@ -51,10 +51,10 @@
             .troubles()
             .size(), 100 * smallest.inAim(), smallest.first());
       }
-      return broken.isEmpty() ? Main.DONE : Main.FAILED;
+      return broken.isEmpty() ? Main.EXIT_OK : Main.EXIT_FAILURE;
     } catch (IllegalArgumentException e) {
       System.err.println(file + ": " + e.getMessage());
-      return Main.WRONG;
+      return Main.EXIT_USAGE;
     }
   }
 }
--- a/src/main/java/hollyslip/cli/ServeCommand.java
+++ b/src/main/java/hollyslip/cli/ServeCommand.java
@@ -28,17 +28,17 @@
   @Option(names = "--take-over", description = "start although nodes say that another gateway of this name lives: only when it is known to be gone")
   boolean takeOver;
   @Option(names = "--log", description = "json, text or auto (text at a terminal)", defaultValue = "auto")
-  Logs.Form form;
+  LogSetup.Form logForm;
   @Option(names = "--log-level", description = "error, warn, info or debug", defaultValue = "info")
-  String level;
+  String logLevel;
 
   @Override
   public Integer call() throws Exception {
-    Logs.to(form, Level.toLevel(level));
+    LogSetup.configure(logForm, Level.toLevel(logLevel));
     Loader.Loaded loaded = Loader.load(file);
     if (!loaded.faults().isEmpty()) {
       loaded.faults().forEach(System.err::println);
-      return Main.WRONG;
+      return Main.EXIT_USAGE;
     }
     CountDownLatch over = new CountDownLatch(1);
     Gateway gateway = new Gateway(loaded.deployment(), takeOver);
@@ -51,7 +51,7 @@
     over.await();
     boolean clean = gateway.close();
     LOG.atInfo().addKeyValue("totals", gateway.lanes().totals()).log("gateway.stopped");
-    return clean && !gateway.superseded().isDone() ? Main.DONE : Main.FAILED;
+    return clean && !gateway.superseded().isDone() ? Main.EXIT_OK : Main.EXIT_FAILURE;
   }
 
   /** One at a time: each signal has a thread of its own, and what an older one had read of a file could be
--- a/src/main/java/hollyslip/cli/StandinCommand.java
+++ b/src/main/java/hollyslip/cli/StandinCommand.java
@@ -55,6 +55,6 @@
         Witness.commands(records, name, server.commands());
       }
     }
-    return Main.DONE;
+    return Main.EXIT_OK;
   }
 }
--- a/src/main/java/hollyslip/settings/Ast.java
+++ b/src/main/java/hollyslip/settings/Ast.java
@@ -1,6 +1,6 @@
 package hollyslip.settings;
 
-import hollyslip.settings.ScriptError.Place;
+import hollyslip.settings.ScriptError.Location;
 import java.util.List;
 
 /** What a script is made of. Source: the Starlark specification, "Expressions" and "Statements"; left out are
@@ -8,69 +8,87 @@
 final class Ast {
   private Ast() {}
 
-  sealed interface Expr permits Literal, Name, ListOf, TupleOf, DictOf, Unary, Binary, Conditional, Call, Dot,
-      Index, Slice, Comprehension {
-    Place place();
+  sealed interface Expression permits Literal, Identifier, ListExpression, TupleExpression, DictExpression,
+      UnaryExpression, BinaryExpression, ConditionalExpression, CallExpression, DotExpression,
+      IndexExpression, SliceExpression, Comprehension {
+    Location location();
   }
 
-  record Literal(Place place, Object value) implements Expr {}
+  record Literal(Location location, Object value) implements Expression {}
 
-  record Name(Place place, String name) implements Expr {}
+  record Identifier(Location location, String name) implements Expression {}
 
-  record ListOf(Place place, List<Expr> items) implements Expr {}
+  record ListExpression(Location location, List<Expression> items) implements Expression {}
 
-  record TupleOf(Place place, List<Expr> items) implements Expr {}
+  record TupleExpression(Location location, List<Expression> items) implements Expression {}
 
-  record DictOf(Place place, List<Expr> keys, List<Expr> values) implements Expr {}
+  record DictExpression(Location location, List<Expression> keys, List<Expression> values)
+      implements
+        Expression {}
 
-  record Unary(Place place, String op, Expr of) implements Expr {}
+  record UnaryExpression(Location location, String op, Expression operand) implements Expression {}
 
-  record Binary(Place place, String op, Expr left, Expr right) implements Expr {}
+  record BinaryExpression(Location location, String op, Expression left, Expression right)
+      implements
+        Expression {}
 
-  record Conditional(Place place, Expr then, Expr condition, Expr otherwise) implements Expr {}
+  record ConditionalExpression(Location location, Expression then, Expression condition, Expression otherwise)
+      implements
+        Expression {}
 
-  record Argument(String name, Expr value) {}
+  record Argument(String name, Expression value) {}
 
-  record Call(Place place, Expr function, List<Argument> arguments) implements Expr {}
+  record CallExpression(Location location, Expression function, List<Argument> arguments)
+      implements
+        Expression {}
 
-  record Dot(Place place, Expr of, String name) implements Expr {}
+  record DotExpression(Location location, Expression object, String name) implements Expression {}
 
-  record Index(Place place, Expr of, Expr index) implements Expr {}
+  record IndexExpression(Location location, Expression object, Expression index) implements Expression {}
 
-  record Slice(Place place, Expr of, Expr from, Expr to) implements Expr {}
+  record SliceExpression(Location location, Expression object, Expression start, Expression end)
+      implements
+        Expression {}
 
   /** A {@code for} (target and source) or an {@code if} (source alone) of a comprehension. */
-  record Clause(Expr target, Expr source) {}
+  record Clause(Expression target, Expression expression) {}
 
   /** A list, or with {@code value} a dict. */
-  record Comprehension(Place place, Expr item, Expr value, List<Clause> clauses) implements Expr {}
+  record Comprehension(Location location, Expression element, Expression value, List<Clause> clauses)
+      implements
+        Expression {}
 
-  sealed interface Statement permits Assign, Evaluate, If, For, Def, Return, Jump, Load {
-    Place place();
+  sealed interface Statement permits Assignment, ExpressionStatement, IfStatement, ForStatement,
+      FunctionDefinition, ReturnStatement, JumpStatement, LoadStatement {
+    Location location();
   }
 
   /** {@code op} is empty for a plain one. */
-  record Assign(Place place, Expr target, String op, Expr value) implements Statement {}
+  record Assignment(Location location, Expression target, String op, Expression value) implements Statement {}
 
-  record Evaluate(Place place, Expr value) implements Statement {}
+  record ExpressionStatement(Location location, Expression value) implements Statement {}
 
-  record If(Place place, Expr condition, List<Statement> then, List<Statement> otherwise)
+  record IfStatement(Location location, Expression condition, List<Statement> then, List<Statement> otherwise)
       implements
         Statement {}
 
-  record For(Place place, Expr target, Expr source, List<Statement> body) implements Statement {}
+  record ForStatement(Location location, Expression target, Expression iterable, List<Statement> body)
+      implements
+        Statement {}
 
   /** {@code standard}: null where an argument must be given. */
-  record Parameter(String name, Expr standard) {}
+  record Parameter(String name, Expression defaultValue) {}
 
-  record Def(Place place, String name, List<Parameter> parameters, List<Statement> body)
+  record FunctionDefinition(Location location, String name, List<Parameter> parameters, List<Statement> body)
       implements
         Statement {}
 
-  record Return(Place place, Expr value) implements Statement {}
+  record ReturnStatement(Location location, Expression value) implements Statement {}
 
   /** {@code break}, {@code continue} or {@code pass}. */
-  record Jump(Place place, String word) implements Statement {}
+  record JumpStatement(Location location, String keyword) implements Statement {}
 
-  record Load(Place place, String file, List<String> names, List<String> as) implements Statement {}
+  record LoadStatement(Location location, String file, List<String> names, List<String> localNames)
+      implements
+        Statement {}
 }
--- a/src/main/java/hollyslip/settings/Builtins.java
+++ b/src/main/java/hollyslip/settings/Builtins.java
@@ -2,8 +2,8 @@
 
 import hollyslip.settings.Evaluator.Callable;
 import hollyslip.settings.Evaluator.Dict;
-import hollyslip.settings.Evaluator.Items;
-import hollyslip.settings.ScriptError.Place;
+import hollyslip.settings.Evaluator.Sequence;
+import hollyslip.settings.ScriptError.Location;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
@@ -14,19 +14,20 @@
 /** Functions that every script sees, and methods of strings. Source: the Starlark specification, "Built-in
  * constants and functions" and "string" methods; units of time (us) and size (bytes) are ours. */
 final class Builtins {
-  private static final int MOST_RANGE = 200_000;
+  private static final int MAX_RANGE_SIZE = 200_000;
 
   private Builtins() {}
 
-  static void count(Place place, String name, List<Object> a, int least, int most) {
+  static void checkArgumentCount(Location location, String name, List<Object> a, int least, int most) {
     if (a.size() < least || a.size() > most) {
-      throw new ScriptError(place, name + ": " + a.size() + " arguments");
+      throw new ScriptError(location, name + ": " + a.size() + " arguments");
     }
   }
 
-  private static Callable one(String name, java.util.function.BiFunction<Place, Object, Object> f) {
+  private static Callable singleArgument(String name,
+      java.util.function.BiFunction<Location, Object, Object> f) {
     return (p, a, n) -> {
-      count(p, name, a, 1, 1);
+      checkArgumentCount(p, name, a, 1, 1);
       if (!n.isEmpty()) {
         throw new ScriptError(p, name + ": takes no named arguments");
       }
@@ -34,58 +35,60 @@
     };
   }
 
-  static void add(Map<String, Object> to) {
+  static void addTo(Map<String, Object> to) {
     to.put("KiB", 1L << 10);
     to.put("MiB", 1L << 20);
     to.put("GiB", 1L << 30);
-    to.put("us", one("us", (p, v) -> time(p, v, 1)));
-    to.put("ms", one("ms", (p, v) -> time(p, v, 1_000)));
-    to.put("seconds", one("seconds", (p, v) -> time(p, v, 1_000_000)));
-    to.put("len", one("len", Builtins::length));
-    to.put("str", one("str", (p, v) -> text(v)));
-    to.put("bool", one("bool", (p, v) -> Evaluator.truth(v)));
-    to.put("int", one("int", Builtins::integer));
-    to.put("float", one("float", Builtins::floating));
-    to.put("list", one("list", (p, v) -> new Items(new ArrayList<>(Operators.items(p, v)), false)));
-    to.put("tuple", one("tuple", (p, v) -> new Items(new ArrayList<>(Operators.items(p, v)), true)));
-    to.put("type", one("type", (p, v) -> Operators.type(v)));
+    to.put("us", singleArgument("us", (p, v) -> toMicros(p, v, 1)));
+    to.put("ms", singleArgument("ms", (p, v) -> toMicros(p, v, 1_000)));
+    to.put("seconds", singleArgument("seconds", (p, v) -> toMicros(p, v, 1_000_000)));
+    to.put("len", singleArgument("len", Builtins::length));
+    to.put("str", singleArgument("str", (p, v) -> str(v)));
+    to.put("bool", singleArgument("bool", (p, v) -> Evaluator.isTruthy(v)));
+    to.put("int", singleArgument("int", Builtins::toInt));
+    to.put("float", singleArgument("float", Builtins::toFloat));
+    to.put("list", singleArgument("list", (p, v) -> new Sequence(new ArrayList<>(Operators.elements(p, v)),
+        false)));
+    to.put("tuple", singleArgument("tuple", (p, v) -> new Sequence(new ArrayList<>(Operators.elements(p, v)),
+        true)));
+    to.put("type", singleArgument("type", (p, v) -> Operators.typeName(v)));
     to.put("fail", (Callable) (p, a, n) -> {
-      throw new ScriptError(p, "fail: " + String.join(" ", a.stream().map(Builtins::text).toList()));
+      throw new ScriptError(p, "fail: " + String.join(" ", a.stream().map(Builtins::str).toList()));
     });
     to.put("range", (Callable) Builtins::range);
-    to.put("enumerate", one("enumerate", (p, v) -> {
+    to.put("enumerate", singleArgument("enumerate", (p, v) -> {
       List<Object> pairs = new ArrayList<>();
-      for (Object item : Operators.items(p, v)) {
-        pairs.add(new Items(Arrays.asList((long) pairs.size(), item), true));
+      for (Object item : Operators.elements(p, v)) {
+        pairs.add(new Sequence(Arrays.asList((long) pairs.size(), item), true));
       }
-      return new Items(pairs, false);
+      return new Sequence(pairs, false);
     }));
     to.put("zip", (Callable) Builtins::zip);
-    to.put("sorted", one("sorted", (p, v) -> {
-      List<Object> all = new ArrayList<>(Operators.items(p, v));
+    to.put("sorted", singleArgument("sorted", (p, v) -> {
+      List<Object> all = new ArrayList<>(Operators.elements(p, v));
       all.sort((a, b) -> Operators.compare(p, a, b));
-      return new Items(all, false);
+      return new Sequence(all, false);
     }));
-    to.put("min", (Callable) (p, a, n) -> extreme(p, a, -1));
-    to.put("max", (Callable) (p, a, n) -> extreme(p, a, 1));
+    to.put("min", (Callable) (p, a, n) -> minOrMax(p, a, -1));
+    to.put("max", (Callable) (p, a, n) -> minOrMax(p, a, 1));
   }
 
-  private static Object time(Place p, Object v, long us) {
+  private static Object toMicros(Location p, Object v, long us) {
     if (!(v instanceof Number n) || !Double.isFinite(n.doubleValue()) || Math.abs(n.doubleValue()
         * us) > 1e15) {
-      throw Operators.wrong(p, "a time", v);
+      throw Operators.typeError(p, "a time", v);
     }
     return Math.round(n.doubleValue() * us);
   }
 
-  private static Object length(Place p, Object v) {
+  private static Object length(Location p, Object v) {
     if (v instanceof String s) {
       return (long) s.length();
     }
-    return (long) (v instanceof Dict d ? d.all.size() : Operators.items(p, v).size());
+    return (long) (v instanceof Dict d ? d.entries.size() : Operators.elements(p, v).size());
   }
 
-  private static Object integer(Place p, Object v) {
+  private static Object toInt(Location p, Object v) {
     if (v instanceof Number n) {
       return n.longValue();
     }
@@ -96,7 +99,7 @@
     }
   }
 
-  private static Object floating(Place p, Object v) {
+  private static Object toFloat(Location p, Object v) {
     if (v instanceof Number n) {
       return n.doubleValue();
     }
@@ -107,8 +110,8 @@
     }
   }
 
-  private static Object range(Place p, List<Object> a, Map<String, Object> n) {
-    count(p, "range", a, 1, 3);
+  private static Object range(Location p, List<Object> a, Map<String, Object> n) {
+    checkArgumentCount(p, "range", a, 1, 3);
     if (a.stream().anyMatch(v -> !(v instanceof Long))) {
       throw new ScriptError(p, "range: takes whole numbers");
     }
@@ -120,36 +123,36 @@
     }
     List<Object> all = new ArrayList<>();
     for (long i = from; step > 0 ? i < to : i > to; i += step) {
-      if (all.size() == MOST_RANGE) {
-        throw new ScriptError(p, "range: more than " + MOST_RANGE);
+      if (all.size() == MAX_RANGE_SIZE) {
+        throw new ScriptError(p, "range: more than " + MAX_RANGE_SIZE);
       }
       all.add(i);
     }
-    return new Items(all, false);
+    return new Sequence(all, false);
   }
 
-  private static Object zip(Place p, List<Object> a, Map<String, Object> n) {
+  private static Object zip(Location p, List<Object> a, Map<String, Object> n) {
     List<Object> rows = new ArrayList<>();
-    int size = a.stream().mapToInt(v -> Operators.items(p, v).size()).min().orElse(0);
+    int size = a.stream().mapToInt(v -> Operators.elements(p, v).size()).min().orElse(0);
     for (int i = 0; i < size; i++) {
       List<Object> row = new ArrayList<>();
       for (Object v : a) {
-        row.add(Operators.items(p, v).get(i));
+        row.add(Operators.elements(p, v).get(i));
       }
-      rows.add(new Items(row, true));
+      rows.add(new Sequence(row, true));
     }
-    return new Items(rows, false);
+    return new Sequence(rows, false);
   }
 
-  private static Object extreme(Place p, List<Object> a, int sign) {
-    List<Object> all = a.size() == 1 ? Operators.items(p, a.get(0)) : a;
+  private static Object minOrMax(Location p, List<Object> a, int sign) {
+    List<Object> all = a.size() == 1 ? Operators.elements(p, a.get(0)) : a;
     if (all.isEmpty()) {
       throw new ScriptError(p, "min, max: of nothing");
     }
     return Collections.max(all, (x, y) -> sign * Operators.compare(p, x, y));
   }
 
-  static String text(Object v) {
+  static String str(Object v) {
     return v instanceof String s ? s : repr(v);
   }
 
@@ -163,12 +166,12 @@
     if (v instanceof String s) {
       return "\"" + s.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n") + "\"";
     }
-    if (v instanceof Items i) {
-      String inner = String.join(", ", i.all.stream().map(Builtins::repr).toList());
-      return i.tuple ? "(" + inner + (i.all.size() == 1 ? ",)" : ")") : "[" + inner + "]";
+    if (v instanceof Sequence i) {
+      String inner = String.join(", ", i.elements.stream().map(Builtins::repr).toList());
+      return i.tuple ? "(" + inner + (i.elements.size() == 1 ? ",)" : ")") : "[" + inner + "]";
     }
     if (v instanceof Dict d) {
-      return "{" + String.join(", ", d.all.entrySet()
+      return "{" + String.join(", ", d.entries.entrySet()
           .stream()
           .map(e -> repr(e.getKey()) + ": " + repr(e.getValue()))
           .toList()) + "}";
@@ -177,7 +180,7 @@
   }
 
   /** {@code "%s %d" % values}. */
-  static Object percent(Place p, String format, List<Object> values) {
+  static Object formatPercent(Location p, String format, List<Object> values) {
     StringBuilder out = new StringBuilder();
     int used = 0;
     for (int i = 0; i < format.length(); i++) {
@@ -195,7 +198,7 @@
             : "%" + kind + " is not known"));
       } else {
         Object v = values.get(used++);
-        out.append(kind == 'r' ? repr(v) : kind == 'd' ? text(integer(p, v)) : text(v));
+        out.append(kind == 'r' ? repr(v) : kind == 'd' ? str(toInt(p, v)) : str(v));
       }
     }
     if (used < values.size()) {
@@ -209,32 +212,32 @@
       case "upper" -> (p, a, n) -> s.toUpperCase(Locale.ROOT);
       case "lower" -> (p, a, n) -> s.toLowerCase(Locale.ROOT);
       case "strip" -> (p, a, n) -> s.strip();
-      case "startswith" -> one(name, (p, v) -> s.startsWith(text(v)));
-      case "endswith" -> one(name, (p, v) -> s.endsWith(text(v)));
-      case "join" -> one(name, (p, v) -> String.join(s, Operators.items(p, v)
+      case "startswith" -> singleArgument(name, (p, v) -> s.startsWith(str(v)));
+      case "endswith" -> singleArgument(name, (p, v) -> s.endsWith(str(v)));
+      case "join" -> singleArgument(name, (p, v) -> String.join(s, Operators.elements(p, v)
           .stream()
-          .map(Builtins::text)
+          .map(Builtins::str)
           .toList()));
-      case "split" -> one(name, (p, v) -> {
-        if (text(v).isEmpty()) {
+      case "split" -> singleArgument(name, (p, v) -> {
+        if (str(v).isEmpty()) {
           throw new ScriptError(p, "split: an empty separator");
         }
-        return new Items(new ArrayList<>(List.of(s.split(java.util.regex.Pattern.quote(text(v)), -1))),
+        return new Sequence(new ArrayList<>(List.of(s.split(java.util.regex.Pattern.quote(str(v)), -1))),
             false);
       });
       case "replace" -> (p, a, n) -> {
-        count(p, name, a, 2, 2);
-        if (text(a.get(0)).isEmpty()) {
+        checkArgumentCount(p, name, a, 2, 2);
+        if (str(a.get(0)).isEmpty()) {
           throw new ScriptError(p, "replace: of nothing");
         }
-        return s.replace(text(a.get(0)), text(a.get(1)));
+        return s.replace(str(a.get(0)), str(a.get(1)));
       };
-      case "format" -> (p, a, n) -> format(p, s, a, n);
+      case "format" -> (p, a, n) -> formatBraces(p, s, a, n);
       default -> null;
     };
   }
 
-  private static Object format(Place p, String s, List<Object> a, Map<String, Object> named) {
+  private static Object formatBraces(Location p, String s, List<Object> a, Map<String, Object> named) {
     StringBuilder out = new StringBuilder();
     int used = 0;
     for (int i = 0; i < s.length(); i++) {
@@ -258,7 +261,7 @@
       } else {
         throw new ScriptError(p, "format: no value for {" + field + "}");
       }
-      out.append(text(v));
+      out.append(str(v));
       i = end;
     }
     return out.toString();
--- a/src/main/java/hollyslip/settings/Lexer.java
+++ b/src/main/java/hollyslip/settings/Lexer.java
@@ -1,6 +1,6 @@
 package hollyslip.settings;
 
-import hollyslip.settings.ScriptError.Place;
+import hollyslip.settings.ScriptError.Location;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,7 +12,7 @@
     NAME, KEYWORD, INT, FLOAT, STRING, OP, NEWLINE, INDENT, DEDENT, END
   }
 
-  record Token(Kind kind, String text, Object value, Place place) {}
+  record Token(Kind kind, String text, Object value, Location location) {}
 
   private static final Set<String> KEYWORDS = Set.of("and", "break", "continue", "def", "elif", "else", "for",
       "if", "in", "load", "not", "or", "pass", "return");
@@ -20,16 +20,17 @@
   private static final Set<String> RESERVED = Set.of("lambda", "as", "assert", "class", "del", "except",
       "finally", "from", "global", "import", "is", "nonlocal", "raise", "try", "while", "with", "yield",
       "async", "await");
-  private static final List<String> OPS = List.of("//=", "**", "//", "+=", "-=", "*=", "/=", "%=", "==", "!=",
+  private static final List<String> OPERATORS = List.of("//=", "**", "//", "+=", "-=", "*=", "/=", "%=", "==",
+      "!=",
       "<=", ">=", "+", "-", "*", "/", "%", "(", ")", "[", "]", "{", "}", ",", ":", ".", "=", "<", ">");
 
   /** Longest script, characters. */
-  private static final int MOST = 1 << 20;
+  private static final int MAX_LENGTH = 1 << 20;
 
   private final String file, text;
   private final List<Token> tokens = new ArrayList<>();
-  private final ArrayDeque<Integer> indents = new ArrayDeque<>(List.of(0));
-  private int at, line = 1, lineStart, open;
+  private final ArrayDeque<Integer> indentation = new ArrayDeque<>(List.of(0));
+  private int position, line = 1, lineStart, openBrackets;
 
   private Lexer(String file, String text) {
     this.file = file;
@@ -38,221 +39,223 @@
 
   static List<Token> tokens(String file, String text) {
     Lexer l = new Lexer(file, text);
-    if (text.length() > MOST) {
-      throw new ScriptError(l.place(), "script longer than " + MOST + " characters");
+    if (text.length() > MAX_LENGTH) {
+      throw new ScriptError(l.location(), "script longer than " + MAX_LENGTH + " characters");
     }
-    l.run();
+    l.scan();
     return l.tokens;
   }
 
-  private Place place() {
-    return new Place(file, line, at - lineStart + 1);
+  private Location location() {
+    return new Location(file, line, position - lineStart + 1);
   }
 
   private ScriptError error(String what) {
-    return new ScriptError(place(), what);
+    return new ScriptError(location(), what);
   }
 
-  private void run() {
+  private void scan() {
     boolean lineBegins = true;
     while (true) {
-      if (lineBegins && open == 0) {
+      if (lineBegins && openBrackets == 0) {
         lineBegins = false;
-        if (indent()) {
+        if (scanIndentation()) {
           lineBegins = true;
           continue;
         }
       }
-      if (at >= text.length()) {
+      if (position >= text.length()) {
         break;
       }
-      char c = text.charAt(at);
+      char c = text.charAt(position);
       if (c == '\n') {
-        if (open == 0) {
-          add(Kind.NEWLINE, "new line", null, place());
+        if (openBrackets == 0) {
+          add(Kind.NEWLINE, "new line", null, location());
           lineBegins = true;
         }
-        newLine();
+        advanceLine();
       } else if (c == ' ' || c == '\t' || c == '\r') {
-        at++;
-      } else if (c == '\\' && at + 1 < text.length() && text.charAt(at + 1) == '\n') {
-        at++;
-        newLine();
+        position++;
+      } else if (c == '\\' && position + 1 < text.length() && text.charAt(position + 1) == '\n') {
+        position++;
+        advanceLine();
       } else if (c == '#') {
-        comment();
+        skipComment();
       } else {
-        token(c);
+        scanToken(c);
       }
     }
-    if (open > 0) {
+    if (openBrackets > 0) {
       throw error("a bracket is not closed");
     }
-    add(Kind.NEWLINE, "new line", null, place());
-    while (indents.peek() > 0) {
-      indents.pop();
-      add(Kind.DEDENT, "end of block", null, place());
+    add(Kind.NEWLINE, "new line", null, location());
+    while (indentation.peek() > 0) {
+      indentation.pop();
+      add(Kind.DEDENT, "end of block", null, location());
     }
-    add(Kind.END, "end of file", null, place());
+    add(Kind.END, "end of file", null, location());
   }
 
-  private void newLine() {
-    at++;
+  private void advanceLine() {
+    position++;
     line++;
-    lineStart = at;
+    lineStart = position;
   }
 
-  private void comment() {
-    while (at < text.length() && text.charAt(at) != '\n') {
-      at++;
+  private void skipComment() {
+    while (position < text.length() && text.charAt(position) != '\n') {
+      position++;
     }
   }
 
   /** Reads a line's indentation; true: the line holds nothing. */
-  private boolean indent() {
+  private boolean scanIndentation() {
     int width = 0;
-    while (at < text.length() && (text.charAt(at) == ' ' || text.charAt(at) == '\t')) {
-      if (text.charAt(at) == '\t') {
+    while (position < text.length() && (text.charAt(position) == ' ' || text.charAt(position) == '\t')) {
+      if (text.charAt(position) == '\t') {
         throw error("a tab in the indentation; use spaces");
       }
       width++;
-      at++;
+      position++;
     }
-    if (at < text.length() && (text.charAt(at) == '\r' || text.charAt(at) == '#')) {
-      while (at < text.length() && text.charAt(at) != '\n') {
-        at++;
+    if (position < text.length() && (text.charAt(position) == '\r' || text.charAt(position) == '#')) {
+      while (position < text.length() && text.charAt(position) != '\n') {
+        position++;
       }
     }
-    if (at < text.length() && text.charAt(at) == '\n') {
-      newLine();
+    if (position < text.length() && text.charAt(position) == '\n') {
+      advanceLine();
       return true;
     }
-    if (at >= text.length()) {
+    if (position >= text.length()) {
       return false;
     }
-    if (width > indents.peek()) {
-      indents.push(width);
-      add(Kind.INDENT, "indentation", null, place());
+    if (width > indentation.peek()) {
+      indentation.push(width);
+      add(Kind.INDENT, "indentation", null, location());
     }
-    while (width < indents.peek()) {
-      indents.pop();
-      add(Kind.DEDENT, "end of block", null, place());
+    while (width < indentation.peek()) {
+      indentation.pop();
+      add(Kind.DEDENT, "end of block", null, location());
     }
-    if (width != indents.peek()) {
+    if (width != indentation.peek()) {
       throw error("indentation fits no block");
     }
     return false;
   }
 
-  private void add(Kind kind, String word, Object value, Place place) {
-    tokens.add(new Token(kind, word, value, place));
+  private void add(Kind kind, String word, Object value, Location location) {
+    tokens.add(new Token(kind, word, value, location));
   }
 
-  private void token(char c) {
-    Place place = place();
+  private void scanToken(char c) {
+    Location location = location();
     if (Character.isLetter(c) || c == '_') {
-      int from = at;
-      while (at < text.length() && (Character.isLetterOrDigit(text.charAt(at)) || text.charAt(at) == '_')) {
-        at++;
+      int from = position;
+      while (position < text.length() && (Character.isLetterOrDigit(text.charAt(position)) || text.charAt(
+          position) == '_')) {
+        position++;
       }
-      String word = text.substring(from, at);
+      String word = text.substring(from, position);
       if (RESERVED.contains(word)) {
-        throw new ScriptError(place, "'" + word + "' is reserved or not part of this subset");
+        throw new ScriptError(location, "'" + word + "' is reserved or not part of this subset");
       }
-      add(KEYWORDS.contains(word) ? Kind.KEYWORD : Kind.NAME, word, null, place);
-    } else if (c >= '0' && c <= '9' || c == '.' && at + 1 < text.length() && Character.isDigit(text.charAt(at
-        + 1))) {
-      number(place);
+      add(KEYWORDS.contains(word) ? Kind.KEYWORD : Kind.NAME, word, null, location);
+    } else if (c >= '0' && c <= '9' || c == '.' && position + 1 < text.length() && Character.isDigit(text
+        .charAt(position
+            + 1))) {
+      scanNumber(location);
     } else if (c == '"' || c == '\'') {
-      add(Kind.STRING, "string", string(c), place);
+      add(Kind.STRING, "string", scanString(c), location);
     } else {
-      operator(place);
+      scanOperator(location);
     }
   }
 
-  private void operator(Place place) {
-    for (String op : OPS) {
-      if (text.startsWith(op, at)) {
+  private void scanOperator(Location location) {
+    for (String op : OPERATORS) {
+      if (text.startsWith(op, position)) {
         if ("([{".contains(op)) {
-          open++;
+          openBrackets++;
         } else if (")]}".contains(op)) {
-          if (open == 0) {
+          if (openBrackets == 0) {
             throw error("'" + op + "' closes nothing");
           }
-          open--;
+          openBrackets--;
         }
-        at += op.length();
-        add(Kind.OP, op, null, place);
+        position += op.length();
+        add(Kind.OP, op, null, location);
         return;
       }
     }
-    throw error("character '" + text.charAt(at) + "' has no meaning here");
+    throw error("character '" + text.charAt(position) + "' has no meaning here");
   }
 
-  private void number(Place place) {
-    int from = at;
-    boolean hex = text.startsWith("0x", at) || text.startsWith("0X", at);
+  private void scanNumber(Location location) {
+    int from = position;
+    boolean hex = text.startsWith("0x", position) || text.startsWith("0X", position);
     boolean floating = false;
     if (hex) {
-      at += 2;
+      position += 2;
     }
-    while (at < text.length()) {
-      char c = text.charAt(at);
+    while (position < text.length()) {
+      char c = text.charAt(position);
       boolean exponent = !hex && (c == 'e' || c == 'E');
-      boolean sign = (c == '+' || c == '-') && "eE".indexOf(text.charAt(at - 1)) >= 0 && !hex;
+      boolean sign = (c == '+' || c == '-') && "eE".indexOf(text.charAt(position - 1)) >= 0 && !hex;
       if (!Character.isLetterOrDigit(c) && c != '.' && !sign) {
         break;
       }
       floating |= c == '.' || exponent;
-      at++;
+      position++;
     }
-    String word = text.substring(from, at);
+    String word = text.substring(from, position);
     try {
       if (floating) {
-        add(Kind.FLOAT, word, Double.parseDouble(word), place);
+        add(Kind.FLOAT, word, Double.parseDouble(word), location);
       } else {
-        add(Kind.INT, word, hex ? Long.parseLong(word.substring(2), 16) : Long.parseLong(word), place);
+        add(Kind.INT, word, hex ? Long.parseLong(word.substring(2), 16) : Long.parseLong(word), location);
       }
     } catch (NumberFormatException e) {
-      throw new ScriptError(place, "'" + word + "' is not a number of 64 bits");
+      throw new ScriptError(location, "'" + word + "' is not a number of 64 bits");
     }
   }
 
-  private String string(char quote) {
-    boolean triple = text.startsWith(String.valueOf(quote).repeat(3), at);
-    at += triple ? 3 : 1;
+  private String scanString(char quote) {
+    boolean triple = text.startsWith(String.valueOf(quote).repeat(3), position);
+    position += triple ? 3 : 1;
     StringBuilder out = new StringBuilder();
     while (true) {
-      if (at >= text.length() || !triple && text.charAt(at) == '\n') {
+      if (position >= text.length() || !triple && text.charAt(position) == '\n') {
         throw error("a string is not closed");
       }
-      char c = text.charAt(at);
-      if (c == quote && (!triple || text.startsWith(String.valueOf(quote).repeat(3), at))) {
-        at += triple ? 3 : 1;
+      char c = text.charAt(position);
+      if (c == quote && (!triple || text.startsWith(String.valueOf(quote).repeat(3), position))) {
+        position += triple ? 3 : 1;
         return out.toString();
       }
       if (c == '\\') {
-        escape(out);
+        scanEscape(out);
       } else {
         out.append(c);
         if (c == '\n') {
-          newLine();
+          advanceLine();
         } else {
-          at++;
+          position++;
         }
       }
     }
   }
 
-  private void escape(StringBuilder out) {
-    char c = at + 1 < text.length() ? text.charAt(at + 1) : '\0';
+  private void scanEscape(StringBuilder out) {
+    char c = position + 1 < text.length() ? text.charAt(position + 1) : '\0';
     switch (c) {
       case 'n' -> out.append('\n');
       case 't' -> out.append('\t');
       case 'r' -> out.append('\r');
       case '\\', '\'', '"' -> out.append(c);
-      case '\n' -> { line++; lineStart = at + 2; }
+      case '\n' -> { line++; lineStart = position + 2; }
       default -> throw error("escape '\\" + c + "' is not known");
     }
-    at += 2;
+    position += 2;
   }
 }
--- a/src/main/java/hollyslip/settings/Loader.java
+++ b/src/main/java/hollyslip/settings/Loader.java
@@ -34,14 +34,14 @@
  * Schema, then what names what. */
 public final class Loader {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final JsonNode SCHEMA = read();
+  private static final JsonNode SCHEMA = readSchema();
 
   private Loader() {}
 
   /** A deployment, or the faults that keep it from being one. */
   public record Loaded(Deployment deployment, List<Fault> faults) {}
 
-  private static JsonNode read() {
+  private static JsonNode readSchema() {
     try (InputStream in = Loader.class.getResourceAsStream("/hollyslip/settings.schema.json")) {
       return JSON.readTree(in);
     } catch (IOException e) {
@@ -64,7 +64,7 @@
     Schema schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(SCHEMA);
     for (Error e : schema.validate(script.declared())) {
       String at = e.getInstanceLocation().toString();
-      faults.add(new Fault(script.place(at), (at.isEmpty() ? "settings" : at.substring(1)) + ": " + e
+      faults.add(new Fault(script.location(at), (at.isEmpty() ? "settings" : at.substring(1)) + ": " + e
           .getMessage()));
     }
     if (faults.isEmpty()) {
@@ -72,17 +72,17 @@
       if (!full.has("volume")) {
         ((ObjectNode) full).putArray("volume");
       }
-      defaults((ObjectNode) full);
-      new References(script, full).check(faults);
+      applyDefaults((ObjectNode) full);
+      new ConsistencyChecker(script, full).check(faults);
       if (faults.isEmpty()) {
-        return new Loaded(build(full, dir), List.of());
+        return new Loaded(buildDeployment(full, dir), List.of());
       }
     }
     return new Loaded(null, Script.sorted(faults));
   }
 
   /** Fills in what the schema says stands where nothing is given. */
-  private static void defaults(ObjectNode declared) {
+  private static void applyDefaults(ObjectNode declared) {
     declared.fields().forEachRemaining(kind -> {
       JsonNode properties = SCHEMA.at("/properties/" + kind.getKey() + "/items/properties");
       for (JsonNode one : kind.getValue()) {
@@ -96,63 +96,66 @@
   }
 
   /** What the schema cannot say: names that must differ or exist, figures that must fit each other. */
-  private static final class References {
+  private static final class ConsistencyChecker {
     private final Script script;
-    private final JsonNode all;
+    private final JsonNode declarations;
     private List<Fault> faults;
 
-    References(Script script, JsonNode all) {
+    ConsistencyChecker(Script script, JsonNode all) {
       this.script = script;
-      this.all = all;
+      this.declarations = all;
     }
 
-    private void fault(String kind, int i, String what) {
-      faults.add(new Fault(script.place("/" + kind + "/" + i), kind + " " + all.at("/" + kind + "/" + i
+    private void addFault(String kind, int i, String what) {
+      faults.add(new Fault(script.location("/" + kind + "/" + i), kind + " " + declarations.at("/" + kind
+          + "/" + i
           + "/name").asText() + ": " + what));
     }
 
     void check(List<Fault> to) {
       faults = to;
       for (String kind : List.of("request_class", "plan", "node", "volume")) {
-        unique(kind);
+        checkUniqueNames(kind);
       }
-      JsonNode gateway = all.at("/gateway/0");
+      JsonNode gateway = declarations.at("/gateway/0");
       if (gateway.get("index").asInt() >= gateway.get("hosts").asInt()) {
-        fault("gateway", 0, "index " + gateway.get("index") + " is not below hosts " + gateway.get("hosts"));
+        addFault("gateway", 0, "index " + gateway.get("index") + " is not below hosts " + gateway.get(
+            "hosts"));
       }
       if (gateway.get("admin_cert").asText().isEmpty() != gateway.get("admin_key").asText().isEmpty()) {
-        fault("gateway", 0, "admin_cert and admin_key must stand together");
+        addFault("gateway", 0, "admin_cert and admin_key must stand together");
       }
-      if (all.get("volume").isEmpty() && !gateway.get("hosted").asBoolean()) {
+      if (declarations.get("volume").isEmpty() && !gateway.get("hosted").asBoolean()) {
         faults.add(new Fault(null, "volume: none is declared, and no tenants are hosted"));
       }
-      classes();
-      plans();
-      nodes();
-      volumes();
+      checkRequestClasses();
+      checkPlans();
+      checkNodes();
+      checkVolumes();
     }
 
-    private void unique(String kind) {
+    private void checkUniqueNames(String kind) {
       Map<String, Integer> seen = new HashMap<>();
-      for (int i = 0; i < all.get(kind).size(); i++) {
-        String name = all.get(kind).get(i).get("name").asText();
+      for (int i = 0; i < declarations.get(kind).size(); i++) {
+        String name = declarations.get(kind).get(i).get("name").asText();
         Integer before = seen.putIfAbsent(name, i);
         if (before != null) {
-          fault(kind, i, "the name is taken at " + script.place("/" + kind + "/" + before));
+          addFault(kind, i, "the name is taken at " + script.location("/" + kind + "/" + before));
         }
       }
     }
 
-    private void classes() {
+    private void checkRequestClasses() {
       Set<String> served = new HashSet<>();
       int i = 0;
-      for (JsonNode c : all.get("request_class")) {
+      for (JsonNode c : declarations.get("request_class")) {
         if (c.get("aim").asLong() > c.get("deadline").asLong()) {
-          fault("request_class", i, "aim " + c.get("aim") + " us is after the deadline " + c.get("deadline")
+          addFault("request_class", i, "aim " + c.get("aim") + " us is after the deadline " + c.get(
+              "deadline")
               + " us");
         }
         if (c.get("effect").asText().equals("keyed") && c.get("window").asLong() == 0) {
-          fault("request_class", i, "effect keyed needs a window");
+          addFault("request_class", i, "effect keyed needs a window");
         }
         if (!c.has("most_bytes")) {
           c.get("kinds").forEach(k -> served.add(k.asText()));
@@ -160,73 +163,74 @@
         i++;
       }
       for (IoKind k : IoKind.values()) {
-        if (!served.contains(word(k))) {
-          faults.add(new Fault(null, "request_class: none takes " + word(k) + " of any size"));
+        if (!served.contains(schemaName(k))) {
+          faults.add(new Fault(null, "request_class: none takes " + schemaName(k) + " of any size"));
         }
       }
     }
 
-    private void plans() {
+    private void checkPlans() {
       int i = 0;
-      for (JsonNode p : all.get("plan")) {
+      for (JsonNode p : declarations.get("plan")) {
         if (p.get("limit").asDouble() > 0 && p.get("limit_burst").asDouble() <= 0) {
-          fault("plan", i, "a limit needs a limit_burst above 0");
+          addFault("plan", i, "a limit needs a limit_burst above 0");
         }
         if (p.get("limit").asDouble() > 0 && p.get("reserve").asDouble() > p.get("limit").asDouble()) {
-          fault("plan", i, "reserve " + p.get("reserve") + " is above the limit " + p.get("limit"));
+          addFault("plan", i, "reserve " + p.get("reserve") + " is above the limit " + p.get("limit"));
         }
         i++;
       }
     }
 
-    private void nodes() {
+    private void checkNodes() {
       Map<Integer, String> shards = new HashMap<>();
       Map<Long, String> ids = new HashMap<>();
       int i = 0;
-      for (JsonNode n : all.get("node")) {
+      for (JsonNode n : declarations.get("node")) {
         String name = n.get("name").asText();
         boolean on = !n.get("state").asText().equals("gone");
         String other = on ? shards.putIfAbsent(n.get("shard").asInt(), name) : null;
         if (other != null) {
-          fault("node", i, "shard " + n.get("shard") + " is held by " + other + " too");
+          addFault("node", i, "shard " + n.get("shard") + " is held by " + other + " too");
         }
         String same = ids.putIfAbsent(n.path("id").asLong(i + 1), name);
         if (same != null) {
-          fault("node", i, "id " + n.path("id").asLong(i + 1) + " is that of " + same + " too");
+          addFault("node", i, "id " + n.path("id").asLong(i + 1) + " is that of " + same + " too");
         }
         i++;
       }
     }
 
-    private void volumes() {
+    private void checkVolumes() {
       Set<String> plans = new HashSet<>();
-      all.get("plan").forEach(p -> plans.add(p.get("name").asText()));
+      declarations.get("plan").forEach(p -> plans.add(p.get("name").asText()));
       Set<Integer> shards = new HashSet<>();
-      all.get("node").forEach(n -> shards.add(n.get("shard").asInt()));
+      declarations.get("node").forEach(n -> shards.add(n.get("shard").asInt()));
       Map<Long, String> ids = new HashMap<>();
       Map<Integer, List<long[]>> taken = new HashMap<>();
-      for (int i = 0; i < all.get("volume").size(); i++) {
-        JsonNode v = all.get("volume").get(i);
+      for (int i = 0; i < declarations.get("volume").size(); i++) {
+        JsonNode v = declarations.get("volume").get(i);
         if (!plans.contains(v.get("plan").asText())) {
-          fault("volume", i, "plan " + v.get("plan") + " is not declared");
+          addFault("volume", i, "plan " + v.get("plan") + " is not declared");
         }
         String same = ids.putIfAbsent(v.path("id").asLong(i + 1), v.get("name").asText());
         if (same != null) {
-          fault("volume", i, "id " + v.path("id").asLong(i + 1) + " is that of " + same + " too");
+          addFault("volume", i, "id " + v.path("id").asLong(i + 1) + " is that of " + same + " too");
         }
         if (v.get("size").asLong() / v.get("extent").asLong() > 1 << 20) {
-          fault("volume", i, "more than " + (1 << 20) + " extents");
+          addFault("volume", i, "more than " + (1 << 20) + " extents");
         }
-        long each = perShard(v);
+        long each = bytesPerShard(v);
         for (JsonNode s : v.get("shards")) {
           if (!shards.contains(s.asInt())) {
-            fault("volume", i, "shard " + s + " is on no node");
+            addFault("volume", i, "shard " + s + " is on no node");
           }
           long from = v.get("at").asLong();
           for (long[] t : taken.computeIfAbsent(s.asInt(), k -> new ArrayList<>())) {
             if (from < t[1] && t[0] < from + each) {
-              fault("volume", i, "shares bytes of shard " + s + " with volume " + all.at("/volume/" + t[2]
-                  + "/name").asText());
+              addFault("volume", i, "shares bytes of shard " + s + " with volume " + declarations.at(
+                  "/volume/" + t[2]
+                      + "/name").asText());
             }
           }
           taken.get(s.asInt()).add(new long[]{from, from + each, i});
@@ -235,12 +239,12 @@
     }
   }
 
-  private static String word(IoKind k) {
+  private static String schemaName(IoKind k) {
     return k.name().toLowerCase(Locale.ROOT);
   }
 
   /** Bytes that a volume takes of each of its shards. */
-  private static long perShard(JsonNode v) {
+  private static long bytesPerShard(JsonNode v) {
     long extents = (v.get("size").asLong() + v.get("extent").asLong() - 1) / v.get("extent").asLong();
     int shards = v.get("shards").size();
     return (extents + shards - 1) / shards * v.get("extent").asLong();
@@ -248,14 +252,14 @@
 
   // Into records.
 
-  private static Deployment build(JsonNode all, Path dir) {
+  private static Deployment buildDeployment(JsonNode all, Path dir) {
     JsonNode r = all.at("/rules/0");
     JsonNode s = all.at("/store/0");
     List<RequestClass> classes = new ArrayList<>();
     List<RequestClassifier.Rule> rows = new ArrayList<>();
     all.get("request_class").forEach(c -> {
       classes.add(requestClass(c));
-      rows.add(row(c));
+      rows.add(classificationRule(c));
     });
     List<Plan> plans = new ArrayList<>();
     all.get("plan")
@@ -269,7 +273,7 @@
             .asText(), n.get("host").asText(), n.get("port").asInt(), n.get("zone").asText(), n.get("shard")
                 .asInt(), NodeState.valueOf(n.get("state").asText().toUpperCase(Locale.ROOT)), n.get(
                     "capacity").asDouble(), n.get("bytes").asLong())));
-    Deployment.Process gateway = process(all.at("/gateway/0"), dir);
+    Deployment.Process gateway = gatewayConfig(all.at("/gateway/0"), dir);
     List<Volume> volumes = new ArrayList<>();
     all.get("volume").forEach(v -> volumes.add(volume(v, volumes.size() + 1, gateway.hosts())));
     Rules rules = new Rules(r.get("answer_slack").asLong(), r.get("drain_grace").asLong(), r.get("cold_from")
@@ -284,7 +288,7 @@
     return new Deployment(gateway, classes, rows, plans, rules, allowed, store, nodes, volumes);
   }
 
-  private static Deployment.Process process(JsonNode g, Path dir) {
+  private static Deployment.Process gatewayConfig(JsonNode g, Path dir) {
     return new Deployment.Process(g.get("name").asText(), g.get("index").asInt(), g.get("hosts").asInt(), g
         .get("zone")
         .asText(), dir.resolve(g.get("socket_dir").asText()), dir.resolve(g.get("state_dir").asText()), g.get(
@@ -311,12 +315,13 @@
         .asText()
         .toUpperCase(Locale.ROOT)), DedupScope.valueOf(c.get("group").asText().toUpperCase(Locale.ROOT)), c
             .get(
-                "window").asLong(), c.get("aim").asLong(), c.get("deadline").asLong(), c.get("worth")
-                    .asDouble(),
+                "window")
+            .asLong(), c.get("aim").asLong(), c.get("deadline").asLong(), c.get("worth")
+                .asDouble(),
         c.get("late_worth").asDouble(), c.get("in_order").asBoolean(), write);
   }
 
-  private static RequestClassifier.Rule row(JsonNode c) {
+  private static RequestClassifier.Rule classificationRule(JsonNode c) {
     Set<IoKind> kinds = new HashSet<>();
     c.get("kinds").forEach(k -> kinds.add(IoKind.valueOf(k.asText().toUpperCase(Locale.ROOT))));
     return new RequestClassifier.Rule(c.get("name").asText(), kinds, c.has("most_bytes")
--- a/src/main/java/hollyslip/settings/Parser.java
+++ b/src/main/java/hollyslip/settings/Parser.java
@@ -3,7 +3,7 @@
 import hollyslip.settings.Ast.*;
 import hollyslip.settings.Lexer.Kind;
 import hollyslip.settings.Lexer.Token;
-import hollyslip.settings.ScriptError.Place;
+import hollyslip.settings.ScriptError.Location;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -11,14 +11,15 @@
 /** Reads tokens into statements. Source: the Starlark specification, "Grammar reference". */
 final class Parser {
   /** Deepest nesting, so that no script can exhaust the stack. */
-  private static final int MOST_DEPTH = 100;
+  private static final int MAX_DEPTH = 100;
 
-  private static final List<Set<String>> LEVELS = List.of(Set.of("or"), Set.of("and"), Set.of("not"), Set.of(
-      "==", "!=", "<", ">", "<=", ">=", "in", "not in"), Set.of("+", "-"), Set.of("*", "/", "//", "%"));
-  private static final int NOT = 2, COMPARE = 3;
+  private static final List<Set<String>> PRECEDENCE = List.of(Set.of("or"), Set.of("and"), Set.of("not"), Set
+      .of(
+          "==", "!=", "<", ">", "<=", ">=", "in", "not in"), Set.of("+", "-"), Set.of("*", "/", "//", "%"));
+  private static final int NOT_LEVEL = 2, COMPARISON_LEVEL = 3;
 
   private final List<Token> tokens;
-  private int at;
+  private int position;
   private int depth;
 
   private Parser(List<Token> tokens) {
@@ -30,286 +31,286 @@
     List<Statement> all = new ArrayList<>();
     while (p.peek().kind() != Kind.END) {
       if (!p.accept(Kind.NEWLINE)) {
-        p.statement(all);
+        p.parseStatement(all);
       }
     }
     return all;
   }
 
   private Token peek() {
-    return tokens.get(at);
+    return tokens.get(position);
   }
 
   private Token next() {
-    return tokens.get(at++);
+    return tokens.get(position++);
   }
 
   private boolean accept(Kind kind) {
     if (peek().kind() == kind) {
-      at++;
+      position++;
       return true;
     }
     return false;
   }
 
-  private boolean is(String word) {
+  private boolean nextIs(String word) {
     Token t = peek();
     return (t.kind() == Kind.OP || t.kind() == Kind.KEYWORD) && t.text().equals(word);
   }
 
   private boolean accept(String word) {
-    if (is(word)) {
-      at++;
+    if (nextIs(word)) {
+      position++;
       return true;
     }
     return false;
   }
 
-  private ScriptError wrong(String expected) {
-    return new ScriptError(peek().place(), "expected " + expected + ", found " + peek().text());
+  private ScriptError unexpected(String expected) {
+    return new ScriptError(peek().location(), "expected " + expected + ", found " + peek().text());
   }
 
   private void expect(String word) {
     if (!accept(word)) {
-      throw wrong("'" + word + "'");
+      throw unexpected("'" + word + "'");
     }
   }
 
-  private String name() {
+  private String expectName() {
     if (peek().kind() != Kind.NAME) {
-      throw wrong("a name");
+      throw unexpected("a name");
     }
     return next().text();
   }
 
-  private String string() {
+  private String expectString() {
     if (peek().kind() != Kind.STRING) {
-      throw wrong("a string");
+      throw unexpected("a string");
     }
     return (String) next().value();
   }
 
-  private void deeper() {
-    if (++depth > MOST_DEPTH) {
-      throw new ScriptError(peek().place(), "nested deeper than " + MOST_DEPTH);
+  private void enterNesting() {
+    if (++depth > MAX_DEPTH) {
+      throw new ScriptError(peek().location(), "nested deeper than " + MAX_DEPTH);
     }
   }
 
   // Statements.
 
-  private void statement(List<Statement> to) {
-    deeper();
-    Place place = peek().place();
+  private void parseStatement(List<Statement> to) {
+    enterNesting();
+    Location location = peek().location();
     if (accept("def")) {
-      to.add(def(place));
+      to.add(parseDef(location));
     } else if (accept("if")) {
-      to.add(condition(place));
+      to.add(parseIf(location));
     } else if (accept("for")) {
-      Expr target = targets();
+      Expression target = parseLoopTarget();
       expect("in");
-      Expr source = expressions();
-      to.add(new For(place, target, source, block()));
+      Expression source = parseExpressions();
+      to.add(new ForStatement(location, target, source, parseBlock()));
     } else {
-      to.add(simple());
+      to.add(parseSimpleStatement());
       if (!accept(Kind.NEWLINE)) {
-        throw wrong("the end of the line");
+        throw unexpected("the end of the line");
       }
     }
     depth--;
   }
 
-  private List<Statement> block() {
+  private List<Statement> parseBlock() {
     expect(":");
     List<Statement> body = new ArrayList<>();
     if (!accept(Kind.NEWLINE)) {
-      body.add(simple());
+      body.add(parseSimpleStatement());
       if (!accept(Kind.NEWLINE)) {
-        throw wrong("the end of the line");
+        throw unexpected("the end of the line");
       }
       return body;
     }
     if (!accept(Kind.INDENT)) {
-      throw wrong("an indented block");
+      throw unexpected("an indented block");
     }
     while (!accept(Kind.DEDENT)) {
       if (!accept(Kind.NEWLINE)) {
-        statement(body);
+        parseStatement(body);
       }
     }
     return body;
   }
 
-  private Statement def(Place place) {
-    String name = name();
+  private Statement parseDef(Location location) {
+    String name = expectName();
     expect("(");
     List<Parameter> parameters = new ArrayList<>();
     while (!accept(")")) {
-      String parameter = name();
+      String parameter = expectName();
       if (parameters.stream().anyMatch(p -> p.name().equals(parameter))) {
-        throw new ScriptError(place, "parameter " + parameter + " stands twice");
+        throw new ScriptError(location, "parameter " + parameter + " stands twice");
       }
-      parameters.add(new Parameter(parameter, accept("=") ? expression() : null));
-      if (!is(")")) {
+      parameters.add(new Parameter(parameter, accept("=") ? parseExpression() : null));
+      if (!nextIs(")")) {
         expect(",");
       }
     }
-    return new Def(place, name, parameters, block());
+    return new FunctionDefinition(location, name, parameters, parseBlock());
   }
 
-  private Statement condition(Place place) {
-    Expr test = expression();
-    List<Statement> then = block();
+  private Statement parseIf(Location location) {
+    Expression test = parseExpression();
+    List<Statement> then = parseBlock();
     List<Statement> otherwise = List.of();
-    Place at2 = peek().place();
+    Location at2 = peek().location();
     if (accept("elif")) {
-      deeper();
-      otherwise = List.of(condition(at2));
+      enterNesting();
+      otherwise = List.of(parseIf(at2));
       depth--;
     } else if (accept("else")) {
-      otherwise = block();
+      otherwise = parseBlock();
     }
-    return new If(place, test, then, otherwise);
+    return new IfStatement(location, test, then, otherwise);
   }
 
-  private Statement simple() {
-    Place place = peek().place();
+  private Statement parseSimpleStatement() {
+    Location location = peek().location();
     for (String jump : List.of("break", "continue", "pass")) {
       if (accept(jump)) {
-        return new Jump(place, jump);
+        return new JumpStatement(location, jump);
       }
     }
     if (accept("return")) {
-      return new Return(place, peek().kind() == Kind.NEWLINE ? null : expressions());
+      return new ReturnStatement(location, peek().kind() == Kind.NEWLINE ? null : parseExpressions());
     }
     if (accept("load")) {
-      return load(place);
+      return parseLoad(location);
     }
-    Expr left = expressions();
+    Expression left = parseExpressions();
     for (String op : List.of("=", "+=", "-=", "*=", "/=", "//=", "%=")) {
-      Place opAt = peek().place();
+      Location opAt = peek().location();
       if (accept(op)) {
-        target(left, op.equals("="));
-        return new Assign(opAt, left, op.substring(0, op.length() - 1), expressions());
+        checkTarget(left, op.equals("="));
+        return new Assignment(opAt, left, op.substring(0, op.length() - 1), parseExpressions());
       }
     }
-    return new Evaluate(place, left);
+    return new ExpressionStatement(location, left);
   }
 
-  private Statement load(Place place) {
+  private Statement parseLoad(Location location) {
     expect("(");
-    String file = string();
+    String file = expectString();
     List<String> names = new ArrayList<>();
     List<String> as = new ArrayList<>();
-    while (accept(",") && !is(")")) {
+    while (accept(",") && !nextIs(")")) {
       if (peek().kind() == Kind.NAME) {
-        as.add(name());
+        as.add(expectName());
         expect("=");
-        names.add(string());
+        names.add(expectString());
       } else {
-        names.add(string());
+        names.add(expectString());
         as.add(names.get(names.size() - 1));
       }
     }
     expect(")");
-    return new Load(place, file, names, as);
+    return new LoadStatement(location, file, names, as);
   }
 
-  private void target(Expr e, boolean many) {
-    if (e instanceof TupleOf t && many) {
-      t.items().forEach(i -> target(i, true));
-    } else if (e instanceof ListOf l && many) {
-      l.items().forEach(i -> target(i, true));
-    } else if (!(e instanceof Name) && !(e instanceof Index)) {
-      throw new ScriptError(e.place(), "this cannot be assigned to");
+  private void checkTarget(Expression e, boolean many) {
+    if (e instanceof TupleExpression t && many) {
+      t.items().forEach(i -> checkTarget(i, true));
+    } else if (e instanceof ListExpression l && many) {
+      l.items().forEach(i -> checkTarget(i, true));
+    } else if (!(e instanceof Identifier) && !(e instanceof IndexExpression)) {
+      throw new ScriptError(e.location(), "this cannot be assigned to");
     }
   }
 
   /** Targets of a {@code for}: names, also in tuples; no operators, since {@code in} follows. */
-  private Expr targets() {
-    Place place = peek().place();
-    List<Expr> items = new ArrayList<>();
+  private Expression parseLoopTarget() {
+    Location location = peek().location();
+    List<Expression> items = new ArrayList<>();
     do {
       if (accept("(")) {
-        items.add(targets());
+        items.add(parseLoopTarget());
         expect(")");
       } else {
-        Place p = peek().place();
-        items.add(new Name(p, name()));
+        Location p = peek().location();
+        items.add(new Identifier(p, expectName()));
       }
-    } while (accept(",") && !is("in"));
-    return items.size() == 1 ? items.get(0) : new TupleOf(place, items);
+    } while (accept(",") && !nextIs("in"));
+    return items.size() == 1 ? items.get(0) : new TupleExpression(location, items);
   }
 
   // Expressions.
 
-  private Expr expressions() {
-    Place place = peek().place();
-    Expr first = expression();
-    if (!is(",")) {
+  private Expression parseExpressions() {
+    Location location = peek().location();
+    Expression first = parseExpression();
+    if (!nextIs(",")) {
       return first;
     }
-    List<Expr> items = new ArrayList<>(List.of(first));
-    while (accept(",") && peek().kind() != Kind.NEWLINE && !is(")") && !is("=") && !is(":")) {
-      items.add(expression());
+    List<Expression> items = new ArrayList<>(List.of(first));
+    while (accept(",") && peek().kind() != Kind.NEWLINE && !nextIs(")") && !nextIs("=") && !nextIs(":")) {
+      items.add(parseExpression());
     }
-    return new TupleOf(place, items);
+    return new TupleExpression(location, items);
   }
 
-  private Expr expression() {
-    deeper();
-    Expr then = binary(0);
-    Place place = peek().place();
+  private Expression parseExpression() {
+    enterNesting();
+    Expression then = parseBinary(0);
+    Location location = peek().location();
     if (accept("if")) {
-      Expr condition = binary(0);
+      Expression condition = parseBinary(0);
       expect("else");
-      then = new Conditional(place, then, condition, expression());
+      then = new ConditionalExpression(location, then, condition, parseExpression());
     }
     depth--;
     return then;
   }
 
-  private Expr binary(int level) {
-    if (level == LEVELS.size()) {
-      return unary();
+  private Expression parseBinary(int level) {
+    if (level == PRECEDENCE.size()) {
+      return parseUnary();
     }
-    if (level == NOT) {
-      Place place = peek().place();
+    if (level == NOT_LEVEL) {
+      Location location = peek().location();
       if (accept("not")) {
-        deeper();
-        Expr of = binary(NOT);
+        enterNesting();
+        Expression of = parseBinary(NOT_LEVEL);
         depth--;
-        return new Unary(place, "not", of);
+        return new UnaryExpression(location, "not", of);
       }
-      return binary(level + 1);
+      return parseBinary(level + 1);
     }
-    Expr left = binary(level + 1);
+    Expression left = parseBinary(level + 1);
     while (true) {
-      Place place = peek().place();
-      String op = operator(level);
+      Location location = peek().location();
+      String op = acceptOperator(level);
       if (op == null) {
         return left;
       }
-      left = new Binary(place, op, left, binary(level + 1));
-      if (level == COMPARE && operatorAhead(level)) {
-        throw wrong("one comparison; they do not chain");
+      left = new BinaryExpression(location, op, left, parseBinary(level + 1));
+      if (level == COMPARISON_LEVEL && nextIsOperator(level)) {
+        throw unexpected("one comparison; they do not chain");
       }
     }
   }
 
-  private boolean operatorAhead(int level) {
-    return LEVELS.get(level).stream().anyMatch(this::is);
+  private boolean nextIsOperator(int level) {
+    return PRECEDENCE.get(level).stream().anyMatch(this::nextIs);
   }
 
-  private String operator(int level) {
-    if (level == COMPARE && is("not")) {
-      Token after = tokens.get(at + 1);
+  private String acceptOperator(int level) {
+    if (level == COMPARISON_LEVEL && nextIs("not")) {
+      Token after = tokens.get(position + 1);
       if (after.kind() == Kind.KEYWORD && after.text().equals("in")) {
-        at += 2;
+        position += 2;
         return "not in";
       }
       return null;
     }
-    for (String op : LEVELS.get(level)) {
+    for (String op : PRECEDENCE.get(level)) {
       if (accept(op)) {
         return op;
       }
@@ -317,153 +318,154 @@
     return null;
   }
 
-  private Expr unary() {
-    Place place = peek().place();
+  private Expression parseUnary() {
+    Location location = peek().location();
     for (String op : List.of("-", "+")) {
       if (accept(op)) {
-        deeper();
-        Expr of = unary();
+        enterNesting();
+        Expression of = parseUnary();
         depth--;
-        return new Unary(place, op, of);
+        return new UnaryExpression(location, op, of);
       }
     }
-    return suffixed();
+    return parseSuffixed();
   }
 
-  private Expr suffixed() {
-    Expr e = operand();
+  private Expression parseSuffixed() {
+    Expression e = parseOperand();
     while (true) {
-      Place place = peek().place();
+      Location location = peek().location();
       if (accept(".")) {
-        e = new Dot(place, e, name());
+        e = new DotExpression(location, e, expectName());
       } else if (accept("(")) {
-        e = new Call(place, e, arguments());
+        e = new CallExpression(location, e, parseArguments());
       } else if (accept("[")) {
-        e = subscript(place, e);
+        e = parseSubscript(location, e);
       } else {
         return e;
       }
     }
   }
 
-  private Expr subscript(Place place, Expr of) {
-    Expr from = is(":") ? null : expression();
-    Expr result;
+  private Expression parseSubscript(Location location, Expression of) {
+    Expression from = nextIs(":") ? null : parseExpression();
+    Expression result;
     if (accept(":")) {
-      result = new Slice(place, of, from, is("]") ? null : expression());
+      result = new SliceExpression(location, of, from, nextIs("]") ? null : parseExpression());
     } else {
-      result = new Index(place, of, from);
+      result = new IndexExpression(location, of, from);
     }
     expect("]");
     return result;
   }
 
-  private List<Argument> arguments() {
+  private List<Argument> parseArguments() {
     List<Argument> all = new ArrayList<>();
     while (!accept(")")) {
-      boolean named = peek().kind() == Kind.NAME && tokens.get(at + 1).kind() == Kind.OP && tokens.get(at + 1)
+      boolean named = peek().kind() == Kind.NAME && tokens.get(position + 1).kind() == Kind.OP && tokens.get(
+          position + 1)
           .text()
           .equals("=");
       if (named) {
-        String name = name();
+        String name = expectName();
         next();
-        all.add(new Argument(name, expression()));
+        all.add(new Argument(name, parseExpression()));
       } else {
         if (!all.isEmpty() && all.get(all.size() - 1).name() != null) {
-          throw wrong("a named argument after a named one");
+          throw unexpected("a named argument after a named one");
         }
-        all.add(new Argument(null, expression()));
+        all.add(new Argument(null, parseExpression()));
       }
-      if (!is(")")) {
+      if (!nextIs(")")) {
         expect(",");
       }
     }
     return all;
   }
 
-  private Expr operand() {
+  private Expression parseOperand() {
     Token t = peek();
     switch (t.kind()) {
-      case INT, FLOAT -> { at++; return new Literal(t.place(), t.value()); }
+      case INT, FLOAT -> { position++; return new Literal(t.location(), t.value()); }
       case STRING -> {
         StringBuilder s = new StringBuilder();
         while (peek().kind() == Kind.STRING) {
           s.append(next().value());
         }
-        return new Literal(t.place(), s.toString());
+        return new Literal(t.location(), s.toString());
       }
       case NAME -> {
-        at++;
+        position++;
         return switch (t.text()) {
-          case "True" -> new Literal(t.place(), true);
-          case "False" -> new Literal(t.place(), false);
-          case "None" -> new Literal(t.place(), null);
-          default -> new Name(t.place(), t.text());
+          case "True" -> new Literal(t.location(), true);
+          case "False" -> new Literal(t.location(), false);
+          case "None" -> new Literal(t.location(), null);
+          default -> new Identifier(t.location(), t.text());
         };
       }
       default -> {}
     }
     if (accept("(")) {
       if (accept(")")) {
-        return new TupleOf(t.place(), List.of());
+        return new TupleExpression(t.location(), List.of());
       }
-      Expr e = expressions();
+      Expression e = parseExpressions();
       expect(")");
       return e;
     }
     if (accept("[")) {
-      return list(t.place());
+      return parseList(t.location());
     }
     if (accept("{")) {
-      return dict(t.place());
+      return parseDict(t.location());
     }
-    throw wrong("a value");
+    throw unexpected("a value");
   }
 
-  private Expr list(Place place) {
-    List<Expr> items = new ArrayList<>();
+  private Expression parseList(Location location) {
+    List<Expression> items = new ArrayList<>();
     while (!accept("]")) {
-      items.add(expression());
-      if (items.size() == 1 && is("for")) {
-        Expr e = new Comprehension(place, items.get(0), null, clauses());
+      items.add(parseExpression());
+      if (items.size() == 1 && nextIs("for")) {
+        Expression e = new Comprehension(location, items.get(0), null, parseClauses());
         expect("]");
         return e;
       }
-      if (!is("]")) {
+      if (!nextIs("]")) {
         expect(",");
       }
     }
-    return new ListOf(place, items);
+    return new ListExpression(location, items);
   }
 
-  private Expr dict(Place place) {
-    List<Expr> keys = new ArrayList<>();
-    List<Expr> values = new ArrayList<>();
+  private Expression parseDict(Location location) {
+    List<Expression> keys = new ArrayList<>();
+    List<Expression> values = new ArrayList<>();
     while (!accept("}")) {
-      keys.add(expression());
+      keys.add(parseExpression());
       expect(":");
-      values.add(expression());
-      if (keys.size() == 1 && is("for")) {
-        Expr e = new Comprehension(place, keys.get(0), values.get(0), clauses());
+      values.add(parseExpression());
+      if (keys.size() == 1 && nextIs("for")) {
+        Expression e = new Comprehension(location, keys.get(0), values.get(0), parseClauses());
         expect("}");
         return e;
       }
-      if (!is("}")) {
+      if (!nextIs("}")) {
         expect(",");
       }
     }
-    return new DictOf(place, keys, values);
+    return new DictExpression(location, keys, values);
   }
 
-  private List<Clause> clauses() {
+  private List<Clause> parseClauses() {
     List<Clause> all = new ArrayList<>();
     while (true) {
       if (accept("for")) {
-        Expr target = targets();
+        Expression target = parseLoopTarget();
         expect("in");
-        all.add(new Clause(target, binary(0)));
+        all.add(new Clause(target, parseBinary(0)));
       } else if (accept("if")) {
-        all.add(new Clause(null, binary(0)));
+        all.add(new Clause(null, parseBinary(0)));
       } else {
         return all;
       }
--- a/src/main/java/hollyslip/settings/Script.java
+++ b/src/main/java/hollyslip/settings/Script.java
@@ -6,8 +6,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import hollyslip.settings.Evaluator.Callable;
 import hollyslip.settings.Evaluator.Dict;
-import hollyslip.settings.Evaluator.Items;
-import hollyslip.settings.ScriptError.Place;
+import hollyslip.settings.Evaluator.Sequence;
+import hollyslip.settings.ScriptError.Location;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -19,17 +19,17 @@
 /** A settings script: what its calls declare, in the order in which they were made, and where. */
 public final class Script {
   /** Calls that declare something. */
-  static final List<String> DECLARATIONS = List.of("gateway", "rules", "store", "request_class", "plan",
+  static final List<String> DECLARATION_KINDS = List.of("gateway", "rules", "store", "request_class", "plan",
       "node", "volume");
 
   /** Declarations of one script, and how many one may make: a fleet of thousands fits. */
-  private static final int MOST_DECLARATIONS = 100_000;
+  private static final int MAX_DECLARATIONS = 100_000;
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final ObjectNode declared = JSON.createObjectNode();
-  private final Map<String, Place> places = new HashMap<>();
-  private int count;
+  private final Map<String, Location> locations = new HashMap<>();
+  private int declarationCount;
 
   private Script() {}
 
@@ -38,7 +38,7 @@
    * @throws ScriptError
    *           it cannot be run */
   public static Script run(Path file) {
-    return run(file, DECLARATIONS);
+    return run(file, DECLARATION_KINDS);
   }
 
   /** As the other, with calls of other names that declare something. */
@@ -55,7 +55,7 @@
 
   /** Runs a script out of named texts; null: there is no such file. */
   public static Script run(String file, java.util.function.Function<String, String> texts) {
-    return run(file, texts, DECLARATIONS);
+    return run(file, texts, DECLARATION_KINDS);
   }
 
   private static Script run(String file, java.util.function.Function<String, String> texts,
@@ -63,13 +63,13 @@
     Script script = new Script();
     Map<String, Object> names = new HashMap<>();
     for (String kind : kinds) {
-      names.put(kind, (Callable) (place, positional, named) -> script.declare(kind, place, positional,
+      names.put(kind, (Callable) (location, positional, named) -> script.declare(kind, location, positional,
           named));
     }
     try {
-      new Evaluator(names, texts).run(file, new Place(file, 1, 1));
+      new Evaluator(names, texts).execute(file, new Location(file, 1, 1));
     } catch (StackOverflowError e) {
-      throw new ScriptError(new Place(file, 1, 1), "nested too deep");
+      throw new ScriptError(new Location(file, 1, 1), "nested too deep");
     }
     return script;
   }
@@ -80,39 +80,39 @@
   }
 
   /** Where the declaration stands to which a pointer such as {@code /node/3/port} leads; null: none. */
-  public Place place(String pointer) {
+  public Location location(String pointer) {
     String[] parts = pointer.split("/");
-    return parts.length > 2 ? places.get("/" + parts[1] + "/" + parts[2]) : null;
+    return parts.length > 2 ? locations.get("/" + parts[1] + "/" + parts[2]) : null;
   }
 
-  private Object declare(String kind, Place place, List<Object> positional, Map<String, Object> named) {
-    if (++count > MOST_DECLARATIONS) {
-      throw new ScriptError(place, "more than " + MOST_DECLARATIONS + " declarations");
+  private Object declare(String kind, Location location, List<Object> positional, Map<String, Object> named) {
+    if (++declarationCount > MAX_DECLARATIONS) {
+      throw new ScriptError(location, "more than " + MAX_DECLARATIONS + " declarations");
     }
     ObjectNode one = JSON.createObjectNode();
     if (positional.size() > 1 || positional.size() == 1 && !(positional.get(0) instanceof String)) {
-      throw new ScriptError(place, kind + ": takes its name first and everything else by name");
+      throw new ScriptError(location, kind + ": takes its name first and everything else by name");
     }
     if (positional.size() == 1) {
       one.put("name", (String) positional.get(0));
     }
     for (Map.Entry<String, Object> e : named.entrySet()) {
       if (one.has(e.getKey())) {
-        throw new ScriptError(place, kind + ": argument " + e.getKey() + " is given twice");
+        throw new ScriptError(location, kind + ": argument " + e.getKey() + " is given twice");
       }
       if (e.getValue() != null) {
-        one.set(e.getKey(), json(place, e.getValue(), 0));
+        one.set(e.getKey(), toJson(location, e.getValue(), 0));
       }
     }
     ArrayNode all = declared.withArray("/" + kind);
-    places.put("/" + kind + "/" + all.size(), place);
+    locations.put("/" + kind + "/" + all.size(), location);
     all.add(one);
     return one.path("name").isTextual() ? one.get("name").asText() : null;
   }
 
-  private static JsonNode json(Place place, Object v, int depth) {
+  private static JsonNode toJson(Location location, Object v, int depth) {
     if (depth > 20) {
-      throw new ScriptError(place, "a value nested too deep");
+      throw new ScriptError(location, "a value nested too deep");
     }
     if (v instanceof Boolean b) {
       return JSON.getNodeFactory().booleanNode(b);
@@ -126,37 +126,37 @@
     if (v instanceof String s) {
       return JSON.getNodeFactory().textNode(s);
     }
-    if (v instanceof Items i) {
+    if (v instanceof Sequence i) {
       ArrayNode a = JSON.createArrayNode();
-      i.all.forEach(o -> a.add(json(place, o, depth + 1)));
+      i.elements.forEach(o -> a.add(toJson(location, o, depth + 1)));
       return a;
     }
     if (v instanceof Dict d) {
       ObjectNode o = JSON.createObjectNode();
-      d.all.forEach((k, value) -> o.set(Builtins.text(k), json(place, value, depth + 1)));
+      d.entries.forEach((k, value) -> o.set(Builtins.str(k), toJson(location, value, depth + 1)));
       return o;
     }
     if (v == null) {
       return JSON.nullNode();
     }
-    throw new ScriptError(place, Operators.type(v) + " cannot be a setting");
+    throw new ScriptError(location, Operators.typeName(v) + " cannot be a setting");
   }
 
   /** A fault of what was declared. */
-  public record Fault(Place place, String what) {
+  public record Fault(Location location, String message) {
     @Override
     public String toString() {
-      return (place == null ? "" : place + ": ") + what;
+      return (location == null ? "" : location + ": ") + message;
     }
   }
 
-  /** Faults by place, then by words. */
+  /** Faults by location, then by words. */
   static List<Fault> sorted(List<Fault> faults) {
     List<Fault> all = new ArrayList<>(faults);
-    all.sort(java.util.Comparator.comparing((Fault f) -> f.place() == null ? "" : f.place().file())
-        .thenComparing(f -> f.place() == null ? 0 : f.place().line())
-        .thenComparing(f -> f.place() == null ? 0 : f.place().column())
-        .thenComparing(Fault::what));
+    all.sort(java.util.Comparator.comparing((Fault f) -> f.location() == null ? "" : f.location().file())
+        .thenComparing(f -> f.location() == null ? 0 : f.location().line())
+        .thenComparing(f -> f.location() == null ? 0 : f.location().column())
+        .thenComparing(Fault::message));
     return all;
   }
 }
--- a/src/test/java/hollyslip/settings/SettingsTest.java
+++ b/src/test/java/hollyslip/settings/SettingsTest.java
@@ -132,7 +132,7 @@
     try {
       Loader.load(Script.run("main.star", files::get), Path.of("/x"));
     } catch (ScriptError e) {
-      assertNotNull(e.place());
+      assertNotNull(e.location());
     }
   }
 }
