--- a/src/main/java/hollyslip/settings/Ast.java
+++ b/src/main/java/hollyslip/settings/Ast.java
@@ -3,8 +3,8 @@
 import hollyslip.settings.ScriptError.Location;
 import java.util.List;
 
-/** What a script is made of. Source: the Starlark specification, "Expressions" and "Statements"; left out are
- * lambda, starred arguments, bitwise operators and sets. */
+/** Syntax tree of a script. Source: the Starlark specification, "Expressions" and "Statements". Lambda,
+ * starred arguments, bitwise operators and sets are not supported. */
 final class Ast {
   private Ast() {}
 
@@ -50,10 +50,11 @@
       implements
         Expression {}
 
-  /** A {@code for} (target and source) or an {@code if} (source alone) of a comprehension. */
+  /** A {@code for} clause of a comprehension, or an {@code if} clause, whose {@code target} is null. */
   record Clause(Expression target, Expression expression) {}
 
-  /** A list, or with {@code value} a dict. */
+  /** A list comprehension, or a dict comprehension if {@code value} is not null; {@code element} is then the
+   * key. */
   record Comprehension(Location location, Expression element, Expression value, List<Clause> clauses)
       implements
         Expression {}
@@ -63,7 +64,7 @@
     Location location();
   }
 
-  /** {@code op} is empty for a plain one. */
+  /** A plain ({@code op} is empty) or augmented assignment. */
   record Assignment(Location location, Expression target, String op, Expression value) implements Statement {}
 
   record ExpressionStatement(Location location, Expression value) implements Statement {}
@@ -76,7 +77,7 @@
       implements
         Statement {}
 
-  /** {@code standard}: null where an argument must be given. */
+  /** A parameter of a function; {@code defaultValue} is null if it is required. */
   record Parameter(String name, Expression defaultValue) {}
 
   record FunctionDefinition(Location location, String name, List<Parameter> parameters, List<Statement> body)
@@ -85,7 +86,7 @@
 
   record ReturnStatement(Location location, Expression value) implements Statement {}
 
-  /** {@code break}, {@code continue} or {@code pass}. */
+  /** A {@code break}, {@code continue} or {@code pass} statement. */
   record JumpStatement(Location location, String keyword) implements Statement {}
 
   record LoadStatement(Location location, String file, List<String> names, List<String> localNames)
--- a/src/main/java/hollyslip/settings/Deployment.java
+++ b/src/main/java/hollyslip/settings/Deployment.java
@@ -16,22 +16,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** All settings of one gateway, checked.
+/** The validated settings of one gateway.
  *
  * @param gateway
- *          what binds the process
+ *          settings of the gateway process
  * @param classes
- *          request classes, with the rows that classify
+ *          request classes
  * @param rows
- *          kinds and sizes by class
+ *          rules that assign requests to classes by kind and size
  * @param plans
- *          plans
+ *          service plans
  * @param rules
- *          figures of the rules
+ *          parameters of the service rules
  * @param allowed
- *          what the deployment allows
+ *          what the deployment allows the scheduler to do
  * @param store
- *          what is known of the store as a whole
+ *          properties of the store as a whole
  * @param nodes
  *          storage nodes
  * @param volumes
@@ -39,46 +39,46 @@
 public record Deployment(Process gateway, List<RequestClass> classes, List<RequestClassifier.Rule> rows,
     List<Plan> plans, Rules rules, Allowed allowed, Store store, List<Node> nodes, List<Volume> volumes) {
 
-  /** What binds the process.
+  /** Settings of the gateway process.
    *
    * @param name
-   *          of this instance, unique among those of the deployment
+   *          name of this gateway, unique in the deployment
    * @param index
-   *          its number among them
+   *          index of this gateway, from 0
    * @param hosts
-   *          how many there are
+   *          number of gateways in the deployment
    * @param zone
-   *          where it runs
+   *          zone that the gateway runs in
    * @param socketDir
-   *          folder of the volumes' sockets
+   *          directory of the volumes' sockets
    * @param stateDir
-   *          folder of what must outlive a restart
+   *          directory of the state that survives a restart
    * @param seed
-   *          of the module's random source
+   *          seed of the scheduler's random source
    * @param tickUs
-   *          how early before a deadline answers are due, us
+   *          margin before a deadline by which answers are due, us
    * @param unitBytes
-   *          bytes that one unit stands for
+   *          bytes per unit of work
    * @param mostRequests
-   *          requests held at most
+   *          maximum number of requests held at a time
    * @param mostBytes
-   *          bytes of requests held at most
+   *          maximum bytes of requests held at a time
    * @param connections
-   *          connections to one node at most
+   *          maximum number of connections to one node
    * @param perConnection
-   *          attempts on one connection at most
+   *          maximum number of concurrent attempts on one connection
    * @param ioThreads
-   *          threads for node connections
+   *          number of I/O threads for node connections
    * @param sftp
-   *          whether file commands are served, on {@code sftp.sock} in the socket folder
+   *          whether SFTP is served, on {@code sftp.sock} in the socket directory
    * @param hosting
-   *          null: no tenants are hosted
+   *          settings for hosting tenants; null: no tenants are hosted
    * @param cores
-   *          lanes: engines with a module each, a core each */
+   *          number of lanes; each is an engine with its own scheduler on its own core */
   public record Process(String name, int index, int hosts, String zone, Path socketDir, Path stateDir,
       long seed, long tickUs, long unitBytes, long mostRequests, long mostBytes, int connections,
       int perConnection, int ioThreads, boolean sftp, Hosting hosting, int cores) {
-    /** One that hosts nobody. */
+    /** A gateway with one lane that hosts no tenants. */
     public Process(String name, int index, int hosts, String zone, Path socketDir, Path stateDir, long seed,
         long tickUs, long unitBytes, long mostRequests, long mostBytes, int connections, int perConnection,
         int ioThreads, boolean sftp) {
@@ -87,32 +87,33 @@
     }
   }
 
-  /** That tenants are hosted, and where the administration API listens.
+  /** Settings of a gateway that hosts tenants: where its administration API listens.
    *
    * @param port
-   *          on the loopback address, 0: a free one; -1: only on {@code admin.sock} in the socket folder
+   *          port on the loopback address; 0: any free port; -1: only on {@code admin.sock} in the socket
+   *          directory
    * @param cert
-   *          certificate chain for the port, PEM; null: without TLS
+   *          PEM certificate chain for the port; null: without TLS
    * @param key
-   *          its private key, PEM */
+   *          PEM private key of the certificate */
   public record Hosting(int port, Path cert, Path key) {}
 
-  /** A storage node. {@code capacity}: units a second that may be promised on its shard; {@code bytes}: size
-   * of the shard; both only matter where tenants are hosted. */
+  /** A storage node. {@code capacity}: units per second that can be reserved on its shard; {@code bytes}:
+   * size of the shard. Both are used only if tenants are hosted. */
   public record Node(long id, String name, String host, int port, String zone, int shard, NodeState state,
       double capacity, long bytes) {
-    /** One that hosts nothing. */
+    /** A node without reservable capacity or bytes, for gateways that host no tenants. */
     public Node(long id, String name, String host, int port, String zone, int shard, NodeState state) {
       this(id, name, host, port, zone, shard, state, 0, 0);
     }
 
-    /** As the module's list has it. */
+    /** Returns the scheduler's node list entry for this node. */
     public NodeEntry listed() {
       return new NodeEntry(id, zone, shard, state, 0);
     }
   }
 
-  /** The module's settings. */
+  /** Returns the scheduler's settings. */
   public Settings module() {
     return new Settings(gateway.seed(), gateway.index(), gateway.hosts(), gateway.zone(), gateway.tickUs(),
         false, classes, plans, rules, allowed, store, allowed.probes()
@@ -120,7 +121,7 @@
             : ReportSource.NONE, allowed.probes() ? List.of("inflight", "queue", "latency_ms") : List.of());
   }
 
-  /** Volumes by name. */
+  /** Returns the volumes by name, in order of declaration. */
   public Map<String, Volume> byName() {
     Map<String, Volume> map = new LinkedHashMap<>();
     volumes.forEach(v -> map.put(v.name(), v));
--- a/src/main/java/hollyslip/settings/Evaluator.java
+++ b/src/main/java/hollyslip/settings/Evaluator.java
@@ -11,12 +11,12 @@
 import java.util.Objects;
 import java.util.function.Function;
 
-/** Runs a script: no I/O but the loading of neighbours, a bound on steps, on depth and on the size of values,
- * no recursion, so every script ends. Values are None (null), Boolean, Long, Double, String, {@link Sequence}
- * (list or tuple), {@link Dict} and {@link Callable}. Source: the Starlark specification, "Data types" and
- * "Built-in constants and functions". */
+/** Evaluates a script. The only I/O is loading files from the script's directory. Steps, call depth and value
+ * sizes are limited and recursion is forbidden, so every script terminates. Values are None (null), Boolean,
+ * Long, Double, String, {@link Sequence} (list or tuple), {@link Dict} and {@link Callable}. Source: the
+ * Starlark specification, "Data types" and "Built-in constants and functions". */
 final class Evaluator {
-  /** Bounds on what a script may do. */
+  /** Limits that make every script terminate. */
   private static final long MAX_STEPS = 2_000_000;
   private static final int MAX_CALL_DEPTH = 50, MAX_ELEMENTS = 200_000, MAX_STRING_LENGTH = 1 << 20;
 
@@ -26,8 +26,8 @@
     final boolean tuple;
     boolean frozen;
 
-    Sequence(List<Object> all, boolean tuple) {
-      this.elements = all;
+    Sequence(List<Object> elements, boolean tuple) {
+      this.elements = elements;
       this.tuple = tuple;
     }
 
@@ -42,7 +42,7 @@
     }
   }
 
-  /** A dict, in order of insertion. */
+  /** A dict, which keeps insertion order. */
   static final class Dict {
     final Map<Object, Object> entries = new LinkedHashMap<>();
     boolean frozen;
@@ -58,18 +58,19 @@
     }
   }
 
-  /** Something that can be called. */
+  /** A function or a bound method. */
   interface Callable {
     Object call(Location location, List<Object> positional, Map<String, Object> named);
   }
 
-  /** Names of a module, or of a call; a call sees its module's below its own. */
+  /** The names of a module or of a function call. A name not found in a call's scope is looked up in that of
+   * its module. */
   private static final class Scope {
     final Map<String, Object> names = new HashMap<>();
     final Scope parent;
 
-    Scope(Scope below) {
-      this.parent = below;
+    Scope(Scope parent) {
+      this.parent = parent;
     }
 
     Scope find(String name) {
@@ -82,13 +83,14 @@
     }
   }
 
+  /** Unwinds to the enclosing loop or function call. */
   private static final class JumpException extends RuntimeException {
     final String keyword;
     final transient Object value;
 
-    JumpException(String word, Object value) {
-      super(word, null, false, false);
-      this.keyword = word;
+    JumpException(String keyword, Object value) {
+      super(keyword, null, false, false);
+      this.keyword = keyword;
       this.value = value;
     }
   }
@@ -101,39 +103,39 @@
 
   /** @param predeclared
    *          names that every module sees
-   * @param neighbours
-   *          text of a file by its name; null: there is none */
-  Evaluator(Map<String, Object> predeclared, Function<String, String> neighbours) {
+   * @param fileReader
+   *          returns the text of a file by its name, or null if it cannot be read */
+  Evaluator(Map<String, Object> predeclared, Function<String, String> fileReader) {
     this.predeclared = predeclared;
-    this.fileReader = neighbours;
+    this.fileReader = fileReader;
   }
 
-  /** Runs a module; again gives what the first run made. */
-  void execute(String file, Location from) {
-    loadModule(file, from);
+  /** Executes a module, unless it was executed before. */
+  void execute(String file, Location location) {
+    loadModule(file, location);
   }
 
-  private Scope loadModule(String file, Location from) {
-    Scope done = modules.get(file);
-    if (done != null) {
-      return done;
+  private Scope loadModule(String file, Location location) {
+    Scope existing = modules.get(file);
+    if (existing != null) {
+      return existing;
     }
     if (modules.containsKey(file)) {
-      throw new ScriptError(from, "load of " + file + " goes round in a circle");
+      throw new ScriptError(location, "load of " + file + " forms a cycle");
     }
     String text = fileReader.apply(file);
     if (text == null) {
-      throw new ScriptError(from, "file " + file + " cannot be read");
+      throw new ScriptError(location, "file " + file + " cannot be read");
     }
     modules.put(file, null);
-    Scope base = new Scope(null);
-    base.names.putAll(predeclared);
-    Builtins.addTo(base.names);
-    Scope scope = new Scope(base);
+    Scope universe = new Scope(null);
+    universe.names.putAll(predeclared);
+    Builtins.addTo(universe.names);
+    Scope scope = new Scope(universe);
     try {
       execute(Parser.parse(file, text), scope);
     } catch (JumpException j) {
-      throw new ScriptError(from, "'" + j.keyword + "' outside a function or loop in " + file);
+      throw new ScriptError(location, "'" + j.keyword + "' outside a function or loop in " + file);
     }
     scope.names.values().forEach(Evaluator::freeze);
     modules.put(file, scope);
@@ -141,12 +143,12 @@
   }
 
   static void freeze(Object value) {
-    if (value instanceof Sequence i && !i.frozen) {
-      i.frozen = true;
-      i.elements.forEach(Evaluator::freeze);
-    } else if (value instanceof Dict d && !d.frozen) {
-      d.frozen = true;
-      d.entries.values().forEach(Evaluator::freeze);
+    if (value instanceof Sequence sequence && !sequence.frozen) {
+      sequence.frozen = true;
+      sequence.elements.forEach(Evaluator::freeze);
+    } else if (value instanceof Dict dict && !dict.frozen) {
+      dict.frozen = true;
+      dict.entries.values().forEach(Evaluator::freeze);
     }
   }
 
@@ -159,149 +161,160 @@
   // Statements.
 
   private void execute(List<Statement> body, Scope scope) {
-    for (Statement s : body) {
-      countStep(s.location());
-      execute(s, scope);
+    for (Statement statement : body) {
+      countStep(statement.location());
+      execute(statement, scope);
     }
   }
 
-  private void execute(Statement s, Scope scope) {
-    if (s instanceof Assignment a) {
-      Object value = evaluate(a.value(), scope);
-      if (!a.op().isEmpty()) {
-        value = Operators.binary(a.location(), a.op(), evaluate(a.target(), scope), value);
-        checkSize(a.location(), value);
+  private void execute(Statement statement, Scope scope) {
+    if (statement instanceof Assignment assignment) {
+      Object value = evaluate(assignment.value(), scope);
+      if (!assignment.op().isEmpty()) {
+        value = Operators.binary(assignment.location(), assignment.op(), evaluate(assignment.target(), scope),
+            value);
+        checkSize(assignment.location(), value);
       }
-      assign(a.target(), value, scope);
-    } else if (s instanceof ExpressionStatement e) {
-      evaluate(e.value(), scope);
-    } else if (s instanceof IfStatement i) {
-      execute(isTruthy(evaluate(i.condition(), scope)) ? i.then() : i.otherwise(), scope);
-    } else if (s instanceof ForStatement f) {
-      executeFor(f, scope);
-    } else if (s instanceof FunctionDefinition d) {
-      scope.names.put(d.name(), defineFunction(d, scope));
-    } else if (s instanceof ReturnStatement r) {
-      throw new JumpException("return", r.value() == null ? null : evaluate(r.value(), scope));
-    } else if (s instanceof JumpStatement j) {
-      if (!j.keyword().equals("pass")) {
-        throw new JumpException(j.keyword(), null);
+      assign(assignment.target(), value, scope);
+    } else if (statement instanceof ExpressionStatement expression) {
+      evaluate(expression.value(), scope);
+    } else if (statement instanceof IfStatement ifStatement) {
+      execute(isTruthy(evaluate(ifStatement.condition(), scope))
+          ? ifStatement.then()
+          : ifStatement.otherwise(), scope);
+    } else if (statement instanceof ForStatement forStatement) {
+      executeFor(forStatement, scope);
+    } else if (statement instanceof FunctionDefinition definition) {
+      scope.names.put(definition.name(), defineFunction(definition, scope));
+    } else if (statement instanceof ReturnStatement returnStatement) {
+      throw new JumpException("return", returnStatement.value() == null
+          ? null
+          : evaluate(returnStatement.value(), scope));
+    } else if (statement instanceof JumpStatement jump) {
+      if (!jump.keyword().equals("pass")) {
+        throw new JumpException(jump.keyword(), null);
       }
-    } else if (s instanceof LoadStatement l) {
-      executeLoad(l, scope);
+    } else if (statement instanceof LoadStatement load) {
+      executeLoad(load, scope);
     }
   }
 
-  private void executeFor(ForStatement f, Scope scope) {
-    for (Object item : Operators.elements(f.location(), evaluate(f.iterable(), scope))) {
-      countStep(f.location());
-      assign(f.target(), item, scope);
+  private void executeFor(ForStatement loop, Scope scope) {
+    for (Object item : Operators.elements(loop.location(), evaluate(loop.iterable(), scope))) {
+      countStep(loop.location());
+      assign(loop.target(), item, scope);
       try {
-        execute(f.body(), scope);
-      } catch (JumpException j) {
-        if (j.keyword.equals("break")) {
+        execute(loop.body(), scope);
+      } catch (JumpException jump) {
+        if (jump.keyword.equals("break")) {
           return;
         }
-        if (!j.keyword.equals("continue")) {
-          throw j;
+        if (!jump.keyword.equals("continue")) {
+          throw jump;
         }
       }
     }
   }
 
-  private void executeLoad(LoadStatement l, Scope scope) {
-    if (l.file().contains("/") || l.file().contains("\\") || l.file().startsWith(".")) {
-      throw new ScriptError(l.location(), "load: '" + l.file() + "' is not the name of a neighbouring file");
+  private void executeLoad(LoadStatement load, Scope scope) {
+    if (load.file().contains("/") || load.file().contains("\\") || load.file().startsWith(".")) {
+      throw new ScriptError(load.location(), "load: '" + load.file()
+          + "' is not the name of a file in the same directory");
     }
-    Scope from = loadModule(l.file(), l.location());
-    for (int i = 0; i < l.names().size(); i++) {
-      String name = l.names().get(i);
-      if (!from.names.containsKey(name) || name.startsWith("_")) {
-        throw new ScriptError(l.location(), "load: " + l.file() + " has no name " + name);
+    Scope module = loadModule(load.file(), load.location());
+    for (int i = 0; i < load.names().size(); i++) {
+      String name = load.names().get(i);
+      if (!module.names.containsKey(name) || name.startsWith("_")) {
+        throw new ScriptError(load.location(), "load: " + load.file() + " has no name " + name);
       }
-      scope.names.put(l.localNames().get(i), from.names.get(name));
+      scope.names.put(load.localNames().get(i), module.names.get(name));
     }
   }
 
   private void assign(Expression target, Object value, Scope scope) {
-    if (target instanceof Identifier n) {
-      scope.names.put(n.name(), value);
-    } else if (target instanceof IndexExpression i) {
-      Operators.setIndex(i.location(), evaluate(i.object(), scope), evaluate(i.index(), scope), value);
+    if (target instanceof Identifier identifier) {
+      scope.names.put(identifier.name(), value);
+    } else if (target instanceof IndexExpression subscript) {
+      Operators.setIndex(subscript.location(), evaluate(subscript.object(), scope), evaluate(subscript
+          .index(), scope), value);
     } else {
-      List<Expression> parts = target instanceof TupleExpression t
-          ? t.items()
+      List<Expression> targets = target instanceof TupleExpression tuple
+          ? tuple.items()
           : ((ListExpression) target).items();
       List<Object> values = Operators.elements(target.location(), value);
-      if (values.size() != parts.size()) {
-        throw new ScriptError(target.location(), values.size() + " values for " + parts.size() + " names");
+      if (values.size() != targets.size()) {
+        throw new ScriptError(target.location(), values.size() + " values for " + targets.size()
+            + " targets");
       }
-      for (int i = 0; i < parts.size(); i++) {
-        assign(parts.get(i), values.get(i), scope);
+      for (int i = 0; i < targets.size(); i++) {
+        assign(targets.get(i), values.get(i), scope);
       }
     }
   }
 
-  private Callable defineFunction(FunctionDefinition d, Scope scope) {
-    List<Object> standards = new ArrayList<>();
-    d.parameters()
-        .forEach(p -> standards.add(p.defaultValue() == null ? null : evaluate(p.defaultValue(), scope)));
+  private Callable defineFunction(FunctionDefinition definition, Scope scope) {
+    List<Object> defaults = new ArrayList<>();
+    definition.parameters()
+        .forEach(parameter -> defaults.add(parameter.defaultValue() == null
+            ? null
+            : evaluate(parameter.defaultValue(), scope)));
     return (location, positional, named) -> {
-      if (callStack.contains(d)) {
-        throw new ScriptError(location, d.name() + " calls itself");
+      if (callStack.contains(definition)) {
+        throw new ScriptError(location, definition.name() + " calls itself; recursion is not supported");
       }
       if (callStack.size() >= MAX_CALL_DEPTH) {
         throw new ScriptError(location, "more than " + MAX_CALL_DEPTH + " calls deep");
       }
-      Scope own = new Scope(scope);
-      bindArguments(d, location, positional, named, standards, own);
-      callStack.add(d);
+      Scope local = new Scope(scope);
+      bindArguments(definition, location, positional, named, defaults, local);
+      callStack.add(definition);
       try {
-        execute(d.body(), own);
+        execute(definition.body(), local);
         return null;
-      } catch (JumpException j) {
-        if (!j.keyword.equals("return")) {
-          throw new ScriptError(location, "'" + j.keyword + "' outside a loop in " + d.name());
+      } catch (JumpException jump) {
+        if (!jump.keyword.equals("return")) {
+          throw new ScriptError(location, "'" + jump.keyword + "' outside a loop in " + definition.name());
         }
-        return j.value;
+        return jump.value;
       } catch (ScriptError e) {
-        throw e.addCaller(d.name(), location);
+        throw e.addCaller(definition.name(), location);
       } finally {
         callStack.remove(callStack.size() - 1);
       }
     };
   }
 
-  private static void bindArguments(FunctionDefinition d, Location location, List<Object> positional,
+  private static void bindArguments(FunctionDefinition function, Location location, List<Object> positional,
       Map<String, Object> named,
-      List<Object> standards, Scope own) {
-    if (positional.size() > d.parameters().size()) {
-      throw new ScriptError(location, d.name() + " takes " + d.parameters().size() + " arguments, not "
+      List<Object> defaults, Scope local) {
+    if (positional.size() > function.parameters().size()) {
+      throw new ScriptError(location, function.name() + " takes " + function.parameters().size()
+          + " arguments, not "
           + positional.size());
     }
-    for (int i = 0; i < d.parameters().size(); i++) {
-      Parameter p = d.parameters().get(i);
+    for (int i = 0; i < function.parameters().size(); i++) {
+      Parameter parameter = function.parameters().get(i);
       if (i < positional.size()) {
-        own.names.put(p.name(), positional.get(i));
-      } else if (p.defaultValue() != null) {
-        own.names.put(p.name(), standards.get(i));
+        local.names.put(parameter.name(), positional.get(i));
+      } else if (parameter.defaultValue() != null) {
+        local.names.put(parameter.name(), defaults.get(i));
       }
     }
-    for (Map.Entry<String, Object> e : named.entrySet()) {
+    for (Map.Entry<String, Object> argument : named.entrySet()) {
       int i = -1;
-      for (int k = 0; k < d.parameters().size(); k++) {
-        i = d.parameters().get(k).name().equals(e.getKey()) ? k : i;
+      for (int k = 0; k < function.parameters().size(); k++) {
+        i = function.parameters().get(k).name().equals(argument.getKey()) ? k : i;
       }
       if (i < 0 || i < positional.size()) {
-        throw new ScriptError(location, d.name() + ": argument " + e.getKey() + (i < 0
+        throw new ScriptError(location, function.name() + ": argument " + argument.getKey() + (i < 0
             ? " is not known"
             : " is given twice"));
       }
-      own.names.put(e.getKey(), e.getValue());
+      local.names.put(argument.getKey(), argument.getValue());
     }
-    for (Parameter p : d.parameters()) {
-      if (!own.names.containsKey(p.name())) {
-        throw new ScriptError(location, d.name() + ": argument " + p.name() + " is missing");
+    for (Parameter parameter : function.parameters()) {
+      if (!local.names.containsKey(parameter.name())) {
+        throw new ScriptError(location, function.name() + ": argument " + parameter.name() + " is missing");
       }
     }
   }
@@ -309,151 +322,159 @@
   // Expressions.
 
   static boolean isTruthy(Object value) {
-    if (value instanceof Boolean b) {
-      return b;
+    if (value instanceof Boolean bool) {
+      return bool;
     }
-    if (value instanceof Sequence i) {
-      return !i.elements.isEmpty();
+    if (value instanceof Sequence sequence) {
+      return !sequence.elements.isEmpty();
     }
-    if (value instanceof Dict d) {
-      return !d.entries.isEmpty();
+    if (value instanceof Dict dict) {
+      return !dict.entries.isEmpty();
     }
     return value != null && !value.equals("") && !value.equals(0L) && !value.equals(0.0);
   }
 
-  private Object evaluate(Expression e, Scope scope) {
-    countStep(e.location());
-    if (e instanceof Literal l) {
-      return l.value();
+  private Object evaluate(Expression expression, Scope scope) {
+    countStep(expression.location());
+    if (expression instanceof Literal literal) {
+      return literal.value();
     }
-    if (e instanceof Identifier n) {
-      Scope s = scope.find(n.name());
-      if (s == null) {
-        throw new ScriptError(n.location(), "name " + n.name() + " is not known");
+    if (expression instanceof Identifier identifier) {
+      Scope definingScope = scope.find(identifier.name());
+      if (definingScope == null) {
+        throw new ScriptError(identifier.location(), "name " + identifier.name() + " is not defined");
       }
-      return s.names.get(n.name());
+      return definingScope.names.get(identifier.name());
     }
-    if (e instanceof ListExpression l) {
-      return new Sequence(evaluateAll(l.items(), scope), false);
+    if (expression instanceof ListExpression list) {
+      return new Sequence(evaluateAll(list.items(), scope), false);
     }
-    if (e instanceof TupleExpression t) {
-      return new Sequence(evaluateAll(t.items(), scope), true);
+    if (expression instanceof TupleExpression tuple) {
+      return new Sequence(evaluateAll(tuple.items(), scope), true);
     }
-    if (e instanceof DictExpression d) {
+    if (expression instanceof DictExpression dictExpression) {
       Dict dict = new Dict();
-      for (int i = 0; i < d.keys().size(); i++) {
-        Operators.setIndex(d.location(), dict, evaluate(d.keys().get(i), scope), evaluate(d.values().get(i),
-            scope));
+      for (int i = 0; i < dictExpression.keys().size(); i++) {
+        Operators.setIndex(dictExpression.location(), dict, evaluate(dictExpression.keys().get(i), scope),
+            evaluate(dictExpression.values().get(i),
+                scope));
       }
       return dict;
     }
-    if (e instanceof ConditionalExpression c) {
-      return evaluate(isTruthy(evaluate(c.condition(), scope)) ? c.then() : c.otherwise(), scope);
+    if (expression instanceof ConditionalExpression conditional) {
+      return evaluate(isTruthy(evaluate(conditional.condition(), scope))
+          ? conditional.then()
+          : conditional.otherwise(), scope);
     }
-    if (e instanceof Comprehension c) {
-      return evaluateComprehension(c, scope);
+    if (expression instanceof Comprehension comprehension) {
+      return evaluateComprehension(comprehension, scope);
     }
-    if (e instanceof CallExpression c) {
-      return evaluateCall(c, scope);
+    if (expression instanceof CallExpression call) {
+      return evaluateCall(call, scope);
     }
-    return checkSize(e.location(), evaluateOperation(e, scope));
+    return checkSize(expression.location(), evaluateOperation(expression, scope));
   }
 
-  private Object evaluateOperation(Expression e, Scope scope) {
-    if (e instanceof UnaryExpression u) {
-      Object of = evaluate(u.operand(), scope);
-      return u.op().equals("not") ? (Object) !isTruthy(of) : Operators.unary(u.location(), u.op(), of);
-    }
-    if (e instanceof BinaryExpression b) {
-      Object left = evaluate(b.left(), scope);
-      if (b.op().equals("and") || b.op().equals("or")) {
-        return isTruthy(left) == b.op().equals("or") ? left : evaluate(b.right(), scope);
+  private Object evaluateOperation(Expression expression, Scope scope) {
+    if (expression instanceof UnaryExpression unary) {
+      Object operand = evaluate(unary.operand(), scope);
+      return unary.op().equals("not")
+          ? (Object) !isTruthy(operand)
+          : Operators.unary(unary.location(), unary.op(), operand);
+    }
+    if (expression instanceof BinaryExpression binary) {
+      Object left = evaluate(binary.left(), scope);
+      if (binary.op().equals("and") || binary.op().equals("or")) {
+        return isTruthy(left) == binary.op().equals("or") ? left : evaluate(binary.right(), scope);
       }
-      return Operators.binary(b.location(), b.op(), left, evaluate(b.right(), scope));
+      return Operators.binary(binary.location(), binary.op(), left, evaluate(binary.right(), scope));
     }
-    if (e instanceof DotExpression d) {
-      return Operators.boundMethod(d.location(), evaluate(d.object(), scope), d.name());
+    if (expression instanceof DotExpression dot) {
+      return Operators.boundMethod(dot.location(), evaluate(dot.object(), scope), dot.name());
     }
-    if (e instanceof IndexExpression i) {
-      return Operators.getIndex(i.location(), evaluate(i.object(), scope), evaluate(i.index(), scope));
+    if (expression instanceof IndexExpression subscript) {
+      return Operators.getIndex(subscript.location(), evaluate(subscript.object(), scope), evaluate(subscript
+          .index(), scope));
     }
-    SliceExpression s = (SliceExpression) e;
-    return Operators.slice(s.location(), evaluate(s.object(), scope), s.start() == null
+    SliceExpression slice = (SliceExpression) expression;
+    return Operators.slice(slice.location(), evaluate(slice.object(), scope), slice.start() == null
         ? null
-        : evaluate(s.start(), scope), s.end() == null ? null : evaluate(s.end(), scope));
+        : evaluate(slice.start(), scope), slice.end() == null ? null : evaluate(slice.end(), scope));
   }
 
   private Object checkSize(Location location, Object value) {
-    boolean large = value instanceof String s && s.length() > MAX_STRING_LENGTH || value instanceof Sequence i
-        && i.elements
-            .size() > MAX_ELEMENTS;
-    if (large) {
-      throw new ScriptError(location, "a value larger than a script may make");
-    }
-    // What a value is made of counts as steps, so that doubling it again and again ends too.
-    steps += value instanceof String s
-        ? s.length() / 64
-        : value instanceof Sequence i ? i.elements.size() / 8 : 0;
+    boolean tooLarge = value instanceof String text && text.length() > MAX_STRING_LENGTH
+        || value instanceof Sequence sequence
+            && sequence.elements
+                .size() > MAX_ELEMENTS;
+    if (tooLarge) {
+      throw new ScriptError(location, "value is too large");
+    }
+    // The size of a value counts as steps, so that a script that keeps doubling a value terminates too.
+    steps += value instanceof String text
+        ? text.length() / 64
+        : value instanceof Sequence sequence ? sequence.elements.size() / 8 : 0;
     return value;
   }
 
-  private List<Object> evaluateAll(List<Expression> items, Scope scope) {
+  private List<Object> evaluateAll(List<Expression> expressions, Scope scope) {
     List<Object> values = new ArrayList<>();
-    items.forEach(i -> values.add(evaluate(i, scope)));
+    expressions.forEach(expression -> values.add(evaluate(expression, scope)));
     return values;
   }
 
-  private Object evaluateCall(CallExpression c, Scope scope) {
-    Object f = evaluate(c.function(), scope);
-    if (!(f instanceof Callable callable)) {
-      throw new ScriptError(c.location(), Operators.typeName(f) + " cannot be called");
+  private Object evaluateCall(CallExpression call, Scope scope) {
+    Object function = evaluate(call.function(), scope);
+    if (!(function instanceof Callable callable)) {
+      throw new ScriptError(call.location(), Operators.typeName(function) + " cannot be called");
     }
     List<Object> positional = new ArrayList<>();
     Map<String, Object> named = new LinkedHashMap<>();
-    for (Argument a : c.arguments()) {
-      Object value = evaluate(a.value(), scope);
-      if (a.name() == null) {
+    for (Argument argument : call.arguments()) {
+      Object value = evaluate(argument.value(), scope);
+      if (argument.name() == null) {
         positional.add(value);
-      } else if (named.containsKey(a.name())) {
-        throw new ScriptError(c.location(), "argument " + a.name() + " is given twice");
+      } else if (named.containsKey(argument.name())) {
+        throw new ScriptError(call.location(), "argument " + argument.name() + " is given twice");
       } else {
-        named.put(a.name(), value);
+        named.put(argument.name(), value);
       }
     }
-    return checkSize(c.location(), callable.call(c.function().location(), positional, Collections
-        .unmodifiableMap(
-            named)));
+    return checkSize(call.location(), callable.call(call.function().location(), positional,
+        Collections.unmodifiableMap(named)));
   }
 
-  private Object evaluateComprehension(Comprehension c, Scope scope) {
+  private Object evaluateComprehension(Comprehension comprehension, Scope scope) {
     Sequence list = new Sequence(new ArrayList<>(), false);
     Dict dict = new Dict();
-    evaluateClauses(c, 0, new Scope(scope), list, dict);
-    return c.value() == null ? list : dict;
+    evaluateClauses(comprehension, 0, new Scope(scope), list, dict);
+    return comprehension.value() == null ? list : dict;
   }
 
-  private void evaluateClauses(Comprehension c, int n, Scope scope, Sequence list, Dict dict) {
-    if (n == c.clauses().size()) {
-      Object item = evaluate(c.element(), scope);
-      if (c.value() == null) {
-        list.elements.add(item);
-        checkSize(c.location(), list.elements.size() > MAX_ELEMENTS ? list : null);
+  private void evaluateClauses(Comprehension comprehension, int index, Scope scope, Sequence list,
+      Dict dict) {
+    if (index == comprehension.clauses().size()) {
+      Object element = evaluate(comprehension.element(), scope);
+      if (comprehension.value() == null) {
+        list.elements.add(element);
+        checkSize(comprehension.location(), list.elements.size() > MAX_ELEMENTS ? list : null);
       } else {
-        Operators.setIndex(c.location(), dict, item, evaluate(c.value(), scope));
+        Operators.setIndex(comprehension.location(), dict, element, evaluate(comprehension.value(), scope));
       }
       return;
     }
-    Clause k = c.clauses().get(n);
-    if (k.target() == null) {
-      if (isTruthy(evaluate(k.expression(), scope))) {
-        evaluateClauses(c, n + 1, scope, list, dict);
+    Clause clause = comprehension.clauses().get(index);
+    if (clause.target() == null) {
+      if (isTruthy(evaluate(clause.expression(), scope))) {
+        evaluateClauses(comprehension, index + 1, scope, list, dict);
       }
       return;
     }
-    for (Object item : Operators.elements(c.location(), evaluate(k.expression(), scope))) {
-      countStep(c.location());
-      assign(k.target(), item, scope);
-      evaluateClauses(c, n + 1, scope, list, dict);
+    for (Object element : Operators.elements(comprehension.location(), evaluate(clause.expression(),
+        scope))) {
+      countStep(comprehension.location());
+      assign(clause.target(), element, scope);
+      evaluateClauses(comprehension, index + 1, scope, list, dict);
     }
   }
 
--- a/src/main/java/hollyslip/settings/Lexer.java
+++ b/src/main/java/hollyslip/settings/Lexer.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Cuts a script into tokens. Source: the Starlark specification, "Lexical elements". */
+/** Splits a script into tokens. Source: the Starlark specification, "Lexical elements". */
 final class Lexer {
   enum Kind {
     NAME, KEYWORD, INT, FLOAT, STRING, OP, NEWLINE, INDENT, DEDENT, END
@@ -16,7 +16,7 @@
 
   private static final Set<String> KEYWORDS = Set.of("and", "break", "continue", "def", "elif", "else", "for",
       "if", "in", "load", "not", "or", "pass", "return");
-  /** Words that the specification reserves, and {@code lambda}, which this subset leaves out. */
+  /** Words that the specification reserves, and {@code lambda}, which is not supported. */
   private static final Set<String> RESERVED = Set.of("lambda", "as", "assert", "class", "del", "except",
       "finally", "from", "global", "import", "is", "nonlocal", "raise", "try", "while", "with", "yield",
       "async", "await");
@@ -24,7 +24,7 @@
       "!=",
       "<=", ">=", "+", "-", "*", "/", "%", "(", ")", "[", "]", "{", "}", ",", ":", ".", "=", "<", ">");
 
-  /** Longest script, characters. */
+  /** Maximum length of a script, in characters. */
   private static final int MAX_LENGTH = 1 << 20;
 
   private final String file, text;
@@ -38,29 +38,29 @@
   }
 
   static List<Token> tokens(String file, String text) {
-    Lexer l = new Lexer(file, text);
+    Lexer lexer = new Lexer(file, text);
     if (text.length() > MAX_LENGTH) {
-      throw new ScriptError(l.location(), "script longer than " + MAX_LENGTH + " characters");
+      throw new ScriptError(lexer.location(), "script is longer than " + MAX_LENGTH + " characters");
     }
-    l.scan();
-    return l.tokens;
+    lexer.scan();
+    return lexer.tokens;
   }
 
   private Location location() {
     return new Location(file, line, position - lineStart + 1);
   }
 
-  private ScriptError error(String what) {
-    return new ScriptError(location(), what);
+  private ScriptError error(String message) {
+    return new ScriptError(location(), message);
   }
 
   private void scan() {
-    boolean lineBegins = true;
+    boolean atLineStart = true;
     while (true) {
-      if (lineBegins && openBrackets == 0) {
-        lineBegins = false;
+      if (atLineStart && openBrackets == 0) {
+        atLineStart = false;
         if (scanIndentation()) {
-          lineBegins = true;
+          atLineStart = true;
           continue;
         }
       }
@@ -71,7 +71,7 @@
       if (c == '\n') {
         if (openBrackets == 0) {
           add(Kind.NEWLINE, "new line", null, location());
-          lineBegins = true;
+          atLineStart = true;
         }
         advanceLine();
       } else if (c == ' ' || c == '\t' || c == '\r') {
@@ -86,7 +86,7 @@
       }
     }
     if (openBrackets > 0) {
-      throw error("a bracket is not closed");
+      throw error("unclosed bracket");
     }
     add(Kind.NEWLINE, "new line", null, location());
     while (indentation.peek() > 0) {
@@ -108,12 +108,12 @@
     }
   }
 
-  /** Reads a line's indentation; true: the line holds nothing. */
+  /** Reads the indentation of a line; returns true if the line is empty. */
   private boolean scanIndentation() {
     int width = 0;
     while (position < text.length() && (text.charAt(position) == ' ' || text.charAt(position) == '\t')) {
       if (text.charAt(position) == '\t') {
-        throw error("a tab in the indentation; use spaces");
+        throw error("tab in the indentation; use spaces");
       }
       width++;
       position++;
@@ -139,26 +139,26 @@
       add(Kind.DEDENT, "end of block", null, location());
     }
     if (width != indentation.peek()) {
-      throw error("indentation fits no block");
+      throw error("indentation does not match any outer block");
     }
     return false;
   }
 
-  private void add(Kind kind, String word, Object value, Location location) {
-    tokens.add(new Token(kind, word, value, location));
+  private void add(Kind kind, String text, Object value, Location location) {
+    tokens.add(new Token(kind, text, value, location));
   }
 
   private void scanToken(char c) {
     Location location = location();
     if (Character.isLetter(c) || c == '_') {
-      int from = position;
-      while (position < text.length() && (Character.isLetterOrDigit(text.charAt(position)) || text.charAt(
-          position) == '_')) {
+      int start = position;
+      while (position < text.length() && (Character.isLetterOrDigit(text.charAt(position))
+          || text.charAt(position) == '_')) {
         position++;
       }
-      String word = text.substring(from, position);
+      String word = text.substring(start, position);
       if (RESERVED.contains(word)) {
-        throw new ScriptError(location, "'" + word + "' is reserved or not part of this subset");
+        throw new ScriptError(location, "'" + word + "' is reserved or not supported");
       }
       add(KEYWORDS.contains(word) ? Kind.KEYWORD : Kind.NAME, word, null, location);
     } else if (c >= '0' && c <= '9' || c == '.' && position + 1 < text.length() && Character.isDigit(text
@@ -179,7 +179,7 @@
           openBrackets++;
         } else if (")]}".contains(op)) {
           if (openBrackets == 0) {
-            throw error("'" + op + "' closes nothing");
+            throw error("'" + op + "' has no matching opening bracket");
           }
           openBrackets--;
         }
@@ -188,11 +188,11 @@
         return;
       }
     }
-    throw error("character '" + text.charAt(position) + "' has no meaning here");
+    throw error("unexpected character '" + text.charAt(position) + "'");
   }
 
   private void scanNumber(Location location) {
-    int from = position;
+    int start = position;
     boolean hex = text.startsWith("0x", position) || text.startsWith("0X", position);
     boolean floating = false;
     if (hex) {
@@ -208,7 +208,7 @@
       floating |= c == '.' || exponent;
       position++;
     }
-    String word = text.substring(from, position);
+    String word = text.substring(start, position);
     try {
       if (floating) {
         add(Kind.FLOAT, word, Double.parseDouble(word), location);
@@ -216,7 +216,7 @@
         add(Kind.INT, word, hex ? Long.parseLong(word.substring(2), 16) : Long.parseLong(word), location);
       }
     } catch (NumberFormatException e) {
-      throw new ScriptError(location, "'" + word + "' is not a number of 64 bits");
+      throw new ScriptError(location, "'" + word + "' is not a 64-bit number");
     }
   }
 
@@ -226,7 +226,7 @@
     StringBuilder out = new StringBuilder();
     while (true) {
       if (position >= text.length() || !triple && text.charAt(position) == '\n') {
-        throw error("a string is not closed");
+        throw error("unterminated string");
       }
       char c = text.charAt(position);
       if (c == quote && (!triple || text.startsWith(String.valueOf(quote).repeat(3), position))) {
@@ -254,7 +254,7 @@
       case 'r' -> out.append('\r');
       case '\\', '\'', '"' -> out.append(c);
       case '\n' -> { line++; lineStart = position + 2; }
-      default -> throw error("escape '\\" + c + "' is not known");
+      default -> throw error("escape '\\" + c + "' is not supported");
     }
     position += 2;
   }
--- a/src/main/java/hollyslip/settings/Loader.java
+++ b/src/main/java/hollyslip/settings/Loader.java
@@ -30,15 +30,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Makes a {@link Deployment} of a script, or says everything that is wrong with it: first against the JSON
- * Schema, then what names what. */
+/** Loads a {@link Deployment} from a script, or lists every fault: declarations are checked against the JSON
+ * Schema first, then for consistency with each other. */
 public final class Loader {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final JsonNode SCHEMA = readSchema();
 
   private Loader() {}
 
-  /** A deployment, or the faults that keep it from being one. */
+  /** A deployment, or null and the faults in its settings. */
   public record Loaded(Deployment deployment, List<Fault> faults) {}
 
   private static JsonNode readSchema() {
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Loads the script in a file. Relative folders in it are meant from the script's own. */
+  /** Loads the script in a file. Relative paths in it are resolved against the script's directory. */
   public static Loaded load(Path file) {
     Path dir = file.toAbsolutePath().getParent();
     try {
@@ -62,68 +62,69 @@
   static Loaded load(Script script, Path dir) {
     List<Fault> faults = new ArrayList<>();
     Schema schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(SCHEMA);
-    for (Error e : schema.validate(script.declared())) {
-      String at = e.getInstanceLocation().toString();
-      faults.add(new Fault(script.location(at), (at.isEmpty() ? "settings" : at.substring(1)) + ": " + e
-          .getMessage()));
+    for (Error error : schema.validate(script.declared())) {
+      String pointer = error.getInstanceLocation().toString();
+      faults.add(new Fault(script.location(pointer), (pointer.isEmpty() ? "settings" : pointer.substring(1))
+          + ": " + error.getMessage()));
     }
     if (faults.isEmpty()) {
-      JsonNode full = script.declared().deepCopy();
-      if (!full.has("volume")) {
-        ((ObjectNode) full).putArray("volume");
+      JsonNode declarations = script.declared().deepCopy();
+      if (!declarations.has("volume")) {
+        ((ObjectNode) declarations).putArray("volume");
       }
-      applyDefaults((ObjectNode) full);
-      new ConsistencyChecker(script, full).check(faults);
+      applyDefaults((ObjectNode) declarations);
+      new ConsistencyChecker(script, declarations).check(faults);
       if (faults.isEmpty()) {
-        return new Loaded(buildDeployment(full, dir), List.of());
+        return new Loaded(buildDeployment(declarations, dir), List.of());
       }
     }
     return new Loaded(null, Script.sorted(faults));
   }
 
-  /** Fills in what the schema says stands where nothing is given. */
-  private static void applyDefaults(ObjectNode declared) {
-    declared.fields().forEachRemaining(kind -> {
+  /** Fills in the defaults that the schema gives. */
+  private static void applyDefaults(ObjectNode declarations) {
+    declarations.fields().forEachRemaining(kind -> {
       JsonNode properties = SCHEMA.at("/properties/" + kind.getKey() + "/items/properties");
-      for (JsonNode one : kind.getValue()) {
-        properties.fields().forEachRemaining(p -> {
-          if (p.getValue().has("default") && !one.has(p.getKey())) {
-            ((ObjectNode) one).set(p.getKey(), p.getValue().get("default"));
+      for (JsonNode declaration : kind.getValue()) {
+        properties.fields().forEachRemaining(property -> {
+          if (property.getValue().has("default") && !declaration.has(property.getKey())) {
+            ((ObjectNode) declaration).set(property.getKey(), property.getValue().get("default"));
           }
         });
       }
     });
   }
 
-  /** What the schema cannot say: names that must differ or exist, figures that must fit each other. */
+  /** Checks what the schema cannot express: names must be unique or declared, and values must be
+   * consistent. */
   private static final class ConsistencyChecker {
     private final Script script;
     private final JsonNode declarations;
     private List<Fault> faults;
 
-    ConsistencyChecker(Script script, JsonNode all) {
+    ConsistencyChecker(Script script, JsonNode declarations) {
       this.script = script;
-      this.declarations = all;
+      this.declarations = declarations;
     }
 
-    private void addFault(String kind, int i, String what) {
-      faults.add(new Fault(script.location("/" + kind + "/" + i), kind + " " + declarations.at("/" + kind
-          + "/" + i
-          + "/name").asText() + ": " + what));
+    private void addFault(String kind, int index, String message) {
+      faults.add(new Fault(script.location("/" + kind + "/" + index), kind + " " + declarations.at("/" + kind
+          + "/" + index
+          + "/name").asText() + ": " + message));
     }
 
-    void check(List<Fault> to) {
-      faults = to;
+    void check(List<Fault> target) {
+      faults = target;
       for (String kind : List.of("request_class", "plan", "node", "volume")) {
         checkUniqueNames(kind);
       }
       JsonNode gateway = declarations.at("/gateway/0");
       if (gateway.get("index").asInt() >= gateway.get("hosts").asInt()) {
-        addFault("gateway", 0, "index " + gateway.get("index") + " is not below hosts " + gateway.get(
-            "hosts"));
+        addFault("gateway", 0, "index " + gateway.get("index") + " must be below hosts "
+            + gateway.get("hosts"));
       }
       if (gateway.get("admin_cert").asText().isEmpty() != gateway.get("admin_key").asText().isEmpty()) {
-        addFault("gateway", 0, "admin_cert and admin_key must stand together");
+        addFault("gateway", 0, "admin_cert and admin_key must be given together");
       }
       if (declarations.get("volume").isEmpty() && !gateway.get("hosted").asBoolean()) {
         faults.add(new Fault(null, "volume: none is declared, and no tenants are hosted"));
@@ -138,45 +139,45 @@
       Map<String, Integer> seen = new HashMap<>();
       for (int i = 0; i < declarations.get(kind).size(); i++) {
         String name = declarations.get(kind).get(i).get("name").asText();
-        Integer before = seen.putIfAbsent(name, i);
-        if (before != null) {
-          addFault(kind, i, "the name is taken at " + script.location("/" + kind + "/" + before));
+        Integer first = seen.putIfAbsent(name, i);
+        if (first != null) {
+          addFault(kind, i, "the name is already declared at " + script.location("/" + kind + "/" + first));
         }
       }
     }
 
     private void checkRequestClasses() {
-      Set<String> served = new HashSet<>();
+      Set<String> unbounded = new HashSet<>();
       int i = 0;
-      for (JsonNode c : declarations.get("request_class")) {
-        if (c.get("aim").asLong() > c.get("deadline").asLong()) {
-          addFault("request_class", i, "aim " + c.get("aim") + " us is after the deadline " + c.get(
-              "deadline")
-              + " us");
+      for (JsonNode requestClass : declarations.get("request_class")) {
+        if (requestClass.get("aim").asLong() > requestClass.get("deadline").asLong()) {
+          addFault("request_class", i, "aim " + requestClass.get("aim") + " us is longer than the deadline "
+              + requestClass.get("deadline") + " us");
         }
-        if (c.get("effect").asText().equals("keyed") && c.get("window").asLong() == 0) {
+        if (requestClass.get("effect").asText().equals("keyed") && requestClass.get("window").asLong() == 0) {
           addFault("request_class", i, "effect keyed needs a window");
         }
-        if (!c.has("most_bytes")) {
-          c.get("kinds").forEach(k -> served.add(k.asText()));
+        if (!requestClass.has("most_bytes")) {
+          requestClass.get("kinds").forEach(kind -> unbounded.add(kind.asText()));
         }
         i++;
       }
-      for (IoKind k : IoKind.values()) {
-        if (!served.contains(schemaName(k))) {
-          faults.add(new Fault(null, "request_class: none takes " + schemaName(k) + " of any size"));
+      for (IoKind kind : IoKind.values()) {
+        if (!unbounded.contains(schemaName(kind))) {
+          faults.add(new Fault(null, "request_class: no class accepts " + schemaName(kind) + " of any size"));
         }
       }
     }
 
     private void checkPlans() {
       int i = 0;
-      for (JsonNode p : declarations.get("plan")) {
-        if (p.get("limit").asDouble() > 0 && p.get("limit_burst").asDouble() <= 0) {
+      for (JsonNode plan : declarations.get("plan")) {
+        if (plan.get("limit").asDouble() > 0 && plan.get("limit_burst").asDouble() <= 0) {
           addFault("plan", i, "a limit needs a limit_burst above 0");
         }
-        if (p.get("limit").asDouble() > 0 && p.get("reserve").asDouble() > p.get("limit").asDouble()) {
-          addFault("plan", i, "reserve " + p.get("reserve") + " is above the limit " + p.get("limit"));
+        if (plan.get("limit").asDouble() > 0 && plan.get("reserve").asDouble() > plan.get("limit")
+            .asDouble()) {
+          addFault("plan", i, "reserve " + plan.get("reserve") + " is above the limit " + plan.get("limit"));
         }
         i++;
       }
@@ -186,16 +187,16 @@
       Map<Integer, String> shards = new HashMap<>();
       Map<Long, String> ids = new HashMap<>();
       int i = 0;
-      for (JsonNode n : declarations.get("node")) {
-        String name = n.get("name").asText();
-        boolean on = !n.get("state").asText().equals("gone");
-        String other = on ? shards.putIfAbsent(n.get("shard").asInt(), name) : null;
-        if (other != null) {
-          addFault("node", i, "shard " + n.get("shard") + " is held by " + other + " too");
+      for (JsonNode node : declarations.get("node")) {
+        String name = node.get("name").asText();
+        boolean listed = !node.get("state").asText().equals("gone");
+        String shardOwner = listed ? shards.putIfAbsent(node.get("shard").asInt(), name) : null;
+        if (shardOwner != null) {
+          addFault("node", i, "shard " + node.get("shard") + " is assigned to " + shardOwner + " as well");
         }
-        String same = ids.putIfAbsent(n.path("id").asLong(i + 1), name);
-        if (same != null) {
-          addFault("node", i, "id " + n.path("id").asLong(i + 1) + " is that of " + same + " too");
+        String idOwner = ids.putIfAbsent(node.path("id").asLong(i + 1), name);
+        if (idOwner != null) {
+          addFault("node", i, "id " + node.path("id").asLong(i + 1) + " is used by " + idOwner + " as well");
         }
         i++;
       }
@@ -203,141 +204,153 @@
 
     private void checkVolumes() {
       Set<String> plans = new HashSet<>();
-      declarations.get("plan").forEach(p -> plans.add(p.get("name").asText()));
+      declarations.get("plan").forEach(plan -> plans.add(plan.get("name").asText()));
       Set<Integer> shards = new HashSet<>();
-      declarations.get("node").forEach(n -> shards.add(n.get("shard").asInt()));
+      declarations.get("node").forEach(node -> shards.add(node.get("shard").asInt()));
       Map<Long, String> ids = new HashMap<>();
-      Map<Integer, List<long[]>> taken = new HashMap<>();
+      Map<Integer, List<long[]>> rangesByShard = new HashMap<>();
       for (int i = 0; i < declarations.get("volume").size(); i++) {
-        JsonNode v = declarations.get("volume").get(i);
-        if (!plans.contains(v.get("plan").asText())) {
-          addFault("volume", i, "plan " + v.get("plan") + " is not declared");
+        JsonNode volume = declarations.get("volume").get(i);
+        if (!plans.contains(volume.get("plan").asText())) {
+          addFault("volume", i, "plan " + volume.get("plan") + " is not declared");
         }
-        String same = ids.putIfAbsent(v.path("id").asLong(i + 1), v.get("name").asText());
-        if (same != null) {
-          addFault("volume", i, "id " + v.path("id").asLong(i + 1) + " is that of " + same + " too");
+        String idOwner = ids.putIfAbsent(volume.path("id").asLong(i + 1), volume.get("name").asText());
+        if (idOwner != null) {
+          addFault("volume", i, "id " + volume.path("id").asLong(i + 1) + " is used by " + idOwner
+              + " as well");
         }
-        if (v.get("size").asLong() / v.get("extent").asLong() > 1 << 20) {
+        if (volume.get("size").asLong() / volume.get("extent").asLong() > 1 << 20) {
           addFault("volume", i, "more than " + (1 << 20) + " extents");
         }
-        long each = bytesPerShard(v);
-        for (JsonNode s : v.get("shards")) {
-          if (!shards.contains(s.asInt())) {
-            addFault("volume", i, "shard " + s + " is on no node");
+        long length = bytesPerShard(volume);
+        for (JsonNode shard : volume.get("shards")) {
+          if (!shards.contains(shard.asInt())) {
+            addFault("volume", i, "shard " + shard + " has no node");
           }
-          long from = v.get("at").asLong();
-          for (long[] t : taken.computeIfAbsent(s.asInt(), k -> new ArrayList<>())) {
-            if (from < t[1] && t[0] < from + each) {
-              addFault("volume", i, "shares bytes of shard " + s + " with volume " + declarations.at(
-                  "/volume/" + t[2]
-                      + "/name").asText());
+          long start = volume.get("at").asLong();
+          for (long[] range : rangesByShard.computeIfAbsent(shard.asInt(), k -> new ArrayList<>())) {
+            if (start < range[1] && range[0] < start + length) {
+              addFault("volume", i, "overlaps on shard " + shard + " with volume "
+                  + declarations.at("/volume/" + range[2] + "/name").asText());
             }
           }
-          taken.get(s.asInt()).add(new long[]{from, from + each, i});
+          rangesByShard.get(shard.asInt()).add(new long[]{start, start + length, i});
         }
       }
     }
   }
 
-  private static String schemaName(IoKind k) {
-    return k.name().toLowerCase(Locale.ROOT);
+  private static String schemaName(IoKind kind) {
+    return kind.name().toLowerCase(Locale.ROOT);
   }
 
-  /** Bytes that a volume takes of each of its shards. */
-  private static long bytesPerShard(JsonNode v) {
-    long extents = (v.get("size").asLong() + v.get("extent").asLong() - 1) / v.get("extent").asLong();
-    int shards = v.get("shards").size();
-    return (extents + shards - 1) / shards * v.get("extent").asLong();
+  /** Returns the bytes that a volume occupies on each of its shards. */
+  private static long bytesPerShard(JsonNode volume) {
+    long extents = (volume.get("size").asLong() + volume.get("extent").asLong() - 1) / volume.get("extent")
+        .asLong();
+    int shards = volume.get("shards").size();
+    return (extents + shards - 1) / shards * volume.get("extent").asLong();
   }
 
-  // Into records.
+  // Conversion into records.
 
-  private static Deployment buildDeployment(JsonNode all, Path dir) {
-    JsonNode r = all.at("/rules/0");
-    JsonNode s = all.at("/store/0");
+  private static Deployment buildDeployment(JsonNode declarations, Path dir) {
+    JsonNode ruleSettings = declarations.at("/rules/0");
+    JsonNode storeSettings = declarations.at("/store/0");
     List<RequestClass> classes = new ArrayList<>();
-    List<RequestClassifier.Rule> rows = new ArrayList<>();
-    all.get("request_class").forEach(c -> {
-      classes.add(requestClass(c));
-      rows.add(classificationRule(c));
+    List<RequestClassifier.Rule> classificationRules = new ArrayList<>();
+    declarations.get("request_class").forEach(declaration -> {
+      classes.add(requestClass(declaration));
+      classificationRules.add(classificationRule(declaration));
     });
     List<Plan> plans = new ArrayList<>();
-    all.get("plan")
-        .forEach(p -> plans.add(new Plan(p.get("name").asText(), p.get("rate").asDouble(), p.get("reserve")
-            .asDouble(), p.get("weight").asDouble(), p.get("price").asDouble(), p.get("limit").asDouble(), p
-                .get("limit_burst")
-                .asDouble(), p.get("limit_slack").asDouble())));
+    declarations.get("plan")
+        .forEach(plan -> plans.add(new Plan(plan.get("name").asText(),
+            plan.get("rate").asDouble(), plan.get("reserve").asDouble(), plan.get("weight").asDouble(),
+            plan.get("price").asDouble(), plan.get("limit").asDouble(), plan.get("limit_burst").asDouble(),
+            plan.get("limit_slack").asDouble())));
     List<Deployment.Node> nodes = new ArrayList<>();
-    all.get("node")
-        .forEach(n -> nodes.add(new Deployment.Node(n.path("id").asLong(nodes.size() + 1), n.get("name")
-            .asText(), n.get("host").asText(), n.get("port").asInt(), n.get("zone").asText(), n.get("shard")
-                .asInt(), NodeState.valueOf(n.get("state").asText().toUpperCase(Locale.ROOT)), n.get(
-                    "capacity").asDouble(), n.get("bytes").asLong())));
-    Deployment.Process gateway = gatewayConfig(all.at("/gateway/0"), dir);
+    declarations.get("node")
+        .forEach(node -> nodes.add(new Deployment.Node(
+            node.path("id").asLong(nodes.size() + 1), node.get("name").asText(),
+            node.get("host").asText(), node.get("port").asInt(), node.get("zone").asText(),
+            node.get("shard").asInt(),
+            NodeState.valueOf(node.get("state").asText().toUpperCase(Locale.ROOT)),
+            node.get("capacity").asDouble(), node.get("bytes").asLong())));
+    Deployment.Process gateway = gatewayConfig(declarations.at("/gateway/0"), dir);
     List<Volume> volumes = new ArrayList<>();
-    all.get("volume").forEach(v -> volumes.add(volume(v, volumes.size() + 1, gateway.hosts())));
-    Rules rules = new Rules(r.get("answer_slack").asLong(), r.get("drain_grace").asLong(), r.get("cold_from")
-        .asDouble(), r.get("cold").asLong(), r.get("fall_multiple").asDouble(), r.get("fall").asLong(), r.get(
-            "settle").asLong(), r.get("budget_share").asDouble(), r.get("budget_free").asDouble(), r.get(
-                "budget_window").asLong(), 0);
-    Allowed allowed = new Allowed(r.get("most_attempts").asInt(), r.get("probes").asBoolean(), false, r.get(
-        "second_copies").asBoolean(), r.get("most_retry_after").asLong() > 0, r.get("most_retry_after")
-            .asLong(), r.get("connect_timeout").asLong());
-    Store store = new Store(s.get("mean_units").asDouble(), s.get("most_units").asInt(), s.get("cold_units")
-        .asDouble(), s.get("share_worth").asDouble(), s.get("spare_worth").asDouble(), 0, false);
-    return new Deployment(gateway, classes, rows, plans, rules, allowed, store, nodes, volumes);
+    declarations.get("volume")
+        .forEach(volume -> volumes.add(volume(volume, volumes.size() + 1, gateway.hosts())));
+    Rules rules = new Rules(ruleSettings.get("answer_slack").asLong(),
+        ruleSettings.get("drain_grace").asLong(), ruleSettings.get("cold_from").asDouble(),
+        ruleSettings.get("cold").asLong(), ruleSettings.get("fall_multiple").asDouble(),
+        ruleSettings.get("fall").asLong(), ruleSettings.get("settle").asLong(),
+        ruleSettings.get("budget_share").asDouble(), ruleSettings.get("budget_free").asDouble(),
+        ruleSettings.get("budget_window").asLong(), 0);
+    Allowed allowed = new Allowed(ruleSettings.get("most_attempts").asInt(),
+        ruleSettings.get("probes").asBoolean(), false, ruleSettings.get("second_copies").asBoolean(),
+        ruleSettings.get("most_retry_after").asLong() > 0, ruleSettings.get("most_retry_after").asLong(),
+        ruleSettings.get("connect_timeout").asLong());
+    Store store = new Store(storeSettings.get("mean_units").asDouble(), storeSettings.get("most_units")
+        .asInt(),
+        storeSettings.get("cold_units").asDouble(), storeSettings.get("share_worth").asDouble(),
+        storeSettings.get("spare_worth").asDouble(), 0, false);
+    return new Deployment(gateway, classes, classificationRules, plans, rules, allowed, store, nodes,
+        volumes);
   }
 
-  private static Deployment.Process gatewayConfig(JsonNode g, Path dir) {
-    return new Deployment.Process(g.get("name").asText(), g.get("index").asInt(), g.get("hosts").asInt(), g
-        .get("zone")
-        .asText(), dir.resolve(g.get("socket_dir").asText()), dir.resolve(g.get("state_dir").asText()), g.get(
-            "seed").asLong(), g.get("tick").asLong(), g.get("unit_bytes").asLong(), g.get("most_requests")
-                .asLong(), g.get("most_bytes").asLong(), g.get("connections").asInt(), g.get("per_connection")
-                    .asInt(), g.get("io_threads").asInt(), g.get("sftp").asBoolean(), hosting(g, dir), g.get(
-                        "cores").asInt());
+  private static Deployment.Process gatewayConfig(JsonNode gateway, Path dir) {
+    return new Deployment.Process(gateway.get("name").asText(), gateway.get("index").asInt(),
+        gateway.get("hosts").asInt(), gateway.get("zone").asText(),
+        dir.resolve(gateway.get("socket_dir").asText()), dir.resolve(gateway.get("state_dir").asText()),
+        gateway.get("seed").asLong(), gateway.get("tick").asLong(), gateway.get("unit_bytes").asLong(),
+        gateway.get("most_requests").asLong(), gateway.get("most_bytes").asLong(),
+        gateway.get("connections").asInt(), gateway.get("per_connection").asInt(),
+        gateway.get("io_threads").asInt(), gateway.get("sftp").asBoolean(), hosting(gateway, dir),
+        gateway.get("cores").asInt());
   }
 
-  private static Deployment.Hosting hosting(JsonNode g, Path dir) {
-    String cert = g.get("admin_cert").asText();
-    String key = g.get("admin_key").asText();
-    return !g.get("hosted").asBoolean()
+  private static Deployment.Hosting hosting(JsonNode gateway, Path dir) {
+    String cert = gateway.get("admin_cert").asText();
+    String key = gateway.get("admin_key").asText();
+    return !gateway.get("hosted").asBoolean()
         ? null
-        : new Deployment.Hosting(g.get("admin_port").asInt(), cert.isEmpty() ? null : dir.resolve(cert), key
-            .isEmpty() ? null : dir.resolve(key));
+        : new Deployment.Hosting(gateway.get("admin_port").asInt(), cert.isEmpty() ? null : dir.resolve(cert),
+            key.isEmpty() ? null : dir.resolve(key));
   }
 
-  private static RequestClass requestClass(JsonNode c) {
+  private static RequestClass requestClass(JsonNode declaration) {
     Set<String> kinds = new HashSet<>();
-    c.get("kinds").forEach(k -> kinds.add(k.asText()));
+    declaration.get("kinds").forEach(kind -> kinds.add(kind.asText()));
     boolean write = kinds.contains("write");
-    return new RequestClass(c.get("name").asText(), Effect.valueOf(c.get("effect")
-        .asText()
-        .toUpperCase(Locale.ROOT)), DedupScope.valueOf(c.get("group").asText().toUpperCase(Locale.ROOT)), c
-            .get(
-                "window")
-            .asLong(), c.get("aim").asLong(), c.get("deadline").asLong(), c.get("worth")
-                .asDouble(),
-        c.get("late_worth").asDouble(), c.get("in_order").asBoolean(), write);
+    return new RequestClass(declaration.get("name").asText(),
+        Effect.valueOf(declaration.get("effect").asText().toUpperCase(Locale.ROOT)),
+        DedupScope.valueOf(declaration.get("group").asText().toUpperCase(Locale.ROOT)),
+        declaration.get("window").asLong(), declaration.get("aim").asLong(),
+        declaration.get("deadline").asLong(), declaration.get("worth").asDouble(),
+        declaration.get("late_worth").asDouble(), declaration.get("in_order").asBoolean(), write);
   }
 
-  private static RequestClassifier.Rule classificationRule(JsonNode c) {
+  private static RequestClassifier.Rule classificationRule(JsonNode declaration) {
     Set<IoKind> kinds = new HashSet<>();
-    c.get("kinds").forEach(k -> kinds.add(IoKind.valueOf(k.asText().toUpperCase(Locale.ROOT))));
-    return new RequestClassifier.Rule(c.get("name").asText(), kinds, c.has("most_bytes")
-        ? c.get("most_bytes").asLong()
+    declaration.get("kinds")
+        .forEach(kind -> kinds.add(IoKind.valueOf(kind.asText().toUpperCase(Locale.ROOT))));
+    return new RequestClassifier.Rule(declaration.get("name").asText(), kinds, declaration.has("most_bytes")
+        ? declaration.get("most_bytes").asLong()
         : Long.MAX_VALUE);
   }
 
-  private static Volume volume(JsonNode v, int number, int hosts) {
+  private static Volume volume(JsonNode declaration, int number, int hosts) {
     List<Volume.Extent> extents = new ArrayList<>();
-    long extent = v.get("extent").asLong();
-    int shards = v.get("shards").size();
-    for (int i = 0; i * extent < v.get("size").asLong(); i++) {
-      extents.add(new Volume.Extent(v.get("shards").get(i % shards).asInt(), v.get("at").asLong() + i / shards
-          * extent));
+    long extentBytes = declaration.get("extent").asLong();
+    int shards = declaration.get("shards").size();
+    for (int i = 0; i * extentBytes < declaration.get("size").asLong(); i++) {
+      extents.add(new Volume.Extent(declaration.get("shards").get(i % shards).asInt(), declaration.get("at")
+          .asLong() + i / shards
+              * extentBytes));
     }
-    return new Volume(v.path("id").asLong(number), v.get("name").asText(), v.get("tenant").asText(), v.get(
-        "plan").asText(), v.path("hosts").asInt(hosts), v.get("size").asLong(), extent, extents);
+    return new Volume(declaration.path("id").asLong(number), declaration.get("name").asText(),
+        declaration.get("tenant").asText(), declaration.get("plan").asText(),
+        declaration.path("hosts").asInt(hosts), declaration.get("size").asLong(), extentBytes, extents);
   }
 }
--- a/src/main/java/hollyslip/settings/Operators.java
+++ b/src/main/java/hollyslip/settings/Operators.java
@@ -8,60 +8,60 @@
 import java.util.List;
 import java.util.Map;
 
-/** Operators and methods of values. Source: the Starlark specification, "Expressions" and "Built-in
- * methods". */
+/** Operators on values, and methods of lists and dicts. Source: the Starlark specification, "Expressions" and
+ * "Built-in methods". */
 final class Operators {
   private Operators() {}
 
-  static String typeName(Object v) {
-    return v == null
+  static String typeName(Object value) {
+    return value == null
         ? "NoneType"
-        : v instanceof Boolean
+        : value instanceof Boolean
             ? "bool"
-            : v instanceof Long
+            : value instanceof Long
                 ? "int"
-                : v instanceof Double
+                : value instanceof Double
                     ? "float"
-                    : v instanceof String
+                    : value instanceof String
                         ? "string"
-                        : v instanceof Sequence i
-                            ? i.tuple ? "tuple" : "list"
-                            : v instanceof Dict ? "dict" : "function";
+                        : value instanceof Sequence sequence
+                            ? sequence.tuple ? "tuple" : "list"
+                            : value instanceof Dict ? "dict" : "function";
   }
 
-  static ScriptError typeError(Location location, String what, Object... values) {
+  static ScriptError typeError(Location location, String operation, Object... values) {
     List<String> types = new ArrayList<>();
-    for (Object v : values) {
-      types.add(typeName(v));
+    for (Object value : values) {
+      types.add(typeName(value));
     }
-    return new ScriptError(location, what + " does not go with " + String.join(" and ", types));
+    return new ScriptError(location, operation + " is not supported for " + String.join(" and ", types));
   }
 
-  static List<Object> elements(Location location, Object v) {
-    if (v instanceof Sequence i) {
-      return new ArrayList<>(i.elements);
+  static List<Object> elements(Location location, Object value) {
+    if (value instanceof Sequence sequence) {
+      return new ArrayList<>(sequence.elements);
     }
-    if (v instanceof Dict d) {
-      return new ArrayList<>(d.entries.keySet());
+    if (value instanceof Dict dict) {
+      return new ArrayList<>(dict.entries.keySet());
     }
-    throw typeError(location, "going through it", v);
+    throw typeError(location, "iteration", value);
   }
 
-  static Object unary(Location location, String op, Object v) {
-    if (v instanceof Long n) {
-      return op.equals("-") ? checkOverflow(location, () -> Math.negateExact(n)) : n;
+  static Object unary(Location location, String op, Object operand) {
+    if (operand instanceof Long integer) {
+      return op.equals("-") ? checkOverflow(location, () -> Math.negateExact(integer)) : integer;
     }
-    if (v instanceof Double d) {
-      return op.equals("-") ? -d : d;
+    if (operand instanceof Double floating) {
+      return op.equals("-") ? -floating : floating;
     }
-    throw typeError(location, "'" + op + "'", v);
+    throw typeError(location, "'" + op + "'", operand);
   }
 
-  private static Object checkOverflow(Location location, java.util.function.Supplier<Long> of) {
+  private static Object checkOverflow(Location location, java.util.function.Supplier<Long> operation) {
     try {
-      return of.get();
+      return operation.get();
     } catch (ArithmeticException e) {
-      throw new ScriptError(location, "result is not a number of 64 bits");
+      throw new ScriptError(location, "result does not fit into 64 bits");
     }
   }
 
@@ -117,25 +117,25 @@
     throw typeError(location, "'" + op + "'", a, b);
   }
 
-  private static Object repeat(Location location, Object a, long n) {
-    long times = Math.max(0, n);
-    if (a instanceof String s) {
-      if (times * s.length() > 1 << 20 || times > 1 << 20) {
-        throw new ScriptError(location, "a value larger than a script may make");
+  private static Object repeat(Location location, Object value, long count) {
+    long times = Math.max(0, count);
+    if (value instanceof String text) {
+      if (times * text.length() > 1 << 20 || times > 1 << 20) {
+        throw new ScriptError(location, "value is too large");
       }
-      return s.repeat((int) times);
+      return text.repeat((int) times);
     }
-    if (a instanceof Sequence i) {
-      if (times * i.elements.size() > 200_000 || times > 200_000) {
-        throw new ScriptError(location, "a value larger than a script may make");
+    if (value instanceof Sequence sequence) {
+      if (times * sequence.elements.size() > 200_000 || times > 200_000) {
+        throw new ScriptError(location, "value is too large");
       }
-      List<Object> all = new ArrayList<>();
+      List<Object> repeated = new ArrayList<>();
       for (long k = 0; k < times; k++) {
-        all.addAll(i.elements);
+        repeated.addAll(sequence.elements);
       }
-      return new Sequence(all, i.tuple);
+      return new Sequence(repeated, sequence.tuple);
     }
-    throw typeError(location, "'*'", a, n);
+    throw typeError(location, "'*'", value, count);
   }
 
   private static Object integerArithmetic(Location location, String op, long x, long y) {
@@ -185,110 +185,113 @@
       }
       return Integer.compare(x.elements.size(), y.elements.size());
     }
-    throw typeError(location, "a comparison", a, b);
+    throw typeError(location, "comparison", a, b);
   }
 
-  private static boolean contains(Location location, Object a, Object b) {
-    if (b instanceof String s && a instanceof String part) {
-      return s.contains(part);
+  private static boolean contains(Location location, Object element, Object container) {
+    if (container instanceof String text && element instanceof String part) {
+      return text.contains(part);
     }
-    if (b instanceof Dict d) {
-      return d.entries.containsKey(a);
+    if (container instanceof Dict dict) {
+      return dict.entries.containsKey(element);
     }
-    return elements(location, b).stream().anyMatch(i -> Evaluator.areEqual(i, a));
+    return elements(location, container).stream().anyMatch(other -> Evaluator.areEqual(other, element));
   }
 
-  static Object getIndex(Location location, Object of, Object index) {
-    if (of instanceof Dict d) {
-      if (!d.entries.containsKey(index)) {
+  static Object getIndex(Location location, Object object, Object index) {
+    if (object instanceof Dict dict) {
+      if (!dict.entries.containsKey(index)) {
         throw new ScriptError(location, "the dict has no key " + Builtins.repr(index));
       }
-      return d.entries.get(index);
+      return dict.entries.get(index);
     }
-    if (index instanceof Long n && of instanceof Sequence i) {
-      return i.elements.get(elementIndex(location, n, i.elements.size()));
+    if (index instanceof Long number && object instanceof Sequence sequence) {
+      return sequence.elements.get(elementIndex(location, number, sequence.elements.size()));
     }
-    if (index instanceof Long n && of instanceof String s) {
-      int k = elementIndex(location, n, s.length());
-      return s.substring(k, k + 1);
+    if (index instanceof Long number && object instanceof String text) {
+      int position = elementIndex(location, number, text.length());
+      return text.substring(position, position + 1);
     }
-    throw typeError(location, "an index", of, index);
+    throw typeError(location, "indexing", object, index);
   }
 
-  private static int elementIndex(Location location, long n, int size) {
-    long k = n < 0 ? n + size : n;
-    if (k < 0 || k >= size) {
-      throw new ScriptError(location, "index " + n + " of " + size);
+  private static int elementIndex(Location location, long index, int size) {
+    long position = index < 0 ? index + size : index;
+    if (position < 0 || position >= size) {
+      throw new ScriptError(location, "index " + index + " is out of range for length " + size);
     }
-    return (int) k;
+    return (int) position;
   }
 
-  static Object slice(Location location, Object of, Object from, Object to) {
-    int size = of instanceof String s ? s.length() : of instanceof Sequence i ? i.elements.size() : -1;
-    if (size < 0 || from != null && !(from instanceof Long) || to != null && !(to instanceof Long)) {
-      throw typeError(location, "a slice", of);
-    }
-    int a = sliceBound(from, size, 0);
-    int b = Math.max(a, sliceBound(to, size, size));
-    return of instanceof String s
-        ? s.substring(a, b)
-        : new Sequence(new ArrayList<>(((Sequence) of).elements.subList(a, b)), ((Sequence) of).tuple);
+  static Object slice(Location location, Object object, Object start, Object end) {
+    int size = object instanceof String text
+        ? text.length()
+        : object instanceof Sequence sequence ? sequence.elements.size() : -1;
+    if (size < 0 || start != null && !(start instanceof Long) || end != null && !(end instanceof Long)) {
+      throw typeError(location, "slicing", object);
+    }
+    int first = sliceBound(start, size, 0);
+    int last = Math.max(first, sliceBound(end, size, size));
+    return object instanceof String text
+        ? text.substring(first, last)
+        : new Sequence(new ArrayList<>(((Sequence) object).elements.subList(first, last)),
+            ((Sequence) object).tuple);
   }
 
-  private static int sliceBound(Object n, int size, int standard) {
-    if (n == null) {
-      return standard;
+  private static int sliceBound(Object index, int size, int defaultBound) {
+    if (index == null) {
+      return defaultBound;
     }
-    long k = (Long) n < 0 ? (Long) n + size : (Long) n;
-    return (int) Math.max(0, Math.min(size, k));
+    long position = (Long) index < 0 ? (Long) index + size : (Long) index;
+    return (int) Math.max(0, Math.min(size, position));
   }
 
-  static void setIndex(Location location, Object of, Object index, Object value) {
-    if (of instanceof Dict d) {
-      if (d.frozen) {
+  static void setIndex(Location location, Object object, Object index, Object value) {
+    if (object instanceof Dict dict) {
+      if (dict.frozen) {
         throw new ScriptError(location, "the dict is frozen");
       }
-      if (index instanceof Dict || index instanceof Sequence i && !i.tuple) {
-        throw new ScriptError(location, typeName(index) + " cannot be a key");
+      if (index instanceof Dict || index instanceof Sequence sequence && !sequence.tuple) {
+        throw new ScriptError(location, typeName(index) + " cannot be a dict key");
       }
-      d.entries.put(index, value);
-    } else if (of instanceof Sequence i && !i.tuple && index instanceof Long n) {
-      if (i.frozen) {
+      dict.entries.put(index, value);
+    } else if (object instanceof Sequence sequence && !sequence.tuple && index instanceof Long number) {
+      if (sequence.frozen) {
         throw new ScriptError(location, "the list is frozen");
       }
-      i.elements.set(elementIndex(location, n, i.elements.size()), value);
+      sequence.elements.set(elementIndex(location, number, sequence.elements.size()), value);
     } else {
-      throw typeError(location, "an assignment to an index", of, index);
+      throw typeError(location, "assignment to an index", object, index);
     }
   }
 
-  /** A method of a value, bound to it. */
-  static Object boundMethod(Location location, Object of, String name) {
-    Callable m = of instanceof String s
-        ? Builtins.stringMethod(s, name)
-        : of instanceof Sequence i && !i.tuple
-            ? listMethod(i, name)
-            : of instanceof Dict d ? dictMethod(d, name) : null;
-    if (m == null) {
-      throw new ScriptError(location, typeName(of) + " has no method " + name);
-    }
-    return m;
+  /** Returns a method bound to its object. */
+  static Object boundMethod(Location location, Object object, String name) {
+    Callable method = object instanceof String text
+        ? Builtins.stringMethod(text, name)
+        : object instanceof Sequence sequence && !sequence.tuple
+            ? listMethod(sequence, name)
+            : object instanceof Dict dict ? dictMethod(dict, name) : null;
+    if (method == null) {
+      throw new ScriptError(location, typeName(object) + " has no method " + name);
+    }
+    return method;
   }
 
-  private static Callable listMethod(Sequence i, String name) {
+  private static Callable listMethod(Sequence list, String name) {
     return switch (name) {
-      case "append" -> (p, a, n) -> {
-        Builtins.checkArgumentCount(p, "append", a, 1, 1);
-        requireMutable(p, i);
-        i.elements.add(a.get(0));
+      case "append" -> (location, arguments, named) -> {
+        Builtins.checkArgumentCount(location, "append", arguments, 1, 1);
+        requireMutable(location, list);
+        list.elements.add(arguments.get(0));
         return null;
       };
-      case "extend" -> (p, a, n) -> {
-        Builtins.checkArgumentCount(p, "extend", a, 1, 1);
-        requireMutable(p, i);
-        i.elements.addAll(elements(p, a.get(0)));
-        if (i.elements.size() > 200_000) {
-          throw new ScriptError(p, "a value larger than a script may make");
+      case "extend" -> (location, arguments, named) -> {
+        Builtins.checkArgumentCount(location, "extend", arguments, 1, 1);
+        requireMutable(location, list);
+        list.elements.addAll(elements(location, arguments.get(0)));
+        if (list.elements.size() > 200_000) {
+          throw new ScriptError(location, "value is too large");
         }
         return null;
       };
@@ -296,24 +299,29 @@
     };
   }
 
-  private static void requireMutable(Location location, Sequence i) {
-    if (i.frozen) {
+  private static void requireMutable(Location location, Sequence list) {
+    if (list.frozen) {
       throw new ScriptError(location, "the list is frozen");
     }
   }
 
-  private static Callable dictMethod(Dict d, String name) {
+  private static Callable dictMethod(Dict dict, String name) {
     return switch (name) {
-      case "get" -> (p, a, n) -> {
-        Builtins.checkArgumentCount(p, "get", a, 1, 2);
-        return d.entries.containsKey(a.get(0)) ? d.entries.get(a.get(0)) : a.size() > 1 ? a.get(1) : null;
+      case "get" -> (location, arguments, named) -> {
+        Builtins.checkArgumentCount(location, "get", arguments, 1, 2);
+        return dict.entries.containsKey(arguments.get(0))
+            ? dict.entries.get(arguments.get(0))
+            : arguments.size() > 1 ? arguments.get(1) : null;
       };
-      case "keys" -> (p, a, n) -> new Sequence(new ArrayList<>(d.entries.keySet()), false);
-      case "values" -> (p, a, n) -> new Sequence(new ArrayList<>(d.entries.values()), false);
-      case "items" -> (p, a, n) -> {
+      case "keys" -> (location, arguments, named) -> new Sequence(new ArrayList<>(dict.entries.keySet()),
+          false);
+      case "values" -> (location, arguments, named) -> new Sequence(new ArrayList<>(dict.entries.values()),
+          false);
+      case "items" -> (location, arguments, named) -> {
         List<Object> pairs = new ArrayList<>();
-        for (Map.Entry<Object, Object> e : d.entries.entrySet()) {
-          pairs.add(new Sequence(new ArrayList<>(java.util.Arrays.asList(e.getKey(), e.getValue())), true));
+        for (Map.Entry<Object, Object> entry : dict.entries.entrySet()) {
+          pairs.add(new Sequence(new ArrayList<>(java.util.Arrays.asList(entry.getKey(), entry.getValue())),
+              true));
         }
         return new Sequence(pairs, false);
       };
--- a/src/main/java/hollyslip/settings/Parser.java
+++ b/src/main/java/hollyslip/settings/Parser.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads tokens into statements. Source: the Starlark specification, "Grammar reference". */
+/** Recursive-descent parser of scripts. Source: the Starlark specification, "Grammar reference". */
 final class Parser {
-  /** Deepest nesting, so that no script can exhaust the stack. */
+  /** Maximum nesting depth, so that no script can overflow the stack. */
   private static final int MAX_DEPTH = 100;
 
   private static final List<Set<String>> PRECEDENCE = List.of(Set.of("or"), Set.of("and"), Set.of("not"), Set
@@ -27,14 +27,14 @@
   }
 
   static List<Statement> parse(String file, String text) {
-    Parser p = new Parser(Lexer.tokens(file, text));
-    List<Statement> all = new ArrayList<>();
-    while (p.peek().kind() != Kind.END) {
-      if (!p.accept(Kind.NEWLINE)) {
-        p.parseStatement(all);
+    Parser parser = new Parser(Lexer.tokens(file, text));
+    List<Statement> statements = new ArrayList<>();
+    while (parser.peek().kind() != Kind.END) {
+      if (!parser.accept(Kind.NEWLINE)) {
+        parser.parseStatement(statements);
       }
     }
-    return all;
+    return statements;
   }
 
   private Token peek() {
@@ -92,26 +92,26 @@
 
   private void enterNesting() {
     if (++depth > MAX_DEPTH) {
-      throw new ScriptError(peek().location(), "nested deeper than " + MAX_DEPTH);
+      throw new ScriptError(peek().location(), "nesting is deeper than " + MAX_DEPTH);
     }
   }
 
   // Statements.
 
-  private void parseStatement(List<Statement> to) {
+  private void parseStatement(List<Statement> statements) {
     enterNesting();
     Location location = peek().location();
     if (accept("def")) {
-      to.add(parseDef(location));
+      statements.add(parseDef(location));
     } else if (accept("if")) {
-      to.add(parseIf(location));
+      statements.add(parseIf(location));
     } else if (accept("for")) {
       Expression target = parseLoopTarget();
       expect("in");
       Expression source = parseExpressions();
-      to.add(new ForStatement(location, target, source, parseBlock()));
+      statements.add(new ForStatement(location, target, source, parseBlock()));
     } else {
-      to.add(parseSimpleStatement());
+      statements.add(parseSimpleStatement());
       if (!accept(Kind.NEWLINE)) {
         throw unexpected("the end of the line");
       }
@@ -147,7 +147,7 @@
     while (!accept(")")) {
       String parameter = expectName();
       if (parameters.stream().anyMatch(p -> p.name().equals(parameter))) {
-        throw new ScriptError(location, "parameter " + parameter + " stands twice");
+        throw new ScriptError(location, "parameter " + parameter + " is declared twice");
       }
       parameters.add(new Parameter(parameter, accept("=") ? parseExpression() : null));
       if (!nextIs(")")) {
@@ -158,18 +158,18 @@
   }
 
   private Statement parseIf(Location location) {
-    Expression test = parseExpression();
+    Expression condition = parseExpression();
     List<Statement> then = parseBlock();
     List<Statement> otherwise = List.of();
-    Location at2 = peek().location();
+    Location elseLocation = peek().location();
     if (accept("elif")) {
       enterNesting();
-      otherwise = List.of(parseIf(at2));
+      otherwise = List.of(parseIf(elseLocation));
       depth--;
     } else if (accept("else")) {
       otherwise = parseBlock();
     }
-    return new IfStatement(location, test, then, otherwise);
+    return new IfStatement(location, condition, then, otherwise);
   }
 
   private Statement parseSimpleStatement() {
@@ -187,10 +187,10 @@
     }
     Expression left = parseExpressions();
     for (String op : List.of("=", "+=", "-=", "*=", "/=", "//=", "%=")) {
-      Location opAt = peek().location();
+      Location opLocation = peek().location();
       if (accept(op)) {
         checkTarget(left, op.equals("="));
-        return new Assignment(opAt, left, op.substring(0, op.length() - 1), parseExpressions());
+        return new Assignment(opLocation, left, op.substring(0, op.length() - 1), parseExpressions());
       }
     }
     return new ExpressionStatement(location, left);
@@ -200,32 +200,33 @@
     expect("(");
     String file = expectString();
     List<String> names = new ArrayList<>();
-    List<String> as = new ArrayList<>();
+    List<String> localNames = new ArrayList<>();
     while (accept(",") && !nextIs(")")) {
       if (peek().kind() == Kind.NAME) {
-        as.add(expectName());
+        localNames.add(expectName());
         expect("=");
         names.add(expectString());
       } else {
         names.add(expectString());
-        as.add(names.get(names.size() - 1));
+        localNames.add(names.get(names.size() - 1));
       }
     }
     expect(")");
-    return new LoadStatement(location, file, names, as);
+    return new LoadStatement(location, file, names, localNames);
   }
 
-  private void checkTarget(Expression e, boolean many) {
-    if (e instanceof TupleExpression t && many) {
-      t.items().forEach(i -> checkTarget(i, true));
-    } else if (e instanceof ListExpression l && many) {
-      l.items().forEach(i -> checkTarget(i, true));
-    } else if (!(e instanceof Identifier) && !(e instanceof IndexExpression)) {
-      throw new ScriptError(e.location(), "this cannot be assigned to");
+  private void checkTarget(Expression target, boolean allowSequence) {
+    if (target instanceof TupleExpression tuple && allowSequence) {
+      tuple.items().forEach(element -> checkTarget(element, true));
+    } else if (target instanceof ListExpression list && allowSequence) {
+      list.items().forEach(element -> checkTarget(element, true));
+    } else if (!(target instanceof Identifier) && !(target instanceof IndexExpression)) {
+      throw new ScriptError(target.location(), "cannot assign to this expression");
     }
   }
 
-  /** Targets of a {@code for}: names, also in tuples; no operators, since {@code in} follows. */
+  /** Parses the target of a {@code for}: names and tuples of names. It has no operators, since {@code in}
+   * follows. */
   private Expression parseLoopTarget() {
     Location location = peek().location();
     List<Expression> items = new ArrayList<>();
@@ -258,15 +259,15 @@
 
   private Expression parseExpression() {
     enterNesting();
-    Expression then = parseBinary(0);
+    Expression result = parseBinary(0);
     Location location = peek().location();
     if (accept("if")) {
       Expression condition = parseBinary(0);
       expect("else");
-      then = new ConditionalExpression(location, then, condition, parseExpression());
+      result = new ConditionalExpression(location, result, condition, parseExpression());
     }
     depth--;
-    return then;
+    return result;
   }
 
   private Expression parseBinary(int level) {
@@ -277,9 +278,9 @@
       Location location = peek().location();
       if (accept("not")) {
         enterNesting();
-        Expression of = parseBinary(NOT_LEVEL);
+        Expression operand = parseBinary(NOT_LEVEL);
         depth--;
-        return new UnaryExpression(location, "not", of);
+        return new UnaryExpression(location, "not", operand);
       }
       return parseBinary(level + 1);
     }
@@ -292,7 +293,7 @@
       }
       left = new BinaryExpression(location, op, left, parseBinary(level + 1));
       if (level == COMPARISON_LEVEL && nextIsOperator(level)) {
-        throw unexpected("one comparison; they do not chain");
+        throw unexpected("a single comparison; comparisons do not chain");
       }
     }
   }
@@ -323,101 +324,99 @@
     for (String op : List.of("-", "+")) {
       if (accept(op)) {
         enterNesting();
-        Expression of = parseUnary();
+        Expression operand = parseUnary();
         depth--;
-        return new UnaryExpression(location, op, of);
+        return new UnaryExpression(location, op, operand);
       }
     }
     return parseSuffixed();
   }
 
   private Expression parseSuffixed() {
-    Expression e = parseOperand();
+    Expression expression = parseOperand();
     while (true) {
       Location location = peek().location();
       if (accept(".")) {
-        e = new DotExpression(location, e, expectName());
+        expression = new DotExpression(location, expression, expectName());
       } else if (accept("(")) {
-        e = new CallExpression(location, e, parseArguments());
+        expression = new CallExpression(location, expression, parseArguments());
       } else if (accept("[")) {
-        e = parseSubscript(location, e);
+        expression = parseSubscript(location, expression);
       } else {
-        return e;
+        return expression;
       }
     }
   }
 
-  private Expression parseSubscript(Location location, Expression of) {
-    Expression from = nextIs(":") ? null : parseExpression();
+  private Expression parseSubscript(Location location, Expression object) {
+    Expression start = nextIs(":") ? null : parseExpression();
     Expression result;
     if (accept(":")) {
-      result = new SliceExpression(location, of, from, nextIs("]") ? null : parseExpression());
+      result = new SliceExpression(location, object, start, nextIs("]") ? null : parseExpression());
     } else {
-      result = new IndexExpression(location, of, from);
+      result = new IndexExpression(location, object, start);
     }
     expect("]");
     return result;
   }
 
   private List<Argument> parseArguments() {
-    List<Argument> all = new ArrayList<>();
+    List<Argument> arguments = new ArrayList<>();
     while (!accept(")")) {
-      boolean named = peek().kind() == Kind.NAME && tokens.get(position + 1).kind() == Kind.OP && tokens.get(
-          position + 1)
-          .text()
-          .equals("=");
+      boolean named = peek().kind() == Kind.NAME && tokens.get(position + 1).kind() == Kind.OP
+          && tokens.get(position + 1).text().equals("=");
       if (named) {
         String name = expectName();
         next();
-        all.add(new Argument(name, parseExpression()));
+        arguments.add(new Argument(name, parseExpression()));
       } else {
-        if (!all.isEmpty() && all.get(all.size() - 1).name() != null) {
-          throw unexpected("a named argument after a named one");
+        if (!arguments.isEmpty() && arguments.get(arguments.size() - 1).name() != null) {
+          throw unexpected("a named argument after another named argument");
         }
-        all.add(new Argument(null, parseExpression()));
+        arguments.add(new Argument(null, parseExpression()));
       }
       if (!nextIs(")")) {
         expect(",");
       }
     }
-    return all;
+    return arguments;
   }
 
   private Expression parseOperand() {
-    Token t = peek();
-    switch (t.kind()) {
-      case INT, FLOAT -> { position++; return new Literal(t.location(), t.value()); }
+    Token token = peek();
+    switch (token.kind()) {
+      case INT, FLOAT -> { position++; return new Literal(token.location(), token.value()); }
       case STRING -> {
-        StringBuilder s = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         while (peek().kind() == Kind.STRING) {
-          s.append(next().value());
+          text.append(next().value());
         }
-        return new Literal(t.location(), s.toString());
+        return new Literal(token.location(), text.toString());
       }
       case NAME -> {
         position++;
-        return switch (t.text()) {
-          case "True" -> new Literal(t.location(), true);
-          case "False" -> new Literal(t.location(), false);
-          case "None" -> new Literal(t.location(), null);
-          default -> new Identifier(t.location(), t.text());
+        return switch (token.text()) {
+          case "True" -> new Literal(token.location(), true);
+          case "False" -> new Literal(token.location(), false);
+          case "None" -> new Literal(token.location(), null);
+          default -> new Identifier(token.location(), token.text());
         };
       }
       default -> {}
     }
     if (accept("(")) {
       if (accept(")")) {
-        return new TupleExpression(t.location(), List.of());
+        return new TupleExpression(token.location(), List.of());
       }
-      Expression e = parseExpressions();
+      Expression expression = parseExpressions();
       expect(")");
-      return e;
+      return expression;
     }
     if (accept("[")) {
-      return parseList(t.location());
+      return parseList(token.location());
     }
     if (accept("{")) {
-      return parseDict(t.location());
+      return parseDict(token.location());
     }
     throw unexpected("a value");
   }
@@ -427,9 +426,9 @@
     while (!accept("]")) {
       items.add(parseExpression());
       if (items.size() == 1 && nextIs("for")) {
-        Expression e = new Comprehension(location, items.get(0), null, parseClauses());
+        Expression comprehension = new Comprehension(location, items.get(0), null, parseClauses());
         expect("]");
-        return e;
+        return comprehension;
       }
       if (!nextIs("]")) {
         expect(",");
@@ -446,9 +445,9 @@
       expect(":");
       values.add(parseExpression());
       if (keys.size() == 1 && nextIs("for")) {
-        Expression e = new Comprehension(location, keys.get(0), values.get(0), parseClauses());
+        Expression comprehension = new Comprehension(location, keys.get(0), values.get(0), parseClauses());
         expect("}");
-        return e;
+        return comprehension;
       }
       if (!nextIs("}")) {
         expect(",");
@@ -458,16 +457,16 @@
   }
 
   private List<Clause> parseClauses() {
-    List<Clause> all = new ArrayList<>();
+    List<Clause> clauses = new ArrayList<>();
     while (true) {
       if (accept("for")) {
         Expression target = parseLoopTarget();
         expect("in");
-        all.add(new Clause(target, parseBinary(0)));
+        clauses.add(new Clause(target, parseBinary(0)));
       } else if (accept("if")) {
-        all.add(new Clause(null, parseBinary(0)));
+        clauses.add(new Clause(null, parseBinary(0)));
       } else {
-        return all;
+        return clauses;
       }
     }
   }
--- a/src/main/java/hollyslip/settings/Script.java
+++ b/src/main/java/hollyslip/settings/Script.java
@@ -16,13 +16,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** A settings script: what its calls declare, in the order in which they were made, and where. */
+/** The result of running a settings script: its declarations, in the order of their calls, and where they
+ * are. */
 public final class Script {
-  /** Calls that declare something. */
+  /** Functions that declare something. */
   static final List<String> DECLARATION_KINDS = List.of("gateway", "rules", "store", "request_class", "plan",
       "node", "volume");
 
-  /** Declarations of one script, and how many one may make: a fleet of thousands fits. */
+  /** Maximum number of declarations in a script; enough for thousands of nodes. */
   private static final int MAX_DECLARATIONS = 100_000;
 
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -33,15 +34,15 @@
 
   private Script() {}
 
-  /** Runs the script in a file; {@code load} reaches its neighbours.
+  /** Runs the script in a file. {@code load} reads files of the same directory.
    *
    * @throws ScriptError
-   *           it cannot be run */
+   *           if the script fails */
   public static Script run(Path file) {
     return run(file, DECLARATION_KINDS);
   }
 
-  /** As the other, with calls of other names that declare something. */
+  /** Runs the script in a file, with the names of the functions that declare something. */
   public static Script run(Path file, List<String> kinds) {
     Path dir = file.toAbsolutePath().getParent();
     return run(file.getFileName().toString(), name -> {
@@ -53,7 +54,8 @@
     }, kinds);
   }
 
-  /** Runs a script out of named texts; null: there is no such file. */
+  /** Runs a script whose files are given by a function from name to text, which returns null for a missing
+   * file. */
   public static Script run(String file, java.util.function.Function<String, String> texts) {
     return run(file, texts, DECLARATION_KINDS);
   }
@@ -69,80 +71,82 @@
     try {
       new Evaluator(names, texts).execute(file, new Location(file, 1, 1));
     } catch (StackOverflowError e) {
-      throw new ScriptError(new Location(file, 1, 1), "nested too deep");
+      throw new ScriptError(new Location(file, 1, 1), "nesting is too deep");
     }
     return script;
   }
 
-  /** What was declared: an array for each kind of call. */
+  /** Returns the declarations: an array for each kind. */
   public JsonNode declared() {
     return declared;
   }
 
-  /** Where the declaration stands to which a pointer such as {@code /node/3/port} leads; null: none. */
+  /** Returns the location of the declaration that a JSON pointer such as {@code /node/3/port} points into, or
+   * null. */
   public Location location(String pointer) {
-    String[] parts = pointer.split("/");
-    return parts.length > 2 ? locations.get("/" + parts[1] + "/" + parts[2]) : null;
+    String[] segments = pointer.split("/");
+    return segments.length > 2 ? locations.get("/" + segments[1] + "/" + segments[2]) : null;
   }
 
   private Object declare(String kind, Location location, List<Object> positional, Map<String, Object> named) {
     if (++declarationCount > MAX_DECLARATIONS) {
       throw new ScriptError(location, "more than " + MAX_DECLARATIONS + " declarations");
     }
-    ObjectNode one = JSON.createObjectNode();
+    ObjectNode declaration = JSON.createObjectNode();
     if (positional.size() > 1 || positional.size() == 1 && !(positional.get(0) instanceof String)) {
-      throw new ScriptError(location, kind + ": takes its name first and everything else by name");
+      throw new ScriptError(location, kind + ": takes a name as its only positional argument");
     }
     if (positional.size() == 1) {
-      one.put("name", (String) positional.get(0));
+      declaration.put("name", (String) positional.get(0));
     }
-    for (Map.Entry<String, Object> e : named.entrySet()) {
-      if (one.has(e.getKey())) {
-        throw new ScriptError(location, kind + ": argument " + e.getKey() + " is given twice");
+    for (Map.Entry<String, Object> argument : named.entrySet()) {
+      if (declaration.has(argument.getKey())) {
+        throw new ScriptError(location, kind + ": argument " + argument.getKey() + " is given twice");
       }
-      if (e.getValue() != null) {
-        one.set(e.getKey(), toJson(location, e.getValue(), 0));
+      if (argument.getValue() != null) {
+        declaration.set(argument.getKey(), toJson(location, argument.getValue(), 0));
       }
     }
-    ArrayNode all = declared.withArray("/" + kind);
-    locations.put("/" + kind + "/" + all.size(), location);
-    all.add(one);
-    return one.path("name").isTextual() ? one.get("name").asText() : null;
+    ArrayNode sameKind = declared.withArray("/" + kind);
+    locations.put("/" + kind + "/" + sameKind.size(), location);
+    sameKind.add(declaration);
+    return declaration.path("name").isTextual() ? declaration.get("name").asText() : null;
   }
 
-  private static JsonNode toJson(Location location, Object v, int depth) {
+  private static JsonNode toJson(Location location, Object value, int depth) {
     if (depth > 20) {
-      throw new ScriptError(location, "a value nested too deep");
+      throw new ScriptError(location, "value is nested too deep");
     }
-    if (v instanceof Boolean b) {
-      return JSON.getNodeFactory().booleanNode(b);
+    if (value instanceof Boolean bool) {
+      return JSON.getNodeFactory().booleanNode(bool);
     }
-    if (v instanceof Long n) {
-      return JSON.getNodeFactory().numberNode(n);
+    if (value instanceof Long number) {
+      return JSON.getNodeFactory().numberNode(number);
     }
-    if (v instanceof Double d) {
-      return JSON.getNodeFactory().numberNode(d);
+    if (value instanceof Double floating) {
+      return JSON.getNodeFactory().numberNode(floating);
     }
-    if (v instanceof String s) {
-      return JSON.getNodeFactory().textNode(s);
+    if (value instanceof String text) {
+      return JSON.getNodeFactory().textNode(text);
     }
-    if (v instanceof Sequence i) {
-      ArrayNode a = JSON.createArrayNode();
-      i.elements.forEach(o -> a.add(toJson(location, o, depth + 1)));
-      return a;
+    if (value instanceof Sequence sequence) {
+      ArrayNode array = JSON.createArrayNode();
+      sequence.elements.forEach(element -> array.add(toJson(location, element, depth + 1)));
+      return array;
     }
-    if (v instanceof Dict d) {
-      ObjectNode o = JSON.createObjectNode();
-      d.entries.forEach((k, value) -> o.set(Builtins.str(k), toJson(location, value, depth + 1)));
-      return o;
+    if (value instanceof Dict dict) {
+      ObjectNode object = JSON.createObjectNode();
+      dict.entries.forEach((key, element) -> object.set(Builtins.str(key), toJson(location, element, depth
+          + 1)));
+      return object;
     }
-    if (v == null) {
+    if (value == null) {
       return JSON.nullNode();
     }
-    throw new ScriptError(location, Operators.typeName(v) + " cannot be a setting");
+    throw new ScriptError(location, Operators.typeName(value) + " cannot be used as a setting");
   }
 
-  /** A fault of what was declared. */
+  /** An error in the declarations; {@code location} is null if it concerns no single declaration. */
   public record Fault(Location location, String message) {
     @Override
     public String toString() {
@@ -150,13 +154,13 @@
     }
   }
 
-  /** Faults by location, then by words. */
+  /** Returns the faults sorted by location, then by message. */
   static List<Fault> sorted(List<Fault> faults) {
-    List<Fault> all = new ArrayList<>(faults);
-    all.sort(java.util.Comparator.comparing((Fault f) -> f.location() == null ? "" : f.location().file())
+    List<Fault> sorted = new ArrayList<>(faults);
+    sorted.sort(java.util.Comparator.comparing((Fault f) -> f.location() == null ? "" : f.location().file())
         .thenComparing(f -> f.location() == null ? 0 : f.location().line())
         .thenComparing(f -> f.location() == null ? 0 : f.location().column())
         .thenComparing(Fault::message));
-    return all;
+    return sorted;
   }
 }
--- a/src/main/java/hollyslip/settings/ScriptError.java
+++ b/src/main/java/hollyslip/settings/ScriptError.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A fault of a settings script: what, where, and through which calls. */
+/** An error in a settings script, with its location and the calls that led to it. */
 public final class ScriptError extends RuntimeException {
   private final List<String> callers = new ArrayList<>();
   private final Location location;
 
-  /** A location in a file; lines and columns count from 1. */
+  /** A position in a file; lines and columns count from 1. */
   public record Location(String file, int line, int column) {
     @Override
     public String toString() {
@@ -16,15 +16,15 @@
     }
   }
 
-  ScriptError(Location location, String what) {
-    super(what);
+  ScriptError(Location location, String message) {
+    super(message);
     this.location = location;
   }
 
-  /** The call of a function at a location passes this on. */
-  ScriptError addCaller(String function, Location at) {
+  /** Records that the error passed through a call of {@code function}; at most 20 calls are kept. */
+  ScriptError addCaller(String function, Location callLocation) {
     if (callers.size() < 20) {
-      callers.add("  called from " + at + " (" + function + ")");
+      callers.add("  called from " + callLocation + " (" + function + ")");
     }
     return this;
   }
@@ -33,7 +33,7 @@
     return location;
   }
 
-  /** {@code file:line:column: what}, then a line for each call on the way. */
+  /** Returns {@code file:line:column: message}, followed by a line for each call, innermost first. */
   public String text() {
     return callers.isEmpty()
         ? location + ": " + getMessage()
