--- a/src/main/java/hollyslip/cli/AdminCommand.java
+++ b/src/main/java/hollyslip/cli/AdminCommand.java
@@ -19,8 +19,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Speaks the administration API for one kind of thing. What is to be set is given as {@code field=value},
- * with dots into objects, as the API names the fields. */
+/** A client of the administration API for one kind of resource. Fields are given as {@code field=value}, with
+ * the names of the API and dots for nested fields. */
 abstract class AdminCommand implements Callable<Integer> {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final Pattern SIZE_PATTERN = Pattern.compile("(\\d+)(KiB|MiB|GiB|TiB)");
@@ -34,32 +34,32 @@
 
   @Parameters(index = "0", paramLabel = "VERB", description = "${COMPLETION-CANDIDATES}")
   Verb verb;
-  @Parameters(index = "1..*", paramLabel = "NAME|FIELD=VALUE", description = "whose; a volume is TENANT/NAME; then fields as the API names them, sizes also with KiB, MiB, GiB")
+  @Parameters(index = "1..*", paramLabel = "NAME|FIELD=VALUE", description = "name of the resource, TENANT/NAME for a volume; then fields as the API names them, sizes also with KiB, MiB, GiB")
   List<String> arguments = new ArrayList<>();
-  @Option(names = "--socket", paramLabel = "FILE", description = "the gateway's admin.sock", defaultValue = "run/admin.sock")
+  @Option(names = "--socket", paramLabel = "FILE", description = "admin.sock of the gateway", defaultValue = "run/admin.sock")
   Path socket;
-  @Option(names = "--port", description = "its port on the loopback address, instead of the socket")
+  @Option(names = "--port", description = "port of the admin API on the loopback address, instead of the socket")
   Integer port;
-  @Option(names = "--trust", paramLabel = "FILE", description = "certificates to believe on the port, PEM")
+  @Option(names = "--trust", paramLabel = "FILE", description = "PEM file of the certificates to trust on the port")
   Path trust;
-  @Option(names = "--token-file", paramLabel = "FILE", description = "where the token stands", defaultValue = "state/operator.token")
+  @Option(names = "--token-file", paramLabel = "FILE", description = "file that holds the token", defaultValue = "state/operator.token")
   Path tokenFile;
-  @Option(names = "--if-match", paramLabel = "REVISION", description = "change only if it is at this revision; without it, if it has not changed since it was read just before")
+  @Option(names = "--if-match", paramLabel = "REVISION", description = "change the resource only if it is at this revision; by default, only if it has not changed since it was read just before")
   Long revision;
-  @Option(names = "--json", description = "print the API's answers")
+  @Option(names = "--json", description = "print the API's responses as JSON")
   boolean json;
 
-  /** Fields of the list's table. */
+  /** The columns of the table that the list verb prints, separated by spaces. */
   private final String columns;
 
   AdminCommand(String columns) {
     this.columns = columns;
   }
 
-  /** Path of the collection. */
+  /** Returns the API path of the collection. */
   abstract String collectionPath(String name);
 
-  /** Path of one. */
+  /** Returns the API path of one resource. */
   String itemPath(String name) {
     return collectionPath(name) + "/" + name;
   }
@@ -70,7 +70,7 @@
 
   private String name() throws IOException {
     if (arguments.isEmpty() || arguments.get(0).contains("=")) {
-      throw new IOException("a name is needed");
+      throw new IOException("a name is required");
     }
     return arguments.get(0);
   }
@@ -78,7 +78,7 @@
   @Override
   public Integer call() {
     if (!supportedVerbs().contains(verb)) {
-      System.err.println("this cannot be done to it; can be: " + supportedVerbs());
+      System.err.println("unsupported verb; supported: " + supportedVerbs());
       return Main.EXIT_USAGE;
     }
     LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.WARN);
@@ -116,28 +116,30 @@
   private int update(ApiClient api, String method, JsonNode body) throws IOException {
     String tag = revision == null ? null : "\"" + revision + "\"";
     if (tag == null) {
-      ApiClient.Answer now = api.ask("GET", itemPath(name()), null, Map.of());
-      if (!now.good()) {
-        return printResponse(now);
+      ApiClient.Answer current = api.ask("GET", itemPath(name()), null, Map.of());
+      if (!current.good()) {
+        return printResponse(current);
       }
-      tag = now.tag();
+      tag = current.tag();
     }
     return printResponse(api.ask(method, itemPath(name()), body, Map.of("If-Match", tag)));
   }
 
-  /** All pages. */
+  /** Prints the whole list, page by page. */
   private int listAll(ApiClient api) throws IOException {
     List<JsonNode> items = new ArrayList<>();
     String base = collectionPath(arguments.isEmpty() ? "" : arguments.get(0) + "/");
     String after = null;
     do {
-      ApiClient.Answer a = api.ask("GET", base + "?limit=1000" + (after == null ? "" : "&after=" + after),
+      ApiClient.Answer answer = api.ask("GET", base + "?limit=1000" + (after == null
+          ? ""
+          : "&after=" + after),
           null, Map.of());
-      if (!a.good()) {
-        return printResponse(a);
+      if (!answer.good()) {
+        return printResponse(answer);
       }
-      a.body().get("items").forEach(items::add);
-      after = a.body().path("next").asText(null);
+      answer.body().get("items").forEach(items::add);
+      after = answer.body().path("next").asText(null);
     } while (after != null);
     if (json) {
       items.forEach(System.out::println);
@@ -149,17 +151,19 @@
 
   private void printTable(List<JsonNode> items) {
     List<String[]> rows = new ArrayList<>();
-    String[] heads = columns.split(" ");
-    rows.add(heads);
+    String[] headers = columns.split(" ");
+    rows.add(headers);
     for (JsonNode item : items) {
-      String[] row = new String[heads.length];
+      String[] row = new String[headers.length];
       for (int i = 0; i < row.length; i++) {
-        JsonNode n = item.at("/" + heads[i].replace('.', '/'));
-        row[i] = heads[i].endsWith("bytes") && n.isIntegralNumber() ? Plain.bytes(n.asLong()) : n.asText();
+        JsonNode value = item.at("/" + headers[i].replace('.', '/'));
+        row[i] = headers[i].endsWith("bytes") && value.isIntegralNumber()
+            ? Plain.bytes(value.asLong())
+            : value.asText();
       }
       rows.add(row);
     }
-    int[] widths = new int[heads.length];
+    int[] widths = new int[headers.length];
     rows.forEach(r -> {
       for (int i = 0; i < r.length; i++) {
         widths[i] = Math.max(widths[i], r[i].length());
@@ -174,35 +178,39 @@
     }
   }
 
-  private int printResponse(ApiClient.Answer a) {
-    if (a.good()) {
-      if (a.body() != null) {
-        System.out.println(json ? a.body().toString() : a.body().toPrettyString());
+  private int printResponse(ApiClient.Answer answer) {
+    if (answer.good()) {
+      if (answer.body() != null) {
+        System.out.println(json ? answer.body().toString() : answer.body().toPrettyString());
       }
       return Main.EXIT_OK;
     }
-    JsonNode b = a.body() == null ? JSON.createObjectNode() : a.body();
+    JsonNode problem = answer.body() == null ? JSON.createObjectNode() : answer.body();
     System.err.println(json
-        ? b.toString()
-        : a.status() + " " + b.path("title").asText() + (b.has("field") ? ": " + b.get("field").asText() : "")
-            + ": " + b.path("detail").asText() + (b.has("figures") ? " " + b.get("figures") : ""));
-    return a.status() < 500 ? Main.EXIT_USAGE : Main.EXIT_FAILURE;
+        ? problem.toString()
+        : answer.status() + " " + problem.path("title").asText() + (problem.has("field")
+            ? ": " + problem.get("field").asText()
+            : "")
+            + ": " + problem.path("detail").asText() + (problem.has("figures")
+                ? " " + problem.get("figures")
+                : ""));
+    return answer.status() < 500 ? Main.EXIT_USAGE : Main.EXIT_FAILURE;
   }
 
-  /** {@code a.b=1} as an object. */
-  static ObjectNode parseFields(List<String> words) throws IOException {
+  /** Parses fields such as {@code a.b=1} into an object. */
+  static ObjectNode parseFields(List<String> assignments) throws IOException {
     ObjectNode top = JSON.createObjectNode();
-    for (String w : words) {
-      int eq = w.indexOf('=');
-      if (eq < 1) {
-        throw new IOException("field=value must stand where '" + w + "' does");
+    for (String assignment : assignments) {
+      int equalsIndex = assignment.indexOf('=');
+      if (equalsIndex < 1) {
+        throw new IOException("expected field=value, not '" + assignment + "'");
       }
-      String[] path = w.substring(0, eq).split("\\.");
-      ObjectNode in = top;
+      String[] path = assignment.substring(0, equalsIndex).split("\\.");
+      ObjectNode parent = top;
       for (int i = 0; i < path.length - 1; i++) {
-        in = in.withObjectProperty(path[i]);
+        parent = parent.withObjectProperty(path[i]);
       }
-      in.set(path[path.length - 1], parseValue(w.substring(eq + 1)));
+      parent.set(path[path.length - 1], parseValue(assignment.substring(equalsIndex + 1)));
     }
     return top;
   }
@@ -213,8 +221,8 @@
       return JSON.getNodeFactory().numberNode(Long.parseLong(size.group(1)) * SIZE_UNITS.get(size.group(2)));
     }
     try {
-      JsonNode n = JSON.readTree(text);
-      return n != null && (n.isNumber() || n.isNull()) ? n : JSON.getNodeFactory().textNode(text);
+      JsonNode node = JSON.readTree(text);
+      return node != null && (node.isNumber() || node.isNull()) ? node : JSON.getNodeFactory().textNode(text);
     } catch (IOException e) {
       return JSON.getNodeFactory().textNode(text);
     }
--- a/src/main/java/hollyslip/cli/AuditCommand.java
+++ b/src/main/java/hollyslip/cli/AuditCommand.java
@@ -13,7 +13,7 @@
 final class AuditCommand implements Callable<Integer> {
   private static final int MAX_BREACHES_SHOWN = 20;
 
-  @Parameters(paramLabel = "DIR", description = "folder with the records")
+  @Parameters(paramLabel = "DIR", description = "directory of the records")
   Path dir;
 
   @Override
@@ -26,13 +26,13 @@
     }
   }
 
-  /** Prints a report; whether all rules were kept. */
+  /** Prints a report; returns whether all rules were kept. */
   static boolean printReport(Auditor.Report report) {
     System.out.printf("%-22s %10s %9s%n", "rule", "looked at", "breaches");
     report.checked()
-        .forEach((rule, n) -> System.out.printf("%-22s %10d %9d%n", rule.name()
-            .toLowerCase(java.util.Locale.ROOT)
-            .replace('_', ' '), n, report.breaches().stream().filter(b -> b.rule() == rule).count()));
+        .forEach((rule, n) -> System.out.printf("%-22s %10d %9d%n",
+            rule.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' '), n,
+            report.breaches().stream().filter(b -> b.rule() == rule).count()));
     report.breaches().stream().limit(MAX_BREACHES_SHOWN).forEach(b -> System.out.println("  " + b));
     return report.kept();
   }
--- a/src/main/java/hollyslip/cli/BenchCommand.java
+++ b/src/main/java/hollyslip/cli/BenchCommand.java
@@ -13,8 +13,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Measurements. */
-@Command(name = "bench", mixinStandardHelpOptions = true, description = "Measurements on this machine.", subcommands = {
+/** Benchmarks. */
+@Command(name = "bench", mixinStandardHelpOptions = true, description = "Benchmarks on this machine.", subcommands = {
     BenchCommand.Ring.class, BenchCommand.Cores.class, BenchCommand.Module.class, BenchCommand.Tenants.class,
     BenchCommand.Load.class})
 final class BenchCommand implements Callable<Integer> {
@@ -24,16 +24,16 @@
     return Main.EXIT_USAGE;
   }
 
-  /** What all measurements have. */
+  /** Options shared by all benchmarks. */
   abstract static class Measurement implements Callable<Integer> {
-    @Option(names = "--rounds", defaultValue = "3", description = "rounds, taken in turn; medians are shown where they are comparable")
+    @Option(names = "--rounds", defaultValue = "3", description = "number of rounds, interleaved; medians are printed where they are comparable")
     int rounds;
-    @Option(names = "--seconds", defaultValue = "2", description = "seconds of one measurement, after half of that to warm up")
+    @Option(names = "--seconds", defaultValue = "2", description = "duration of one measurement in seconds, after a warm-up of half of it")
     double seconds;
 
-    @Option(names = "--profile", paramLabel = "DIR", description = "where a flame graph goes: the whole run under the profiler, which makes it slower")
+    @Option(names = "--profile", paramLabel = "DIR", description = "directory for a flame graph; the whole run is profiled, which slows it down")
     Path profile;
-    @Option(names = "--event", defaultValue = "itimer", description = "what the profiler samples: itimer or alloc")
+    @Option(names = "--event", defaultValue = "itimer", description = "event that the profiler samples: itimer or alloc")
     String event;
 
     abstract void run() throws Exception;
@@ -51,16 +51,16 @@
     }
   }
 
-  @Command(name = "ring", mixinStandardHelpOptions = true, description = "Reads: ring to gateway to stand-in; the node client straight to the same stand-in; ring to gateway with an echo in place of nodes.")
+  @Command(name = "ring", mixinStandardHelpOptions = true, description = "Reads through the ring and the gateway to a stand-in, with the node client directly to the same stand-in, and through the ring to a gateway with an echo in place of nodes.")
   static final class Ring extends Measurement {
-    @Option(names = "--nodes", defaultValue = "2", description = "stand-ins behind the gateway")
+    @Option(names = "--nodes", defaultValue = "2", description = "number of stand-ins behind the gateway")
     int nodes;
-    @Option(names = "--depths", split = ",", defaultValue = "1,32,256", description = "requests out at a time")
+    @Option(names = "--depths", split = ",", defaultValue = "1,32,256", description = "requests in flight")
     int[] depths;
 
-    @Option(names = "--paths", split = ",", defaultValue = "echo,direct,gateway", description = "echo, direct, gateway")
+    @Option(names = "--paths", split = ",", defaultValue = "echo,direct,gateway", description = "paths to measure: echo, direct, gateway")
     List<String> paths;
-    @Option(names = "--block", defaultValue = "4096", description = "bytes of a read, a multiple of 4096")
+    @Option(names = "--block", defaultValue = "4096", description = "bytes per read, a multiple of 4096")
     int block;
     @Override
     void run() throws Exception {
@@ -68,13 +68,13 @@
     }
   }
 
-  @Command(name = "cores", mixinStandardHelpOptions = true, description = "Eight volumes with a client each on 1, 2, 4 and 8 lanes: reads of 4 KiB a second, the worst client's latencies, and the least volume's part of the mean.")
+  @Command(name = "cores", mixinStandardHelpOptions = true, description = "Eight volumes with one client each on 1, 2, 4 and 8 lanes: reads of 4 KiB per second, latencies of the slowest client, and the throughput of the slowest volume relative to the mean.")
   static final class Cores extends Measurement {
-    @Option(names = "--depth", defaultValue = "32", description = "requests that each client keeps out")
+    @Option(names = "--depth", defaultValue = "32", description = "requests that each client keeps in flight")
     int depth;
-    @Option(names = "--nodes", defaultValue = "2", description = "stand-ins")
+    @Option(names = "--nodes", defaultValue = "2", description = "number of stand-ins")
     int nodes;
-    @Option(names = "--lanes", split = ",", defaultValue = "1,2,4,8", description = "lanes")
+    @Option(names = "--lanes", split = ",", defaultValue = "1,2,4,8", description = "numbers of lanes")
     int[] lanes;
 
     @Override
@@ -83,7 +83,7 @@
     }
   }
 
-  @Command(name = "module", mixinStandardHelpOptions = true, description = "The decision module alone: ns a request by how many wait in it.")
+  @Command(name = "module", mixinStandardHelpOptions = true, description = "The scheduler alone: ns per request, by the number of queued requests.")
   static final class Module extends Measurement {
     @Override
     void run() throws Exception {
@@ -91,7 +91,7 @@
     }
   }
 
-  @Command(name = "tenants", mixinStandardHelpOptions = true, description = "Changes a second with their sync and what they cost requests; a flooding neighbour; recovery by size; the module with 10 and with 50,000 volumes.")
+  @Command(name = "tenants", mixinStandardHelpOptions = true, description = "Configuration changes per second with fsync and their effect on request latency; a noisy neighbour; recovery time by size; the scheduler with 10 and with 50,000 volumes.")
   static final class Tenants extends Measurement {
     @Override
     void run() throws Exception {
@@ -99,11 +99,11 @@
     }
   }
 
-  @Command(name = "load", mixinStandardHelpOptions = true, description = "The generator of load alone, against an echo: how late it comes to its requests, by how many are due a second.")
+  @Command(name = "load", mixinStandardHelpOptions = true, description = "The load generator alone, against an echo: how late it sends requests, by the number due per second.")
   static final class Load extends Measurement {
-    @Option(names = "--rates", split = ",", defaultValue = "50000,100000,200000,400000", description = "requests due a second")
+    @Option(names = "--rates", split = ",", defaultValue = "50000,100000,200000,400000", description = "requests due per second")
     int[] rates;
-    @Option(names = "--threads", defaultValue = "2", description = "clients, a thread each")
+    @Option(names = "--threads", defaultValue = "2", description = "number of clients, each on its own thread")
     int threads;
 
     @Override
--- a/src/main/java/hollyslip/cli/CheckCommand.java
+++ b/src/main/java/hollyslip/cli/CheckCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Parameters;
 
 /** Checks settings and prints every fault. */
-@Command(name = "check", mixinStandardHelpOptions = true, description = "Checks a settings script and prints every fault, one a line, with file, line and column.")
+@Command(name = "check", mixinStandardHelpOptions = true, description = "Checks a settings script and prints every fault, one per line, with file, line and column.")
 final class CheckCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE", description = "settings script")
   Path file;
@@ -20,10 +20,10 @@
       System.out.println(loaded.faults().size() + " faults");
       return Main.EXIT_USAGE;
     }
-    var d = loaded.deployment();
-    System.out.println("no faults: " + d.nodes().size() + " nodes, " + d.volumes().size() + " volumes, " + d
-        .plans()
-        .size() + " plans, " + d.classes().size() + " request classes");
+    var deployment = loaded.deployment();
+    System.out.println("no faults: " + deployment.nodes().size() + " nodes, " + deployment.volumes().size()
+        + " volumes, " + deployment.plans().size() + " plans, " + deployment.classes().size()
+        + " request classes");
     return Main.EXIT_OK;
   }
 }
--- a/src/main/java/hollyslip/cli/DemoCommand.java
+++ b/src/main/java/hollyslip/cli/DemoCommand.java
@@ -9,10 +9,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The scripted bad day. */
-@Command(name = "demo", mixinStandardHelpOptions = true, description = "Plays a scripted bad day of about a minute on stand-ins of its own, audits it, and ends with 1 if a rule was broken.")
+/** Plays a scripted day of faults. */
+@Command(name = "demo", mixinStandardHelpOptions = true, description = "Plays a scripted day of faults, about a minute long, on stand-ins that it starts, audits it, and exits with 1 if a rule was broken.")
 final class DemoCommand implements Callable<Integer> {
-  @Option(names = "--dir", description = "folder for records and logs; a fresh temporary one if not given")
+  @Option(names = "--dir", description = "directory for records and logs; default: a new temporary directory")
   Path dir;
 
   @Override
--- a/src/main/java/hollyslip/cli/EmulateCommand.java
+++ b/src/main/java/hollyslip/cli/EmulateCommand.java
@@ -14,14 +14,14 @@
 import picocli.CommandLine.Parameters;
 
 /** Plays a day file in virtual time. */
-@Command(name = "emulate", mixinStandardHelpOptions = true, description = "Plays a day file (docs/replay.md) in virtual time on models of nodes, network and clients, with the gateway's own engine and module, and audits it. What it prints is simulated.")
+@Command(name = "emulate", mixinStandardHelpOptions = true, description = "Plays a day file (docs/replay.md) in virtual time on models of nodes, network and clients, with the engine and scheduler of the gateway, and audits it. All printed results are simulated.")
 final class EmulateCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE", description = "day file")
   Path file;
-  @Option(names = "--seed", description = "in place of the file's")
+  @Option(names = "--seed", description = "seed to use instead of that of the file")
   Long seed;
 
-  @Option(names = "--timeline", description = "a row for each quarter of a second in which requests were due")
+  @Option(names = "--timeline", description = "also print a row for each quarter of a second in which requests were due")
   boolean printTimeline;
 
   @Override
@@ -31,33 +31,33 @@
     try {
       day = Day.parse(Files.readString(file));
       day = seed == null ? day : day.with(seed);
-      long from = System.nanoTime();
-      Outcome o = World.play(day);
-      double took = (System.nanoTime() - from) / 1e9;
-      printPlans(o);
+      long startNanos = System.nanoTime();
+      Outcome outcome = World.play(day);
+      double seconds = (System.nanoTime() - startNanos) / 1e9;
+      printPlans(outcome);
       if (printTimeline) {
-        printTimeline(o);
+        printTimeline(outcome);
       }
       System.out.printf(Locale.ROOT,
-          "simulated: %.0f s of %d gateways and %d nodes in %.2f s, %,.0f happenings a second%n", day
-              .seconds(), day.gateways(), day.nodes().count(), took, o.happenings() / took);
-      return AuditCommand.printReport(o.audit()) ? Main.EXIT_OK : Main.EXIT_FAILURE;
+          "simulated: %.0f s of %d gateways and %d nodes in %.2f s, %,.0f happenings a second%n",
+          day.seconds(), day.gateways(), day.nodes().count(), seconds, outcome.happenings() / seconds);
+      return AuditCommand.printReport(outcome.audit()) ? Main.EXIT_OK : Main.EXIT_FAILURE;
     } catch (IllegalArgumentException e) {
       System.err.println(file + ": " + e.getMessage());
       return Main.EXIT_USAGE;
     }
   }
 
-  /** A row a plan. */
-  static void printPlans(Outcome o) {
+  /** Prints a row per plan. */
+  static void printPlans(Outcome outcome) {
     printHeader("plan");
-    o.plans().forEach(EmulateCommand::printRow);
+    outcome.plans().forEach(EmulateCommand::printRow);
   }
 
-  private static void printTimeline(Outcome o) {
+  private static void printTimeline(Outcome outcome) {
     printHeader("due at, s");
-    for (int i = 0; i < o.timeline().size(); i++) {
-      printRow(String.format(Locale.ROOT, "%.2f", i * Outcome.INTERVAL_US / 1e6), o.timeline().get(i));
+    for (int i = 0; i < outcome.timeline().size(); i++) {
+      printRow(String.format(Locale.ROOT, "%.2f", i * Outcome.INTERVAL_US / 1e6), outcome.timeline().get(i));
     }
   }
 
@@ -66,12 +66,12 @@
         "failed", "in aim", "p50 ms", "p99 ms", "p99.9 ms");
   }
 
-  private static void printRow(String name, Outcome.Tally t) {
-    double n = Math.max(1, t.asked());
-    System.out.printf(Locale.ROOT, "%-14s %9d %7.2f%% %7.2f%% %7.2f%% %7.2f%% %9.2f %9.2f %9.2f%n", name, t
-        .asked(), 100 * t.count(Asked.Answer.SERVED) / n, 100 * t.count(Asked.Answer.REFUSED) / n, 100 * t
-            .count(Asked.Answer.FAILED) / n, 100 * t.inAim(), t.latency().getValueAtPercentile(50) / 1e3, t
-                .latency()
-                .getValueAtPercentile(99) / 1e3, t.latency().getValueAtPercentile(99.9) / 1e3);
+  private static void printRow(String name, Outcome.Tally tally) {
+    double requests = Math.max(1, tally.asked());
+    System.out.printf(Locale.ROOT, "%-14s %9d %7.2f%% %7.2f%% %7.2f%% %7.2f%% %9.2f %9.2f %9.2f%n", name,
+        tally.asked(), 100 * tally.count(Asked.Answer.SERVED) / requests,
+        100 * tally.count(Asked.Answer.REFUSED) / requests, 100 * tally.count(Asked.Answer.FAILED) / requests,
+        100 * tally.inAim(), tally.latency().getValueAtPercentile(50) / 1e3,
+        tally.latency().getValueAtPercentile(99) / 1e3, tally.latency().getValueAtPercentile(99.9) / 1e3);
   }
 }
--- a/src/main/java/hollyslip/cli/ExperimentCommand.java
+++ b/src/main/java/hollyslip/cli/ExperimentCommand.java
@@ -22,35 +22,34 @@
 import picocli.CommandLine.Parameters;
 
 /** Runs an experiment in the emulator. */
-@Command(name = "experiment", mixinStandardHelpOptions = true, description = "Plays a day in the emulator at each point of a sweep on the same seeds (docs/load.md): means with their intervals of 95 in 100, differences of neighbours of the last name swept, a table and plots. Goes on where it was interrupted.")
+@Command(name = "experiment", mixinStandardHelpOptions = true, description = "Plays a day in the emulator at each point of a sweep with the same seeds (docs/load.md): prints means with 95% confidence intervals and the differences between neighbouring values of the last parameter, and writes a table and plots. An interrupted experiment is resumed.")
 final class ExperimentCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "FILE", description = "experiment, a script")
+  @Parameters(paramLabel = "FILE", description = "experiment script")
   Path file;
-  @Option(names = "--out", required = true, description = "folder of runs, table and plots")
+  @Option(names = "--out", required = true, description = "directory for runs, table and plots")
   Path out;
-  @Option(names = "--threads", defaultValue = "0", description = "runs at a time; 0: as many as there are cores")
+  @Option(names = "--threads", defaultValue = "0", description = "number of concurrent runs; 0: one per core")
   int threads;
 
   @Override
   public Integer call() throws IOException, InterruptedException {
     LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.OFF);
-    Experiment x;
+    Experiment experiment;
     try {
-      x = Experiment.read(file);
+      experiment = Experiment.read(file);
     } catch (IllegalArgumentException | java.nio.file.NoSuchFileException e) {
       System.err.println(e.getMessage());
       return Main.EXIT_USAGE;
     }
     Files.createDirectories(out);
-    int n = threads > 0 ? threads : Runtime.getRuntime().availableProcessors();
-    List<Run> runs = x.run(out.resolve("runs.jsonl"), n, r -> System.err.printf(Locale.ROOT,
-        "%s seed %d: %.1f%% in aim%s%n", r.point(), r.seed(), 100 * r.inAim(), r.broken().isEmpty()
-            ? ""
-            : " BROKEN " + r.broken()));
-    String table = formatTable(x, runs);
+    int concurrency = threads > 0 ? threads : Runtime.getRuntime().availableProcessors();
+    List<Run> runs = experiment.run(out.resolve("runs.jsonl"), concurrency,
+        r -> System.err.printf(Locale.ROOT, "%s seed %d: %.1f%% in aim%s%n", r.point(), r.seed(),
+            100 * r.inAim(), r.broken().isEmpty() ? "" : " BROKEN " + r.broken()));
+    String table = formatTable(experiment, runs);
     Files.writeString(out.resolve("table.txt"), table);
     System.out.print(table);
-    writePlots(x, runs);
+    writePlots(experiment, runs);
     return runs.stream().allMatch(r -> r.broken().isEmpty()) ? Main.EXIT_OK : Main.EXIT_FAILURE;
   }
 
@@ -58,66 +57,69 @@
     return runs.stream().mapToDouble(figure).toArray();
   }
 
-  private static String formatTable(Experiment x, List<Run> runs) {
-    StringBuilder s = new StringBuilder(
+  private static String formatTable(Experiment experiment, List<Run> runs) {
+    StringBuilder table = new StringBuilder(
         "simulated; mean and half the interval of 95 in 100 over the seeds\n");
-    s.append(String.format("%-40s", String.join(", ", x.names())));
-    Experiment.FIGURES.keySet().forEach(f -> s.append(String.format(" %18s", f)));
-    s.append(String.format(" %7s%n", "broken"));
-    Map<String, String> before = null;
-    for (Map<String, String> p : x.points()) {
-      List<Run> mine = Experiment.of(runs, p);
-      s.append(String.format("%-40s", String.join(", ", p.values())));
-      for (var f : Experiment.FIGURES.values()) {
-        s.append(formatEstimate(Estimate.of(values(mine, f)), ""));
+    table.append(String.format("%-40s", String.join(", ", experiment.names())));
+    Experiment.FIGURES.keySet().forEach(figure -> table.append(String.format(" %18s", figure)));
+    table.append(String.format(" %7s%n", "broken"));
+    Map<String, String> previous = null;
+    for (Map<String, String> point : experiment.points()) {
+      List<Run> pointRuns = Experiment.of(runs, point);
+      table.append(String.format("%-40s", String.join(", ", point.values())));
+      for (var figure : Experiment.FIGURES.values()) {
+        table.append(formatEstimate(Estimate.of(values(pointRuns, figure)), ""));
       }
-      s.append(String.format(" %7d%n", mine.stream().filter(r -> !r.broken().isEmpty()).count()));
-      if (before != null && differOnlyInLastName(x, before, p)) {
-        s.append(String.format("%-40s", "  more than the one above"));
-        for (var f : Experiment.FIGURES.values()) {
-          Estimate d = Estimate.paired(values(Experiment.of(runs, before), f), values(mine, f));
-          s.append(formatEstimate(d, d.clear() ? "*" : ""));
+      table.append(String.format(" %7d%n", pointRuns.stream().filter(r -> !r.broken().isEmpty()).count()));
+      if (previous != null && differOnlyInLastName(experiment, previous, point)) {
+        table.append(String.format("%-40s", "  more than the one above"));
+        for (var figure : Experiment.FIGURES.values()) {
+          Estimate difference = Estimate.paired(values(Experiment.of(runs, previous), figure),
+              values(pointRuns, figure));
+          table.append(formatEstimate(difference, difference.clear() ? "*" : ""));
         }
-        s.append(System.lineSeparator());
+        table.append(System.lineSeparator());
       }
-      before = p;
+      previous = point;
     }
-    return s.append("* differs by more than chance, paired by seed\n").toString();
+    return table.append("* differs by more than chance, paired by seed\n").toString();
   }
 
-  private static String formatEstimate(Estimate e, String mark) {
-    return String.format(Locale.ROOT, " %18s", String.format(Locale.ROOT, "%.2f +-%.2f%s", e.mean(), e.half(),
+  private static String formatEstimate(Estimate estimate, String mark) {
+    return String.format(Locale.ROOT, " %18s", String.format(Locale.ROOT, "%.2f +-%.2f%s", estimate.mean(),
+        estimate.half(),
         mark));
   }
 
-  /** Whether two points differ in the last name alone. */
-  private static boolean differOnlyInLastName(Experiment x, Map<String, String> a, Map<String, String> b) {
-    List<String> names = x.names();
+  /** Returns whether two points differ only in the last parameter. */
+  private static boolean differOnlyInLastName(Experiment experiment, Map<String, String> a,
+      Map<String, String> b) {
+    List<String> names = experiment.names();
     return names.size() > 1 && names.subList(0, names.size() - 1)
         .stream()
         .allMatch(k -> a.get(k).equals(b.get(k)));
   }
 
-  /** A plot for each figure: over the first name swept where that is a number, a line for each value of the
-   * others. */
-  private void writePlots(Experiment x, List<Run> runs) throws IOException {
+  /** Writes a plot for each figure, over the first parameter if that is numeric, with a line for each
+   * combination of the others. */
+  private void writePlots(Experiment experiment, List<Run> runs) throws IOException {
     System.setProperty("java.awt.headless", "true");
-    if (x.names().isEmpty()) {
+    if (experiment.names().isEmpty()) {
       return;
     }
-    String first = x.names().get(0);
-    for (var f : Experiment.FIGURES.entrySet()) {
+    String first = experiment.names().get(0);
+    for (var figure : Experiment.FIGURES.entrySet()) {
       Map<String, List<double[]>> lines = new LinkedHashMap<>();
-      for (Map<String, String> p : x.points()) {
-        Map<String, String> others = new LinkedHashMap<>(p);
+      for (Map<String, String> point : experiment.points()) {
+        Map<String, String> others = new LinkedHashMap<>(point);
         others.remove(first);
-        Estimate e = Estimate.of(values(Experiment.of(runs, p), f.getValue()));
+        Estimate estimate = Estimate.of(values(Experiment.of(runs, point), figure.getValue()));
         try {
-          lines.computeIfAbsent(others.isEmpty() ? f.getKey() : others.toString(), k -> new ArrayList<>())
-              .add(new double[]{Double.parseDouble(p.get(first)), e.mean(), Double.isInfinite(e.half())
-                  ? 0
-                  : e.half()});
-        } catch (NumberFormatException notOne) {
+          lines.computeIfAbsent(others.isEmpty() ? figure.getKey() : others.toString(),
+              k -> new ArrayList<>())
+              .add(new double[]{Double.parseDouble(point.get(first)), estimate.mean(),
+                  Double.isInfinite(estimate.half()) ? 0 : estimate.half()});
+        } catch (NumberFormatException notNumeric) {
           return;
         }
       }
@@ -125,19 +127,18 @@
           .height(560)
           .title("simulated")
           .xAxisTitle(first)
-          .yAxisTitle(f.getKey())
+          .yAxisTitle(figure.getKey())
           .build();
       chart.getStyler().setXAxisLogarithmic(true);
-      lines.forEach((name, at) -> {
-        XYSeries series = chart.addSeries(name, at.stream().mapToDouble(v -> v[0]).toArray(), at.stream()
-            .mapToDouble(v -> v[1])
-            .toArray(), at.stream().mapToDouble(v -> v[2]).toArray());
+      lines.forEach((name, points) -> {
+        XYSeries series = chart.addSeries(name, points.stream().mapToDouble(v -> v[0]).toArray(),
+            points.stream().mapToDouble(v -> v[1]).toArray(),
+            points.stream().mapToDouble(v -> v[2]).toArray());
         series.setSmooth(false);
       });
-      BitmapEncoder.saveBitmap(chart, out.resolve(f.getKey()
+      BitmapEncoder.saveBitmap(chart, out.resolve(figure.getKey()
           .replaceAll("[^a-z0-9]+", "-")
-          .replaceAll("-$", ""))
-          .toString(), BitmapEncoder.BitmapFormat.PNG);
+          .replaceAll("-$", "")).toString(), BitmapEncoder.BitmapFormat.PNG);
     }
   }
 }
--- a/src/main/java/hollyslip/cli/LoadCommand.java
+++ b/src/main/java/hollyslip/cli/LoadCommand.java
@@ -20,8 +20,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Load on a schedule, and what became of it. */
-@Command(name = "load", mixinStandardHelpOptions = true, description = "Load that does not wait for answers, and its figures.", subcommands = {
+/** Generates open-loop load and reports latencies. */
+@Command(name = "load", mixinStandardHelpOptions = true, description = "Open-loop load, which does not wait for answers, and its latencies.", subcommands = {
     LoadCommand.Run.class, LoadCommand.Report.class, LoadCommand.Compare.class, LoadCommand.Forecast.class})
 final class LoadCommand implements Callable<Integer> {
   static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
@@ -33,28 +33,28 @@
     return Main.EXIT_USAGE;
   }
 
-  /** Plays the volumes of a day file. */
-  @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays the volumes of a day file (docs/load.md) against gateways that run; its troubles are not played. Ends with 1 if the generator was too late for its figures to count.")
+  /** Runs the load of the volumes of a day file. */
+  @Command(name = "run", mixinStandardHelpOptions = true, description = "Runs the load of the volumes of a day file (docs/load.md) against running gateways, without its faults. Exits with 1 if the generator was too late for the results to be valid.")
   static final class Run implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "day file")
     Path file;
-    @Option(names = "--sockets", split = ",", required = true, description = "folders of the volumes' sockets, one a gateway")
+    @Option(names = "--sockets", split = ",", required = true, description = "directories of the volumes' sockets, one per gateway")
     List<Path> sockets;
-    @Option(names = "--seconds", description = "in place of the file's")
+    @Option(names = "--seconds", description = "duration in seconds, instead of that of the file")
     Double seconds;
-    @Option(names = "--seed", description = "in place of the file's")
+    @Option(names = "--seed", description = "seed to use instead of that of the file")
     Long seed;
-    @Option(names = "--closed", description = "baseline: each client waits for its answer before it asks again, as if that were the load")
+    @Option(names = "--closed", description = "closed loop, for comparison: each client waits for an answer before it sends the next request")
     boolean closed;
-    @Option(names = "--lateness-ms", defaultValue = "1", description = "how late the generator may come to one request in a thousand")
+    @Option(names = "--lateness-ms", defaultValue = "1", description = "how late the generator may send one request in a thousand, in ms")
     double maxLatenessMs;
-    @Option(names = "--process", defaultValue = "0/1", description = "i/n: plays every n-th client of the schedule, from the i-th")
+    @Option(names = "--process", defaultValue = "0/1", description = "i/n: runs every n-th client of the schedule, starting with the i-th")
     String process;
-    @Option(names = "--start-us", description = "when the schedule begins, on the machine's monotonic clock: the same for all processes of a run")
+    @Option(names = "--start-us", description = "start of the schedule on the machine's monotonic clock, the same for all processes of a run")
     Long startUs;
-    @Option(names = "--log", description = "where the HdrHistogram log goes")
+    @Option(names = "--log", description = "file to write the HdrHistogram log to")
     Path logFile;
-    @Option(names = "--json", description = "where the figures go as JSON")
+    @Option(names = "--json", description = "file to write the results to as JSON")
     Path jsonFile;
 
     @Override
@@ -66,15 +66,15 @@
         day = Day.parse(Files.readString(file));
         day = seconds == null ? day : day.lasting(seconds);
         day = seed == null ? day : day.with(seed);
-        int[] which = parseProcess();
-        run = new LoadRun(new LoadRun.Config(day, sockets, which[0], which[1], startUs == null
+        int[] share = parseProcess();
+        run = new LoadRun(new LoadRun.Config(day, sockets, share[0], share[1], startUs == null
             ? LoadRun.soon()
             : startUs, closed, (long) (maxLatenessMs * 1_000)));
       } catch (IllegalArgumentException e) {
         System.err.println(file + ": " + e.getMessage());
         return Main.EXIT_USAGE;
       }
-      // Ctrl-C ends the schedule; the report is still written.
+      // Ctrl-C ends the schedule early; the report is still written.
       CountDownLatch reported = new CountDownLatch(1);
       Thread hook = new Thread(() -> {
         run.stop();
@@ -86,73 +86,75 @@
       });
       Runtime.getRuntime().addShutdownHook(hook);
       try {
-        LoadRun.Result r = run.run();
+        LoadRun.Result result = run.run();
         if (logFile != null) {
-          r.log().write(logFile);
+          result.log().write(logFile);
         }
         if (jsonFile != null) {
-          JSON.writerWithDefaultPrettyPrinter().writeValue(jsonFile.toFile(), toJson(r));
+          JSON.writerWithDefaultPrettyPrinter().writeValue(jsonFile.toFile(), toJson(result));
         }
-        printResult(r);
-        return r.valid() ? Main.EXIT_OK : Main.EXIT_FAILURE;
+        printResult(result);
+        return result.valid() ? Main.EXIT_OK : Main.EXIT_FAILURE;
       } finally {
         reported.countDown();
       }
     }
 
     private int[] parseProcess() {
-      String[] w = process.split("/");
+      String[] parts = process.split("/");
       try {
-        int i = Integer.parseInt(w[0]);
-        int n = Integer.parseInt(w[1]);
-        if (i >= 0 && i < n) {
-          return new int[]{i, n};
+        int index = Integer.parseInt(parts[0]);
+        int count = Integer.parseInt(parts[1]);
+        if (index >= 0 && index < count) {
+          return new int[]{index, count};
         }
       } catch (RuntimeException e) {
-        // Said below.
+        // Reported below.
       }
       throw new IllegalArgumentException("--process: must be i/n with i below n, not " + process);
     }
 
-    private static ObjectNode toJson(LoadRun.Result r) {
-      ObjectNode o = JSON.createObjectNode();
-      o.put("valid", r.valid()).put("due", r.due()).put("answered", r.answered()).put("waited", r.waited());
-      o.put("lateness_p999_us", r.lateness().getValueAtPercentile(99.9));
-      r.ends().forEach((e, n) -> o.put(e.name().toLowerCase(Locale.ROOT), n));
-      for (String tag : r.log().tags()) {
-        Histogram h = r.log().all(tag);
-        ObjectNode t = o.putObject(tag).put("count", h.getTotalCount());
-        for (double p : PERCENTILES) {
-          t.put("p" + p, h.getValueAtPercentile(p));
+    private static ObjectNode toJson(LoadRun.Result result) {
+      ObjectNode json = JSON.createObjectNode();
+      json.put("valid", result.valid())
+          .put("due", result.due())
+          .put("answered", result.answered())
+          .put("waited", result.waited());
+      json.put("lateness_p999_us", result.lateness().getValueAtPercentile(99.9));
+      result.ends().forEach((end, count) -> json.put(end.name().toLowerCase(Locale.ROOT), count));
+      for (String tag : result.log().tags()) {
+        Histogram histogram = result.log().all(tag);
+        ObjectNode percentiles = json.putObject(tag).put("count", histogram.getTotalCount());
+        for (double percentile : PERCENTILES) {
+          percentiles.put("p" + percentile, histogram.getValueAtPercentile(percentile));
         }
       }
-      return o;
+      return json;
     }
 
-    private void printResult(LoadRun.Result r) {
-      printTable(r.log());
-      System.out.printf(Locale.ROOT, "measured: %d due, %s, %d found no room at first%n", r.due(), r.ends()
-          .toString()
-          .toLowerCase(Locale.ROOT), r.waited());
+    private void printResult(LoadRun.Result result) {
+      printTable(result.log());
+      System.out.printf(Locale.ROOT, "measured: %d due, %s, %d found no room at first%n", result.due(),
+          result.ends().toString().toLowerCase(Locale.ROOT), result.waited());
       System.out.printf(Locale.ROOT,
-          "generator late by %.3f ms at p99, %.3f ms at p99.9, %.3f ms at most: %s%n", r
-              .lateness()
-              .getValueAtPercentile(99) / 1e3, r.lateness().getValueAtPercentile(99.9) / 1e3, r.lateness()
-                  .getMaxValue() / 1e3, r.valid()
-                      ? "valid"
-                      : "NOT VALID, these figures say nothing of the gateway");
+          "generator late by %.3f ms at p99, %.3f ms at p99.9, %.3f ms at most: %s%n",
+          result.lateness().getValueAtPercentile(99) / 1e3, result.lateness().getValueAtPercentile(99.9)
+              / 1e3,
+          result.lateness().getMaxValue() / 1e3, result.valid()
+              ? "valid"
+              : "NOT VALID, these figures say nothing of the gateway");
       if (closed) {
         System.out.println("closed loop: stalls are hidden, as nothing is asked while one lasts");
       }
     }
   }
 
-  /** Merges logs. */
+  /** Merges and prints latency logs. */
   @Command(name = "report", mixinStandardHelpOptions = true, description = "Merges HdrHistogram logs of one or more processes and prints their percentiles.")
   static final class Report implements Callable<Integer> {
-    @Parameters(paramLabel = "LOG", arity = "1..*", description = "logs")
+    @Parameters(paramLabel = "LOG", arity = "1..*", description = "HdrHistogram logs")
     List<Path> logs;
-    @Option(names = "--by-second", description = "a row a second, all tags together")
+    @Option(names = "--by-second", description = "also print a row per second, over all tags")
     boolean bySecond;
 
     @Override
@@ -171,38 +173,40 @@
     }
 
     private static void printSeconds(LatencyLog all) {
-      java.util.TreeMap<Long, Histogram> sums = new java.util.TreeMap<>();
+      java.util.TreeMap<Long, Histogram> histograms = new java.util.TreeMap<>();
       for (String tag : all.tags()) {
         all.seconds(tag)
-            .forEach((s, h) -> sums.computeIfAbsent(s, k -> new Histogram(3_600_000_000L, 3)).add(h));
+            .forEach((second, histogram) -> histograms.computeIfAbsent(second,
+                k -> new Histogram(3_600_000_000L, 3)).add(histogram));
       }
       printHeader("second");
-      sums.forEach((s, h) -> printRow(String.valueOf(s), h));
+      histograms.forEach((second, histogram) -> printRow(String.valueOf(second), histogram));
     }
   }
 
-  /** Two runs side by side. */
-  @Command(name = "compare", mixinStandardHelpOptions = true, description = "Percentiles of two logs side by side, with the second's part of the first.")
+  /** Compares the latencies of two runs. */
+  @Command(name = "compare", mixinStandardHelpOptions = true, description = "Prints the percentiles of two logs side by side, with the ratio of the second to the first.")
   static final class Compare implements Callable<Integer> {
-    @Parameters(index = "0", paramLabel = "LOG", description = "before")
+    @Parameters(index = "0", paramLabel = "LOG", description = "log of the first run")
     Path before;
-    @Parameters(index = "1", paramLabel = "LOG", description = "after")
+    @Parameters(index = "1", paramLabel = "LOG", description = "log of the second run")
     Path after;
 
     @Override
     public Integer call() {
       try {
-        LatencyLog a = LatencyLog.read(before);
-        LatencyLog b = LatencyLog.read(after);
+        LatencyLog first = LatencyLog.read(before);
+        LatencyLog second = LatencyLog.read(after);
         System.out.printf("%-20s %8s %12s %12s %8s%n", "tag", "at", "before ms", "after ms", "ratio");
-        for (String tag : a.tags()) {
-          Histogram x = a.all(tag);
-          Histogram y = b.all(tag);
-          for (double p : PERCENTILES) {
-            if (y != null) {
-              double of = x.getValueAtPercentile(p) / 1e3;
-              double is = y.getValueAtPercentile(p) / 1e3;
-              System.out.printf(Locale.ROOT, "%-20s %8s %12.3f %12.3f %8.2f%n", tag, p, of, is, is / of);
+        for (String tag : first.tags()) {
+          Histogram firstHistogram = first.all(tag);
+          Histogram secondHistogram = second.all(tag);
+          for (double percentile : PERCENTILES) {
+            if (secondHistogram != null) {
+              double firstMs = firstHistogram.getValueAtPercentile(percentile) / 1e3;
+              double secondMs = secondHistogram.getValueAtPercentile(percentile) / 1e3;
+              System.out.printf(Locale.ROOT, "%-20s %8s %12.3f %12.3f %8.2f%n", tag, percentile, firstMs,
+                  secondMs, secondMs / firstMs);
             }
           }
         }
@@ -214,12 +218,12 @@
     }
   }
 
-  /** The emulator's word against sockets. */
-  @Command(name = "forecast", mixinStandardHelpOptions = true, description = "Plays a day without its troubles on stand-ins over sockets and in the emulator, and prints both side by side: what the emulator is worth on this machine.")
+  /** Compares the emulator with a real run over sockets. */
+  @Command(name = "forecast", mixinStandardHelpOptions = true, description = "Plays a day without its faults on stand-ins over sockets and in the emulator, and prints both side by side, to show how accurate the emulator is on this machine.")
   static final class Forecast implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "day file")
     Path file;
-    @Option(names = "--times", split = ",", defaultValue = "1", description = "the load in so many times that of the file, one after the other")
+    @Option(names = "--times", split = ",", defaultValue = "1", description = "factors by which the load of the file is multiplied, run one after the other")
     double[] loadFactors;
 
     @Override
@@ -241,42 +245,41 @@
 
     private static void compareAtLoad(Day day, double times) throws IOException, InterruptedException {
       Path dir = Files.createTempDirectory("hollyslip-forecast");
-      LoadRun.Result r;
+      LoadRun.Result result;
       try (Stage stage = new Stage(day, dir)) {
         stage.start();
-        // The gateways' code is compiled as it is used: what comes first is not counted.
-        new LoadRun(new LoadRun.Config(day.lasting(Math.min(5, day.seconds())), stage.sockets(), 0, 1, LoadRun
-            .soon(), false, 1_000)).run();
-        r = new LoadRun(new LoadRun.Config(day, stage.sockets(), 0, 1, LoadRun.soon(), false, 1_000)).run();
+        // Warm-up: the JVM compiles the gateways' code as it is used, so the first run is not counted.
+        new LoadRun(new LoadRun.Config(day.lasting(Math.min(5, day.seconds())), stage.sockets(), 0, 1,
+            LoadRun.soon(), false, 1_000)).run();
+        result = new LoadRun(new LoadRun.Config(day, stage.sockets(), 0, 1, LoadRun.soon(), false, 1_000))
+            .run();
       }
-      Outcome o = World.play(day);
-      for (String tag : r.log().tags()) {
-        Histogram is = r.log().all(tag);
-        Histogram was = o.kinds().get(tag).latency();
-        double s = day.seconds();
-        System.out.printf(Locale.ROOT, "%-6s %-16s %s %s %s%n", times, tag, formatPair(is.getTotalCount() / s,
-            was
-                .getTotalCount() / s), formatPair(is.getValueAtPercentile(50) / 1e3, was.getValueAtPercentile(
-                    50)
-                    / 1e3), formatPair(is
-                        .getValueAtPercentile(99) / 1e3, was.getValueAtPercentile(99) / 1e3));
+      Outcome outcome = World.play(day);
+      for (String tag : result.log().tags()) {
+        Histogram measured = result.log().all(tag);
+        Histogram simulated = outcome.kinds().get(tag).latency();
+        double seconds = day.seconds();
+        System.out.printf(Locale.ROOT, "%-6s %-16s %s %s %s%n", times, tag,
+            formatPair(measured.getTotalCount() / seconds, simulated.getTotalCount() / seconds),
+            formatPair(measured.getValueAtPercentile(50) / 1e3, simulated.getValueAtPercentile(50) / 1e3),
+            formatPair(measured.getValueAtPercentile(99) / 1e3, simulated.getValueAtPercentile(99) / 1e3));
       }
-      System.out.printf(Locale.ROOT, "       generator late by %.3f ms at p99.9: %s%n", r.lateness()
-          .getValueAtPercentile(99.9) / 1e3, r.valid() ? "valid" : "NOT VALID");
+      System.out.printf(Locale.ROOT, "       generator late by %.3f ms at p99.9: %s%n", result.lateness()
+          .getValueAtPercentile(99.9) / 1e3, result.valid() ? "valid" : "NOT VALID");
     }
 
-    /** Measured, simulated, and their ratio. */
+    /** Formats a measured value, the simulated one, and their ratio. */
     private static String formatPair(double measured, double simulated) {
       return String.format(Locale.ROOT, "%9.2f %9.2f %6.2f", measured, simulated, simulated / measured);
     }
   }
 
   private static LatencyLog readAndMerge(List<Path> logs) throws IOException {
-    LatencyLog all = new LatencyLog();
-    for (Path p : logs) {
-      all.add(LatencyLog.read(p));
+    LatencyLog merged = new LatencyLog();
+    for (Path path : logs) {
+      merged.add(LatencyLog.read(path));
     }
-    return all;
+    return merged;
   }
 
   private static void printTable(LatencyLog log) {
@@ -292,10 +295,10 @@
     System.out.println();
   }
 
-  private static void printRow(String name, Histogram h) {
-    System.out.printf("%-20s %9d", name, h.getTotalCount());
-    for (double p : PERCENTILES) {
-      System.out.printf(Locale.ROOT, " %10.3f", h.getValueAtPercentile(p) / 1e3);
+  private static void printRow(String name, Histogram histogram) {
+    System.out.printf("%-20s %9d", name, histogram.getTotalCount());
+    for (double percentile : PERCENTILES) {
+      System.out.printf(Locale.ROOT, " %10.3f", histogram.getValueAtPercentile(percentile) / 1e3);
     }
     System.out.println();
   }
--- a/src/main/java/hollyslip/cli/LogSetup.java
+++ b/src/main/java/hollyslip/cli/LogSetup.java
@@ -10,10 +10,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs go to standard error: JSON lines, or lines to be read at a terminal. One event a fact; its name is
- * the message, its figures are fields. */
+/** Configures logging to standard error, as JSON lines or as text for a terminal. The message of a log event
+ * is its name; its values are key-value fields. */
 final class LogSetup {
-  /** How logs are written. */
+  /** Format of log lines; {@code auto} is text at a terminal, else JSON. */
   enum Form {
     auto, json, text
   }
@@ -25,29 +25,29 @@
     context.reset();
     boolean json = form == Form.json || form == Form.auto && System.console() == null;
     Encoder<ILoggingEvent> encoder = json ? jsonEncoder(context) : textEncoder(context);
-    ConsoleAppender<ILoggingEvent> out = new ConsoleAppender<>();
-    out.setContext(context);
-    out.setTarget("System.err");
-    out.setEncoder(encoder);
-    out.start();
+    ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
+    appender.setContext(context);
+    appender.setTarget("System.err");
+    appender.setEncoder(encoder);
+    appender.start();
     ch.qos.logback.classic.Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
-    root.addAppender(out);
+    root.addAppender(appender);
     root.setLevel(Level.WARN);
     context.getLogger("hollyslip").setLevel(level);
   }
 
   private static Encoder<ILoggingEvent> jsonEncoder(LoggerContext context) {
-    LogstashEncoder e = new LogstashEncoder();
-    e.setContext(context);
-    e.start();
-    return e;
+    LogstashEncoder encoder = new LogstashEncoder();
+    encoder.setContext(context);
+    encoder.start();
+    return encoder;
   }
 
   private static Encoder<ILoggingEvent> textEncoder(LoggerContext context) {
-    PatternLayoutEncoder e = new PatternLayoutEncoder();
-    e.setContext(context);
-    e.setPattern("%d{HH:mm:ss.SSS} %-5level %msg %kvp{NONE}%n%ex{short}");
-    e.start();
-    return e;
+    PatternLayoutEncoder encoder = new PatternLayoutEncoder();
+    encoder.setContext(context);
+    encoder.setPattern("%d{HH:mm:ss.SSS} %-5level %msg %kvp{NONE}%n%ex{short}");
+    encoder.start();
+    return encoder;
   }
 }
--- a/src/main/java/hollyslip/cli/Main.java
+++ b/src/main/java/hollyslip/cli/Main.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.HelpCommand;
 import picocli.CommandLine.Option;
 
-/** Entry of the jar. */
+/** Entry point of the jar. */
 @Command(name = "hollyslip", mixinStandardHelpOptions = true, version = "hollyslip 0.2.0", description = "A storage gateway that schedules a host's reads and writes across storage nodes.", subcommands = {
     ServeCommand.class, CheckCommand.class, DemoCommand.class, ReplayCommand.class, RingCommand.class,
     SftpCommand.class, StandinCommand.class, AuditCommand.class, BenchCommand.class, EmulateCommand.class,
@@ -19,14 +19,15 @@
     AdminCommand.Nodes.class, Main.WireHostCommand.class, Main.PlatformCommand.class,
     GenerateCompletion.class,
     HelpCommand.class}, exitCodeListHeading = "%nExit codes:%n", exitCodeList = {
-        "0:done; for demo, replay and audit: all rules kept",
-        "1:something failed; for demo, replay and audit: a rule was broken",
-        "2:the command line, the settings or the input are wrong"}, footerHeading = "%n", footer = "Settings are described in docs/settings.md, operation in docs/operators.md.")
+        "0:success; for demo, replay and audit: all rules kept",
+        "1:failure; for demo, replay and audit: a rule was broken",
+        "2:invalid command line, settings or input"}, footerHeading = "%n", footer = "Settings are described in docs/settings.md, operation in docs/operators.md.")
 public final class Main implements Callable<Integer> {
   static final int EXIT_OK = 0, EXIT_FAILURE = 1, EXIT_USAGE = 2;
 
   public static void main(String[] args) throws IOException, InterruptedException {
-    // These two are started often and by many, the second with little memory: they load nothing of all this.
+    // These two are started often, and platform runs with little memory, so they bypass the command-line
+    // parser.
     if (args.length > 0 && args[0].equals("wirehost")) {
       SimulatorAdapter.main(args);
       return;
@@ -44,8 +45,8 @@
     return EXIT_USAGE;
   }
 
-  /** Listed for the help; {@link #main} runs it. */
-  @Command(name = "wirehost", description = "Hosts instances of the decision module on the simulator's wire, on standard input and output.")
+  /** Declared for the help only; {@link #main} runs it directly. */
+  @Command(name = "wirehost", description = "Hosts scheduler instances for the simulator, on standard input and output.")
   static final class WireHostCommand implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
@@ -54,10 +55,10 @@
     }
   }
 
-  /** Listed for the help; {@link #main} runs it. */
-  @Command(name = "platform", description = "Runs one scheduler on the platform, told what it needs by PROXY_CONFIG and the variables beside it (docs/platform.md), until SIGTERM.")
+  /** Declared for the help only; {@link #main} runs it directly. */
+  @Command(name = "platform", description = "Runs one scheduler on the platform, configured by PROXY_CONFIG and related variables (docs/platform.md), until SIGTERM.")
   static final class PlatformCommand implements Callable<Integer> {
-    @Option(names = "--rehearse", description = "play against a peer of its own on loopback, then end: for the class archive that the build makes")
+    @Option(names = "--rehearse", description = "run against a peer on loopback and exit, to record the classes for the archive that the build makes")
     boolean rehearse;
 
     @Override
--- a/src/main/java/hollyslip/cli/ReplayCommand.java
+++ b/src/main/java/hollyslip/cli/ReplayCommand.java
@@ -10,11 +10,11 @@
 import picocli.CommandLine.Parameters;
 
 /** Plays a day file through real gateways. */
-@Command(name = "replay", mixinStandardHelpOptions = true, description = "Plays a day file (docs/replay.md) in real time through real gateways on stand-ins, audits it, and ends with 1 if a rule was broken.")
+@Command(name = "replay", mixinStandardHelpOptions = true, description = "Plays a day file (docs/replay.md) in real time through real gateways on stand-ins, audits it, and exits with 1 if a rule was broken.")
 final class ReplayCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE", description = "day file")
   Path file;
-  @Option(names = "--dir", description = "folder for records and logs; a fresh temporary one if not given")
+  @Option(names = "--dir", description = "directory for records and logs; default: a new temporary directory")
   Path dir;
 
   @Override
--- a/src/main/java/hollyslip/cli/RingCommand.java
+++ b/src/main/java/hollyslip/cli/RingCommand.java
@@ -12,8 +12,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** A ring client for the command line. */
-@Command(name = "ring", mixinStandardHelpOptions = true, description = "A ring client at the socket of a volume.", subcommands = {
+/** A command-line ring client. */
+@Command(name = "ring", mixinStandardHelpOptions = true, description = "A ring client for the socket of a volume.", subcommands = {
     RingCommand.Read.class, RingCommand.Write.class, RingCommand.Burst.class})
 final class RingCommand implements Callable<Integer> {
   private static final int MAX_BYTES = 1 << 20;
@@ -24,28 +24,28 @@
     return Main.EXIT_USAGE;
   }
 
-  /** Runs one request and waits; its status. */
+  /** Sends one request, waits for its answer and returns its status. */
   private static int runRequest(Path socket, IoKind kind, long offset, int length, ByteBuffer data,
-      byte[] into)
+      byte[] target)
       throws IOException {
-    try (RingClient c = new RingClient(RingClient.Options.usual(1, 16, MAX_BYTES))) {
-      c.connect(socket);
+    try (RingClient client = new RingClient(RingClient.Options.usual(1, 16, MAX_BYTES))) {
+      client.connect(socket);
       int[] status = {-1};
-      c.submit(0, kind, offset, length, data, (s, retry, d) -> {
-        status[0] = s;
-        if (into != null && s == 0) {
-          d.get(into);
+      client.submit(0, kind, offset, length, data, (answerStatus, retryMs, answerData) -> {
+        status[0] = answerStatus;
+        if (target != null && answerStatus == 0) {
+          answerData.get(target);
         }
-        if (s == 0x80) {
-          System.err.println("refused; come back in " + retry + " ms");
+        if (answerStatus == 0x80) {
+          System.err.println("refused; retry after " + retryMs + " ms");
         }
       });
-      c.kick();
+      client.kick();
       while (status[0] < 0) {
-        if (!c.await(1_000)) {
+        if (!client.await(1_000)) {
           throw new IOException("the gateway closed the connection");
         }
-        c.poll();
+        client.poll();
       }
       return status[0];
     }
@@ -58,14 +58,14 @@
     return status == 0 ? Main.EXIT_OK : Main.EXIT_FAILURE;
   }
 
-  /** Reads bytes to standard output. */
+  /** Reads bytes and writes them to standard output. */
   @Command(name = "read", mixinStandardHelpOptions = true, description = "Reads bytes and writes them to standard output.")
   static final class Read implements Callable<Integer> {
     @Parameters(paramLabel = "SOCKET")
     Path socket;
     @Option(names = "--offset", defaultValue = "0", description = "first byte, a multiple of 512")
     long offset;
-    @Option(names = "--length", defaultValue = "512", description = "bytes, a multiple of 512, at most 1 MiB")
+    @Option(names = "--length", defaultValue = "512", description = "bytes to read, a multiple of 512, at most 1 MiB")
     int length;
 
     @Override
@@ -80,8 +80,8 @@
     }
   }
 
-  /** Writes standard input. */
-  @Command(name = "write", mixinStandardHelpOptions = true, description = "Writes what comes on standard input, filled up to a multiple of 512 with zeros, at most 1 MiB.")
+  /** Writes standard input to the volume. */
+  @Command(name = "write", mixinStandardHelpOptions = true, description = "Writes standard input, padded with zeros to a multiple of 512, at most 1 MiB.")
   static final class Write implements Callable<Integer> {
     @Parameters(paramLabel = "SOCKET")
     Path socket;
@@ -96,18 +96,18 @@
     }
   }
 
-  /** Asks many times and prints how long it took. */
-  @Command(name = "burst", mixinStandardHelpOptions = true, description = "Overwrites and reads the first bytes of a volume at random and checks what comes back.")
+  /** Sends many requests and prints their latencies. */
+  @Command(name = "burst", mixinStandardHelpOptions = true, description = "Overwrites and reads the first bytes of a volume at random and verifies the data read.")
   static final class Burst implements Callable<Integer> {
     @Parameters(paramLabel = "SOCKET")
     Path socket;
-    @Option(names = "--count", defaultValue = "1000", description = "requests")
+    @Option(names = "--count", defaultValue = "1000", description = "number of requests")
     int count;
-    @Option(names = "--depth", defaultValue = "32", description = "requests out at a time")
+    @Option(names = "--depth", defaultValue = "32", description = "requests in flight")
     int depth;
-    @Option(names = "--bytes", defaultValue = "1048576", description = "bytes of the volume to use")
+    @Option(names = "--bytes", defaultValue = "1048576", description = "number of bytes of the volume to use")
     long bytes;
-    @Option(names = "--reads", defaultValue = "0.7", description = "part of the requests that read")
+    @Option(names = "--reads", defaultValue = "0.7", description = "fraction of the requests that are reads")
     double reads;
 
     @Override
@@ -115,11 +115,12 @@
       RingLoad load = new RingLoad(new RingLoad.Plan("burst", "", "", 0, bytes, count, depth, 0, reads, 4,
           10_000_000, 4096, System.nanoTime()), socket);
       load.run();
-      var h = load.latency();
-      System.out.printf("%d answers; ms p50 %.2f p99 %.2f most %.2f%n", h.getTotalCount(), h
-          .getValueAtPercentile(50) / 1e3, h.getValueAtPercentile(99) / 1e3, h.getMaxValue() / 1e3);
+      var latency = load.latency();
+      System.out.printf("%d answers; ms p50 %.2f p99 %.2f most %.2f%n", latency.getTotalCount(),
+          latency.getValueAtPercentile(50) / 1e3, latency.getValueAtPercentile(99) / 1e3,
+          latency.getMaxValue() / 1e3);
       load.wrong().forEach(System.out::println);
-      return load.wrong().isEmpty() && h.getTotalCount() == count ? Main.EXIT_OK : Main.EXIT_FAILURE;
+      return load.wrong().isEmpty() && latency.getTotalCount() == count ? Main.EXIT_OK : Main.EXIT_FAILURE;
     }
   }
 }
--- a/src/main/java/hollyslip/cli/SearchCommand.java
+++ b/src/main/java/hollyslip/cli/SearchCommand.java
@@ -13,20 +13,20 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Looks for bad days. */
-@Command(name = "search", mixinStandardHelpOptions = true, description = "Draws troubles for a day file, plays them in the emulator on all cores, and looks for those that break a rule, which it makes small, or else serve least in time. What it finds goes into day files that 'emulate' and 'replay' play again.")
+/** Searches for fault scenarios that break rules. */
+@Command(name = "search", mixinStandardHelpOptions = true, description = "Generates random faults for a day file, plays them in the emulator on all cores, and looks for days that break a rule, which it minimises, or else for those that serve the fewest requests in time. They are written to day files that 'emulate' and 'replay' can play again.")
 final class SearchCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "FILE", description = "day file; its troubles are not used")
+  @Parameters(paramLabel = "FILE", description = "day file; its faults are ignored")
   Path file;
-  @Option(names = "--rounds", defaultValue = "10", description = "rounds; each goes on from the worst of those before")
+  @Option(names = "--rounds", defaultValue = "10", description = "number of rounds; each starts from the worst days of the rounds before")
   int rounds;
-  @Option(names = "--days", defaultValue = "64", description = "days of a round")
+  @Option(names = "--days", defaultValue = "64", description = "number of days per round")
   int days;
-  @Option(names = "--seed", defaultValue = "1", description = "of all that is drawn")
+  @Option(names = "--seed", defaultValue = "1", description = "seed of the random faults")
   long seed;
-  @Option(names = "--out", required = true, description = "folder of the days found")
+  @Option(names = "--out", required = true, description = "directory for the days found")
   Path out;
-  @Option(names = "--keep", defaultValue = "3", description = "days kept at most where none breaks a rule, and of those that do")
+  @Option(names = "--keep", defaultValue = "3", description = "maximum number of days to write, of those that break a rule, or of the worst if none does")
   int keep;
 
   @Override
@@ -35,21 +35,20 @@
     try {
       BadDays search = new BadDays(Day.parse(Files.readString(file)), seed);
       List<Found> all = search.search(rounds, days);
-      List<Found> broken = all.stream().filter(f -> !f.broken().isEmpty()).toList();
+      List<Found> broken = all.stream().filter(found -> !found.broken().isEmpty()).toList();
       System.out.printf("simulated: %d days, %d broke a rule%n", search.played(), broken.size());
       Files.createDirectories(out);
-      int n = 0;
-      for (Found f : (broken.isEmpty() ? all : broken).subList(0, Math.min(keep, broken.isEmpty()
+      int written = 0;
+      for (Found found : (broken.isEmpty() ? all : broken).subList(0, Math.min(keep, broken.isEmpty()
           ? all.size()
           : broken.size()))) {
-        Found smallest = broken.isEmpty() ? f : search.shrink(f);
-        Path to = out.resolve((broken.isEmpty() ? "worst-" : "broken-") + n++ + ".day");
-        Files.writeString(to, "# found by hollyslip search, seed " + seed + "; in aim " + smallest.inAim()
+        Found smallest = broken.isEmpty() ? found : search.shrink(found);
+        Path target = out.resolve((broken.isEmpty() ? "worst-" : "broken-") + written++ + ".day");
+        Files.writeString(target, "# found by hollyslip search, seed " + seed + "; in aim " + smallest.inAim()
             + " "
             + smallest.first().replace("\n", " ") + "\n" + smallest.day().text());
-        System.out.printf(Locale.ROOT, "%s: %d troubles, %.1f%% in aim, %s%n", to, smallest.day()
-            .troubles()
-            .size(), 100 * smallest.inAim(), smallest.first());
+        System.out.printf(Locale.ROOT, "%s: %d troubles, %.1f%% in aim, %s%n", target,
+            smallest.day().troubles().size(), 100 * smallest.inAim(), smallest.first());
       }
       return broken.isEmpty() ? Main.EXIT_OK : Main.EXIT_FAILURE;
     } catch (IllegalArgumentException e) {
--- a/src/main/java/hollyslip/cli/ServeCommand.java
+++ b/src/main/java/hollyslip/cli/ServeCommand.java
@@ -16,56 +16,57 @@
 
 /** Runs a gateway until SIGTERM. */
 @Command(name = "serve", mixinStandardHelpOptions = true, description = {"Runs a gateway.",
-    "SIGTERM or SIGINT: takes nothing more, answers everything, ends with 0. SIGHUP: reads the settings again and takes on the node list, and the admin API's key and certificate; a file with faults changes nothing."})
+    "SIGTERM or SIGINT: accepts no more requests, answers those it has, and exits with 0. SIGHUP: reloads the node list from the settings, and the key and certificate of the admin API; a file with faults changes nothing."})
 final class ServeCommand implements Callable<Integer> {
   private static final Logger LOG = LoggerFactory.getLogger(ServeCommand.class);
 
-  /** Printed on standard output when clients may come. */
+  /** Printed on standard output when the gateway accepts clients. */
   static final String READY = "ready";
 
   @Parameters(paramLabel = "FILE", description = "settings script")
   Path file;
-  @Option(names = "--take-over", description = "start although nodes say that another gateway of this name lives: only when it is known to be gone")
+  @Option(names = "--take-over", description = "start even if nodes report that another gateway of this name is alive; use it only if that one is known to be gone")
   boolean takeOver;
-  @Option(names = "--log", description = "json, text or auto (text at a terminal)", defaultValue = "auto")
-  LogSetup.Form logForm;
-  @Option(names = "--log-level", description = "error, warn, info or debug", defaultValue = "info")
+  @Option(names = "--log", description = "log format: json, text or auto (text at a terminal)", defaultValue = "auto")
+  LogSetup.Form form;
+  @Option(names = "--log-level", description = "log level: error, warn, info or debug", defaultValue = "info")
   String logLevel;
 
   @Override
   public Integer call() throws Exception {
-    LogSetup.configure(logForm, Level.toLevel(logLevel));
+    LogSetup.configure(form, Level.toLevel(logLevel));
     Loader.Loaded loaded = Loader.load(file);
     if (!loaded.faults().isEmpty()) {
       loaded.faults().forEach(System.err::println);
       return Main.EXIT_USAGE;
     }
-    CountDownLatch over = new CountDownLatch(1);
+    CountDownLatch stopRequested = new CountDownLatch(1);
     Gateway gateway = new Gateway(loaded.deployment(), takeOver);
-    Signal.handle(new Signal("TERM"), s -> over.countDown());
-    Signal.handle(new Signal("INT"), s -> over.countDown());
+    Signal.handle(new Signal("TERM"), s -> stopRequested.countDown());
+    Signal.handle(new Signal("INT"), s -> stopRequested.countDown());
     Signal.handle(new Signal("HUP"), s -> reload(gateway));
-    gateway.onFault(over::countDown);
+    gateway.onFault(stopRequested::countDown);
     System.out.println(READY);
     System.out.flush();
-    over.await();
+    stopRequested.await();
     boolean clean = gateway.close();
     LOG.atInfo().addKeyValue("totals", gateway.lanes().totals()).log("gateway.stopped");
     return clean && !gateway.superseded().isDone() ? Main.EXIT_OK : Main.EXIT_FAILURE;
   }
 
-  /** One at a time: each signal has a thread of its own, and what an older one had read of a file could be
-   * taken on after a newer one's, and stay. */
+  /** Reloads the settings. Synchronized, since each signal has its own thread: otherwise settings read for an
+   * older signal could replace those read for a newer one, and stay. */
   private synchronized void reload(Gateway gateway) {
     if (gateway.admin() != null) {
       gateway.admin().reloadKeys();
     }
-    Loader.Loaded next = Loader.load(file);
-    if (next.faults().isEmpty()) {
-      Deployment d = next.deployment();
-      gateway.nodes(d);
+    Loader.Loaded reloaded = Loader.load(file);
+    if (reloaded.faults().isEmpty()) {
+      Deployment deployment = reloaded.deployment();
+      gateway.nodes(deployment);
     } else {
-      next.faults().forEach(f -> LOG.atError().addKeyValue("fault", f.toString()).log("settings.refused"));
+      reloaded.faults()
+          .forEach(fault -> LOG.atError().addKeyValue("fault", fault.toString()).log("settings.refused"));
     }
   }
 }
--- a/src/main/java/hollyslip/cli/SftpCommand.java
+++ b/src/main/java/hollyslip/cli/SftpCommand.java
@@ -9,22 +9,24 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** File commands by standard input and output, for clients that start a server process by a pipe. */
-@Command(name = "sftp-server", mixinStandardHelpOptions = true, description = "Speaks SFTP on standard input and output with a running gateway, for a client that starts its server by a pipe: sftp -D 'java -jar hollyslip.jar sftp-server run/sftp.sock'.")
+/** Connects standard input and output to the SFTP socket of a gateway, for clients that start their server as
+ * a subprocess. */
+@Command(name = "sftp-server", mixinStandardHelpOptions = true, description = "Relays SFTP between standard input and output and a running gateway, for clients that start their server as a subprocess: sftp -D 'java -jar hollyslip.jar sftp-server run/sftp.sock'.")
 final class SftpCommand implements Callable<Integer> {
   private static final int BUFFER_BYTES = 64 * 1024;
 
-  @Parameters(paramLabel = "SOCKET", description = "the gateway's sftp.sock")
+  @Parameters(paramLabel = "SOCKET", description = "sftp.sock of the gateway")
   Path socket;
 
   @Override
   public Integer call() throws IOException {
-    // Buffers, not streams: two streams of one channel share a lock, and the one that reads would hold it for
-    // ever.
+    // Uses buffers rather than streams: two streams of one channel share a lock, which the blocking reader
+    // would
+    // hold forever.
     try (SocketChannel gateway = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
-      Thread up = new Thread(() -> copyInputToGateway(gateway), "to-gateway");
-      up.setDaemon(true);
-      up.start();
+      Thread writer = new Thread(() -> copyInputToGateway(gateway), "to-gateway");
+      writer.setDaemon(true);
+      writer.start();
       ByteBuffer bytes = ByteBuffer.allocate(BUFFER_BYTES);
       while (gateway.read(bytes) >= 0) {
         System.out.write(bytes.array(), 0, bytes.position());
@@ -38,15 +40,15 @@
   private static void copyInputToGateway(SocketChannel gateway) {
     byte[] bytes = new byte[BUFFER_BYTES];
     try {
-      for (int n = System.in.read(bytes); n >= 0; n = System.in.read(bytes)) {
-        ByteBuffer out = ByteBuffer.wrap(bytes, 0, n);
-        while (out.hasRemaining()) {
-          gateway.write(out);
+      for (int length = System.in.read(bytes); length >= 0; length = System.in.read(bytes)) {
+        ByteBuffer buffer = ByteBuffer.wrap(bytes, 0, length);
+        while (buffer.hasRemaining()) {
+          gateway.write(buffer);
         }
       }
       gateway.shutdownOutput();
     } catch (IOException e) {
-      System.err.println("to the gateway: " + e.getMessage());
+      System.err.println("writing to the gateway failed: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/hollyslip/settings/Lexer.java
+++ b/src/main/java/hollyslip/settings/Lexer.java
@@ -21,8 +21,7 @@
       "finally", "from", "global", "import", "is", "nonlocal", "raise", "try", "while", "with", "yield",
       "async", "await");
   private static final List<String> OPERATORS = List.of("//=", "**", "//", "+=", "-=", "*=", "/=", "%=", "==",
-      "!=",
-      "<=", ">=", "+", "-", "*", "/", "%", "(", ")", "[", "]", "{", "}", ",", ":", ".", "=", "<", ">");
+      "!=", "<=", ">=", "+", "-", "*", "/", "%", "(", ")", "[", "]", "{", "}", ",", ":", ".", "=", "<", ">");
 
   /** Maximum length of a script, in characters. */
   private static final int MAX_LENGTH = 1 << 20;
--- a/src/main/java/hollyslip/settings/Parser.java
+++ b/src/main/java/hollyslip/settings/Parser.java
@@ -13,9 +13,9 @@
   /** Maximum nesting depth, so that no script can overflow the stack. */
   private static final int MAX_DEPTH = 100;
 
-  private static final List<Set<String>> PRECEDENCE = List.of(Set.of("or"), Set.of("and"), Set.of("not"), Set
-      .of(
-          "==", "!=", "<", ">", "<=", ">=", "in", "not in"), Set.of("+", "-"), Set.of("*", "/", "//", "%"));
+  private static final List<Set<String>> PRECEDENCE = List.of(Set.of("or"), Set.of("and"), Set.of("not"),
+      Set.of("==", "!=", "<", ">", "<=", ">=", "in", "not in"), Set.of("+", "-"),
+      Set.of("*", "/", "//", "%"));
   private static final int NOT_LEVEL = 2, COMPARISON_LEVEL = 3;
 
   private final List<Token> tokens;
--- a/src/main/resources/hollyslip/fleet.star
+++ b/src/main/resources/hollyslip/fleet.star
@@ -1,5 +1,5 @@
-# The storage nodes of example.star: name, port and shard of each. The demo writes a file like this one with the
-# ports of its stand-ins; to take a node out of service, set its state to "draining" and send the gateway a SIGHUP.
+# The storage nodes of example.star. The demo writes a file like this one with the ports of its stand-ins.
+# To take a node out of service, set its state to "draining" and send SIGHUP to the gateway.
 
 NODES = [
     # name, port, zone, shard, state
