--- a/src/main/java/hollyslip/cli/ExperimentCommand.java
+++ b/src/main/java/hollyslip/cli/ExperimentCommand.java
@@ -22,7 +22,7 @@
 import picocli.CommandLine.Parameters;
 
 /** Runs an experiment in the emulator. */
-@Command(name = "experiment", mixinStandardHelpOptions = true, description = "Plays a day in the emulator at each point of a sweep with the same seeds (docs/load.md): prints means with 95% confidence intervals and the differences between neighbouring values of the last parameter, and writes a table and plots. An interrupted experiment is resumed.")
+@Command(name = "experiment", mixinStandardHelpOptions = true, description = "Plays a day in the emulator at each point of a sweep with the same seeds (docs/load.md): prints means with 95 percent confidence intervals and the differences between neighbouring values of the last parameter, and writes a table and plots. An interrupted experiment is resumed.")
 final class ExperimentCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE", description = "experiment script")
   Path file;
