--- a/src/main/java/hollyslip/audit/Witness.java
+++ b/src/main/java/hollyslip/audit/Witness.java
@@ -21,9 +21,9 @@
   @JsonSubTypes({@JsonSubTypes.Type(value = Told.State.class, name = "state"),
       @JsonSubTypes.Type(value = Told.Born.class, name = "born"),
       @JsonSubTypes.Type(value = Told.Started.class, name = "started")})
-  private interface ToldLine {}
+  private interface OperatorEventMixin {}
 
-  private static final ObjectMapper JSON = new ObjectMapper().addMixIn(Told.class, ToldLine.class);
+  private static final ObjectMapper JSON = new ObjectMapper().addMixIn(Told.class, OperatorEventMixin.class);
 
   private Witness() {}
 
@@ -33,7 +33,7 @@
     }
   }
 
-  private static <T> List<T> read(Path dir, String prefix, Class<T> type) throws IOException {
+  private static <T> List<T> readAll(Path dir, String prefix, Class<T> type) throws IOException {
     List<T> all = new ArrayList<>();
     List<Path> files;
     try (Stream<Path> found = Files.list(dir)) {
@@ -71,7 +71,8 @@
    *           a record cannot be read; names the file and the record */
   public static Auditor.Report audit(Path dir) throws IOException {
     Figures figures = JSON.readValue(dir.resolve("figures.json").toFile(), Figures.class);
-    return Auditor.check(figures, read(dir, "asked", Asked.class), read(dir, "commands", Command.class), read(
-        dir, "told", Told.class));
+    return Auditor.check(figures, readAll(dir, "asked", Asked.class), readAll(dir, "commands", Command.class),
+        readAll(
+            dir, "told", Told.class));
   }
 }
--- a/src/main/java/hollyslip/cli/StandinCommand.java
+++ b/src/main/java/hollyslip/cli/StandinCommand.java
@@ -1,7 +1,7 @@
 package hollyslip.cli;
 
 import hollyslip.audit.Witness;
-import hollyslip.standin.Control;
+import hollyslip.standin.FaultControl;
 import hollyslip.standin.DiskServer;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Option;
 
 /** Runs a stand-in disk server. */
-@Command(name = "standin", mixinStandardHelpOptions = true, description = "Runs a stand-in disk server: NBD on a loopback port, with exports shard-N in memory. Reads control commands on standard input until its end:", footer = Control.HELP)
+@Command(name = "standin", mixinStandardHelpOptions = true, description = "Runs a stand-in disk server: NBD on a loopback port, with exports shard-N in memory. Reads control commands on standard input until its end:", footer = FaultControl.HELP)
 final class StandinCommand implements Callable<Integer> {
   @Option(names = "--name", defaultValue = "disk", description = "name of the server in its records")
   String name;
@@ -45,7 +45,7 @@
       for (String line = in.readLine(); line != null; line = in.readLine()) {
         try {
           if (!line.isBlank()) {
-            Control.apply(server, line);
+            FaultControl.apply(server, line);
           }
         } catch (IllegalArgumentException e) {
           System.err.println(e.getMessage());
--- a/src/main/java/hollyslip/standin/Command.java
+++ b/src/main/java/hollyslip/standin/Command.java
@@ -38,7 +38,7 @@
   }
 
   /** When it was sent, as near as can be told. */
-  public long leftUs() {
+  public long sentOrReceivedUs() {
     return sentUs > 0 ? sentUs : receivedUs;
   }
 
--- a/src/main/java/hollyslip/standin/DiskServer.java
+++ b/src/main/java/hollyslip/standin/DiskServer.java
@@ -34,7 +34,7 @@
  * {@code shard-N} in memory, service times and faults. It is a stand-in: for tests, demos and
  * measurements. */
 public final class DiskServer implements AutoCloseable {
-  private static final int MOST_LENGTH = 32 << 20;
+  private static final int MAX_LENGTH = 32 << 20;
 
   /** What it is built from.
    *
@@ -46,14 +46,14 @@
    *          its speed
    * @param seed
    *          of all that is drawn
-   * @param ageUs
+   * @param initialAgeUs
    *          how long it claims to have run at its first start, us
-   * @param speaksContexts
+   * @param supportsContexts
    *          whether it knows the contexts of ours
-   * @param log
+   * @param recordCommands
    *          whether it keeps its commands */
-  public record Config(String name, long shardBytes, ServiceModel.Config model, long seed, long ageUs,
-      boolean speaksContexts, boolean log) {
+  public record Config(String name, long shardBytes, ServiceModel.Config model, long seed, long initialAgeUs,
+      boolean supportsContexts, boolean recordCommands) {
     /** A server without service times that started long ago. */
     public static Config plain(String name, long shardBytes, boolean log) {
       return new Config(name, shardBytes, ServiceModel.Config.PLAIN, 1, 3_600_000_000L, true, log);
@@ -68,12 +68,12 @@
 
   public final Faults faults = new Faults();
   private final Config config;
-  private final Path folder;
-  private final Map<String, Memory> exports = new ConcurrentHashMap<>();
-  private final ConcurrentLinkedQueue<Command> log = new ConcurrentLinkedQueue<>();
+  private final Path directory;
+  private final Map<String, Export> exports = new ConcurrentHashMap<>();
+  private final ConcurrentLinkedQueue<Command> commandLog = new ConcurrentLinkedQueue<>();
   private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
   /** The newest fence of each client: what an older one killed, it kills too. */
-  private final Map<String, Fence> fences = new HashMap<>();
+  private final Map<String, Fence> newestFences = new HashMap<>();
   private final AtomicLong serials = new AtomicLong();
   private volatile Thread worker;
   private final PriorityQueue<Job> jobs = new PriorityQueue<>();
@@ -81,32 +81,32 @@
   private final int port;
   /** Bound and never used: while the server is down no other socket is given its port, not even the far end
    * of a connection that a gateway tries to it. */
-  private final Socket keeper;
+  private final Socket portReservation;
   private ServerSocket listener;
   private Thread acceptor;
   private ServiceModel model;
-  private volatile boolean up;
-  private volatile long boot;
-  private volatile long bornUs;
-  private volatile int held;
+  private volatile boolean running;
+  private volatile long bootCount;
+  private volatile long startedAtUs;
+  private volatile int queuedCount;
 
   /** Data of an export; what was written stays over restarts. */
-  private final class Memory {
+  private final class Export {
     final String name;
     final ByteBuffer data;
 
-    Memory(String name, long size) {
+    Export(String name, long size) {
       this.name = name;
-      data = folder == null ? ByteBuffer.allocateDirect((int) size) : mapped(name, size);
+      data = directory == null ? ByteBuffer.allocateDirect((int) size) : mapFile(name, size);
     }
   }
 
   /** An export kept in a file: it outlives the process. */
-  private ByteBuffer mapped(String name, long size) {
+  private ByteBuffer mapFile(String name, long size) {
     if (!name.matches("[A-Za-z0-9._-]+")) {
       throw new IllegalArgumentException("export: '" + name + "' cannot be a file's name");
     }
-    try (FileChannel c = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE,
+    try (FileChannel c = FileChannel.open(directory.resolve(name), StandardOpenOption.CREATE,
         StandardOpenOption.READ, StandardOpenOption.WRITE)) {
       return c.map(FileChannel.MapMode.READ_WRITE, 0, size);
     } catch (IOException e) {
@@ -115,11 +115,12 @@
   }
 
   /** A command on its way. */
-  private record Job(long at, long order, Connection from, long cookie, int kind, long offset, int length,
+  private record Job(long doneAtUs, long order, Connection connection, long cookie, int kind, long offset,
+      int length,
       byte[] payload, long receivedUs) implements Comparable<Job> {
     @Override
     public int compareTo(Job o) {
-      return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+      return doneAtUs != o.doneAtUs ? Long.compare(doneAtUs, o.doneAtUs) : Long.compare(order, o.order);
     }
   }
 
@@ -131,14 +132,14 @@
   /** Starts on a port of the loopback address, 0: a free one; exports in files of {@code folder}, null: in
    * memory. */
   public DiskServer(Config config, int wanted, Path folder) throws IOException {
-    this.folder = folder;
+    this.directory = folder;
     this.config = config;
     this.random = new SplittableRandom(config.seed());
-    bornUs = now() - config.ageUs();
-    keeper = new Socket();
-    keeper.setReuseAddress(true);
-    keeper.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), wanted));
-    port = keeper.getLocalPort();
+    startedAtUs = now() - config.initialAgeUs();
+    portReservation = new Socket();
+    portReservation.setReuseAddress(true);
+    portReservation.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), wanted));
+    port = portReservation.getLocalPort();
     listener = listen(port);
     start();
   }
@@ -155,21 +156,21 @@
   }
 
   private void start() {
-    boot++;
-    up = true;
+    bootCount++;
+    running = true;
     synchronized (jobs) {
-      model = new ServiceModel(config.model(), config.seed() + boot, bornUs);
+      model = new ServiceModel(config.model(), config.seed() + bootCount, startedAtUs);
     }
-    acceptFrom(listener);
-    long mine = boot;
-    daemon("standin-work", () -> work(mine));
+    startAccepting(listener);
+    long mine = bootCount;
+    startDaemon("standin-work", () -> processJobs(mine));
   }
 
-  private void acceptFrom(ServerSocket from) {
-    acceptor = daemon("standin-accept", () -> accept(from));
+  private void startAccepting(ServerSocket from) {
+    acceptor = startDaemon("standin-accept", () -> accept(from));
   }
 
-  private Thread daemon(String name, Runnable task) {
+  private Thread startDaemon(String name, Runnable task) {
     Thread t = new Thread(task, name + "-" + config.name());
     t.setDaemon(true);
     t.start();
@@ -186,13 +187,13 @@
 
   /** Commands so far, in the order in which they ended. */
   public List<Command> commands() {
-    return new ArrayList<>(log);
+    return new ArrayList<>(commandLog);
   }
 
   /** Bytes of an export, for comparison. */
   public byte[] read(String export, long offset, int length) {
     byte[] bytes = new byte[length];
-    memory(export).data.get((int) offset, bytes);
+    export(export).data.get((int) offset, bytes);
     return bytes;
   }
 
@@ -211,9 +212,9 @@
   }
 
   /** Its network goes: connections are cut and none is taken; the process and what it knows live on. */
-  public void unplug() throws IOException {
+  public void disconnectNetwork() throws IOException {
     listener.close();
-    connections.forEach(Connection::cut);
+    connections.forEach(Connection::disconnect);
     try {
       acceptor.join();
     } catch (InterruptedException e) {
@@ -222,20 +223,20 @@
   }
 
   /** Its network is back, on the same port. */
-  public void plug() throws IOException {
+  public void reconnectNetwork() throws IOException {
     listener = listen(port);
-    acceptFrom(listener);
+    startAccepting(listener);
   }
 
   /** The process dies: connections are cut, what waits is lost. */
   public void kill() {
-    up = false;
+    running = false;
     try {
       listener.close();
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
-    connections.forEach(Connection::cut);
+    connections.forEach(Connection::disconnect);
     try {
       // The kernel keeps a listening socket as long as a thread waits in it, and its port with it.
       acceptor.join();
@@ -244,19 +245,19 @@
     }
     synchronized (jobs) {
       jobs.clear();
-      held = 0;
+      queuedCount = 0;
       LockSupport.unpark(worker);
     }
   }
 
   /** Comes up again, cold, on the same port, with the data that it had. */
   public void restart() throws IOException {
-    if (up) {
+    if (running) {
       kill();
     }
-    bornUs = now();
-    synchronized (fences) {
-      fences.clear();
+    startedAtUs = now();
+    synchronized (newestFences) {
+      newestFences.clear();
     }
     listener = listen(port);
     start();
@@ -264,45 +265,45 @@
 
   @Override
   public void close() {
-    if (up) {
+    if (running) {
       kill();
     }
     try {
-      keeper.close();
+      portReservation.close();
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
   }
 
-  private Memory memory(String export) {
-    return exports.computeIfAbsent(export, k -> new Memory(k, config.shardBytes()));
+  private Export export(String export) {
+    return exports.computeIfAbsent(export, k -> new Export(k, config.shardBytes()));
   }
 
   private void accept(ServerSocket from) {
-    while (up) {
+    while (running) {
       try {
         Socket s = from.accept();
         s.setTcpNoDelay(true);
         Connection c = new Connection(s);
         connections.add(c);
-        daemon("standin-conn", c::run);
+        startDaemon("standin-conn", c::run);
       } catch (IOException e) {
         return;
       }
     }
   }
 
-  private void work(long mine) {
+  private void processJobs(long mine) {
     worker = Thread.currentThread();
-    while (up && boot == mine) {
+    while (running && bootCount == mine) {
       Job job;
       long wait;
       synchronized (jobs) {
         job = jobs.peek();
-        wait = job == null ? 100_000 : job.at - now();
+        wait = job == null ? 100_000 : job.doneAtUs - now();
         if (wait <= 0) {
           jobs.poll();
-          held--;
+          queuedCount--;
         }
       }
       if (wait > 0) {
@@ -315,40 +316,40 @@
   }
 
   /** A command has come in whole: turned away, swallowed, done at once or put in turn. */
-  private void arrived(Connection c, long cookie, int kind, long offset, int length, byte[] payload) {
+  private void onCommand(Connection c, long cookie, int kind, long offset, int length, byte[] payload) {
     long now = now();
     Job job = new Job(now, 0, c, cookie, kind, offset, length, payload, now);
     if (faults.silent) {
-      note(job, 0, 0, Command.Result.SWALLOWED);
+      recordResult(job, 0, 0, Command.Result.SWALLOWED);
     } else if (faults.draining || faults.full) {
-      turnAway(job);
-    } else if (model.plain() && !(faults.lateWriteUs > 0 && kind == Nbd.CMD_WRITE)) {
+      reject(job);
+    } else if (model.hasNoDelays() && !(faults.lateWriteUs > 0 && kind == Nbd.CMD_WRITE)) {
       finish(job);
     } else {
-      queue(job, now);
+      enqueue(job, now);
     }
   }
 
-  private void queue(Job job, long now) {
+  private void enqueue(Job job, long now) {
     long at;
     synchronized (jobs) {
-      at = model.doneAt(now, job.length, held, faults.heavyPart, faults.heavyFactor);
+      at = model.doneAt(now, job.length, queuedCount, faults.heavyPart, faults.heavyFactor);
       if (at >= 0) {
         at += job.kind == Nbd.CMD_WRITE ? faults.lateWriteUs : 0;
-        jobs.add(new Job(at, serials.incrementAndGet(), job.from, job.cookie, job.kind, job.offset,
+        jobs.add(new Job(at, serials.incrementAndGet(), job.connection, job.cookie, job.kind, job.offset,
             job.length, job.payload, job.receivedUs));
-        held++;
+        queuedCount++;
         LockSupport.unpark(worker);
       }
     }
     if (at < 0) {
-      turnAway(job);
+      reject(job);
     }
   }
 
-  private void turnAway(Job job) {
-    note(job, 0, 0, Command.Result.FULL);
-    job.from.fail(job.cookie, faults.draining ? Nbd.ESHUTDOWN : Nbd.ENOMEM, faults.draining
+  private void reject(Job job) {
+    recordResult(job, 0, 0, Command.Result.FULL);
+    job.connection.sendError(job.cookie, faults.draining ? Nbd.ESHUTDOWN : Nbd.ENOMEM, faults.draining
         ? ""
         : Nbd.MESSAGE_FULL);
   }
@@ -359,34 +360,34 @@
       chance = random.nextDouble();
     }
     if (chance < faults.errors) {
-      note(job, 0, 0, Command.Result.ERROR);
-      job.from.fail(job.cookie, Nbd.EIO, "");
+      recordResult(job, 0, 0, Command.Result.ERROR);
+      job.connection.sendError(job.cookie, Nbd.EIO, "");
       return;
     }
     long done;
     byte[] data;
     // Under the fences' monitor: a fence that stands means that nothing older has an effect after it.
-    synchronized (fences) {
-      Fence newest = job.from.fence == null ? null : fences.get(job.from.fence.client());
-      if (newest != null && newest.kills(job.from.fence)) {
-        note(job, 0, 0, Command.Result.FENCED);
-        job.from.fail(job.cookie, Nbd.EPERM, Nbd.MESSAGE_FENCED);
+    synchronized (newestFences) {
+      Fence newest = job.connection.fence == null ? null : newestFences.get(job.connection.fence.client());
+      if (newest != null && newest.kills(job.connection.fence)) {
+        recordResult(job, 0, 0, Command.Result.FENCED);
+        job.connection.sendError(job.cookie, Nbd.EPERM, Nbd.MESSAGE_FENCED);
         return;
       }
       data = apply(job);
       done = now();
     }
     boolean lost = chance < faults.errors + faults.loseAnswers;
-    note(job, done, config.log() ? crc(data != null ? data : job.payload) : 0, lost
+    recordResult(job, done, config.recordCommands() ? crc(data != null ? data : job.payload) : 0, lost
         ? Command.Result.DONE_SILENTLY
         : Command.Result.DONE);
     if (!lost) {
-      job.from.answer(job, data, chance >= 1 - faults.resets);
+      job.connection.sendReply(job, data, chance >= 1 - faults.resetRate);
     }
   }
 
   private byte[] apply(Job job) {
-    ByteBuffer data = job.from.memory.data;
+    ByteBuffer data = job.connection.export.data;
     switch (job.kind) {
       case Nbd.CMD_READ -> {
         byte[] bytes = new byte[job.length];
@@ -408,20 +409,23 @@
     return crc.getValue();
   }
 
-  private void note(Job job, long done, long checksum, Command.Result result) {
-    if (config.log()) {
-      Fence f = job.from.fence;
-      log.add(new Command(config.name(), boot, f == null ? "" : f.client() + "/" + f.holder().epoch(),
-          job.from.serial,
-          job.cookie, job.from.memory.name, job.kind, job.offset, job.length, job.receivedUs, done, checksum,
+  private void recordResult(Job job, long done, long checksum, Command.Result result) {
+    if (config.recordCommands()) {
+      Fence f = job.connection.fence;
+      commandLog.add(new Command(config.name(), bootCount, f == null
+          ? ""
+          : f.client() + "/" + f.holder().epoch(),
+          job.connection.serial,
+          job.cookie, job.connection.export.name, job.kind, job.offset, job.length, job.receivedUs, done,
+          checksum,
           result));
     }
   }
 
   /** Who holds a client's name here. */
-  private NodeView holder(String client) {
-    synchronized (fences) {
-      Fence newest = fences.get(client);
+  private NodeView nodeView(String client) {
+    synchronized (newestFences) {
+      Fence newest = newestFences.get(client);
       if (newest == null) {
         return new NodeView(Holder.NONE, 0);
       }
@@ -439,10 +443,10 @@
     private final DataInputStream in;
     private final OutputStream out;
     private final long serial = serials.incrementAndGet();
-    private final Map<Integer, String> contexts = new HashMap<>();
+    private final Map<Integer, String> metaContexts = new HashMap<>();
     private boolean structured;
     private volatile Thread reader;
-    private Memory memory;
+    private Export export;
     private volatile Fence fence;
 
     Connection(Socket socket) throws IOException {
@@ -451,7 +455,7 @@
       out = new java.io.BufferedOutputStream(socket.getOutputStream(), 1 << 16);
     }
 
-    void cut() {
+    void disconnect() {
       try {
         socket.close();
       } catch (IOException e) {
@@ -464,14 +468,14 @@
       reader = Thread.currentThread();
       try {
         if (negotiate()) {
-          serve();
+          serveCommands();
         }
       } catch (IOException e) {
         // The peer is gone or was cut off; its queued commands go on, as those of a real server may.
         connections.remove(this);
       } finally {
         connections.remove(this);
-        cut();
+        disconnect();
       }
     }
 
@@ -493,7 +497,7 @@
         }
         byte[] data = in.readNBytes(length);
         if (option == Nbd.OPT_EXPORT_NAME) {
-          memory = memory(new String(data, StandardCharsets.UTF_8));
+          export = export(new String(data, StandardCharsets.UTF_8));
           ByteBuffer b = ByteBuffer.allocate((flags & Nbd.FLAG_NO_ZEROES) != 0 ? 10 : 134);
           send(b.putLong(config.shardBytes()).putShort(flags()).array());
           return true;
@@ -502,7 +506,7 @@
           reply(option, Nbd.REP_ACK, new byte[0]);
           return false;
         }
-        if (option(option, ByteBuffer.wrap(data))) {
+        if (handleOption(option, ByteBuffer.wrap(data))) {
           return true;
         }
       }
@@ -513,7 +517,7 @@
           | Nbd.CAN_MULTI_CONN);
     }
 
-    private boolean option(int option, ByteBuffer d) throws IOException {
+    private boolean handleOption(int option, ByteBuffer d) throws IOException {
       switch (option) {
         case Nbd.OPT_STRUCTURED_REPLY -> { structured = true; reply(option, Nbd.REP_ACK, new byte[0]); }
         case Nbd.OPT_LIST -> {
@@ -523,14 +527,14 @@
           }
           reply(option, Nbd.REP_ACK, new byte[0]);
         }
-        case Nbd.OPT_SET_META_CONTEXT, Nbd.OPT_LIST_META_CONTEXT -> contexts(option, d);
+        case Nbd.OPT_SET_META_CONTEXT, Nbd.OPT_LIST_META_CONTEXT -> metaContexts(option, d);
         case Nbd.OPT_INFO, Nbd.OPT_GO -> {
-          String name = text(d);
+          String name = readText(d);
           if (name == null) {
             reply(option, Nbd.REP_ERR_INVALID, new byte[0]);
             return false;
           }
-          Memory m = memory(name);
+          Export m = export(name);
           reply(option, Nbd.REP_INFO, ByteBuffer.allocate(12)
               .putShort((short) Nbd.INFO_EXPORT)
               .putLong(config.shardBytes())
@@ -538,7 +542,7 @@
               .array());
           reply(option, Nbd.REP_ACK, new byte[0]);
           if (option == Nbd.OPT_GO) {
-            memory = m;
+            export = m;
             return true;
           }
         }
@@ -548,39 +552,40 @@
     }
 
     /** Sets contexts, or, without an effect, lists them. */
-    private void contexts(int option, ByteBuffer d) throws IOException {
+    private void metaContexts(int option, ByteBuffer d) throws IOException {
       boolean sets = option == Nbd.OPT_SET_META_CONTEXT;
       if (sets) {
-        contexts.clear();
+        metaContexts.clear();
       }
-      String export = text(d);
+      String export = readText(d);
       if (export == null || d.remaining() < 4) {
         reply(option, Nbd.REP_ERR_INVALID, new byte[0]);
         return;
       }
       int queries = d.getInt();
       for (int i = 0; i < queries && d.hasRemaining(); i++) {
-        String query = text(d);
-        Fence f = query == null || !config.speaksContexts() ? null : Fence.parse(query);
+        String query = readText(d);
+        Fence f = query == null || !config.supportsContexts() ? null : Fence.parse(query);
         if (f != null && sets) {
-          synchronized (fences) {
+          synchronized (newestFences) {
             fence = f;
-            fences.merge(f.client(), f, Fence::orNewer);
+            newestFences.merge(f.client(), f, Fence::orNewer);
           }
-          context(option, 2, query);
-        } else if (config.speaksContexts() && Nbd.CONTEXT_LOAD.equals(query)) {
-          context(option, 1, query);
-        } else if (config.speaksContexts() && query != null && query.startsWith(Nbd.CONTEXT_EPOCH)) {
-          context(option, 3, Fence.answer(query.substring(Nbd.CONTEXT_EPOCH.length()), holder(query.substring(
-              Nbd.CONTEXT_EPOCH.length()))));
+          addMetaContext(option, 2, query);
+        } else if (config.supportsContexts() && Nbd.CONTEXT_LOAD.equals(query)) {
+          addMetaContext(option, 1, query);
+        } else if (config.supportsContexts() && query != null && query.startsWith(Nbd.CONTEXT_EPOCH)) {
+          addMetaContext(option, 3, Fence.answer(query.substring(Nbd.CONTEXT_EPOCH.length()), nodeView(query
+              .substring(
+                  Nbd.CONTEXT_EPOCH.length()))));
         }
       }
       reply(option, Nbd.REP_ACK, new byte[0]);
     }
 
-    private void context(int option, int id, String name) throws IOException {
+    private void addMetaContext(int option, int id, String name) throws IOException {
       if (option == Nbd.OPT_SET_META_CONTEXT) {
-        contexts.put(id, name);
+        metaContexts.put(id, name);
       }
       byte[] bytes = name.getBytes(StandardCharsets.US_ASCII);
       reply(option, Nbd.REP_META_CONTEXT, ByteBuffer.allocate(4 + bytes.length)
@@ -589,7 +594,7 @@
           .array());
     }
 
-    private String text(ByteBuffer d) {
+    private String readText(ByteBuffer d) {
       if (d.remaining() < 4) {
         return null;
       }
@@ -612,7 +617,7 @@
           .array());
     }
 
-    private void serve() throws IOException {
+    private void serveCommands() throws IOException {
       flush();
       while (true) {
         if (in.readInt() != Nbd.REQUEST) {
@@ -626,7 +631,7 @@
         if (kind == Nbd.CMD_DISC) {
           return;
         }
-        boolean bounded = length >= 0 && (length <= MOST_LENGTH || kind == Nbd.CMD_TRIM
+        boolean bounded = length >= 0 && (length <= MAX_LENGTH || kind == Nbd.CMD_TRIM
             || kind == Nbd.CMD_WRITE_ZEROES);
         if (!bounded && kind == Nbd.CMD_WRITE) {
           return;
@@ -636,12 +641,12 @@
           return;
         }
         if (kind == Nbd.CMD_BLOCK_STATUS) {
-          status(cookie, offset);
+          sendBlockStatus(cookie, offset);
         } else if (!bounded || kind > Nbd.CMD_WRITE_ZEROES || offset < 0 || offset > config.shardBytes()
             - length) {
-          fail(cookie, Nbd.EINVAL, "");
+          sendError(cookie, Nbd.EINVAL, "");
         } else {
-          arrived(this, cookie, kind, offset, length, payload);
+          onCommand(this, cookie, kind, offset, length, payload);
         }
         if (in.available() == 0) {
           flush();
@@ -649,16 +654,17 @@
       }
     }
 
-    private void status(long cookie, long offset) throws IOException {
-      if (contexts.isEmpty()) {
-        fail(cookie, Nbd.EINVAL, "");
+    private void sendBlockStatus(long cookie, long offset) throws IOException {
+      if (metaContexts.isEmpty()) {
+        sendError(cookie, Nbd.EINVAL, "");
         return;
       }
-      Integer last = contexts.keySet().stream().max(Integer::compare).orElseThrow();
-      for (int id : new java.util.TreeSet<>(contexts.keySet())) {
+      Integer last = metaContexts.keySet().stream().max(Integer::compare).orElseThrow();
+      for (int id : new java.util.TreeSet<>(metaContexts.keySet())) {
         long[] values = id == 1
-            ? new long[]{config.seed() * 31 + boot, Math.min(0xffffffffL, (now() - bornUs) / 1_000), held,
-                held, config.model().baseUs()}
+            ? new long[]{config.seed() * 31 + bootCount, Math.min(0xffffffffL, (now() - startedAtUs) / 1_000),
+                queuedCount,
+                queuedCount, config.model().baseUs()}
             : new long[]{0};
         ByteBuffer b = ByteBuffer.allocate(20 + 4 + 8 * values.length);
         b.putInt(Nbd.STRUCTURED_REPLY)
@@ -675,7 +681,7 @@
       flush();
     }
 
-    void fail(long cookie, int error, String message) {
+    void sendError(long cookie, int error, String message) {
       byte[] m = message.getBytes(StandardCharsets.UTF_8);
       ByteBuffer b;
       if (structured) {
@@ -691,31 +697,31 @@
       } else {
         b = ByteBuffer.allocate(16).putInt(Nbd.SIMPLE_REPLY).putInt(error).putLong(cookie);
       }
-      push(b.array());
+      sendOrDisconnect(b.array());
     }
 
-    void answer(Job job, byte[] data, boolean reset) {
+    void sendReply(Job job, byte[] data, boolean reset) {
       byte[] reply = reply(job, data);
-      int half = faults.halfReply;
+      int half = faults.truncatedReplyBytes;
       if (half > 0 && data != null) {
-        faults.halfReply = 0;
-        push(java.util.Arrays.copyOf(reply, half));
+        faults.truncatedReplyBytes = 0;
+        sendOrDisconnect(java.util.Arrays.copyOf(reply, half));
       } else if (reset) {
-        push(java.util.Arrays.copyOf(reply, reply.length / 2));
-        cut();
+        sendOrDisconnect(java.util.Arrays.copyOf(reply, reply.length / 2));
+        disconnect();
       } else {
-        push(reply);
-        if (faults.malice == Faults.Malice.TWICE) {
-          push(reply);
+        sendOrDisconnect(reply);
+        if (faults.protocolViolation == Faults.ProtocolViolation.TWICE) {
+          sendOrDisconnect(reply);
         }
       }
     }
 
     private byte[] reply(Job job, byte[] data) {
-      Faults.Malice malice = faults.malice;
-      long cookie = malice == Faults.Malice.UNKNOWN_COOKIE ? ~job.cookie : job.cookie;
+      Faults.ProtocolViolation malice = faults.protocolViolation;
+      long cookie = malice == Faults.ProtocolViolation.UNKNOWN_COOKIE ? ~job.cookie : job.cookie;
       int n = data == null ? 0 : data.length;
-      int claimed = malice == Faults.Malice.OVERSIZE ? n + 512 : n;
+      int claimed = malice == Faults.ProtocolViolation.OVERSIZE ? n + 512 : n;
       if (!structured) {
         return ByteBuffer.allocate(16 + n)
             .putInt(Nbd.SIMPLE_REPLY)
@@ -724,7 +730,7 @@
             .put(data == null ? new byte[0] : data)
             .array();
       }
-      int magic = malice == Faults.Malice.BAD_MAGIC ? 0x12345678 : Nbd.STRUCTURED_REPLY;
+      int magic = malice == Faults.ProtocolViolation.BAD_MAGIC ? 0x12345678 : Nbd.STRUCTURED_REPLY;
       ByteBuffer b = ByteBuffer.allocate(20 + (data == null ? 0 : 8 + claimed));
       b.putInt(magic)
           .putShort((short) Nbd.CHUNK_DONE)
@@ -732,26 +738,26 @@
           .putLong(cookie)
           .putInt(data == null ? 0 : 8 + claimed);
       if (data != null) {
-        b.putLong(malice == Faults.Malice.WRONG_OFFSET ? job.offset + 1 : job.offset).put(data);
+        b.putLong(malice == Faults.ProtocolViolation.WRONG_OFFSET ? job.offset + 1 : job.offset).put(data);
       }
       return b.array();
     }
 
     /** Sends from any thread; a peer that is gone needs nothing. */
-    private void push(byte[] bytes) {
+    private void sendOrDisconnect(byte[] bytes) {
       try {
         send(bytes);
         if (Thread.currentThread() != reader) {
           flush();
         }
       } catch (IOException e) {
-        cut();
+        disconnect();
       }
     }
 
     private synchronized void send(byte[] bytes) throws IOException {
       out.write(bytes);
-      if (memory == null) {
+      if (export == null) {
         out.flush();
       }
     }
--- a/src/main/java/hollyslip/standin/Control.java
+++ b/src/main/java/hollyslip/standin/FaultControl.java
@@ -4,14 +4,14 @@
 import java.util.Locale;
 
 /** Words that make a disk server misbehave: by script, by standard input or by a control port. */
-public final class Control {
+public final class FaultControl {
   /** What {@link #apply} understands, a line each. */
   public static final String HELP = """
       silent | drain | full | clear | kill | restart
       stall MS | slow FACTOR | late-write MS | half-reply BYTES
       lose PART | errors PART | resets PART | malice KIND""";
 
-  private Control() {}
+  private FaultControl() {}
 
   /** Carries out one line.
    *
@@ -30,11 +30,11 @@
       case "stall" -> server.stall((long) (number(words) * 1_000));
       case "slow" -> server.slow(number(words));
       case "late-write" -> f.lateWriteUs = (long) (number(words) * 1_000);
-      case "half-reply" -> f.halfReply = (int) number(words);
+      case "half-reply" -> f.truncatedReplyBytes = (int) number(words);
       case "lose" -> f.loseAnswers = number(words);
       case "errors" -> f.errors = number(words);
-      case "resets" -> f.resets = number(words);
-      case "malice" -> f.malice = Faults.Malice.valueOf(words.length > 1
+      case "resets" -> f.resetRate = number(words);
+      case "malice" -> f.protocolViolation = Faults.ProtocolViolation.valueOf(words.length > 1
           ? words[1].toUpperCase(Locale.ROOT).replace('-', '_')
           : "NONE");
       default -> throw new IllegalArgumentException("'" + words[0] + "' is not known; known are:\n" + HELP);
--- a/src/main/java/hollyslip/standin/Faults.java
+++ b/src/main/java/hollyslip/standin/Faults.java
@@ -13,19 +13,19 @@
   /** Answers with EIO without doing the work. */
   public volatile double errors;
   /** Cuts the connection in the middle of a reply. */
-  public volatile double resets;
+  public volatile double resetRate;
   /** Writes are done this much later than they should be and go on when their connection is gone, us. */
   public volatile long lateWriteUs;
   /** Sends so many bytes of the next read's reply and then nothing more; 0: off. */
-  public volatile int halfReply;
+  public volatile int truncatedReplyBytes;
   /** This part of the commands costs {@link #heavyFactor} times the work. */
   public volatile double heavyPart;
   public volatile double heavyFactor = 1;
   /** The next replies go wrong on purpose. */
-  public volatile Malice malice = Malice.NONE;
+  public volatile ProtocolViolation protocolViolation = ProtocolViolation.NONE;
 
   /** Ways to break the protocol. */
-  public enum Malice {
+  public enum ProtocolViolation {
     NONE, UNKNOWN_COOKIE, TWICE, OVERSIZE, BAD_MAGIC, WRONG_OFFSET
   }
 
@@ -36,10 +36,10 @@
     full = false;
     loseAnswers = 0;
     errors = 0;
-    resets = 0;
+    resetRate = 0;
     lateWriteUs = 0;
-    halfReply = 0;
+    truncatedReplyBytes = 0;
     heavyPart = 0;
-    malice = Malice.NONE;
+    protocolViolation = ProtocolViolation.NONE;
   }
 }
--- a/src/test/java/hollyslip/audit/AuditorTest.java
+++ b/src/test/java/hollyslip/audit/AuditorTest.java
@@ -20,59 +20,59 @@
   private static final Figures FIGURES = new Figures(8_000, 1_000_000, 300_000, 20, 0.5, 5_000_000, 2_000_000,
       2, 0.1, 5_000_000, 0, 1 << 20, 4096, 16, Map.of("v", new Figures.Limit(100, 20, 2)), List.of(
           new Figures.Area("v", "shard-0", 0, 1 << 20)));
-  private final List<Asked> asked = new ArrayList<>();
+  private final List<Asked> requests = new ArrayList<>();
   private final List<Command> commands = new ArrayList<>();
-  private final List<Told> told = new ArrayList<>();
+  private final List<Told> operatorEvents = new ArrayList<>();
 
   @BeforeEach
-  void aGoodRun() {
-    told.add(new Told.Started("g", 0));
-    told.add(new Told.Born("n", 9_000_000));
-    told.add(new Told.State("g", "n", NodeState.DRAINING, 30_000_000));
+  void recordGoodRun() {
+    operatorEvents.add(new Told.Started("g", 0));
+    operatorEvents.add(new Told.Born("n", 9_000_000));
+    operatorEvents.add(new Told.State("g", "n", NodeState.DRAINING, 30_000_000));
     for (int i = 0; i < 40; i++) {
       long at = 100_000L * (i + 1);
-      ask(i, at, at + 10_000, Asked.Answer.SERVED, i % 4);
-      command(i, at + 5_000, at + 6_000);
+      addRequest(i, at, at + 10_000, Asked.Answer.SERVED, i % 4);
+      addCommand(i, at + 5_000, at + 6_000);
     }
-    ask(90, 10_000_000, 10_010_000, Asked.Answer.SERVED, -1);
-    command(90, 10_005_000, 10_006_000);
+    addRequest(90, 10_000_000, 10_010_000, Asked.Answer.SERVED, -1);
+    addCommand(90, 10_005_000, 10_006_000);
   }
 
-  private void ask(long id, long at, long answered, Asked.Answer answer, long key) {
-    asked.add(new Asked("c", "g", "v", id, Nbd.CMD_WRITE, 4096 * id, 4096, 1, key, 1000 + id, at, at
+  private void addRequest(long id, long at, long answered, Asked.Answer answer, long key) {
+    requests.add(new Asked("c", "g", "v", id, Nbd.CMD_WRITE, 4096 * id, 4096, 1, key, 1000 + id, at, at
         + 2_000_000, 1, answered, answer, false));
   }
 
-  private void command(long id, long received, long done) {
-    command(id, received, done, 0, Command.Result.DONE);
+  private void addCommand(long id, long received, long done) {
+    addCommand(id, received, done, 0, Command.Result.DONE);
   }
 
-  private void command(long id, long received, long done, int attempt, Command.Result result) {
+  private void addCommand(long id, long received, long done, int attempt, Command.Result result) {
     commands.add(new Command("n", 1, "g/1", 1, id << 12 | attempt, "shard-0", Nbd.CMD_WRITE, 4096 * id, 4096,
         received, done, 1000 + id, result));
   }
 
   private Auditor.Report check() {
-    return Auditor.check(FIGURES, asked, commands, told);
+    return Auditor.check(FIGURES, requests, commands, operatorEvents);
   }
 
-  private void only(Rule rule) {
+  private void assertOnly(Rule rule) {
     Auditor.Report r = check();
     assertTrue(!r.breaches().isEmpty() && r.breaches().stream().allMatch(b -> b.rule() == rule), r.breaches()
         .toString());
   }
 
-  private void replace(int i, Asked a) {
-    asked.set(i, a);
+  private void replaceRequest(int i, Asked a) {
+    requests.set(i, a);
   }
 
-  private static Asked with(Asked a, int answers, long answered, Asked.Answer answer) {
+  private static Asked withAnswer(Asked a, int answers, long answered, Asked.Answer answer) {
     return new Asked(a.client(), a.gateway(), a.volume(), a.id(), a.kind(), a.offset(), a.length(), a.units(),
         a.key(), a.checksum(), a.askedUs(), a.deadlineUs(), answers, answered, answer, a.left());
   }
 
   @Test
-  void aRunThatKeepsTheRulesPasses() {
+  void runThatKeepsTheRulesPasses() {
     Auditor.Report r = check();
     assertEquals(List.of(), r.breaches());
     assertEquals(0, r.checked().get(Rule.DRAINS_KEPT));
@@ -80,30 +80,32 @@
   }
 
   @Test
-  void anAnswerTwiceLateOrMissing() {
-    Asked a = asked.get(5);
-    for (Asked bad : List.of(with(a, 2, a.answeredUs(), a.answer()), with(a, 0, 0, Asked.Answer.NONE), with(a,
-        1, a.deadlineUs() + 8_001, a.answer()))) {
-      replace(5, bad);
-      only(Rule.ONE_ANSWER);
+  void findsDuplicateMissingAndLateAnswers() {
+    Asked a = requests.get(5);
+    for (Asked bad : List.of(withAnswer(a, 2, a.answeredUs(), a.answer()), withAnswer(a, 0, 0,
+        Asked.Answer.NONE), withAnswer(a,
+            1, a.deadlineUs() + 8_001, a.answer()))) {
+      replaceRequest(5, bad);
+      assertOnly(Rule.ONE_ANSWER);
     }
   }
 
   @Test
-  void anEffectTwiceARefusalWithOneOrALateOne() {
-    command(5, 900_000, 901_000, 0, Command.Result.DONE);
-    only(Rule.NO_EFFECT_TWICE);
+  void findsDuplicateEffectAndRefusalWithEffect() {
+    addCommand(5, 900_000, 901_000, 0, Command.Result.DONE);
+    assertOnly(Rule.NO_EFFECT_TWICE);
     commands.remove(commands.size() - 1);
-    replace(5, with(asked.get(5), 1, asked.get(5).answeredUs(), Asked.Answer.REFUSED));
-    only(Rule.NO_EFFECT_TWICE);
+    replaceRequest(5, withAnswer(requests.get(5), 1, requests.get(5).answeredUs(), Asked.Answer.REFUSED));
+    assertOnly(Rule.NO_EFFECT_TWICE);
   }
 
   @Test
-  void aWriteThatLandsAfterANewerOne() {
+  void findsWriteThatTakesEffectAfterNewerOne() {
     // Number 5 was given up at 610 ms; 200 wrote its blocks and was answered; then 5 landed.
     commands.removeIf(c -> c.cookie() >> 12 == 5);
-    replace(5, with(asked.get(5), 1, 610_000, Asked.Answer.FAILED));
-    asked.add(new Asked("c", "g", "v", 200, Nbd.CMD_WRITE, 4096 * 5, 4096, 1, -1, 7, 5_000_000, 7_000_000, 1,
+    replaceRequest(5, withAnswer(requests.get(5), 1, 610_000, Asked.Answer.FAILED));
+    requests.add(new Asked("c", "g", "v", 200, Nbd.CMD_WRITE, 4096 * 5, 4096, 1, -1, 7, 5_000_000, 7_000_000,
+        1,
         5_010_000, Asked.Answer.SERVED, false));
     commands.add(new Command("n", 1, "g/1", 1, 200 << 12, "shard-0", Nbd.CMD_WRITE, 4096 * 5, 4096, 5_001_000,
         5_002_000, 7, Command.Result.DONE));
@@ -112,62 +114,62 @@
         5_100_000, 1005, Command.Result.DONE));
     assertTrue(check().breaches()
         .stream()
-        .anyMatch(b -> b.rule() == Rule.NO_EFFECT_TWICE && b.what().contains("newer write")), check()
+        .anyMatch(b -> b.rule() == Rule.NO_EFFECT_TWICE && b.description().contains("newer write")), check()
             .breaches()
             .toString());
   }
 
   @Test
-  void aSendToADrainingNode() {
-    ask(95, 30_900_000, 31_100_000, Asked.Answer.SERVED, -1);
-    command(95, 31_000_000, 31_000_100);
+  void findsCommandSentToDrainingNode() {
+    addRequest(95, 30_900_000, 31_100_000, Asked.Answer.SERVED, -1);
+    addCommand(95, 31_000_000, 31_000_100);
     assertEquals(List.of(), check().breaches());
-    ask(96, 30_900_000, 31_100_000, Asked.Answer.SERVED, -1);
-    command(96, 31_000_001, 31_000_100);
-    only(Rule.DRAINS_KEPT);
+    addRequest(96, 30_900_000, 31_100_000, Asked.Answer.SERVED, -1);
+    addCommand(96, 31_000_001, 31_000_100);
+    assertOnly(Rule.DRAINS_KEPT);
   }
 
   @Test
-  void tooMuchForAColdNode() {
+  void findsOverloadOfColdNode() {
     for (int i = 100; i < 130; i++) {
-      ask(i, 9_000_000 + (i - 99) * 50_000, 11_000_000, Asked.Answer.SERVED, -1);
-      command(i, 9_001_000 + (i - 99) * 50_000, 10_999_000);
+      addRequest(i, 9_000_000 + (i - 99) * 50_000, 11_000_000, Asked.Answer.SERVED, -1);
+      addCommand(i, 9_001_000 + (i - 99) * 50_000, 10_999_000);
     }
-    only(Rule.NO_COLD_NODE_PUSHED);
+    assertOnly(Rule.NO_COLD_NODE_PUSHED);
   }
 
   @Test
-  void aLimitPassed() {
+  void findsExceededLimit() {
     for (int i = 100; i < 125; i++) {
-      ask(i, 20_000_000, 20_100_000, Asked.Answer.SERVED, -1);
-      command(i, 20_001_000, 20_002_000);
+      addRequest(i, 20_000_000, 20_100_000, Asked.Answer.SERVED, -1);
+      addCommand(i, 20_001_000, 20_002_000);
     }
-    only(Rule.LIMITS_KEPT);
+    assertOnly(Rule.LIMITS_KEPT);
   }
 
   @Test
-  void keysOutOfTurn() {
+  void findsKeyedRequestsOutOfOrder() {
     // Request 9 follows request 5 in the line of key 1.
     commands.removeIf(c -> c.cookie() >> 12 == 9);
-    command(9, 605_500, 1_006_000);
-    only(Rule.ORDER_KEPT);
+    addCommand(9, 605_500, 1_006_000);
+    assertOnly(Rule.ORDER_KEPT);
   }
 
   @Test
-  void tooManyFurtherAttempts() {
+  void findsExceededRetryBudget() {
     for (int attempt = 1; attempt < 8; attempt++) {
-      command(3, 405_000 + attempt, 0, attempt, Command.Result.FULL);
+      addCommand(3, 405_000 + attempt, 0, attempt, Command.Result.FULL);
     }
-    only(Rule.BUDGET_KEPT);
+    assertOnly(Rule.BUDGET_KEPT);
   }
 
   @Test
-  void recordsSurviveAFolder(@TempDir Path dir) throws Exception {
-    replace(5, with(asked.get(5), 2, 610_000, Asked.Answer.SERVED));
+  void recordsAreReadBackFromDirectory(@TempDir Path dir) throws Exception {
+    replaceRequest(5, withAnswer(requests.get(5), 2, 610_000, Asked.Answer.SERVED));
     Witness.figures(dir, FIGURES);
-    Witness.asked(dir, "c", asked);
+    Witness.asked(dir, "c", requests);
     Witness.commands(dir, "n", commands);
-    Witness.told(dir, "op", told);
+    Witness.told(dir, "op", operatorEvents);
     assertEquals(check().breaches(), Witness.audit(dir).breaches());
     assertEquals(1, check().breaches().size());
   }
--- a/src/test/java/hollyslip/e2e/HardCasesTest.java
+++ b/src/test/java/hollyslip/e2e/HardCasesTest.java
@@ -39,43 +39,44 @@
   @TempDir
   Path dir;
 
-  private static void until(java.util.concurrent.Callable<Boolean> what) {
+  private static void awaitUntil(java.util.concurrent.Callable<Boolean> what) {
     Awaitility.await().pollInterval(5, TimeUnit.MILLISECONDS).atMost(60, TimeUnit.SECONDS).until(what);
   }
 
   /** Clients leave while a stand-in sits on its answers, and another is declared draining mid-burst. */
   @Test
-  void tenThousandRequestsOneAnswerEachNoneToTheDrainedNode() throws Exception {
-    try (Site site = new Site(dir, 4, i -> DiskServer.Config.timed("disk-" + i, Site.SHARD_BYTES, 8, 64, 300,
+  void eachOfTenThousandRequestsIsAnsweredOnceAndDrainedNodeGetsNone() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 4, i -> DiskServer.Config.timed("disk-" + i,
+        TestDeployment.SHARD_BYTES, 8, 64, 300,
         5 + i))) {
       site.deadlineUs = 600_000;
-      Gateway g = site.gateway();
-      Run run = new Run(site);
+      Gateway g = site.startGateway();
+      LoadScenario run = new LoadScenario(site);
       for (int i = 0; i < 4; i++) {
-        run.start(run.load("c" + i, "gw-0", g.socket(i % 2 == 0 ? "stock" : "orders"), i % 2 == 0
+        run.start(run.addLoad("c" + i, "gw-0", g.socket(i % 2 == 0 ? "stock" : "orders"), i % 2 == 0
             ? "stock"
             : "orders", i / 2, 2, 2_500, 64));
       }
-      RingLoad leaver = run.load("leaver", "gw-0", g.socket("capped"), "capped", 0, 1, 60, 32);
-      until(() -> run.loads.get(0).asked() > 400);
+      RingLoad leaver = run.addLoad("leaver", "gw-0", g.socket("capped"), "capped", 0, 1, 60, 32);
+      awaitUntil(() -> run.loads.get(0).asked() > 400);
       site.disks.get(1).faults.silent = true;
       leaver.runThenVanish();
       long at = Engine.monotonicMicros();
       assertTrue(g.membership().setState(102, NodeState.DRAINING));
-      run.told.add(new Told.State("gw-0", "disk-2", NodeState.DRAINING, at));
-      until(() -> run.loads.get(0).asked() > 1_200);
+      run.operatorEvents.add(new Told.State("gw-0", "disk-2", NodeState.DRAINING, at));
+      awaitUntil(() -> run.loads.get(0).asked() > 1_200);
       site.disks.get(1).faults.clear();
       run.join();
-      assertEquals(10_000, run.asked()
+      assertEquals(10_000, run.requests()
           .stream()
           .filter(a -> !a.client().equals("leaver") && a.answers() == 1)
           .count());
       assertEquals(List.of(), run.audit().breaches());
-      assertEquals(List.of(), run.wrong());
+      assertEquals(List.of(), run.wrongReads());
       assertTrue(run.count(Asked.Answer.SERVED) > 5_000 && run.count(Asked.Answer.REFUSED) > 0 && run.count(
           Asked.Answer.FAILED) > 0, "answers of each kind");
       assertTrue(run.audit().checked().get(Rule.NO_EFFECT_TWICE) > 1_000);
-      assertTrue(run.asked().stream().anyMatch(Asked::left));
+      assertTrue(run.requests().stream().anyMatch(Asked::left));
       long lastAtDrained = site.disks.get(2)
           .commands()
           .stream()
@@ -91,30 +92,31 @@
    * one's time comes. With a fence it never lands; a node without our contexts is given the settle time. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aLateWriteNeverLandsOnANewerOne(boolean fences) throws Exception {
-    try (Site site = new Site(dir, 1, i -> new DiskServer.Config("disk-0", Site.SHARD_BYTES, DiskServer.Config
-        .plain("", 1, true)
-        .model(), 1, 3_600_000_000L, fences, true));
+  void lateWriteNeverOverwritesNewerOne(boolean fences) throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 1, i -> new DiskServer.Config("disk-0",
+        TestDeployment.SHARD_BYTES, DiskServer.Config
+            .plain("", 1, true)
+            .model(), 1, 3_600_000_000L, fences, true));
         RingClient client = new RingClient(RingClient.Options.usual(1, 16, 4096))) {
       site.deadlineUs = 800_000;
-      client.connect(site.gateway().socket("stock"));
+      client.connect(site.startGateway().socket("stock"));
       DiskServer disk = site.disks.get(0);
       byte[] old = new byte[4096];
       byte[] fresh = new byte[4096];
       Arrays.fill(old, (byte) 1);
       Arrays.fill(fresh, (byte) 2);
-      assertEquals(0, Rings.one(client, IoKind.READ, 0, 4096, new byte[4096]));
+      assertEquals(0, RingRequests.execute(client, IoKind.READ, 0, 4096, new byte[4096]));
       disk.faults.lateWriteUs = 1_000_000;
       int[] first = {-1};
       client.submit(0, IoKind.WRITE, 0, 4096, ByteBuffer.wrap(old), (status, retry, d) -> first[0] = status);
       // Answered after the write went out, so that the node does not look dead.
-      assertEquals(0, Rings.one(client, IoKind.READ, 65536, 4096, new byte[4096]));
-      until(() -> client.await(10) && client.poll() >= 0 && first[0] == 1);
+      assertEquals(0, RingRequests.execute(client, IoKind.READ, 65536, 4096, new byte[4096]));
+      awaitUntil(() -> client.await(10) && client.poll() >= 0 && first[0] == 1);
       disk.faults.clear();
-      assertEquals(0, Rings.one(client, IoKind.WRITE, 0, 4096, fresh));
-      until(() -> disk.commands().stream().filter(c -> c.kind() == Nbd.CMD_WRITE).count() == 2);
+      assertEquals(0, RingRequests.execute(client, IoKind.WRITE, 0, 4096, fresh));
+      awaitUntil(() -> disk.commands().stream().filter(c -> c.kind() == Nbd.CMD_WRITE).count() == 2);
       byte[] back = new byte[4096];
-      assertEquals(0, Rings.one(client, IoKind.READ, 0, 4096, back));
+      assertEquals(0, RingRequests.execute(client, IoKind.READ, 0, 4096, back));
       assertArrayEquals(fresh, back);
       assertEquals(fences, disk.commands().stream().anyMatch(c -> c.result() == Command.Result.FENCED));
     }
@@ -123,84 +125,85 @@
   /** A node dies with a write in doubt and another takes over its shard: the blocks of that write are not
    * locked for ever. */
   @Test
-  void aNodeThatNeverComesBackKeepsNoBlocksLocked() throws Exception {
-    try (Site site = new Site(dir, 1);
-        DiskServer spare = new DiskServer(DiskServer.Config.plain("spare", Site.SHARD_BYTES, true));
+  void replacedNodeKeepsNoBlocksLocked() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 1);
+        DiskServer spare = new DiskServer(DiskServer.Config.plain("spare", TestDeployment.SHARD_BYTES, true));
         RingClient client = new RingClient(RingClient.Options.usual(1, 16, 4096))) {
       site.deadlineUs = 800_000;
-      Gateway g = site.gateway();
+      Gateway g = site.startGateway();
       client.connect(g.socket("stock"));
-      assertEquals(0, Rings.one(client, IoKind.READ, 0, 4096, new byte[4096]));
+      assertEquals(0, RingRequests.execute(client, IoKind.READ, 0, 4096, new byte[4096]));
       site.disks.get(0).faults.silent = true;
       int[] first = {-1};
       client.submit(0, IoKind.WRITE, 0, 4096, ByteBuffer.wrap(new byte[4096]), (status, retry,
           d) -> first[0] = status);
       client.kick();
-      until(() -> site.disks.get(0).commands().stream().anyMatch(c -> c.kind() == Nbd.CMD_WRITE));
+      awaitUntil(() -> site.disks.get(0).commands().stream().anyMatch(c -> c.kind() == Nbd.CMD_WRITE));
       site.disks.get(0).kill();
-      until(() -> client.await(10) && client.poll() >= 0 && first[0] == 1);
+      awaitUntil(() -> client.await(10) && client.poll() >= 0 && first[0] == 1);
       Deployment d = site.deployment("gw-0", 0, List.of());
       g.nodes(new Deployment(d.gateway(), d.classes(), d.rows(), d.plans(), d.rules(), d.allowed(), d.store(),
           List.of(new Deployment.Node(200, "spare", "127.0.0.1", spare.address().getPort(), "a", 0,
               NodeState.ON)), d.volumes()));
-      until(() -> Rings.one(client, IoKind.WRITE, 0, 4096, new byte[4096]) == 0);
+      awaitUntil(() -> RingRequests.execute(client, IoKind.WRITE, 0, 4096, new byte[4096]) == 0);
     }
   }
 
   /** Killed with its rings full, a gateway finds what it had taken; each request is answered once, no write
    * runs twice out of order. */
   @Test
-  void killedAndRestartedItAnswersEverythingOnce() throws Exception {
-    try (Site site = new Site(dir, 3, i -> DiskServer.Config.timed("disk-" + i, Site.SHARD_BYTES, 2, 256,
+  void killedGatewayAnswersEverythingOnceAfterRestart() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 3, i -> DiskServer.Config.timed("disk-" + i,
+        TestDeployment.SHARD_BYTES, 2, 256,
         1_500, i))) {
-      Path settings = site.settings("gw-0", 0, 1);
+      Path settings = site.writeSettings("gw-0", 0, 1);
       Child gateway = new Child(settings, dir.resolve("log"));
-      Run run = new Run(site);
+      LoadScenario run = new LoadScenario(site);
       for (int i = 0; i < 2; i++) {
-        run.start(run.load("c" + i, "gw-0", dir.resolve("gw-0/stock.sock"), "stock", i, 2, 1_500, 64));
+        run.start(run.addLoad("c" + i, "gw-0", dir.resolve("gw-0/stock.sock"), "stock", i, 2, 1_500, 64));
       }
       for (int kill = 1; kill <= 3; kill++) {
         int asked = kill * 400;
-        until(() -> run.loads.get(0).asked() > asked);
+        awaitUntil(() -> run.loads.get(0).asked() > asked);
         gateway.kill();
         gateway = new Child(settings, dir.resolve("log"));
       }
       run.join();
       assertEquals(0, gateway.stop());
-      assertEquals(3_000, run.asked().stream().filter(a -> a.answers() == 1).count());
+      assertEquals(3_000, run.requests().stream().filter(a -> a.answers() == 1).count());
       assertEquals(List.of(), run.audit().breaches());
-      assertEquals(List.of(), run.wrong());
+      assertEquals(List.of(), run.wrongReads());
     }
   }
 
   /** Replies that break the protocol, or stop half way, cost the connection and nothing else. */
   @Test
-  void aNodeThatBreaksTheProtocolHurtsOnlyItsConnection() throws Exception {
-    try (Site site = new Site(dir, 2)) {
+  void protocolViolationsOfNodeAffectOnlyItsConnection() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 2)) {
       site.deadlineUs = 500_000;
-      Gateway g = site.gateway();
-      Run run = new Run(site);
+      Gateway g = site.startGateway();
+      LoadScenario run = new LoadScenario(site);
       run.gapUs = 500;
-      RingLoad load = run.load("c", "gw-0", g.socket("stock"), "stock", 0, 1, 2_500, 16);
+      RingLoad load = run.addLoad("c", "gw-0", g.socket("stock"), "stock", 0, 1, 2_500, 16);
       run.start(load);
       Faults f = site.disks.get(0).faults;
       int at = 0;
-      for (Faults.Malice m : Faults.Malice.values()) {
-        f.malice = m;
+      for (Faults.ProtocolViolation m : Faults.ProtocolViolation.values()) {
+        f.protocolViolation = m;
         at += 250;
         int next = at;
-        until(() -> load.asked() > next);
+        awaitUntil(() -> load.asked() > next);
       }
-      f.malice = Faults.Malice.NONE;
-      f.halfReply = 100;
-      until(() -> f.halfReply == 0 && load.asked() > 1_800);
-      f.resets = 0.05;
-      until(() -> load.asked() > 2_200);
+      f.protocolViolation = Faults.ProtocolViolation.NONE;
+      f.truncatedReplyBytes = 100;
+      awaitUntil(() -> f.truncatedReplyBytes == 0 && load.asked() > 1_800);
+      f.resetRate = 0.05;
+      awaitUntil(() -> load.asked() > 2_200);
       f.clear();
       run.join();
-      assertEquals(2_500, run.asked().stream().filter(a -> a.answers() == 1).count());
+      assertEquals(2_500, run.requests().stream().filter(a -> a.answers() == 1).count());
       assertEquals(List.of(), run.audit().breaches());
-      assertEquals(List.of(), run.wrong());
+      assertEquals(List.of(), run.wrongReads());
       assertTrue(run.count(Asked.Answer.SERVED) > 1_500, run.count(Asked.Answer.SERVED) + " served");
     }
   }
@@ -208,29 +211,33 @@
   /** Clients die with requests queued and in flight: their memory and descriptors go, when nothing can write
    * to them any more, and others are served on. */
   @Test
-  void aDeadClientsMemoryGoesAndOthersGoOn() throws Exception {
-    try (Site site = new Site(dir, 2, i -> DiskServer.Config.timed("disk-" + i, Site.SHARD_BYTES, 2, 256,
+  void deadClientsMemoryIsReleasedAndOthersAreServed() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 2, i -> DiskServer.Config.timed("disk-" + i,
+        TestDeployment.SHARD_BYTES, 2, 256,
         3_000, i))) {
-      Gateway g = site.gateway();
-      Run run = new Run(site);
-      RingLoad other = run.load("c", "gw-0", g.socket("orders"), "orders", 0, 1, 600, 8);
+      Gateway g = site.startGateway();
+      LoadScenario run = new LoadScenario(site);
+      RingLoad other = run.addLoad("c", "gw-0", g.socket("orders"), "orders", 0, 1, 600, 8);
       run.start(other);
-      until(() -> other.asked() > 20);
+      awaitUntil(() -> other.asked() > 20);
       int mappings = Linux.mappings();
-      long fds = fds();
+      long fds = openDescriptors();
       for (int i = 0; i < 10; i++) {
-        run.load("leaver-" + i, "gw-0", g.socket("stock"), "stock", 0, 1, 90, 64).runThenVanish();
+        run.addLoad("leaver-" + i, "gw-0", g.socket("stock"), "stock", 0, 1, 90, 64).runThenVanish();
       }
-      until(() -> Linux.mappings() == mappings);
-      until(() -> fds() <= fds);
+      awaitUntil(() -> Linux.mappings() == mappings);
+      awaitUntil(() -> openDescriptors() <= fds);
       run.join();
-      assertEquals(600, run.asked().stream().filter(a -> a.client().equals("c") && a.answers() == 1).count());
+      assertEquals(600, run.requests()
+          .stream()
+          .filter(a -> a.client().equals("c") && a.answers() == 1)
+          .count());
       assertEquals(List.of(), run.audit().breaches());
       assertTrue(g.lanes().totals().departed() > 0);
     }
   }
 
-  private static long fds() throws java.io.IOException {
+  private static long openDescriptors() throws java.io.IOException {
     try (var all = java.nio.file.Files.list(Path.of("/proc/self/fd"))) {
       return all.count();
     }
@@ -239,40 +246,42 @@
   /** Four gateway processes and a node that restarts cold: together they stay within what it bears; and a
    * limit holds over all of them while they are restarted in turn. */
   @Test
-  void fourGatewaysKeepTheColdNodeUpAndTheLimitThroughRestarts() throws Exception {
-    try (Site site = new Site(dir, 2, i -> DiskServer.Config.timed("disk-" + i, Site.SHARD_BYTES, 4, 256, 500,
+  void gatewaysRespectColdNodeAndLimitAcrossRestarts() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 2, i -> DiskServer.Config.timed("disk-" + i,
+        TestDeployment.SHARD_BYTES, 4, 256, 500,
         i))) {
       site.hosts = 4;
       site.coldUs = 3_000_000;
-      site.limited = new Plan("limited", 400, 200, 1, 1, 800, 160, 16);
-      Run run = new Run(site);
+      site.limitedPlan = new Plan("limited", 400, 200, 1, 1, 800, 160, 16);
+      LoadScenario run = new LoadScenario(site);
       run.gapUs = 4_000;
-      run.mostBlocks = 2;
+      run.maxBlocks = 2;
       Child[] children = new Child[4];
       for (int i = 0; i < 4; i++) {
-        children[i] = new Child(site.settings("gw-" + i, i, 4), dir.resolve("log-" + i));
-        run.start(run.load("a" + i, "gw-" + i, dir.resolve("gw-" + i + "/capped.sock"), "capped", i, 4, 0,
+        children[i] = new Child(site.writeSettings("gw-" + i, i, 4), dir.resolve("log-" + i));
+        run.start(run.addLoad("a" + i, "gw-" + i, dir.resolve("gw-" + i + "/capped.sock"), "capped", i, 4, 0,
+            64));
+        run.start(run.addLoad("b" + i, "gw-" + i, dir.resolve("gw-" + i + "/stock.sock"), "stock", i, 4, 0,
             64));
-        run.start(run.load("b" + i, "gw-" + i, dir.resolve("gw-" + i + "/stock.sock"), "stock", i, 4, 0, 64));
       }
-      until(() -> run.loads.stream().allMatch(l -> l.asked() > 200));
-      run.told.add(new Told.Born("disk-1", Engine.monotonicMicros()));
+      awaitUntil(() -> run.loads.stream().allMatch(l -> l.asked() > 200));
+      run.operatorEvents.add(new Told.Born("disk-1", Engine.monotonicMicros()));
       site.disks.get(1).restart();
       for (int i = 0; i < 4; i++) {
         int asked = run.loads.get(0).asked();
         children[i].kill();
-        children[i] = new Child(site.settings("gw-" + i, i, 4), dir.resolve("log-" + i));
-        until(() -> run.loads.get(0).asked() > asked + 100);
+        children[i] = new Child(site.writeSettings("gw-" + i, i, 4), dir.resolve("log-" + i));
+        awaitUntil(() -> run.loads.get(0).asked() > asked + 100);
       }
       int asked = run.loads.get(0).asked();
-      until(() -> run.loads.get(0).asked() > asked + 400);
+      awaitUntil(() -> run.loads.get(0).asked() > asked + 400);
       run.loads.forEach(RingLoad::finish);
       run.join();
       for (Child c : children) {
         assertEquals(0, c.stop());
       }
       assertEquals(List.of(), run.audit().breaches());
-      assertEquals(List.of(), run.wrong());
+      assertEquals(List.of(), run.wrongReads());
       assertTrue(run.audit().checked().get(Rule.LIMITS_KEPT) > 500 && run.audit()
           .checked()
           .get(Rule.NO_COLD_NODE_PUSHED) > 20, run.audit().checked().toString());
--- a/src/test/java/hollyslip/e2e/HostedTest.java
+++ b/src/test/java/hollyslip/e2e/HostedTest.java
@@ -42,11 +42,11 @@
   @TempDir
   Path dir;
 
-  private static void until(Callable<Boolean> what) {
+  private static void awaitUntil(Callable<Boolean> what) {
     Awaitility.await().pollInterval(2, TimeUnit.MILLISECONDS).atMost(30, TimeUnit.SECONDS).until(what);
   }
 
-  private ApiClient client(String gateway) throws IOException {
+  private ApiClient apiClient(String gateway) throws IOException {
     return ApiClient.at(dir.resolve(gateway).resolve("admin.sock"), Files.readString(dir.resolve(gateway
         + "-state/operator.token")).trim());
   }
@@ -55,66 +55,66 @@
     return JSON.readTree(text.replace('\'', '"'));
   }
 
-  private static ApiClient.Answer ask(ApiClient api, String method, String path, String body)
+  private static ApiClient.Answer request(ApiClient api, String method, String path, String body)
       throws IOException {
     ApiClient.Answer a = api.ask(method, path, body == null ? null : json(body), Map.of("If-Match", "*"));
     assertTrue(a.good(), () -> a.toString());
     return a;
   }
 
-  private static long me() throws IOException {
+  private static long ownUid() throws IOException {
     return ((Number) Files.getAttribute(Path.of("/proc/self"), "unix:uid")).longValue();
   }
 
-  private static void tenant(ApiClient api, String name, String plan) throws IOException {
-    ask(api, "POST", "/v1/tenants", "{'name':'" + name
-        + "','quota':{'reserve':1000,'bytes':33554432},'members':{'me':" + me() + "}}");
-    ask(api, "POST", "/v1/tenants/" + name + "/volumes", "{'name':'v','plan':'" + plan
+  private static void createTenant(ApiClient api, String name, String plan) throws IOException {
+    request(api, "POST", "/v1/tenants", "{'name':'" + name
+        + "','quota':{'reserve':1000,'bytes':33554432},'members':{'me':" + ownUid() + "}}");
+    request(api, "POST", "/v1/tenants/" + name + "/volumes", "{'name':'v','plan':'" + plan
         + "','bytes':1048576,'extent_bytes':65536}");
-    until(() -> ask(api, "GET", "/v1/tenants/" + name + "/volumes/v", null).body()
+    awaitUntil(() -> request(api, "GET", "/v1/tenants/" + name + "/volumes/v", null).body()
         .get("phase")
         .asText()
         .equals("active"));
   }
 
-  private static RingClient ring(Path socket) throws IOException {
+  private static RingClient connectRing(Path socket) throws IOException {
     RingClient c = new RingClient(RingClient.Options.usual(1, 64, 4096));
     c.connect(socket);
     return c;
   }
 
   @Test
-  void aVolumeIsMadeServedGrownAndRemoved() throws Exception {
-    try (Site site = new Site(dir, 3)) {
+  void volumeIsCreatedServedGrownAndRemoved() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 3)) {
       site.hosted = true;
-      Gateway g = site.gateway("gw", 0);
-      try (ApiClient api = client("gw")) {
-        ask(api, "POST", "/v1/plans", "{'name':'gold','reserve':100,'weight':1}");
-        tenant(api, "lee", "gold");
+      Gateway g = site.startGateway("gw", 0);
+      try (ApiClient api = apiClient("gw")) {
+        request(api, "POST", "/v1/plans", "{'name':'gold','reserve':100,'weight':1}");
+        createTenant(api, "lee", "gold");
         byte[] bytes = new byte[4096];
         Arrays.fill(bytes, (byte) 7);
         Path socket = g.socket("lee", "v");
-        try (RingClient c = ring(socket)) {
-          assertEquals(0, Rings.one(c, IoKind.WRITE, 65536 * 3 + 4096, 4096, bytes));
+        try (RingClient c = connectRing(socket)) {
+          assertEquals(0, RingRequests.execute(c, IoKind.WRITE, 65536 * 3 + 4096, 4096, bytes));
           byte[] read = new byte[4096];
-          assertEquals(0, Rings.one(c, IoKind.READ, 65536 * 3 + 4096, 4096, read));
+          assertEquals(0, RingRequests.execute(c, IoKind.READ, 65536 * 3 + 4096, 4096, read));
           assertArrayEquals(bytes, read);
-          assertEquals(1, Rings.one(c, IoKind.READ, 1048576, 4096, read), "behind the end");
-          int[] backend = pair(c);
-          JsonNode before = ask(api, "GET", "/v1/tenants/lee/volumes/v", null).body().get("shards");
+          assertEquals(1, RingRequests.execute(c, IoKind.READ, 1048576, 4096, read), "behind the end");
+          int[] backend = backendConnection(c);
+          JsonNode before = request(api, "GET", "/v1/tenants/lee/volumes/v", null).body().get("shards");
           assertEquals(3, before.size(), "spread over the shards");
-          ask(api, "PATCH", "/v1/tenants/lee/volumes/v", "{'bytes':2097152}");
-          until(() -> g.lanes().volumes().get("lee/v").bytes() == 2097152);
-          until(() -> Rings.one(c, IoKind.READ, 1048576, 4096, read) == 0);
+          request(api, "PATCH", "/v1/tenants/lee/volumes/v", "{'bytes':2097152}");
+          awaitUntil(() -> g.lanes().volumes().get("lee/v").bytes() == 2097152);
+          awaitUntil(() -> RingRequests.execute(c, IoKind.READ, 1048576, 4096, read) == 0);
           com.sun.jna.Memory said = new com.sun.jna.Memory(64);
-          until(() -> Linux.receive(backend[0], said, 0, 64).bytes() == Wire.HEADER);
+          awaitUntil(() -> Linux.receive(backend[0], said, 0, 64).bytes() == Wire.HEADER);
           assertEquals(Wire.BACKEND_CONFIG_CHANGE, said.getInt(0), "the client is told to look again, once");
           Linux.closeAll(backend);
-          assertEquals(0, Rings.one(c, IoKind.READ, 65536 * 3 + 4096, 4096, read));
+          assertEquals(0, RingRequests.execute(c, IoKind.READ, 65536 * 3 + 4096, 4096, read));
           assertArrayEquals(bytes, read, "what was there stays where it was");
           // Whoever is no member any more is cut off, and cannot come back.
-          ask(api, "PATCH", "/v1/tenants/lee", "{'members':{'me':null,'other':" + (me() + 1) + "}}");
-          until(() -> !c.await(10));
+          request(api, "PATCH", "/v1/tenants/lee", "{'members':{'me':null,'other':" + (ownUid() + 1) + "}}");
+          awaitUntil(() -> !c.await(10));
         }
         try (RingClient c = new RingClient(RingClient.Options.usual(1, 64, 4096))) {
           boolean served;
@@ -126,15 +126,15 @@
           }
           assertFalse(served, "no member");
         }
-        ask(api, "DELETE", "/v1/tenants/lee/volumes/v", null);
-        until(() -> !Files.exists(socket));
+        request(api, "DELETE", "/v1/tenants/lee/volumes/v", null);
+        awaitUntil(() -> !Files.exists(socket));
         assertFalse(g.lanes().volumes().containsKey("lee/v"));
       }
     }
   }
 
   /** Gives the device one end of a connection for messages of its own; the other end, and a spare. */
-  private int[] pair(RingClient c) throws IOException {
+  private int[] backendConnection(RingClient c) throws IOException {
     Path path = dir.resolve("backend.sock");
     int listening = Linux.listen(path);
     int mine = Linux.connect(path);
@@ -147,33 +147,34 @@
   /** One tenant keeps sixteen times as many requests out as the other, whose weight is the same: both get
    * what the nodes can do in about even parts, by the stand-ins' log. */
   @Test
-  void aFloodingNeighbourGetsItsShareAndNoMore() throws Exception {
-    try (Site site = new Site(dir, 2, i -> DiskServer.Config.timed("disk-" + i, Site.SHARD_BYTES, 1, 256,
+  void floodingTenantGetsItsShareAndNoMore() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 2, i -> DiskServer.Config.timed("disk-" + i,
+        TestDeployment.SHARD_BYTES, 1, 256,
         1_000, i))) {
       site.hosted = true;
-      Gateway g = site.gateway("gw", 0);
-      try (ApiClient api = client("gw")) {
-        ask(api, "POST", "/v1/plans", "{'name':'gold','reserve':0,'weight':1}");
-        tenant(api, "a", "gold");
-        tenant(api, "b", "gold");
-        List<Busy> flood = new ArrayList<>();
+      Gateway g = site.startGateway("gw", 0);
+      try (ApiClient api = apiClient("gw")) {
+        request(api, "POST", "/v1/plans", "{'name':'gold','reserve':0,'weight':1}");
+        createTenant(api, "a", "gold");
+        createTenant(api, "b", "gold");
+        List<ClosedLoopClient> flood = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-          flood.add(new Busy(g.socket("a", "v"), 60));
+          flood.add(new ClosedLoopClient(g.socket("a", "v"), 60));
         }
-        Busy b = new Busy(g.socket("b", "v"), 30);
+        ClosedLoopClient b = new ClosedLoopClient(g.socket("b", "v"), 30);
         flood.forEach(Thread::start);
         b.start();
-        until(() -> b.answered > 200);
+        awaitUntil(() -> b.answered > 200);
         long from = Engine.monotonicMicros();
         int before = b.answered;
-        until(() -> b.answered > before + 1_000);
+        awaitUntil(() -> b.answered > before + 1_000);
         long to = Engine.monotonicMicros();
-        for (Busy c : flood) {
-          c.over = true;
+        for (ClosedLoopClient c : flood) {
+          c.finish = true;
         }
-        b.over = true;
+        b.finish = true;
         b.join(30_000);
-        for (Busy c : flood) {
+        for (ClosedLoopClient c : flood) {
           c.join(30_000);
         }
         List<Volume.Extent> extents = g.lanes().volumes().get("b/v").extents();
@@ -189,17 +190,17 @@
   }
 
   /** A client that keeps so many requests out until told to stop, then waits for all of them. */
-  private static final class Busy extends Thread {
+  private static final class ClosedLoopClient extends Thread {
     final RingClient ring;
     final int depth;
-    final AtomicIntegerArray answers = new AtomicIntegerArray(256);
-    volatile int asked, answered, doubled;
-    volatile boolean over, polite, quit;
-    volatile long pace;
-    volatile int most = Integer.MAX_VALUE;
+    final AtomicIntegerArray answersByStatus = new AtomicIntegerArray(256);
+    volatile int asked, answered, duplicateAnswers;
+    volatile boolean finish, stopWhenRefused, abort;
+    volatile long intervalNanos;
+    volatile int maxRequests = Integer.MAX_VALUE;
 
-    Busy(Path socket, int depth) throws IOException {
-      ring = ring(socket);
+    ClosedLoopClient(Path socket, int depth) throws IOException {
+      ring = connectRing(socket);
       this.depth = depth;
     }
 
@@ -207,20 +208,20 @@
     public void run() {
       long next = System.nanoTime();
       boolean connected = true;
-      while (connected && !quit && !(over && ring.out() == 0) && !(answered == most)) {
-        while (!over && asked < most && ring.out() < depth && System.nanoTime() >= next) {
+      while (connected && !abort && !(finish && ring.out() == 0) && !(answered == maxRequests)) {
+        while (!finish && asked < maxRequests && ring.out() < depth && System.nanoTime() >= next) {
           boolean[] told = new boolean[1];
           int n = asked++;
           ring.submit(0, n % 3 == 0 ? IoKind.WRITE : IoKind.READ, n % 200 * 4096L, 4096, n % 3 == 0
               ? java.nio.ByteBuffer.allocate(4096)
               : null, (s, r, d) -> {
-                doubled += told[0] ? 1 : 0;
+                duplicateAnswers += told[0] ? 1 : 0;
                 told[0] = true;
                 answered++;
-                answers.incrementAndGet(s);
-                over |= polite && s == REFUSED;
+                answersByStatus.incrementAndGet(s);
+                finish |= stopWhenRefused && s == REFUSED;
               });
-          next = Math.max(next + pace, System.nanoTime() - 50 * pace);
+          next = Math.max(next + intervalNanos, System.nanoTime() - 50 * intervalNanos);
         }
         ring.kick();
         connected = ring.await(1);
@@ -234,58 +235,60 @@
    * pace, are served all the same: compared with a run without the removal by answers and by the stand-ins'
    * log. */
   @Test
-  void aTenantIsRemovedWhileItsRequestsAreInFlight() throws Exception {
-    long[] with = removal(dir.resolve("with"), true);
-    long[] without = removal(dir.resolve("without"), false);
+  void tenantIsRemovedWhileItsRequestsAreInFlight() throws Exception {
+    long[] with = runWithRemoval(dir.resolve("with"), true);
+    long[] without = runWithRemoval(dir.resolve("without"), false);
     for (int i = 0; i < 4; i++) {
       assertEquals(without[i], with[i], without[i] * 0.02, "figure " + i);
     }
   }
 
   /** Served to b and to c by their rings, and commands done on their extents at the stand-ins. */
-  private long[] removal(Path at, boolean removed) throws Exception {
+  private long[] runWithRemoval(Path at, boolean removed) throws Exception {
     Files.createDirectories(at);
-    try (Site site = new Site(at, 2, i -> DiskServer.Config.timed("disk-" + i, Site.SHARD_BYTES, 4, 256,
+    try (TestDeployment site = new TestDeployment(at, 2, i -> DiskServer.Config.timed("disk-" + i,
+        TestDeployment.SHARD_BYTES, 4, 256,
         1_000, i))) {
       site.hosted = true;
-      Gateway g = site.gateway("gw", 0);
+      Gateway g = site.startGateway("gw", 0);
       try (ApiClient api = ApiClient.at(at.resolve("gw/admin.sock"), Files.readString(at.resolve(
           "gw-state/operator.token")).trim())) {
-        ask(api, "POST", "/v1/plans", "{'name':'gold','reserve':200,'weight':1}");
+        request(api, "POST", "/v1/plans", "{'name':'gold','reserve':200,'weight':1}");
         for (String t : List.of("a", "b", "c")) {
-          tenant(api, t, "gold");
+          createTenant(api, t, "gold");
         }
-        Busy a = new Busy(g.socket("a", "v"), 32);
-        a.polite = true;
-        List<Busy> others = new ArrayList<>();
+        ClosedLoopClient a = new ClosedLoopClient(g.socket("a", "v"), 32);
+        a.stopWhenRefused = true;
+        List<ClosedLoopClient> others = new ArrayList<>();
         for (String t : List.of("b", "c")) {
-          Busy o = new Busy(g.socket(t, "v"), 16);
-          o.pace = 2_000_000;
-          o.most = 1_000;
+          ClosedLoopClient o = new ClosedLoopClient(g.socket(t, "v"), 16);
+          o.intervalNanos = 2_000_000;
+          o.maxRequests = 1_000;
           others.add(o);
         }
         a.start();
         others.forEach(Thread::start);
-        until(() -> a.answered > 300 && others.get(0).asked > 200);
+        awaitUntil(() -> a.answered > 300 && others.get(0).asked > 200);
         if (removed) {
-          String task = ask(api, "DELETE", "/v1/tenants/a", null).location();
-          until(() -> ask(api, "GET", task, null).body().get("state").asText().equals("done"));
+          String task = request(api, "DELETE", "/v1/tenants/a", null).location();
+          awaitUntil(() -> request(api, "GET", task, null).body().get("state").asText().equals("done"));
         }
-        a.over = true;
+        a.finish = true;
         a.join(30_000);
-        for (Busy o : others) {
+        for (ClosedLoopClient o : others) {
           o.join(60_000);
           assertEquals(1_000, o.answered);
-          assertEquals(0, o.doubled);
+          assertEquals(0, o.duplicateAnswers);
         }
         assertEquals(a.asked, a.answered, "each has its answer");
-        assertEquals(0, a.doubled);
-        assertEquals(a.asked, a.answers.get(0) + a.answers.get(REFUSED) + a.answers.get(1));
-        assertTrue(!removed || a.answers.get(REFUSED) > 0, "some came after the removal began");
+        assertEquals(0, a.duplicateAnswers);
+        assertEquals(a.asked, a.answersByStatus.get(0) + a.answersByStatus.get(REFUSED) + a.answersByStatus
+            .get(1));
+        assertTrue(!removed || a.answersByStatus.get(REFUSED) > 0, "some came after the removal began");
         List<Command> log = site.disks.stream().flatMap(d -> d.commands().stream()).toList();
         long[] figures = new long[4];
         for (int i = 0; i < 2; i++) {
-          figures[i] = others.get(i).answers.get(0);
+          figures[i] = others.get(i).answersByStatus.get(0);
         }
         for (int i = 0; i < 2; i++) {
           List<Volume.Extent> extents = g.lanes().volumes().get(List.of("b/v", "c/v").get(i)).extents();
@@ -303,50 +306,50 @@
     }
   }
 
-  private static void limit(List<ApiClient> all, double limit, double burst) throws IOException {
+  private static void setLimit(List<ApiClient> all, double limit, double burst) throws IOException {
     for (ApiClient api : all) {
-      ask(api, "PATCH", "/v1/plans/capped", "{'limit':" + limit + ",'limit_burst':" + burst + "}");
+      request(api, "PATCH", "/v1/plans/capped", "{'limit':" + limit + ",'limit_burst':" + burst + "}");
     }
   }
 
   /** Four gateways, one limit: lowered to a tenth in a surge, raised again, one of the gateways killed
    * between. By the stand-ins' log all together stay under what was told, in every span. */
   @Test
-  void aLimitThatChangesHoldsOverAllGatewaysAndAKill() throws Exception {
-    try (Site site = new Site(dir, 2)) {
+  void changedLimitHoldsOverAllGatewaysAndAKill() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 2)) {
       site.hosted = true;
       site.hosts = 4;
       Child[] children = new Child[4];
       List<ApiClient> apis = new ArrayList<>();
-      List<Busy> clients = new ArrayList<>();
+      List<ClosedLoopClient> clients = new ArrayList<>();
       try {
         for (int i = 0; i < 4; i++) {
-          children[i] = new Child(site.settings("gw-" + i, i, 4), dir.resolve("log-" + i));
-          apis.add(client("gw-" + i));
-          ask(apis.get(i), "POST", "/v1/plans",
+          children[i] = new Child(site.writeSettings("gw-" + i, i, 4), dir.resolve("log-" + i));
+          apis.add(apiClient("gw-" + i));
+          request(apis.get(i), "POST", "/v1/plans",
               "{'name':'capped','reserve':10,'weight':1,'limit':2000,'limit_burst':200,'limit_slack':20}");
-          tenant(apis.get(i), "t", "capped");
-          clients.add(new Busy(dir.resolve("gw-" + i + "/t/v.sock"), 8));
+          createTenant(apis.get(i), "t", "capped");
+          clients.add(new ClosedLoopClient(dir.resolve("gw-" + i + "/t/v.sock"), 8));
         }
         clients.forEach(Thread::start);
-        until(() -> clients.stream().allMatch(c -> c.answered > 300));
-        limit(apis, 200, 20);
+        awaitUntil(() -> clients.stream().allMatch(c -> c.answered > 300));
+        setLimit(apis, 200, 20);
         long lowered = Engine.monotonicMicros();
-        clients.get(3).over = true;
+        clients.get(3).finish = true;
         children[3].kill();
         apis.get(3).close();
-        children[3] = new Child(site.settings("gw-3", 3, 4), dir.resolve("log-3"));
-        apis.set(3, client("gw-3"));
-        Busy back = new Busy(dir.resolve("gw-3/t/v.sock"), 8);
+        children[3] = new Child(site.writeSettings("gw-3", 3, 4), dir.resolve("log-3"));
+        apis.set(3, apiClient("gw-3"));
+        ClosedLoopClient back = new ClosedLoopClient(dir.resolve("gw-3/t/v.sock"), 8);
         clients.set(3, back);
         back.start();
-        until(() -> back.answered > 40);
+        awaitUntil(() -> back.answered > 40);
         long raised = Engine.monotonicMicros();
-        limit(apis, 2000, 200);
+        setLimit(apis, 2000, 200);
         int before = clients.get(0).answered;
-        until(() -> clients.get(0).answered > before + 300);
-        for (Busy c : clients) {
-          c.over = true;
+        awaitUntil(() -> clients.get(0).answered > before + 300);
+        for (ClosedLoopClient c : clients) {
+          c.finish = true;
           c.join(30_000);
         }
         long[] at = site.disks.stream()
@@ -355,13 +358,13 @@
             .sorted()
             .toArray();
         // A tenth of a second for what was sent before the change was told and had not arrived.
-        assertTrue(most(at, lowered + 100_000, raised, 200, 20 + 20) <= 0, "lowered");
-        assertTrue(most(at, 0, Long.MAX_VALUE, 2000, 200 + 20) <= 0, "throughout");
+        assertTrue(maxExcess(at, lowered + 100_000, raised, 200, 20 + 20) <= 0, "lowered");
+        assertTrue(maxExcess(at, 0, Long.MAX_VALUE, 2000, 200 + 20) <= 0, "throughout");
         assertTrue(Arrays.stream(at).filter(t -> t > lowered && t < raised).count() > 40);
       } finally {
-        for (Busy c : clients) {
+        for (ClosedLoopClient c : clients) {
           // Its memory may go only when its thread has ended.
-          c.quit = true;
+          c.abort = true;
           c.join(10_000);
           c.ring.close();
         }
@@ -378,35 +381,35 @@
   /** A gateway said that it was ready while sockets of the store's volumes did not listen yet; a file that a
    * dead one left must not be in the way, and one at which somebody listens must not be taken. */
   @Test
-  void readyMeansThatTheVolumesOfTheStoreListen() throws Exception {
+  void startedGatewayListensForAllVolumesOfTheStore() throws Exception {
     int volumes = 300;
-    try (Site site = new Site(dir, 2)) {
+    try (TestDeployment site = new TestDeployment(dir, 2)) {
       site.hosted = true;
-      Gateway first = site.gateway("gw", 0);
-      try (ApiClient api = client("gw")) {
-        ask(api, "POST", "/v1/plans", "{'name':'gold','reserve':1,'weight':1}");
-        ask(api, "POST", "/v1/tenants",
-            "{'name':'lee','quota':{'reserve':1000,'bytes':33554432},'members':{'me':" + me() + "}}");
+      Gateway first = site.startGateway("gw", 0);
+      try (ApiClient api = apiClient("gw")) {
+        request(api, "POST", "/v1/plans", "{'name':'gold','reserve':1,'weight':1}");
+        request(api, "POST", "/v1/tenants",
+            "{'name':'lee','quota':{'reserve':1000,'bytes':33554432},'members':{'me':" + ownUid() + "}}");
         for (int i = 0; i < volumes; i++) {
-          ask(api, "POST", "/v1/tenants/lee/volumes", "{'name':'v" + i
+          request(api, "POST", "/v1/tenants/lee/volumes", "{'name':'v" + i
               + "','plan':'gold','bytes':65536,'extent_bytes':65536}");
         }
       }
       assertTrue(first.close());
       Linux.closeAll(Linux.listen(first.socket("lee", "v0")));
       int taken = Linux.listen(first.socket("lee", "v1"));
-      Gateway again = site.gateway("gw", 0);
+      Gateway again = site.startGateway("gw", 0);
       for (int i = volumes - 1; i >= 0; i--) {
         if (i != 1) {
-          ring(again.socket("lee", "v" + i)).close();
+          connectRing(again.socket("lee", "v" + i)).close();
         }
       }
       assertTrue(Files.exists(again.socket("lee", "v1")), "another's socket is left alone");
       Linux.closeAll(taken);
       byte[] read = new byte[4096];
-      until(() -> {
-        try (RingClient c = ring(again.socket("lee", "v1"))) {
-          return Rings.one(c, IoKind.READ, 0, 4096, read) == 0;
+      awaitUntil(() -> {
+        try (RingClient c = connectRing(again.socket("lee", "v1"))) {
+          return RingRequests.execute(c, IoKind.READ, 0, 4096, read) == 0;
         } catch (IOException e) {
           return false;
         }
@@ -415,7 +418,7 @@
   }
 
   /** By how many units the worst span passes a rate and burst; 0 or less: none does. */
-  private static double most(long[] at, long from, long to, double rate, double burst) {
+  private static double maxExcess(long[] at, long from, long to, double rate, double burst) {
     double level = 0;
     double worst = -burst;
     long last = Long.MIN_VALUE;
--- a/src/test/java/hollyslip/e2e/HostileClientTest.java
+++ b/src/test/java/hollyslip/e2e/HostileClientTest.java
@@ -34,54 +34,54 @@
 
   @TempDir
   Path dir;
-  private Site site;
+  private TestDeployment site;
   private Gateway gateway;
-  private RingClient honest;
+  private RingClient wellBehaved;
 
-  private interface Evil {
-    void does(RingClient client, Queue queue) throws IOException;
+  private interface Violation {
+    void perform(RingClient client, Queue queue) throws IOException;
   }
 
   @BeforeEach
   void start() throws IOException {
-    site = new Site(dir, 1);
-    gateway = site.gateway();
-    honest = new RingClient(RingClient.Options.usual(1, 16, 4096));
-    honest.connect(gateway.socket("orders"));
-    assertEquals(0, Rings.one(honest, IoKind.READ, 0, 4096, new byte[4096]));
+    site = new TestDeployment(dir, 1);
+    gateway = site.startGateway();
+    wellBehaved = new RingClient(RingClient.Options.usual(1, 16, 4096));
+    wellBehaved.connect(gateway.socket("orders"));
+    assertEquals(0, RingRequests.execute(wellBehaved, IoKind.READ, 0, 4096, new byte[4096]));
   }
 
   @AfterEach
   void stop() {
-    honest.close();
+    wellBehaved.close();
     site.close();
   }
 
-  private static void until(java.util.concurrent.Callable<Boolean> what) {
-    until("", what);
+  private static void awaitUntil(java.util.concurrent.Callable<Boolean> what) {
+    awaitUntil("", what);
   }
 
-  private static void until(String name, java.util.concurrent.Callable<Boolean> what) {
+  private static void awaitUntil(String name, java.util.concurrent.Callable<Boolean> what) {
     Awaitility.await(name).pollInterval(2, TimeUnit.MILLISECONDS).atMost(30, TimeUnit.SECONDS).until(what);
   }
 
-  private static long fds() throws IOException {
+  private static long openDescriptors() throws IOException {
     try (var all = Files.list(Path.of("/proc/self/fd"))) {
       return all.count();
     }
   }
 
-  private static RingClient direct() throws IOException {
+  private static RingClient rawClient() throws IOException {
     return new RingClient(new RingClient.Options(1, 16, 4096, false, true, true, true));
   }
 
   /** One evil client: its connection ends, all it brought is given back, the honest one is served on. */
-  private void stops(String name, Evil evil) throws IOException {
+  private void assertStopsDevice(String name, Violation evil) throws IOException {
     int mappings = Linux.mappings();
-    long fds = fds();
-    try (RingClient c = direct()) {
+    long fds = openDescriptors();
+    try (RingClient c = rawClient()) {
       c.connect(gateway.socket("stock"));
-      evil.does(c, c.queue(0));
+      evil.perform(c, c.queue(0));
       long until = System.nanoTime() + 20_000_000_000L;
       boolean open = true;
       while (open && System.nanoTime() < until) {
@@ -89,12 +89,12 @@
       }
       assertFalse(open, name + ": the device goes on");
     }
-    until(name + ": mappings", () -> Linux.mappings() == mappings);
-    until(name + ": descriptors", () -> fds() <= fds);
-    assertEquals(0, Rings.one(honest, IoKind.READ, 4096, 4096, new byte[4096]), name);
+    awaitUntil(name + ": mappings", () -> Linux.mappings() == mappings);
+    awaitUntil(name + ": descriptors", () -> openDescriptors() <= fds);
+    assertEquals(0, RingRequests.execute(wellBehaved, IoKind.READ, 4096, 4096, new byte[4096]), name);
   }
 
-  private static Evil chain(long address, int length, int flags, int next) {
+  private static Violation descriptorChain(long address, int length, int flags, int next) {
     return (c, q) -> {
       RingClient.describe(q.table, 0, address, length, flags, next);
       c.publish(q, 0);
@@ -102,36 +102,36 @@
     };
   }
 
-  private static ByteBuffer little(int n) {
+  private static ByteBuffer littleEndian(int n) {
     return ByteBuffer.allocate(n).order(ByteOrder.LITTLE_ENDIAN);
   }
 
   @Test
-  void whatIsNotAllowedStopsItsDeviceAndNoOther() throws IOException {
-    Map<String, Evil> evils = new LinkedHashMap<>();
-    evils.put("descriptor outside memory", chain(0xdead_0000L, 4096, 0, 0));
-    evils.put("descriptor past the end of memory", chain(GUEST + 4096, 0x7fff_ffff, 0, 0));
-    evils.put("address that overflows", chain(-8, 4096, 0, 0));
-    evils.put("chain that loops", chain(GUEST, 16, 1, 0));
-    evils.put("next outside the table", chain(GUEST, 16, 1, 5_000));
-    evils.put("empty descriptor", chain(GUEST, 0, 0, 0));
-    evils.put("writable header", chain(GUEST, 64, 2, 0));
-    evils.put("no status", chain(GUEST, 16, 0, 0));
-    evils.put("indirect with next", chain(GUEST, 64, 5, 1));
-    evils.put("indirect of a crooked size", chain(GUEST, 40, 4, 0));
+  void specViolationStopsItsDeviceAndNoOther() throws IOException {
+    Map<String, Violation> evils = new LinkedHashMap<>();
+    evils.put("descriptor outside memory", descriptorChain(0xdead_0000L, 4096, 0, 0));
+    evils.put("descriptor past the end of memory", descriptorChain(GUEST + 4096, 0x7fff_ffff, 0, 0));
+    evils.put("address that overflows", descriptorChain(-8, 4096, 0, 0));
+    evils.put("chain that loops", descriptorChain(GUEST, 16, 1, 0));
+    evils.put("next outside the table", descriptorChain(GUEST, 16, 1, 5_000));
+    evils.put("empty descriptor", descriptorChain(GUEST, 0, 0, 0));
+    evils.put("writable header", descriptorChain(GUEST, 64, 2, 0));
+    evils.put("no status", descriptorChain(GUEST, 16, 0, 0));
+    evils.put("indirect with next", descriptorChain(GUEST, 64, 5, 1));
+    evils.put("indirect of a crooked size", descriptorChain(GUEST, 40, 4, 0));
     evils.put("index that jumps", (c, q) -> {
       q.avail.putShort(2, (short) 100);
-      Linux.signal(kickOf(c));
+      Linux.signal(kickDescriptor(c));
     });
     evils.put("head outside the table", (c, q) -> {
       c.publish(q, 77);
       c.kick();
     });
-    evils.put("message too long", (c, q) -> c.sendRaw(little(12).putInt(1)
+    evils.put("message too long", (c, q) -> c.sendRaw(littleEndian(12).putInt(1)
         .putInt(1)
         .putInt(1 << 20)
         .array()));
-    evils.put("message of another version", (c, q) -> c.sendRaw(little(12).putInt(1)
+    evils.put("message of another version", (c, q) -> c.sendRaw(littleEndian(12).putInt(1)
         .putInt(2)
         .putInt(0)
         .array()));
@@ -146,29 +146,30 @@
     evils.put("kick that is no eventfd", (c, q) -> c.send(Wire.SET_VRING_KICK, 0, Wire.u64(0), c.memoryFd()));
     evils.put("descriptors nobody asked for", (c, q) -> c.send(Wire.GET_FEATURES, 0, new byte[0], c
         .memoryFd(), c.memoryFd()));
-    evils.put("region longer than its file", (c, q) -> c.send(Wire.ADD_MEM_REG, 0, little(40).putLong(0)
+    evils.put("region longer than its file", (c, q) -> c.send(Wire.ADD_MEM_REG, 0, littleEndian(40).putLong(0)
         .putLong(1L << 40)
         .putLong(1L << 30)
         .putLong(0)
         .putLong(0)
         .array(), c.memoryFd()));
-    evils.put("region that overlaps", (c, q) -> c.send(Wire.ADD_MEM_REG, 0, little(40).putLong(0)
+    evils.put("region that overlaps", (c, q) -> c.send(Wire.ADD_MEM_REG, 0, littleEndian(40).putLong(0)
         .putLong(GUEST)
         .putLong(4096)
         .putLong(0)
         .putLong(0)
         .array(), c.memoryFd()));
-    evils.put("region that is not there", (c, q) -> c.send(Wire.REM_MEM_REG, 0, little(40).putLong(0)
+    evils.put("region that is not there", (c, q) -> c.send(Wire.REM_MEM_REG, 0, littleEndian(40).putLong(0)
         .putLong(1)
         .putLong(1)
         .putLong(1)
         .putLong(0)
         .array()));
-    evils.put("memory that goes while a ring runs in it", (c, q) -> c.send(Wire.SET_MEM_TABLE, 0, little(8)
-        .putLong(0)
-        .array()));
+    evils.put("memory that goes while a ring runs in it", (c, q) -> c.send(Wire.SET_MEM_TABLE, 0,
+        littleEndian(8)
+            .putLong(0)
+            .array()));
     evils.put("configuration written", (c, q) -> c.send(Wire.SET_CONFIG, 0, new byte[16]));
-    evils.put("inflight region while a ring runs", (c, q) -> c.send(Wire.SET_INFLIGHT_FD, 0, little(24)
+    evils.put("inflight region while a ring runs", (c, q) -> c.send(Wire.SET_INFLIGHT_FD, 0, littleEndian(24)
         .putLong(4096)
         .putLong(0)
         .putShort((short) 1)
@@ -180,14 +181,14 @@
     });
     evils.put("memory cut short while in use", (c, q) -> {
       Linux.truncate(c.memoryFd(), 0);
-      Linux.signal(kickOf(c));
+      Linux.signal(kickDescriptor(c));
     });
-    for (Map.Entry<String, Evil> e : evils.entrySet()) {
+    for (Map.Entry<String, Violation> e : evils.entrySet()) {
       if (e.getKey().equals("half a message, then gone") || e.getKey()
           .equals("memory cut short while in use")) {
-        gone(e.getKey(), e.getValue());
+        assertDeviceGoes(e.getKey(), e.getValue());
       } else {
-        stops(e.getKey(), e.getValue());
+        assertStopsDevice(e.getKey(), e.getValue());
       }
     }
   }
@@ -195,13 +196,13 @@
   /** The JVM tells of a touch of memory that is gone only later, often while what was read from it is being
    * turned down: not once may that leave a device half closed. */
   @Test
-  void memoryCutShortNeverLeavesADeviceHalfClosed() throws IOException {
+  void truncatedMemoryNeverLeavesDeviceHalfClosed() throws IOException {
     for (int i = 0; i < 60; i++) {
       int jump = i;
-      gone("cut short, round " + i, (c, q) -> {
+      assertDeviceGoes("cut short, round " + i, (c, q) -> {
         q.avail.putShort(2, (short) (jump % 3));
         Linux.truncate(c.memoryFd(), 0);
-        Linux.signal(kickOf(c));
+        Linux.signal(kickDescriptor(c));
       });
     }
   }
@@ -209,21 +210,21 @@
   /** The data of a read comes for memory that its client has cut short meanwhile: the node's connection,
    * which others use too, goes on. */
   @Test
-  void answersForMemoryThatIsGoneHarmNobodyElse() throws IOException {
+  void readsIntoTruncatedMemoryAffectNoOtherClient() throws IOException {
     for (int round = 0; round < 10; round++) {
       long before = gateway.lanes().totals().attempts();
-      try (RingClient c = direct()) {
+      try (RingClient c = rawClient()) {
         c.connect(gateway.socket("stock"));
         site.disks.get(0).stall(50_000);
         for (int i = 0; i < 4; i++) {
           assertTrue(c.submit(0, IoKind.READ, i * 4096L, 4096, null, (s, r, d) -> {}));
         }
         c.kick();
-        until(() -> gateway.lanes().totals().attempts() == before + 4);
+        awaitUntil(() -> gateway.lanes().totals().attempts() == before + 4);
         Linux.truncate(c.memoryFd(), 0);
         byte[] bytes = new byte[4096];
         for (int i = 0; i < 4; i++) {
-          assertEquals(0, Rings.one(honest, IoKind.READ, 0, 4096, bytes), "round " + round);
+          assertEquals(0, RingRequests.execute(wellBehaved, IoKind.READ, 0, 4096, bytes), "round " + round);
         }
       }
     }
@@ -232,13 +233,13 @@
   /** Writes that wait until their client's memory is gone: the connections to the node, which others use too,
    * go on, and no bytes of anybody else are written in their place. */
   @Test
-  void writesFromMemoryThatIsGoneHarmNobodyElse() throws IOException {
+  void writesFromTruncatedMemoryAffectNoOtherClient() throws IOException {
     byte[] secret = new byte[4096];
     java.util.Arrays.fill(secret, (byte) 99);
     for (int round = 0; round < 5; round++) {
-      assertEquals(0, Rings.one(honest, IoKind.WRITE, 0, 4096, secret));
+      assertEquals(0, RingRequests.execute(wellBehaved, IoKind.WRITE, 0, 4096, secret));
       long before = gateway.lanes().totals().attempts();
-      try (RingClient c = direct()) {
+      try (RingClient c = rawClient()) {
         c.connect(gateway.socket("stock"));
         site.disks.get(0).stall(50_000);
         for (int i = 0; i < 5; i++) {
@@ -247,11 +248,11 @@
         }
         // The rest come when the first are sent, and are sent when those are answered.
         c.kick();
-        until(() -> gateway.lanes().totals().attempts() > before);
+        awaitUntil(() -> gateway.lanes().totals().attempts() > before);
         Linux.truncate(c.memoryFd(), 0);
         byte[] bytes = new byte[4096];
         for (int i = 0; i < 8; i++) {
-          assertEquals(0, Rings.one(honest, IoKind.READ, 0, 4096, bytes), "round " + round);
+          assertEquals(0, RingRequests.execute(wellBehaved, IoKind.READ, 0, 4096, bytes), "round " + round);
         }
         assertEquals(99, bytes[0]);
       }
@@ -268,33 +269,33 @@
     }
   }
 
-  private static int kickOf(RingClient c) {
+  private static int kickDescriptor(RingClient c) {
     return c.kickFd(0);
   }
 
-  /** As {@link #stops}, where the client cannot look itself any more. */
-  private void gone(String name, Evil evil) throws IOException {
+  /** As {@link #assertStopsDevice}, where the client cannot look itself any more. */
+  private void assertDeviceGoes(String name, Violation evil) throws IOException {
     int mappings = Linux.mappings();
     int devices = gateway.devices("stock");
-    try (RingClient c = direct()) {
+    try (RingClient c = rawClient()) {
       c.connect(gateway.socket("stock"));
-      until(() -> gateway.devices("stock") == devices + 1);
-      evil.does(c, c.queue(0));
-      until(() -> gateway.devices("stock") == devices);
+      awaitUntil(() -> gateway.devices("stock") == devices + 1);
+      evil.perform(c, c.queue(0));
+      awaitUntil(() -> gateway.devices("stock") == devices);
     }
-    until(() -> Linux.mappings() == mappings);
-    assertEquals(0, Rings.one(honest, IoKind.READ, 4096, 4096, new byte[4096]), name);
+    awaitUntil(() -> Linux.mappings() == mappings);
+    assertEquals(0, RingRequests.execute(wellBehaved, IoKind.READ, 4096, 4096, new byte[4096]), name);
   }
 
   @Test
-  void aHeadTwiceInFlightStopsTheDevice() throws IOException {
+  void duplicateHeadInFlightStopsTheDevice() throws IOException {
     site.disks.get(0).faults.silent = true;
-    try (RingClient c = direct()) {
+    try (RingClient c = rawClient()) {
       c.connect(gateway.socket("stock"));
       c.submit(0, IoKind.READ, 0, 4096, null, (s, r, d) -> {});
       c.publish(c.queue(0), 0);
       c.kick();
-      until(() -> !c.await(50));
+      awaitUntil(() -> !c.await(50));
     } finally {
       site.disks.get(0).faults.clear();
     }
@@ -303,12 +304,12 @@
   /** Messages changed at random, with descriptors at random, and rings full of noise: no crash, no hang, no
    * leak. */
   @Test
-  void noiseHarmsNobody() throws IOException {
+  void randomInputAffectsNoOtherClient() throws IOException {
     int mappings = Linux.mappings();
-    long fds = fds();
+    long fds = openDescriptors();
     SplittableRandom random = new SplittableRandom(42);
     for (int round = 0; round < 400; round++) {
-      try (RingClient c = direct()) {
+      try (RingClient c = rawClient()) {
         c.connect(gateway.socket("stock"));
         for (int i = 0; i < 6; i++) {
           if (random.nextInt(3) == 0) {
@@ -334,8 +335,8 @@
         assertTrue(e.getMessage().contains("error") || e.getMessage().contains("closed"), e.getMessage());
       }
     }
-    assertEquals(0, Rings.one(honest, IoKind.READ, 0, 4096, new byte[4096]));
-    until(() -> Linux.mappings() == mappings);
-    until(() -> fds() <= fds);
+    assertEquals(0, RingRequests.execute(wellBehaved, IoKind.READ, 0, 4096, new byte[4096]));
+    awaitUntil(() -> Linux.mappings() == mappings);
+    awaitUntil(() -> openDescriptors() <= fds);
   }
 }
--- a/src/test/java/hollyslip/e2e/LanesTest.java
+++ b/src/test/java/hollyslip/e2e/LanesTest.java
@@ -29,21 +29,21 @@
   @TempDir
   Path dir;
 
-  private static RingClient ring(Gateway g, String volume) throws IOException {
+  private static RingClient connectRing(Gateway g, String volume) throws IOException {
     RingClient c = new RingClient(RingClient.Options.usual(1, 256, BLOCK));
     c.connect(g.socket(volume));
     return c;
   }
 
-  private Site site() throws IOException {
-    Site site = new Site(dir, 2);
+  private TestDeployment twoLaneDeployment() throws IOException {
+    TestDeployment site = new TestDeployment(dir, 2);
     site.cores = 2;
     return site;
   }
 
   /** Writes every block once a round with the round's number, 256 out, while {@code meanwhile} runs round by
    * round; answers by status. */
-  private static int[] write(RingClient c, int rounds, Runnable meanwhile) {
+  private static int[] writeRounds(RingClient c, int rounds, Runnable meanwhile) {
     int[] answers = new int[256];
     for (int round = 1; round <= rounds; round++) {
       byte[] bytes = new byte[BLOCK];
@@ -62,7 +62,7 @@
     return answers;
   }
 
-  private static long writes(Site site) {
+  private static long countWrites(TestDeployment site) {
     return site.disks.stream()
         .flatMap(d -> d.commands().stream())
         .filter(c -> c.kind() == Nbd.CMD_WRITE && c.result() == Command.Result.DONE)
@@ -70,21 +70,21 @@
   }
 
   @Test
-  void aVolumeMovesWith256RequestsInFlightAndNothingIsLostOrDoneTwice() throws Exception {
-    try (Site site = site()) {
-      Gateway g = site.gateway("gw", 0);
+  void movedVolumeLosesAndRepeatsNoneOf256RequestsInFlight() throws Exception {
+    try (TestDeployment site = twoLaneDeployment()) {
+      Gateway g = site.startGateway("gw", 0);
       int home = g.lanes().laneOf("stock");
       assertNotEquals(home, g.lanes().laneOf("orders"));
-      try (RingClient c = ring(g, "stock")) {
+      try (RingClient c = connectRing(g, "stock")) {
         int rounds = 20;
-        int[] answers = write(c, rounds, () -> g.lanes().move("stock", 1 - g.lanes().laneOf("stock")));
+        int[] answers = writeRounds(c, rounds, () -> g.lanes().move("stock", 1 - g.lanes().laneOf("stock")));
         assertEquals(rounds * BLOCKS, answers[0], "served: " + Arrays.toString(answers));
-        assertEquals(rounds * BLOCKS, writes(site), "each has its effect once");
+        assertEquals(rounds * BLOCKS, countWrites(site), "each has its effect once");
         byte[] want = new byte[BLOCK];
         Arrays.fill(want, (byte) rounds);
         byte[] got = new byte[BLOCK];
         for (int b = 0; b < BLOCKS; b++) {
-          assertEquals(0, Rings.one(c, IoKind.READ, (long) b * BLOCK, BLOCK, got));
+          assertEquals(0, RingRequests.execute(c, IoKind.READ, (long) b * BLOCK, BLOCK, got));
           assertArrayEquals(want, got, "block " + b);
         }
       }
@@ -93,10 +93,10 @@
 
   /** A limit is one bucket, on the lane where the volume is; a move brings no tokens with it. */
   @Test
-  void aLimitHoldsWhileItsVolumeMovesToAndFro() throws Exception {
-    try (Site site = site()) {
-      Gateway g = site.gateway("gw", 0);
-      try (RingClient c = ring(g, "capped")) {
+  void limitHoldsWhileItsVolumeMovesBetweenLanes() throws Exception {
+    try (TestDeployment site = twoLaneDeployment()) {
+      Gateway g = site.startGateway("gw", 0);
+      try (RingClient c = connectRing(g, "capped")) {
         int done = 0;
         int[] answered = {0};
         for (int i = 0; done < 4_000; i++) {
@@ -125,19 +125,19 @@
       assertTrue(at.length > 1_000, "sent: " + at.length);
       double level = 0;
       for (int i = 0; i < at.length; i++) {
-        level = Math.max(0, level - (i == 0 ? 0 : (at[i] - at[i - 1]) * site.limited.limit() / 1e6)) + 1;
-        assertTrue(level <= site.limited.limitBurst() + site.limited.limitSlack(), "level " + level);
+        level = Math.max(0, level - (i == 0 ? 0 : (at[i] - at[i - 1]) * site.limitedPlan.limit() / 1e6)) + 1;
+        assertTrue(level <= site.limitedPlan.limitBurst() + site.limitedPlan.limitSlack(), "level " + level);
       }
     }
   }
 
   @Test
-  void aLaneThatStallsHoldsUpNoOther() throws Exception {
-    try (Site site = site()) {
-      Gateway g = site.gateway("gw", 0);
+  void stalledLaneDelaysNoOther() throws Exception {
+    try (TestDeployment site = twoLaneDeployment()) {
+      Gateway g = site.startGateway("gw", 0);
       CountDownLatch free = new CountDownLatch(1);
       CompletableFuture<Void> stalled = new CompletableFuture<>();
-      try (RingClient held = ring(g, "stock"); RingClient other = ring(g, "orders")) {
+      try (RingClient held = connectRing(g, "stock"); RingClient other = connectRing(g, "orders")) {
         g.lanes().lane(g.lanes().laneOf("stock")).execute(() -> {
           stalled.complete(null);
           try {
@@ -153,7 +153,7 @@
               d) -> heldAnswers[s]++));
         }
         held.kick();
-        assertEquals(4 * BLOCKS, write(other, 4, () -> {})[0], "the other lane serves on");
+        assertEquals(4 * BLOCKS, writeRounds(other, 4, () -> {})[0], "the other lane serves on");
         held.poll();
         assertEquals(0, heldAnswers[0]);
         free.countDown();
@@ -169,12 +169,13 @@
   /** The lanes of a killed process are fenced by the first connection of any lane of the next. */
   @Test
   void lanesShareOneNameAndOneFence() throws Exception {
-    try (Site site = site()) {
-      Gateway g = site.gateway("gw", 0);
-      try (RingClient a = ring(g, "stock"); RingClient b = ring(g, "orders")) {
-        assertEquals(BLOCKS, write(a, 1, () -> {})[0]);
-        assertEquals(BLOCKS, write(b, 1, () -> {})[0]);
-        assertEquals(BLOCKS, write(a, 1, () -> {})[0], "a connection of one lane leaves the other's alone");
+    try (TestDeployment site = twoLaneDeployment()) {
+      Gateway g = site.startGateway("gw", 0);
+      try (RingClient a = connectRing(g, "stock"); RingClient b = connectRing(g, "orders")) {
+        assertEquals(BLOCKS, writeRounds(a, 1, () -> {})[0]);
+        assertEquals(BLOCKS, writeRounds(b, 1, () -> {})[0]);
+        assertEquals(BLOCKS, writeRounds(a, 1, () -> {})[0],
+            "a connection of one lane leaves the other's alone");
         assertTrue(site.disks.stream()
             .flatMap(d -> d.commands().stream())
             .noneMatch(c -> c.result() == Command.Result.FENCED));
--- a/src/test/java/hollyslip/e2e/Run.java
+++ b/src/test/java/hollyslip/e2e/LoadScenario.java
@@ -14,24 +14,24 @@
 import java.util.Map;
 
 /** Clients at work on a site, and what the audit says of it. */
-final class Run {
-  final Site site;
+final class LoadScenario {
+  final TestDeployment site;
   final List<RingLoad> loads = new ArrayList<>();
   final List<Thread> threads = new ArrayList<>();
-  final List<Told> told = new ArrayList<>();
+  final List<Told> operatorEvents = new ArrayList<>();
   long gapUs;
   double reads = 0.6;
-  int mostBlocks = 3;
+  int maxBlocks = 3;
 
-  Run(Site site) {
+  LoadScenario(TestDeployment site) {
     this.site = site;
   }
 
-  RingLoad load(String name, String gateway, Path socket, String volume, int part, int parts, int count,
+  RingLoad addLoad(String name, String gateway, Path socket, String volume, int part, int parts, int count,
       int depth) throws IOException {
-    long bytes = Site.VOLUME_BYTES / parts;
+    long bytes = TestDeployment.VOLUME_BYTES / parts;
     RingLoad l = new RingLoad(new RingLoad.Plan(name, gateway, volume, part * bytes, bytes, count, depth,
-        gapUs, reads, mostBlocks, site.deadlineUs, 4096, 17 + loads.size()), socket);
+        gapUs, reads, maxBlocks, site.deadlineUs, 4096, 17 + loads.size()), socket);
     loads.add(l);
     return l;
   }
@@ -51,7 +51,7 @@
     }
   }
 
-  List<Asked> asked() {
+  List<Asked> requests() {
     return loads.stream().flatMap(l -> l.records().stream()).toList();
   }
 
@@ -59,32 +59,33 @@
     return site.disks.stream().flatMap(d -> d.commands().stream()).toList();
   }
 
-  List<String> wrong() {
+  List<String> wrongReads() {
     return loads.stream().flatMap(l -> l.wrong().stream()).toList();
   }
 
-  Figures figures() {
+  Figures auditParameters() {
     List<Figures.Area> areas = new ArrayList<>();
     List<String> names = List.of("stock", "orders", "capped");
     for (int id = 1; id <= names.size(); id++) {
-      Volume v = Site.volume(id, names.get(id - 1), "gold", site.disks.size(), 1);
+      Volume v = TestDeployment.volume(id, names.get(id - 1), "gold", site.disks.size(), 1);
       for (int shard = 0; shard < site.disks.size(); shard++) {
-        long from = (id - 1) * Site.VOLUME_BYTES;
-        areas.add(new Figures.Area(v.name(), "shard-" + shard, from, from + Site.VOLUME_BYTES));
+        long from = (id - 1) * TestDeployment.VOLUME_BYTES;
+        areas.add(new Figures.Area(v.name(), "shard-" + shard, from, from + TestDeployment.VOLUME_BYTES));
       }
     }
     // Wide, since a loaded machine must not change the verdict; the demo and replays go by the deployment's
     // figure.
     return new Figures(500_000, 1_000_000, 300_000, 200, 0.2, site.coldUs, 2_000_000, 20, 0.5, 5_000_000,
-        50_000, Site.EXTENT, 4096, 256, Map.of("capped", new Figures.Limit(site.limited.limit(), site.limited
-            .limitBurst(), site.limited.limitSlack() + 0.1 * site.limited.limitBurst())), areas);
+        50_000, TestDeployment.EXTENT_BYTES, 4096, 256, Map.of("capped", new Figures.Limit(site.limitedPlan
+            .limit(), site.limitedPlan
+                .limitBurst(), site.limitedPlan.limitSlack() + 0.1 * site.limitedPlan.limitBurst())), areas);
   }
 
   Auditor.Report audit() {
-    return Auditor.check(figures(), asked(), commands(), told);
+    return Auditor.check(auditParameters(), requests(), commands(), operatorEvents);
   }
 
   long count(Asked.Answer answer) {
-    return asked().stream().filter(a -> a.answer() == answer).count();
+    return requests().stream().filter(a -> a.answer() == answer).count();
   }
 }
--- a/src/test/java/hollyslip/e2e/RingNoiseTest.java
+++ b/src/test/java/hollyslip/e2e/RingNoiseTest.java
@@ -24,7 +24,7 @@
 
 /** Messages and rings out of nothing: whatever they are, the next client is served and nothing leaks. */
 class RingNoiseTest {
-  private static Site site;
+  private static TestDeployment site;
   private static Gateway gateway;
 
   /** A message; {@code fds}: how often the memory's descriptor comes along. */
@@ -33,8 +33,8 @@
   @BeforeContainer
   static void start() throws IOException {
     Path dir = Files.createTempDirectory("hollyslip-noise-");
-    site = new Site(dir, 1);
-    gateway = site.gateway();
+    site = new TestDeployment(dir, 1);
+    gateway = site.startGateway();
   }
 
   @AfterContainer
@@ -59,7 +59,8 @@
   }
 
   @Property(tries = 150, seed = "42", edgeCases = EdgeCasesMode.NONE)
-  void noiseHarmsNobody(@ForAll("messages") List<Message> messages, @ForAll("words") List<Long> words)
+  void randomInputAffectsNoOtherClient(@ForAll("messages") List<Message> messages,
+      @ForAll("words") List<Long> words)
       throws IOException {
     int mappings = Linux.mappings();
     try (RingClient c = new RingClient(new RingClient.Options(1, 16, 4096, false, true, true, true))) {
@@ -83,7 +84,7 @@
         .until(() -> gateway.devices("stock") == 0 && Linux.mappings() <= mappings);
     try (RingClient honest = new RingClient(RingClient.Options.usual(1, 16, 4096))) {
       honest.connect(gateway.socket("orders"));
-      assertEquals(0, Rings.one(honest, IoKind.READ, 0, 4096, new byte[4096]));
+      assertEquals(0, RingRequests.execute(honest, IoKind.READ, 0, 4096, new byte[4096]));
     }
     Awaitility.await()
         .atMost(20, TimeUnit.SECONDS)
--- a/src/test/java/hollyslip/e2e/Rings.java
+++ b/src/test/java/hollyslip/e2e/RingRequests.java
@@ -7,11 +7,11 @@
 import java.nio.ByteBuffer;
 
 /** Single requests through a ring. */
-final class Rings {
-  private Rings() {}
+final class RingRequests {
+  private RingRequests() {}
 
   /** Asks and waits; the status. A write takes {@code bytes}, a read fills them. */
-  static int one(RingClient client, IoKind kind, long offset, int length, byte[] bytes) {
+  static int execute(RingClient client, IoKind kind, long offset, int length, byte[] bytes) {
     int[] status = {-1};
     ByteBuffer data = kind == IoKind.WRITE ? ByteBuffer.wrap(bytes) : null;
     assertTrue(client.submit(0, kind, offset, length, data, (s, r, d) -> {
--- a/src/test/java/hollyslip/e2e/RingSpecTest.java
+++ b/src/test/java/hollyslip/e2e/RingSpecTest.java
@@ -21,12 +21,12 @@
   @TempDir
   Path dir;
 
-  private static RingClient client(boolean refused) throws Exception {
+  private static RingClient newClient(boolean refused) throws Exception {
     return new RingClient(new RingClient.Options(1, 16, 4096, false, false, refused, false));
   }
 
   /** A raw request of any type in slot 0; the status byte, its data left in the slot. */
-  private static int raw(RingClient c, int type, int length, boolean into) {
+  private static int sendRaw(RingClient c, int type, int length, boolean into) {
     Queue q = c.queue(0);
     q.free.poll();
     int[] status = {-1};
@@ -42,36 +42,37 @@
   }
 
   @Test
-  void configurationAndRequestsThatNeedNoNode() throws Exception {
-    try (Site site = new Site(dir, 1)) {
-      Path socket = site.gateway().socket("stock");
-      try (RingClient c = client(false)) {
+  void servesConfigurationAndRequestsThatNeedNoNode() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 1)) {
+      Path socket = site.startGateway().socket("stock");
+      try (RingClient c = newClient(false)) {
         c.connect(socket);
         ByteBuffer ask = ByteBuffer.allocate(12 + 60)
             .order(ByteOrder.LITTLE_ENDIAN)
             .putInt(0, 0)
             .putInt(4, 60);
         ByteBuffer config = c.ask(Wire.GET_CONFIG, ask.array());
-        assertEquals(Site.VOLUME_BYTES / 512, config.getLong(12));
+        assertEquals(TestDeployment.VOLUME_BYTES / 512, config.getLong(12));
         assertEquals(512, config.getInt(12 + 20));
         assertEquals(16, c.ask(Wire.GET_QUEUE_NUM, new byte[0]).getLong());
         assertEquals(64, c.ask(Wire.GET_MAX_MEM_SLOTS, new byte[0]).getLong());
-        assertEquals(0, raw(c, 8, 20, true), "GET_ID");
+        assertEquals(0, sendRaw(c, 8, 20, true), "GET_ID");
         byte[] name = new byte[20];
         c.queue(0).data(0).get(name);
         assertEquals("stock", new String(name, StandardCharsets.UTF_8).strip().replace("\0", ""));
-        assertEquals(2, raw(c, 10, 24, true), "GET_LIFETIME is not served");
-        assertEquals(2, raw(c, 4711, 16, false));
-        assertEquals(1, Rings.one(c, IoKind.READ, Site.VOLUME_BYTES, 4096, new byte[4096]), "past the end");
+        assertEquals(2, sendRaw(c, 10, 24, true), "GET_LIFETIME is not served");
+        assertEquals(2, sendRaw(c, 4711, 16, false));
+        assertEquals(1, RingRequests.execute(c, IoKind.READ, TestDeployment.VOLUME_BYTES, 4096,
+            new byte[4096]), "past the end");
       }
     }
   }
 
   /** A region comes and goes beside the first; a ring that stops tells where it was and can start again. */
   @Test
-  void memorySlotsAndAStoppedRing() throws Exception {
-    try (Site site = new Site(dir, 1); RingClient c = client(true)) {
-      c.connect(site.gateway().socket("stock"));
+  void memorySlotsAndStoppedRing() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 1); RingClient c = newClient(true)) {
+      c.connect(site.startGateway().socket("stock"));
       byte[] region = ByteBuffer.allocate(40)
           .order(ByteOrder.LITTLE_ENDIAN)
           .putLong(0)
@@ -83,7 +84,7 @@
       c.tell(Wire.ADD_MEM_REG, region, c.memoryFd());
       c.tell(Wire.REM_MEM_REG, region);
       for (int i = 0; i < 5; i++) {
-        assertEquals(0, Rings.one(c, IoKind.READ, 0, 4096, new byte[4096]));
+        assertEquals(0, RingRequests.execute(c, IoKind.READ, 0, 4096, new byte[4096]));
       }
       assertEquals(5, c.stop(0));
     }
@@ -91,15 +92,15 @@
 
   /** Refused is told apart only from a client that has agreed to it. */
   @Test
-  void refusedHasAStatusOfItsOwnWhereThatIsAgreed() throws Exception {
-    try (Site site = new Site(dir, 1)) {
+  void refusedHasItsOwnStatusOnlyIfNegotiated() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 1)) {
       site.deadlineUs = 150_000;
-      Path socket = site.gateway().socket("stock");
+      Path socket = site.startGateway().socket("stock");
       site.disks.get(0).faults.full = true;
       for (boolean agreed : new boolean[]{true, false}) {
-        try (RingClient c = client(agreed)) {
+        try (RingClient c = newClient(agreed)) {
           c.connect(socket);
-          assertEquals(agreed ? 0x80 : 1, Rings.one(c, IoKind.WRITE, 0, 4096, new byte[4096]));
+          assertEquals(agreed ? 0x80 : 1, RingRequests.execute(c, IoKind.WRITE, 0, 4096, new byte[4096]));
         }
       }
     }
--- a/src/test/java/hollyslip/e2e/RingToNodeTest.java
+++ b/src/test/java/hollyslip/e2e/RingToNodeTest.java
@@ -16,23 +16,23 @@
   Path dir;
 
   @Test
-  void whatIsWrittenIsReadBackAcrossExtents() throws Exception {
+  void writtenDataIsReadBackAcrossExtents() throws Exception {
     for (boolean plain : new boolean[]{false, true}) {
       RingClient.Options options = plain
           ? new RingClient.Options(2, 64, 256 * 1024, false, false, false, false)
           : RingClient.Options.usual(1, 64, 256 * 1024);
-      try (Site site = new Site(dir, 3); RingClient client = new RingClient(options)) {
-        client.connect(site.gateway().socket("stock"));
+      try (TestDeployment site = new TestDeployment(dir, 3); RingClient client = new RingClient(options)) {
+        client.connect(site.startGateway().socket("stock"));
         byte[] bytes = new byte[200 * 1024];
         new Random(3).nextBytes(bytes);
         byte[] back = new byte[bytes.length];
-        assertEquals(0, Rings.one(client, IoKind.WRITE, 4096 * 5, bytes.length, bytes));
-        assertEquals(0, Rings.one(client, IoKind.READ, 4096 * 5, bytes.length, back));
+        assertEquals(0, RingRequests.execute(client, IoKind.WRITE, 4096 * 5, bytes.length, bytes));
+        assertEquals(0, RingRequests.execute(client, IoKind.READ, 4096 * 5, bytes.length, back));
         assertArrayEquals(bytes, back);
-        assertEquals(0, Rings.one(client, IoKind.FLUSH, 0, 0, null));
-        assertEquals(0, Rings.one(client, IoKind.DISCARD, 0, 65536 * 2, null));
-        assertEquals(0, Rings.one(client, IoKind.WRITE_ZEROES, 0, 65536 * 2, null));
-        assertEquals(0, Rings.one(client, IoKind.READ, 0, 65536 * 2, new byte[65536 * 2]));
+        assertEquals(0, RingRequests.execute(client, IoKind.FLUSH, 0, 0, null));
+        assertEquals(0, RingRequests.execute(client, IoKind.DISCARD, 0, 65536 * 2, null));
+        assertEquals(0, RingRequests.execute(client, IoKind.WRITE_ZEROES, 0, 65536 * 2, null));
+        assertEquals(0, RingRequests.execute(client, IoKind.READ, 0, 65536 * 2, new byte[65536 * 2]));
       }
     }
   }
--- a/src/test/java/hollyslip/e2e/SftpTest.java
+++ b/src/test/java/hollyslip/e2e/SftpTest.java
@@ -40,12 +40,12 @@
       in = new DataInputStream(Channels.newInputStream(channel));
     }
 
-    static byte[] text(String s) {
+    static byte[] string(String s) {
       byte[] b = s.getBytes(StandardCharsets.UTF_8);
       return ByteBuffer.allocate(4 + b.length).putInt(b.length).put(b).array();
     }
 
-    void raw(byte[] packet) throws IOException {
+    void send(byte[] packet) throws IOException {
       ByteBuffer b = ByteBuffer.allocate(4 + packet.length).putInt(packet.length).put(packet).flip();
       while (b.hasRemaining()) {
         channel.write(b);
@@ -58,14 +58,14 @@
       return ByteBuffer.wrap(b);
     }
 
-    void init() throws IOException {
-      raw(new byte[]{1, 0, 0, 0, 3});
+    void initialise() throws IOException {
+      send(new byte[]{1, 0, 0, 0, 3});
       ByteBuffer r = reply();
       assertEquals(2, r.get());
       assertEquals(3, r.getInt());
     }
 
-    ByteBuffer ask(int type, byte[]... parts) throws IOException {
+    ByteBuffer request(int type, byte[]... parts) throws IOException {
       int n = 0;
       for (byte[] p : parts) {
         n += p.length;
@@ -74,7 +74,7 @@
       for (byte[] p : parts) {
         b.put(p);
       }
-      raw(b.array());
+      send(b.array());
       return reply();
     }
 
@@ -110,84 +110,86 @@
     return ByteBuffer.allocate(8).putLong(n).array();
   }
 
-  private static byte[] blob(byte[] b) {
+  private static byte[] bytes(byte[] b) {
     return ByteBuffer.allocate(4 + b.length).putInt(b.length).put(b).array();
   }
 
   @Test
-  void aVolumeIsAFile() throws Exception {
-    try (Site site = new Site(dir, 3)) {
-      site.gateway();
+  void volumeIsServedAsFile() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 3)) {
+      site.startGateway();
       try (Client c = new Client(dir.resolve("gw-0/sftp.sock"))) {
-        c.init();
-        ByteBuffer real = c.expect(NAME, c.ask(REALPATH, Client.text("./a/../stock")));
+        c.initialise();
+        ByteBuffer real = c.expect(NAME, c.request(REALPATH, Client.string("./a/../stock")));
         assertEquals(1, real.getInt());
         assertEquals(6, real.getInt());
-        byte[] folder = c.handle(c.ask(OPENDIR, Client.text("/")));
-        assertEquals(3, c.expect(NAME, c.ask(READDIR, folder)).getInt());
-        assertEquals(1, c.status(c.ask(READDIR, folder)), "end of folder");
-        assertEquals(0, c.status(c.ask(CLOSE, folder)));
-        ByteBuffer attrs = c.expect(ATTRS, c.ask(STAT, Client.text("/stock")));
+        byte[] folder = c.handle(c.request(OPENDIR, Client.string("/")));
+        assertEquals(3, c.expect(NAME, c.request(READDIR, folder)).getInt());
+        assertEquals(1, c.status(c.request(READDIR, folder)), "end of folder");
+        assertEquals(0, c.status(c.request(CLOSE, folder)));
+        ByteBuffer attrs = c.expect(ATTRS, c.request(STAT, Client.string("/stock")));
         attrs.getInt();
-        assertEquals(Site.VOLUME_BYTES, attrs.getLong());
-        assertEquals(2, c.status(c.ask(STAT, Client.text("/nothing"))));
-        byte[] h = c.handle(c.ask(OPEN, Client.text("stock"), u32(3), u32(0)));
+        assertEquals(TestDeployment.VOLUME_BYTES, attrs.getLong());
+        assertEquals(2, c.status(c.request(STAT, Client.string("/nothing"))));
+        byte[] h = c.handle(c.request(OPEN, Client.string("stock"), u32(3), u32(0)));
         byte[] bytes = new byte[100_001];
         new Random(1).nextBytes(bytes);
-        assertEquals(0, c.status(c.ask(WRITE, h, u64(12_345), blob(bytes))), "not on block boundaries");
-        ByteBuffer data = c.expect(DATA, c.ask(READ, h, u64(12_345), u32(bytes.length)));
+        assertEquals(0, c.status(c.request(WRITE, h, u64(12_345), bytes(bytes))), "not on block boundaries");
+        ByteBuffer data = c.expect(DATA, c.request(READ, h, u64(12_345), u32(bytes.length)));
         byte[] back = new byte[data.getInt()];
         data.get(back);
         assertArrayEquals(bytes, back);
-        assertEquals(0, c.status(c.ask(EXTENDED, Client.text("fsync@openssh.com"), h)));
-        assertEquals(1, c.status(c.ask(READ, h, u64(Site.VOLUME_BYTES), u32(10))), "end of file");
-        assertEquals(4, c.status(c.ask(WRITE, h, u64(Site.VOLUME_BYTES - 1), blob(new byte[2]))),
+        assertEquals(0, c.status(c.request(EXTENDED, Client.string("fsync@openssh.com"), h)));
+        assertEquals(1, c.status(c.request(READ, h, u64(TestDeployment.VOLUME_BYTES), u32(10))),
+            "end of file");
+        assertEquals(4, c.status(c.request(WRITE, h, u64(TestDeployment.VOLUME_BYTES - 1), bytes(
+            new byte[2]))),
             "past the end");
-        assertEquals(0, c.status(c.ask(CLOSE, h)));
-        assertEquals(4, c.status(c.ask(READ, h, u64(0), u32(1))), "a closed handle");
-        byte[] readOnly = c.handle(c.ask(OPEN, Client.text("stock"), u32(1), u32(0)));
-        assertEquals(3, c.status(c.ask(WRITE, readOnly, u64(0), blob(new byte[1]))));
-        assertEquals(8, c.status(c.ask(99, new byte[0])));
+        assertEquals(0, c.status(c.request(CLOSE, h)));
+        assertEquals(4, c.status(c.request(READ, h, u64(0), u32(1))), "a closed handle");
+        byte[] readOnly = c.handle(c.request(OPEN, Client.string("stock"), u32(1), u32(0)));
+        assertEquals(3, c.status(c.request(WRITE, readOnly, u64(0), bytes(new byte[1]))));
+        assertEquals(8, c.status(c.request(99, new byte[0])));
       }
     }
   }
 
   @Test
-  void aSilentNodeFailsTheCommandAndNoPacketHurts() throws Exception {
-    try (Site site = new Site(dir, 1)) {
+  void silentNodeFailsTheCommandAndRandomPacketsDoNoHarm() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 1)) {
       site.deadlineUs = 300_000;
-      site.gateway();
+      site.startGateway();
       Path socket = dir.resolve("gw-0/sftp.sock");
       SplittableRandom random = new SplittableRandom(9);
       for (int i = 0; i < 300; i++) {
         try (Client c = new Client(socket)) {
           if (random.nextInt(4) > 0) {
-            c.init();
+            c.initialise();
           }
           byte[] noise = new byte[random.nextInt(1, 60)];
           random.nextBytes(noise);
           noise[0] = (byte) random.nextInt(22);
-          c.raw(noise);
+          c.send(noise);
         }
       }
       try (Client c = new Client(socket)) {
-        c.raw(new byte[]{5, 0, 0, 0, 1});
+        c.send(new byte[]{5, 0, 0, 0, 1});
         assertThrows(IOException.class, c::reply, "a packet before INIT ends the session");
       }
       try (Client c = new Client(socket)) {
-        c.init();
-        byte[] h = c.handle(c.ask(OPEN, Client.text("stock"), u32(3), u32(0)));
+        c.initialise();
+        byte[] h = c.handle(c.request(OPEN, Client.string("stock"), u32(3), u32(0)));
         site.disks.get(0).faults.silent = true;
-        assertEquals(4, c.status(c.ask(READ, h, u64(0), u32(10))));
+        assertEquals(4, c.status(c.request(READ, h, u64(0), u32(10))));
         site.disks.get(0).faults.clear();
       }
     }
   }
 
   @Test
-  void aPipeLeadsToTheGateway() throws Exception {
-    try (Site site = new Site(dir, 1)) {
-      site.gateway();
+  void commandRelaysPipeToTheGateway() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 1)) {
+      site.startGateway();
       Process p = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
           "-cp", System.getProperty("java.class.path"), "hollyslip.cli.Main", "sftp-server", dir.resolve(
               "gw-0/sftp.sock").toString()).start();
--- a/src/test/java/hollyslip/e2e/SupersededTest.java
+++ b/src/test/java/hollyslip/e2e/SupersededTest.java
@@ -29,7 +29,7 @@
   @TempDir
   Path dir;
 
-  private static RingClient ring(Gateway g) throws IOException {
+  private static RingClient connectRing(Gateway g) throws IOException {
     RingClient c = new RingClient(RingClient.Options.usual(1, 64, 4096));
     c.connect(g.socket("stock"));
     return c;
@@ -38,72 +38,72 @@
   private static void write(Gateway g, byte value) throws IOException {
     byte[] bytes = new byte[4096];
     Arrays.fill(bytes, value);
-    try (RingClient c = ring(g)) {
-      assertEquals(SERVED, Rings.one(c, IoKind.WRITE, 0, 4096, bytes));
-      assertEquals(SERVED, Rings.one(c, IoKind.WRITE, Site.EXTENT, 4096, bytes));
+    try (RingClient c = connectRing(g)) {
+      assertEquals(SERVED, RingRequests.execute(c, IoKind.WRITE, 0, 4096, bytes));
+      assertEquals(SERVED, RingRequests.execute(c, IoKind.WRITE, TestDeployment.EXTENT_BYTES, 4096, bytes));
     }
   }
 
-  private static void reads(Gateway g, byte value) throws IOException {
+  private static void assertReads(Gateway g, byte value) throws IOException {
     byte[] want = new byte[4096];
     Arrays.fill(want, value);
     byte[] got = new byte[4096];
-    try (RingClient c = ring(g)) {
-      assertEquals(SERVED, Rings.one(c, IoKind.READ, 0, 4096, got));
+    try (RingClient c = connectRing(g)) {
+      assertEquals(SERVED, RingRequests.execute(c, IoKind.READ, 0, 4096, got));
       assertArrayEquals(want, got);
-      assertEquals(SERVED, Rings.one(c, IoKind.READ, Site.EXTENT, 4096, got));
+      assertEquals(SERVED, RingRequests.execute(c, IoKind.READ, TestDeployment.EXTENT_BYTES, 4096, got));
       assertArrayEquals(want, got);
     }
   }
 
   /** Nodes stayed silent to every request of a gateway whose epoch had begun again. */
   @Test
-  void aLostStateFolderServesAgainWithANewerEpoch() throws Exception {
-    try (Site site = new Site(dir, 2)) {
+  void lostStateFolderServesAgainWithNewerEpoch() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 2)) {
       for (int i = 0; i < 3; i++) {
-        Gateway g = site.gateway("gw", 0);
+        Gateway g = site.startGateway("gw", 0);
         write(g, (byte) (1 + i));
         assertTrue(g.close());
       }
       Files.delete(dir.resolve("gw-state/epoch"));
-      Gateway lost = site.gateway("gw", 0);
+      Gateway lost = site.startGateway("gw", 0);
       assertEquals(4, lost.epoch());
-      reads(lost, (byte) 3);
+      assertReads(lost, (byte) 3);
       assertTrue(lost.close());
       Files.writeString(dir.resolve("gw-state/epoch"), "2\n");
-      Gateway older = site.gateway("gw", 0);
+      Gateway older = site.startGateway("gw", 0);
       assertEquals(5, older.epoch());
       write(older, (byte) 9);
-      reads(older, (byte) 9);
+      assertReads(older, (byte) 9);
     }
   }
 
   /** The one node that knows the newest epoch is away at the start. */
   @Test
-  void anEpochThatIsLearntLateIsPassedInService() throws Exception {
-    try (Site site = new Site(dir, 2)) {
-      Gateway g = site.gateway("gw", 0);
+  void epochLearntLateIsExceededInService() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 2)) {
+      Gateway g = site.startGateway("gw", 0);
       write(g, (byte) 1);
       assertTrue(g.close());
       Files.writeString(dir.resolve("gw-state/epoch"), "40\n");
-      Gateway high = site.gateway("gw", 0);
+      Gateway high = site.startGateway("gw", 0);
       assertEquals(41, high.epoch());
       byte[] bytes = new byte[4096];
-      try (RingClient c = ring(high)) {
+      try (RingClient c = connectRing(high)) {
         // Node 0 alone hears of 41.
-        assertEquals(SERVED, Rings.one(c, IoKind.WRITE, 0, 4096, bytes));
+        assertEquals(SERVED, RingRequests.execute(c, IoKind.WRITE, 0, 4096, bytes));
       }
       assertTrue(high.close());
       Files.delete(dir.resolve("gw-state/epoch"));
-      site.disks.get(0).unplug();
-      Gateway late = site.gateway("gw", 0);
+      site.disks.get(0).disconnectNetwork();
+      Gateway late = site.startGateway("gw", 0);
       assertEquals(2, late.epoch(), "node 1 knows 1");
-      site.disks.get(0).plug();
+      site.disks.get(0).reconnectNetwork();
       byte[] got = new byte[4096];
-      try (RingClient c = ring(late)) {
+      try (RingClient c = connectRing(late)) {
         Awaitility.await()
             .atMost(30, TimeUnit.SECONDS)
-            .until(() -> Rings.one(c, IoKind.READ, 0, 4096,
+            .until(() -> RingRequests.execute(c, IoKind.READ, 0, 4096,
                 got) == SERVED);
       }
       assertEquals(42, late.epoch());
@@ -112,48 +112,49 @@
   }
 
   @Test
-  void aSecondLivingGatewayOfTheNameDoesNotStart() throws Exception {
-    try (Site site = new Site(dir, 2)) {
-      Gateway first = site.gateway("gw", 0);
+  void secondLiveGatewayOfSameNameDoesNotStart() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 2)) {
+      Gateway first = site.startGateway("gw", 0);
       write(first, (byte) 5);
-      IOException same = assertThrows(IOException.class, () -> site.gateway("gw", 0));
+      IOException same = assertThrows(IOException.class, () -> site.startGateway("gw", 0));
       assertTrue(same.getMessage().contains("state folder"), same.getMessage());
-      IOException e = assertThrows(IOException.class, () -> new Gateway(site.named("gw", "elsewhere")));
+      IOException e = assertThrows(IOException.class, () -> new Gateway(site.deploymentWithFolder("gw",
+          "elsewhere")));
       assertTrue(e.getMessage().contains("another gateway named gw lives, with epoch 1"), e.getMessage());
-      reads(first, (byte) 5);
+      assertReads(first, (byte) 5);
     }
   }
 
   /** Both would run if the operator is wrong: the older one is told, answers each request and ends. */
   @Test
-  void ofTwoLivingGatewaysTheOlderEndsAndNothingOfItRuns() throws Exception {
-    try (Site site = new Site(dir, 2)) {
-      Gateway first = site.gateway("gw", 0);
+  void olderOfTwoLiveGatewaysEndsAndRunsNothing() throws Exception {
+    try (TestDeployment site = new TestDeployment(dir, 2)) {
+      Gateway first = site.startGateway("gw", 0);
       write(first, (byte) 5);
-      Gateway second = new Gateway(site.named("gw", "elsewhere"), true);
+      Gateway second = new Gateway(site.deploymentWithFolder("gw", "elsewhere"), true);
       site.gateways.add(second);
       write(second, (byte) 6);
-      long before = ran(site, 1);
+      long before = countEffects(site, 1);
       byte[] bytes = new byte[4096];
-      try (RingClient c = ring(first)) {
-        assertEquals(REFUSED, Rings.one(c, IoKind.WRITE, 0, 4096, bytes), "never run");
+      try (RingClient c = connectRing(first)) {
+        assertEquals(REFUSED, RingRequests.execute(c, IoKind.WRITE, 0, 4096, bytes), "never run");
         first.superseded().get(10, TimeUnit.SECONDS);
         long from = System.nanoTime();
         for (int i = 0; i < 50; i++) {
-          assertEquals(REFUSED, Rings.one(c, IoKind.WRITE, 0, 4096, bytes));
+          assertEquals(REFUSED, RingRequests.execute(c, IoKind.WRITE, 0, 4096, bytes));
         }
         long us = (System.nanoTime() - from) / 1_000;
         assertTrue(us < 10 * site.deadlineUs, "refused at once, not at 50 deadlines: " + us);
       }
       assertFalse(second.superseded().isDone());
-      assertEquals(before, ran(site, 1));
-      reads(second, (byte) 6);
+      assertEquals(before, countEffects(site, 1));
+      assertReads(second, (byte) 6);
       assertTrue(first.close());
     }
   }
 
   /** Commands of an epoch that had an effect. */
-  private static long ran(Site site, long epoch) {
+  private static long countEffects(TestDeployment site, long epoch) {
     return site.disks.stream()
         .flatMap(d -> d.commands().stream())
         .filter(c -> c.client().equals("gw/" + epoch) && List.of(Command.Result.DONE,
--- a/src/test/java/hollyslip/e2e/Site.java
+++ b/src/test/java/hollyslip/e2e/TestDeployment.java
@@ -21,8 +21,8 @@
 import java.util.Set;
 
 /** A small deployment on loopback for tests: stand-ins, settings that point at them, gateways. */
-final class Site implements AutoCloseable {
-  static final long EXTENT = 64 * 1024, SHARD_BYTES = 16 << 20, VOLUME_BYTES = 4 << 20;
+final class TestDeployment implements AutoCloseable {
+  static final long EXTENT_BYTES = 64 * 1024, SHARD_BYTES = 16 << 20, VOLUME_BYTES = 4 << 20;
 
   final List<DiskServer> disks = new ArrayList<>();
   final List<Gateway> gateways = new ArrayList<>();
@@ -33,13 +33,14 @@
   int cores = 1;
   boolean hosted;
   double capacity = 100_000;
-  Plan limited = new Plan("limited", 2_000, 1_000, 1, 1, 4_000, 400, 40);
+  Plan limitedPlan = new Plan("limited", 2_000, 1_000, 1, 1, 4_000, 400, 40);
 
-  Site(Path dir, int nodes) throws IOException {
+  TestDeployment(Path dir, int nodes) throws IOException {
     this(dir, nodes, i -> DiskServer.Config.plain("disk-" + i, SHARD_BYTES, true));
   }
 
-  Site(Path dir, int nodes, java.util.function.IntFunction<DiskServer.Config> config) throws IOException {
+  TestDeployment(Path dir, int nodes, java.util.function.IntFunction<DiskServer.Config> config)
+      throws IOException {
     this.dir = dir;
     for (int i = 0; i < nodes; i++) {
       disks.add(new DiskServer(config.apply(i)));
@@ -48,15 +49,15 @@
 
   static Volume volume(long id, String name, String plan, int nodes, int hosts) {
     List<Volume.Extent> extents = new ArrayList<>();
-    for (int i = 0; i < VOLUME_BYTES / EXTENT; i++) {
+    for (int i = 0; i < VOLUME_BYTES / EXTENT_BYTES; i++) {
       int shard = i % nodes;
-      extents.add(new Volume.Extent(shard, (id - 1) * VOLUME_BYTES + i / nodes * EXTENT));
+      extents.add(new Volume.Extent(shard, (id - 1) * VOLUME_BYTES + i / nodes * EXTENT_BYTES));
     }
-    return new Volume(id, name, "tenant-" + id, plan, hosts, VOLUME_BYTES, EXTENT, extents);
+    return new Volume(id, name, "tenant-" + id, plan, hosts, VOLUME_BYTES, EXTENT_BYTES, extents);
   }
 
   /** A gateway of a name in folders of another name. */
-  Deployment named(String name, String folder) {
+  Deployment deploymentWithFolder(String name, String folder) {
     Deployment d = deployment(name, 0, List.of());
     Deployment.Process p = d.gateway();
     return new Deployment(new Deployment.Process(name, p.index(), p.hosts(), p.zone(), dir.resolve(folder),
@@ -90,7 +91,7 @@
     return new Deployment(new Deployment.Process(name, index, hosts, "a", dir.resolve(name), dir.resolve(name
         + "-state"), 7, 1_000, 4096, 10_000, 256 << 20, 2, 256, 2, true, hosted
             ? new Deployment.Hosting(0, null, null)
-            : null, cores), classes, rows, List.of(new Plan("gold", 1e6, 1e5, 3, 1, 0, 0, 0), limited),
+            : null, cores), classes, rows, List.of(new Plan("gold", 1e6, 1e5, 3, 1, 0, 0, 0), limitedPlan),
         new Rules(
             8_000, 1_000_000, 0.2, coldUs, 3, 2_000_000, 300_000, 0.5, 20, 5_000_000, 0), new Allowed(4,
                 false, false, false, true, 500_000, 250_000), new Store(1, 256, 200, 0.4, 0.1, 0, false),
@@ -98,7 +99,7 @@
   }
 
   /** The same deployment as a script, for a gateway in a process of its own. */
-  Path settings(String name, int index, int hosts) throws IOException {
+  Path writeSettings(String name, int index, int hosts) throws IOException {
     StringBuilder s = new StringBuilder();
     s.append(String.format(
         "gateway('%s', index = %d, hosts = %d, zone = 'a', socket_dir = '%s', state_dir = '%s-state', "
@@ -119,8 +120,9 @@
     s.append("plan('gold', rate = 1e6, reserve = 1e5, weight = 3)\n");
     s.append(String.format(
         "plan('limited', rate = %s, reserve = %s, weight = 1, limit = %s, limit_burst = %s, limit_slack = "
-            + "%s)%n", limited.rate(), limited.reserve(), limited.limit(), limited.limitBurst(), limited
-                .limitSlack()));
+            + "%s)%n", limitedPlan.rate(), limitedPlan.reserve(), limitedPlan.limit(), limitedPlan
+                .limitBurst(), limitedPlan
+                    .limitSlack()));
     for (int i = 0; i < disks.size(); i++) {
       s.append(String.format("node('%s', id = %d, port = %d, shard = %d, capacity = %s, bytes = %d)%n", disks
           .get(i)
@@ -136,11 +138,11 @@
     return java.nio.file.Files.writeString(dir.resolve(name + ".star"), s);
   }
 
-  Gateway gateway() throws IOException {
-    return gateway("gw-" + gateways.size(), gateways.size());
+  Gateway startGateway() throws IOException {
+    return startGateway("gw-" + gateways.size(), gateways.size());
   }
 
-  Gateway gateway(String name, int index) throws IOException {
+  Gateway startGateway(String name, int index) throws IOException {
     Gateway g = new Gateway(deployment(name, index, List.of()));
     gateways.add(g);
     return g;
--- a/src/test/java/hollyslip/standin/DiskServerTest.java
+++ b/src/test/java/hollyslip/standin/DiskServerTest.java
@@ -12,7 +12,7 @@
   /** A stand-in that is down keeps its port: another socket of the machine that were given it would keep the
    * stand-in from coming back. */
   @Test
-  void aStoppedServerKeepsItsPort() throws Exception {
+  void stoppedServerKeepsItsPort() throws Exception {
     try (DiskServer s = new DiskServer(DiskServer.Config.plain("d", 4096, false))) {
       InetSocketAddress address = s.address();
       s.kill();
