--- a/src/main/java/hollyslip/audit/Asked.java
+++ b/src/main/java/hollyslip/audit/Asked.java
@@ -1,44 +1,43 @@
 package hollyslip.audit;
 
-/** One request as its client saw it: the audit's first witness. Times are of the machine's monotonic clock,
- * us.
+/** A request as its client saw it. Times are microseconds on the machine's monotonic clock.
  *
  * @param client
  *          name of the client
  * @param gateway
- *          name of the gateway instance that it asked
+ *          name of the gateway that it was sent to
  * @param volume
  *          name of the volume
  * @param id
- *          number of the request, unique for its client
+ *          request id, unique for its client
  * @param kind
- *          NBD command that it stands for
+ *          NBD command that it corresponds to
  * @param offset
- *          first byte of the volume
+ *          offset of the first byte in the volume
  * @param length
- *          bytes
+ *          length in bytes
  * @param units
- *          as the deployment counts them
+ *          units of work, as the deployment counts them
  * @param key
- *          what orders it among others; -1: none
+ *          ordering key; -1: none
  * @param checksum
- *          CRC-32 of what was written, or of what was read
+ *          CRC-32 of the data written or read
  * @param askedUs
- *          when it was handed over
+ *          when the client submitted it
  * @param deadlineUs
- *          when the client's time ended
+ *          when the client's deadline expired
  * @param answers
- *          how many final answers came
+ *          number of final answers received
  * @param answeredUs
- *          when the first came; 0: none
+ *          when the first answer arrived; 0: none
  * @param answer
  *          the first answer
  * @param left
- *          whether the client left before an answer */
+ *          whether the client disconnected before an answer */
 public record Asked(String client, String gateway, String volume, long id, int kind, long offset, long length,
     double units, long key, long checksum, long askedUs, long deadlineUs, int answers, long answeredUs,
     Answer answer, boolean left) {
-  /** The answers that a client can tell apart. */
+  /** The answers that a client can distinguish. */
   public enum Answer {
     NONE, SERVED, REFUSED, FAILED
   }
--- a/src/main/java/hollyslip/audit/Auditor.java
+++ b/src/main/java/hollyslip/audit/Auditor.java
@@ -16,17 +16,17 @@
 import java.util.TreeMap;
 import java.util.stream.LongStream;
 
-/** Checks the seven rules from what went over the sockets, as both ends recorded it: clients what they asked
- * and were answered, disk servers what reached them, the operator what was told to whom. Nothing that a
- * gateway says of itself is used, but for the cookie by which a node's command belongs to a request; where
- * writes bear bytes of their own, the bytes are what counts. Free of I/O and clock. */
+/** Checks the seven service rules against the records of both ends of the sockets: the requests and answers
+ * that clients recorded, the commands that disk servers received, and the events that the operator recorded.
+ * Nothing that a gateway reports about itself is used, except the cookie that assigns a node's command to a
+ * request; writes with unique data are matched by their data. It does no I/O and reads no clock. */
 public final class Auditor {
-  /** A rule as the users number them. */
+  /** The rules, in the order in which users number them. */
   public enum Rule {
     ONE_ANSWER, NO_EFFECT_TWICE, DRAINS_KEPT, NO_COLD_NODE_PUSHED, ORDER_KEPT, BUDGET_KEPT, LIMITS_KEPT
   }
 
-  /** One breach. */
+  /** A breach of a rule. */
   public record Breach(Rule rule, String description) {
     @Override
     public String toString() {
@@ -34,7 +34,7 @@
     }
   }
 
-  /** What an audit found: breaches, and over how much it looked by rule. */
+  /** The result of an audit: the breaches, and the number of checks by rule. */
   public record Report(List<Breach> breaches, Map<Rule, Long> checked) {
     public boolean kept() {
       return breaches.isEmpty();
@@ -44,337 +44,357 @@
   private final Figures parameters;
   private final List<Asked> requests;
   private final List<Command> commands;
-  /** The same by when they were sent, where that can be told. */
+  /** The commands in order of sending, or of receipt where the time of sending is unknown. */
   private final List<Command> commandsBySendTime;
   private final Map<String, List<Command>> commandsByNode = new HashMap<>();
   private final List<Told> operatorEvents;
   private final List<Breach> breaches = new ArrayList<>();
   private final Map<Rule, Long> checked = new TreeMap<>();
 
-  private Auditor(Figures figures, List<Asked> asked, List<Command> commands, List<Told> told) {
-    this.parameters = figures;
-    this.requests = asked.stream().sorted(Comparator.comparingLong(Asked::askedUs)).toList();
+  private Auditor(Figures parameters, List<Asked> requests, List<Command> commands,
+      List<Told> operatorEvents) {
+    this.parameters = parameters;
+    this.requests = requests.stream().sorted(Comparator.comparingLong(Asked::askedUs)).toList();
     this.commands = commands.stream().sorted(Comparator.comparingLong(Command::receivedUs)).toList();
     commandsBySendTime = this.commands.stream()
         .sorted(Comparator.comparingLong(Command::sentOrReceivedUs))
         .toList();
-    this.commands.forEach(c -> commandsByNode.computeIfAbsent(c.node(), k -> new ArrayList<>()).add(c));
-    this.operatorEvents = told;
+    this.commands.forEach(command -> commandsByNode.computeIfAbsent(command.node(), k -> new ArrayList<>())
+        .add(command));
+    this.operatorEvents = operatorEvents;
   }
 
-  /** Audits a run that is over. */
-  public static Report check(Figures figures, List<Asked> asked, List<Command> commands, List<Told> told) {
-    Auditor a = new Auditor(figures, asked, commands, told);
-    for (Rule r : Rule.values()) {
-      a.checked.put(r, 0L);
+  /** Audits a finished run. */
+  public static Report check(Figures parameters, List<Asked> requests, List<Command> commands,
+      List<Told> operatorEvents) {
+    Auditor auditor = new Auditor(parameters, requests, commands, operatorEvents);
+    for (Rule rule : Rule.values()) {
+      auditor.checked.put(rule, 0L);
     }
-    a.checkAnswers();
-    a.checkEffects();
-    a.checkDrains();
-    a.checkColdNodes();
-    a.checkOrder();
-    a.checkBudget();
-    a.checkLimits();
-    return new Report(a.breaches, a.checked);
+    auditor.checkAnswers();
+    auditor.checkEffects();
+    auditor.checkDrains();
+    auditor.checkColdNodes();
+    auditor.checkOrder();
+    auditor.checkBudget();
+    auditor.checkLimits();
+    return new Report(auditor.breaches, auditor.checked);
   }
 
-  private void addBreach(Rule rule, String what) {
-    breaches.add(new Breach(rule, what));
+  private void addBreach(Rule rule, String description) {
+    breaches.add(new Breach(rule, description));
   }
 
   private void countCheck(Rule rule) {
     checked.merge(rule, 1L, Long::sum);
   }
 
-  private static String describe(Asked a) {
-    return a.client() + "/" + a.id() + " (" + a.volume() + " " + a.offset() + "+" + a.length() + ")";
+  private static String describe(Asked request) {
+    return request.client() + "/" + request.id() + " (" + request.volume() + " " + request.offset() + "+"
+        + request.length() + ")";
   }
 
-  /** Rule 1: one final answer before the client's time ends. */
+  /** Rule 1: each request gets one final answer before the client's deadline. */
   private void checkAnswers() {
-    for (Asked a : requests) {
+    for (Asked request : requests) {
       countCheck(Rule.ONE_ANSWER);
-      if (a.answers() > 1) {
-        addBreach(Rule.ONE_ANSWER, describe(a) + " has " + a.answers() + " answers");
-      } else if (a.answers() == 0 && !a.left()) {
-        addBreach(Rule.ONE_ANSWER, describe(a) + " has no answer");
-      } else if (a.answers() == 1 && a.answeredUs() > a.deadlineUs() + parameters.answerSlackUs()) {
-        addBreach(Rule.ONE_ANSWER, describe(a) + " was answered " + (a.answeredUs() - a.deadlineUs())
-            + " us after its client's time");
+      if (request.answers() > 1) {
+        addBreach(Rule.ONE_ANSWER, describe(request) + " has " + request.answers() + " answers");
+      } else if (request.answers() == 0 && !request.left()) {
+        addBreach(Rule.ONE_ANSWER, describe(request) + " has no answer");
+      } else if (request.answers() == 1 && request.answeredUs() > request.deadlineUs() + parameters
+          .answerSlackUs()) {
+        addBreach(Rule.ONE_ANSWER, describe(request) + " was answered " + (request.answeredUs()
+            - request.deadlineUs()) + " us after its deadline");
       }
     }
   }
 
-  /** Rule 2: a write has its effect once; a refused one never; an answered one did have it. Writes of one
-   * checksum and length are one write: clients make their bytes unique. One that a gateway does again after
-   * it was killed is the same attempt as far as its client knows, if nothing newer came between. */
+  /** Rule 2: a write takes effect at most once, never if it was refused, and once if it was served. Writes
+   * with the same checksum and length are the same write, since clients make their data unique. A write that
+   * a gateway repeats after it was killed counts as the same attempt if no newer write came in between. */
   private void checkEffects() {
-    Map<String, List<Command>> done = new HashMap<>();
-    for (Command c : commands) {
-      if (c.kind() == Nbd.CMD_WRITE && c.doneUs() > 0) {
-        done.computeIfAbsent(c.checksum() + "+" + c.length(), k -> new ArrayList<>()).add(c);
+    Map<String, List<Command>> effectsByData = new HashMap<>();
+    for (Command command : commands) {
+      if (command.kind() == Nbd.CMD_WRITE && command.doneUs() > 0) {
+        effectsByData.computeIfAbsent(command.checksum() + "+" + command.length(), k -> new ArrayList<>())
+            .add(command);
       }
     }
-    for (Asked a : requests) {
-      if (a.kind() != Nbd.CMD_WRITE) {
+    for (Asked request : requests) {
+      if (request.kind() != Nbd.CMD_WRITE) {
         continue;
       }
       countCheck(Rule.NO_EFFECT_TWICE);
-      List<Command> effects = done.getOrDefault(a.checksum() + "+" + a.length(), List.of());
+      List<Command> effects = effectsByData.getOrDefault(request.checksum() + "+" + request.length(),
+          List.of());
       Set<String> processes = new HashSet<>();
-      for (Command c : effects) {
-        if (!processes.add(c.client())) {
-          addBreach(Rule.NO_EFFECT_TWICE, describe(a) + " had its effect twice, sent by " + c.client()
-              + " to " + c
-                  .node());
+      for (Command command : effects) {
+        if (!processes.add(command.client())) {
+          addBreach(Rule.NO_EFFECT_TWICE, describe(request) + " took effect twice, sent by " + command
+              .client()
+              + " to " + command.node());
         }
       }
-      if (a.answer() == Asked.Answer.REFUSED && !effects.isEmpty()) {
-        addBreach(Rule.NO_EFFECT_TWICE, describe(a) + " was refused though it had its effect at " + effects
-            .get(0)
-            .node());
+      if (request.answer() == Asked.Answer.REFUSED && !effects.isEmpty()) {
+        addBreach(Rule.NO_EFFECT_TWICE, describe(request) + " was refused although it took effect at "
+            + effects.get(0).node());
       }
-      if (a.answer() == Asked.Answer.SERVED && effects.isEmpty() && extentCount(a) == 1) {
-        addBreach(Rule.NO_EFFECT_TWICE, describe(a) + " was served without an effect");
+      if (request.answer() == Asked.Answer.SERVED && effects.isEmpty() && extentCount(request) == 1) {
+        addBreach(Rule.NO_EFFECT_TWICE, describe(request) + " was served but did not take effect");
       }
-      if (a.answers() > 0) {
+      if (request.answers() > 0) {
         effects.stream()
-            .filter(c -> c.doneUs() > a.answeredUs())
+            .filter(command -> command.doneUs() > request.answeredUs())
             .findFirst()
-            .ifPresent(c -> checkLateEffect(a, c));
+            .ifPresent(command -> checkLateEffect(request, command));
       }
     }
   }
 
-  /** An effect after the answer must not land on a newer write that was answered before it. */
-  private void checkLateEffect(Asked a, Command late) {
+  /** An effect after the answer must not overwrite a newer write that was answered before it. */
+  private void checkLateEffect(Asked request, Command late) {
     for (Command newer : commandsByNode.getOrDefault(late.node(), List.of())) {
-      boolean same = newer.node().equals(late.node()) && newer.offset() < late.offset() + late.length()
+      boolean overlaps = newer.node().equals(late.node()) && newer.offset() < late.offset() + late.length()
           && late.offset() < newer.offset() + newer.length();
-      if (same && newer != late && newer.kind() == Nbd.CMD_WRITE && newer.result() == Result.DONE && newer
-          .receivedUs() > a.answeredUs() && newer.doneUs() < late.doneUs()) {
-        addBreach(Rule.NO_EFFECT_TWICE, describe(a) + " landed at " + late.node()
+      if (overlaps && newer != late && newer.kind() == Nbd.CMD_WRITE && newer.result() == Result.DONE && newer
+          .receivedUs() > request.answeredUs() && newer.doneUs() < late.doneUs()) {
+        addBreach(Rule.NO_EFFECT_TWICE, describe(request) + " took effect at " + late.node()
             + " after a newer write to its blocks");
         return;
       }
     }
   }
 
-  /** Rule 3: nothing new to a node later than the grace after its gateway was told that it drains. */
+  /** Rule 3: a gateway sends no command to a node later than the grace period after it was told that the node
+   * drains. */
   private void checkDrains() {
-    Map<String, List<Command>> sent = new HashMap<>();
-    for (Command c : commands) {
-      if (!c.client().isEmpty()) {
-        String gateway = c.client().substring(0, c.client().lastIndexOf('/'));
-        sent.computeIfAbsent(gateway + " to " + c.node(), k -> new ArrayList<>()).add(c);
+    Map<String, List<Command>> commandsByRoute = new HashMap<>();
+    for (Command command : commands) {
+      if (!command.client().isEmpty()) {
+        String gateway = command.client().substring(0, command.client().lastIndexOf('/'));
+        commandsByRoute.computeIfAbsent(gateway + " to " + command.node(), k -> new ArrayList<>())
+            .add(command);
       }
     }
-    Map<String, List<Told.State>> words = new HashMap<>();
-    for (Told t : operatorEvents) {
-      if (t instanceof Told.State s) {
-        words.computeIfAbsent(s.gateway() + " to " + s.node(), k -> new ArrayList<>()).add(s);
+    Map<String, List<Told.State>> statesByRoute = new HashMap<>();
+    for (Told event : operatorEvents) {
+      if (event instanceof Told.State state) {
+        statesByRoute.computeIfAbsent(state.gateway() + " to " + state.node(), k -> new ArrayList<>())
+            .add(state);
       }
     }
-    words.forEach((way, states) -> states.stream()
-        .filter(s -> s.state() != NodeState.ON)
-        .forEach(s -> checkDrain(s, states, sent.getOrDefault(way, List.of()))));
+    statesByRoute.forEach((route, states) -> states.stream()
+        .filter(state -> state.state() != NodeState.ON)
+        .forEach(state -> checkDrain(state, states, commandsByRoute.getOrDefault(route, List.of()))));
   }
 
-  private void checkDrain(Told.State s, List<Told.State> states, List<Command> sent) {
+  private void checkDrain(Told.State drain, List<Told.State> states, List<Command> sent) {
     long until = states.stream()
-        .filter(y -> y.state() == NodeState.ON && y.atUs() > s.atUs())
+        .filter(later -> later.state() == NodeState.ON && later.atUs() > drain.atUs())
         .mapToLong(Told::atUs)
         .min()
         .orElse(Long.MAX_VALUE);
-    for (Command c : sent) {
-      if (c.sentOrReceivedUs() > s.atUs()) {
+    for (Command command : sent) {
+      if (command.sentOrReceivedUs() > drain.atUs()) {
         countCheck(Rule.DRAINS_KEPT);
-        if (c.sentOrReceivedUs() > s.atUs() + parameters.drainGraceUs() && c.sentOrReceivedUs() < until) {
-          addBreach(Rule.DRAINS_KEPT, s.gateway() + " sent to " + s.node() + " " + (c.sentOrReceivedUs() - s
-              .atUs())
-              + " us after it was told that it is " + s.state());
+        if (command.sentOrReceivedUs() > drain.atUs() + parameters.drainGraceUs() && command
+            .sentOrReceivedUs() < until) {
+          addBreach(Rule.DRAINS_KEPT, drain.gateway() + " sent to " + drain.node() + " " + (command
+              .sentOrReceivedUs()
+              - drain.atUs()) + " us after it was told that it is " + drain.state());
         }
       }
     }
   }
 
-  private double units(Command c) {
-    boolean data = c.kind() == Nbd.CMD_READ || c.kind() == Nbd.CMD_WRITE;
-    return data
-        ? Math.max(1, Math.min(parameters.mostUnits(), (c.length() + parameters.unitBytes() - 1) / parameters
-            .unitBytes()))
+  private double units(Command command) {
+    boolean carriesData = command.kind() == Nbd.CMD_READ || command.kind() == Nbd.CMD_WRITE;
+    return carriesData
+        ? Math.max(1, Math.min(parameters.mostUnits(), (command.length() + parameters.unitBytes() - 1)
+            / parameters.unitBytes()))
         : 1;
   }
 
-  /** Rule 4: within any window, all gateways together send a cold node no more than it always bears. */
+  /** Rule 4: within any window, all gateways together send a cold node no more than it can always serve. */
   private void checkColdNodes() {
-    for (Told t : operatorEvents) {
-      if (!(t instanceof Told.Born b)) {
+    for (Told event : operatorEvents) {
+      if (!(event instanceof Told.Born start)) {
         continue;
       }
       ArrayDeque<Command> window = new ArrayDeque<>();
-      double sum = 0;
-      for (Command c : commands) {
-        if (!c.node().equals(b.node()) || c.receivedUs() < b.atUs() || c.receivedUs() > b.atUs() + parameters
-            .coldUs()) {
+      double windowUnits = 0;
+      for (Command command : commands) {
+        if (!command.node().equals(start.node()) || command.receivedUs() < start.atUs() || command
+            .receivedUs() > start.atUs()
+                + parameters.coldUs()) {
           continue;
         }
         countCheck(Rule.NO_COLD_NODE_PUSHED);
-        window.add(c);
-        sum += units(c);
-        while (window.peek().receivedUs() <= c.receivedUs() - parameters.fallUs()) {
-          sum -= units(window.poll());
+        window.add(command);
+        windowUnits += units(command);
+        while (window.peek().receivedUs() <= command.receivedUs() - parameters.fallUs()) {
+          windowUnits -= units(window.poll());
         }
-        double age = Math.min(1, (double) (c.receivedUs() - b.atUs()) / parameters.coldUs());
-        if (sum > parameters.coldUnits() * (parameters.coldFrom() + (1 - parameters.coldFrom()) * age)
-            / parameters
-                .coldFrom()) {
-          addBreach(Rule.NO_COLD_NODE_PUSHED, b.node() + " got " + sum + " units in " + parameters.fallUs()
-              + " us, " + (c.receivedUs() - b.atUs()) + " us after its start");
+        double age = Math.min(1, (double) (command.receivedUs() - start.atUs()) / parameters.coldUs());
+        if (windowUnits > parameters.coldUnits() * (parameters.coldFrom() + (1 - parameters.coldFrom()) * age)
+            / parameters.coldFrom()) {
+          addBreach(Rule.NO_COLD_NODE_PUSHED, start.node() + " got " + windowUnits + " units in " + parameters
+              .fallUs()
+              + " us, " + (command.receivedUs() - start.atUs()) + " us after its start");
           break;
         }
       }
     }
   }
 
-  /** Rule 5: requests with one key run one at a time, in the order in which they were asked. */
+  /** Rule 5: requests with the same key run one at a time, in the order in which they were submitted. */
   private void checkOrder() {
-    Map<Long, List<Asked>> lines = new HashMap<>();
+    Map<Long, List<Asked>> requestsByKey = new HashMap<>();
     requests.stream()
-        .filter(a -> a.key() >= 0)
-        .forEach(a -> lines.computeIfAbsent(a.key(), k -> new ArrayList<>()).add(a));
-    Map<String, List<Command>> byBytes = new HashMap<>();
+        .filter(request -> request.key() >= 0)
+        .forEach(request -> requestsByKey.computeIfAbsent(request.key(), k -> new ArrayList<>())
+            .add(request));
+    Map<String, List<Command>> writesByData = new HashMap<>();
     commands.stream()
-        .filter(c -> c.kind() == Nbd.CMD_WRITE)
-        .forEach(c -> byBytes.computeIfAbsent(c.checksum() + "+" + c.length(), k -> new ArrayList<>())
-            .add(c));
-    for (List<Asked> line : lines.values()) {
-      long before = 0;
-      Asked last = null;
-      for (Asked a : line) {
+        .filter(command -> command.kind() == Nbd.CMD_WRITE)
+        .forEach(command -> writesByData.computeIfAbsent(command.checksum() + "+" + command.length(),
+            k -> new ArrayList<>())
+            .add(command));
+    for (List<Asked> sameKey : requestsByKey.values()) {
+      long busyUntilUs = 0;
+      Asked previous = null;
+      for (Asked request : sameKey) {
         countCheck(Rule.ORDER_KEPT);
-        List<Command> mine = byBytes.getOrDefault(a.checksum() + "+" + a.length(), List.of());
-        long first = mine.stream().mapToLong(Command::receivedUs).min().orElse(Long.MAX_VALUE);
-        if (first < before) {
-          addBreach(Rule.ORDER_KEPT, describe(a) + " was sent while " + describe(last)
-              + " before it was not over");
+        List<Command> writes = writesByData.getOrDefault(request.checksum() + "+" + request.length(),
+            List.of());
+        long firstSentUs = writes.stream().mapToLong(Command::receivedUs).min().orElse(Long.MAX_VALUE);
+        if (firstSentUs < busyUntilUs) {
+          addBreach(Rule.ORDER_KEPT, describe(request) + " was sent while " + describe(previous)
+              + " before it was not finished");
         }
-        for (Command c : mine) {
-          long over = c.doneUs() > 0
-              ? c.doneUs()
-              : c.result() == Result.SWALLOWED ? c.receivedUs() + parameters.settleUs() : c.receivedUs();
-          if (over > before) {
-            before = over;
-            last = a;
+        for (Command command : writes) {
+          long endUs = command.doneUs() > 0
+              ? command.doneUs()
+              : command.result() == Result.SWALLOWED
+                  ? command.receivedUs() + parameters.settleUs()
+                  : command.receivedUs();
+          if (endUs > busyUntilUs) {
+            busyUntilUs = endUs;
+            previous = request;
           }
         }
       }
     }
   }
 
-  /** Rule 6: attempts beyond a request's first, within any window, by gateway process. */
+  /** Rule 6: each gateway process stays within its retry budget in any window. */
   private void checkBudget() {
     if (parameters.budgetWindowUs() <= 0) {
       return;
     }
-    Map<String, List<Command>> byClient = new HashMap<>();
+    Map<String, List<Command>> commandsByClient = new HashMap<>();
     commandsBySendTime.stream()
-        .filter(c -> !c.client().isEmpty())
-        .forEach(c -> byClient.computeIfAbsent(c.client(), k -> new ArrayList<>()).add(c));
-    Map<String, List<Asked>> byGateway = new HashMap<>();
-    requests.forEach(a -> byGateway.computeIfAbsent(a.gateway(), k -> new ArrayList<>()).add(a));
-    byClient.forEach((client, sent) -> checkBudget(client, sent, byGateway.getOrDefault(client.substring(0,
-        client
-            .lastIndexOf('/')), List.of())
+        .filter(command -> !command.client().isEmpty())
+        .forEach(command -> commandsByClient.computeIfAbsent(command.client(), k -> new ArrayList<>())
+            .add(command));
+    Map<String, List<Asked>> requestsByGateway = new HashMap<>();
+    requests.forEach(request -> requestsByGateway.computeIfAbsent(request.gateway(), k -> new ArrayList<>())
+        .add(request));
+    commandsByClient.forEach((client, sent) -> checkBudget(client, sent, requestsByGateway
+        .getOrDefault(client.substring(0, client.lastIndexOf('/')), List.of())
         .stream()
-        .flatMapToLong(a -> LongStream.generate(a::askedUs).limit(extentCount(a)))
+        .flatMapToLong(request -> LongStream.generate(request::askedUs).limit(extentCount(request)))
         .toArray()));
   }
 
-  private void checkBudget(String client, List<Command> sent, long[] asks) {
-    Set<Long> seen = new HashSet<>();
-    ArrayDeque<Long> further = new ArrayDeque<>();
-    for (Command c : sent) {
+  private void checkBudget(String client, List<Command> sent, long[] requestTimes) {
+    Set<Long> seenRequests = new HashSet<>();
+    ArrayDeque<Long> retries = new ArrayDeque<>();
+    for (Command command : sent) {
       countCheck(Rule.BUDGET_KEPT);
-      if (seen.add(c.cookie() >> 12)) {
+      if (seenRequests.add(command.cookie() >> 12)) {
         continue;
       }
-      further.add(c.sentOrReceivedUs());
-      while (further.peek() < c.sentOrReceivedUs() - parameters.budgetWindowUs() + parameters.skewUs()) {
-        further.poll();
+      retries.add(command.sentOrReceivedUs());
+      while (retries.peek() < command.sentOrReceivedUs() - parameters.budgetWindowUs() + parameters
+          .skewUs()) {
+        retries.poll();
       }
-      long taken = countUpTo(asks, c.sentOrReceivedUs()) - countUpTo(asks, c.sentOrReceivedUs() - parameters
-          .budgetWindowUs() - parameters
-              .skewUs());
-      double allowed = parameters.budgetFree() + parameters.budgetShare() * taken;
-      if (further.size() > allowed) {
-        addBreach(Rule.BUDGET_KEPT, client + " made " + further.size() + " further attempts in " + parameters
-            .budgetWindowUs() + " us with " + taken + " requests taken");
+      long accepted = countUpTo(requestTimes, command.sentOrReceivedUs()) - countUpTo(requestTimes,
+          command.sentOrReceivedUs() - parameters.budgetWindowUs() - parameters.skewUs());
+      double allowed = parameters.budgetFree() + parameters.budgetShare() * accepted;
+      if (retries.size() > allowed) {
+        addBreach(Rule.BUDGET_KEPT, client + " made " + retries.size() + " retries in " + parameters
+            .budgetWindowUs() + " us with " + accepted + " requests accepted");
         return;
       }
     }
   }
 
-  /** Extents that a request touches: as many requests it is at the module, and commands with bytes of their
-   * own. */
-  private long extentCount(Asked a) {
-    return (a.offset() + Math.max(1, a.length()) - 1) / parameters.extentBytes() - a.offset() / parameters
-        .extentBytes() + 1;
+  /** Returns the number of extents that a request touches. The scheduler handles it as that many requests,
+   * each with its own command and data. */
+  private long extentCount(Asked request) {
+    return (request.offset() + Math.max(1, request.length()) - 1) / parameters.extentBytes()
+        - request.offset() / parameters.extentBytes() + 1;
   }
 
-  /** How many of the sorted times are at or before {@code at}. */
+  /** Returns how many of the sorted times are at or before {@code at}. */
   private static int countUpTo(long[] times, long at) {
-    int i = Arrays.binarySearch(times, at);
-    if (i < 0) {
-      return -i - 1;
+    int count = Arrays.binarySearch(times, at);
+    if (count < 0) {
+      return -count - 1;
     }
-    while (i < times.length && times[i] == at) {
-      i++;
+    while (count < times.length && times[count] == at) {
+      count++;
     }
-    return i;
+    return count;
   }
 
-  /** Rule 7: one store a volume for all gateways, whatever restarts; it pays for each request once, when its
-   * first command reaches a node. */
+  /** Rule 7: a volume has one token bucket for all gateways, across restarts. A request is charged once, when
+   * its first command is sent. */
   private void checkLimits() {
-    Map<String, List<Command>> byVolume = parameters.limits().isEmpty() ? Map.of() : commandsByVolume();
-    for (Map.Entry<String, Figures.Limit> e : parameters.limits().entrySet()) {
-      Figures.Limit limit = e.getValue();
-      List<Long> at = new ArrayList<>();
-      List<Double> cost = new ArrayList<>();
-      Set<String> paid = new HashSet<>();
-      for (Command c : byVolume.getOrDefault(e.getKey(), List.of())) {
-        if (paid.add(c.client() + "/" + (c.cookie() >> 12))) {
-          at.add(c.sentOrReceivedUs());
-          cost.add(units(c));
+    Map<String, List<Command>> commandsOfVolumes = parameters.limits().isEmpty()
+        ? Map.of()
+        : commandsByVolume();
+    for (Map.Entry<String, Figures.Limit> entry : parameters.limits().entrySet()) {
+      Figures.Limit limit = entry.getValue();
+      List<Long> times = new ArrayList<>();
+      List<Double> costs = new ArrayList<>();
+      Set<String> charged = new HashSet<>();
+      for (Command command : commandsOfVolumes.getOrDefault(entry.getKey(), List.of())) {
+        if (charged.add(command.client() + "/" + (command.cookie() >> 12))) {
+          times.add(command.sentOrReceivedUs());
+          costs.add(units(command));
         }
       }
       double level = limit.burst();
-      for (int i = 0; i < at.size(); i++) {
+      for (int i = 0; i < times.size(); i++) {
         countCheck(Rule.LIMITS_KEPT);
         level = Math.min(limit.burst(), level + (i == 0
             ? 0
-            : limit.rate() * (at.get(i) - at.get(i - 1)) / 1e6)) - cost.get(i);
+            : limit.rate() * (times.get(i) - times.get(i - 1)) / 1e6)) - costs.get(i);
         if (level < -limit.slack()) {
-          addBreach(Rule.LIMITS_KEPT, e.getKey() + " is " + -level + " units below its limit's store");
+          addBreach(Rule.LIMITS_KEPT, entry.getKey() + " is " + -level + " units below its limit");
           break;
         }
       }
     }
   }
 
-  /** Commands by the volume whose bytes they touch, as sent. */
+  /** Returns the commands by the volume whose bytes they touch, in order of sending. */
   private Map<String, List<Command>> commandsByVolume() {
     Map<String, TreeMap<Long, Figures.Area>> areas = new HashMap<>();
-    parameters.areas().forEach(a -> areas.computeIfAbsent(a.export(), k -> new TreeMap<>()).put(a.from(), a));
-    Map<String, List<Command>> found = new HashMap<>();
-    for (Command c : commandsBySendTime) {
-      Map.Entry<Long, Figures.Area> e = areas.getOrDefault(c.export(), new TreeMap<>())
-          .floorEntry(c.offset());
-      if (e != null && c.offset() < e.getValue().to()) {
-        found.computeIfAbsent(e.getValue().volume(), k -> new ArrayList<>()).add(c);
+    parameters.areas()
+        .forEach(area -> areas.computeIfAbsent(area.export(), k -> new TreeMap<>()).put(area.from(), area));
+    Map<String, List<Command>> commandsOfVolumes = new HashMap<>();
+    for (Command command : commandsBySendTime) {
+      Map.Entry<Long, Figures.Area> candidate = areas.getOrDefault(command.export(), new TreeMap<>())
+          .floorEntry(command.offset());
+      if (candidate != null && command.offset() < candidate.getValue().to()) {
+        commandsOfVolumes.computeIfAbsent(candidate.getValue().volume(), k -> new ArrayList<>()).add(command);
       }
     }
-    return found;
+    return commandsOfVolumes;
   }
 }
--- a/src/main/java/hollyslip/audit/Figures.java
+++ b/src/main/java/hollyslip/audit/Figures.java
@@ -3,42 +3,43 @@
 import java.util.List;
 import java.util.Map;
 
-/** The figures of the rules that an audit goes by. Times in us.
+/** The parameters of the rules that an audit checks. Times in us.
  *
  * @param answerSlackUs
- *          how long after a client's deadline an answer still counts
+ *          how long after a client's deadline an answer is still accepted
  * @param drainGraceUs
- *          how long after it was told a gateway may still send to a draining node
+ *          how long a gateway may still send to a node after it was told that the node drains
  * @param settleUs
- *          how long after doubt a node may still run what it was sent
+ *          how long a node may still run a command whose outcome is unknown
  * @param coldUnits
- *          units within {@code fallUs} that a cold node always bears, from all gateways together
+ *          units within {@code fallUs} that a cold node can always serve, from all gateways together
  * @param coldFrom
- *          part of its capacity that a started node has at least
+ *          fraction of its capacity that a node has when it starts
  * @param coldUs
- *          how long a started node is cold
+ *          how long a node is cold after its start
  * @param fallUs
- *          the window of that rule
+ *          window of the cold-node rule
  * @param budgetFree
- *          further attempts allowed in any window, however few the requests
+ *          retries allowed in any window, regardless of the number of requests
  * @param budgetShare
- *          further attempts allowed for each request taken in a window
+ *          additional retries allowed for each request accepted in a window
  * @param budgetWindowUs
- *          the window; 0: no budget
+ *          window of the retry budget; 0: no budget
  * @param unitBytes
- *          bytes of a unit, for work that a node saw
+ *          bytes per unit, to count the work that a node received
  * @param mostUnits
- *          units of one request at most
+ *          maximum number of units per request
  * @param limits
  *          limits by volume
  * @param areas
- *          where volumes lie: whose a node's command is */
+ *          the areas of the exports that belong to volumes, to attribute commands of nodes */
 public record Figures(long answerSlackUs, long drainGraceUs, long settleUs, double coldUnits, double coldFrom,
     long coldUs, long fallUs, double budgetFree, double budgetShare, long budgetWindowUs, long skewUs,
     long extentBytes, long unitBytes, int mostUnits, Map<String, Limit> limits, List<Area> areas) {
-  /** Bytes of an export that are a volume's. */
+  /** A range of bytes of an export that belongs to a volume. */
   public record Area(String volume, String export, long from, long to) {}
 
-  /** A volume's limit: units a second, what it may hold, and how far below zero it may go. */
+  /** The limit of a volume, as a token bucket: units per second, capacity, and how far below zero it may
+   * go. */
   public record Limit(double rate, double burst, double slack) {}
 }
--- a/src/main/java/hollyslip/audit/Told.java
+++ b/src/main/java/hollyslip/audit/Told.java
@@ -2,12 +2,12 @@
 
 import hollyslip.HostScheduler.NodeState;
 
-/** What the operator did and when, by the operator's own record: the gateway was told of a node's state, a
- * node was started, a gateway was started. Times are of the machine's monotonic clock, us. */
+/** An action of the operator, as the operator recorded it. Times are microseconds on the machine's monotonic
+ * clock. */
 public sealed interface Told {
   long atUs();
 
-  /** A gateway was told that a node is in this state. */
+  /** A gateway was informed of the state of a node. */
   record State(String gateway, String node, NodeState state, long atUs) implements Told {}
 
   /** A node was started cold. */
--- a/src/main/java/hollyslip/audit/Witness.java
+++ b/src/main/java/hollyslip/audit/Witness.java
@@ -13,10 +13,11 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Records of a run in a folder, one JSON value a line: {@code figures.json}, {@code asked-*.jsonl} of
- * clients, {@code commands-*.jsonl} of disk servers, {@code told-*.jsonl} of the operator. */
+/** Reads and writes the records of a run in a directory: {@code figures.json} with the parameters of the
+ * rules, and with one JSON value per line {@code asked-*.jsonl} of clients, {@code commands-*.jsonl} of disk
+ * servers and {@code told-*.jsonl} of the operator. */
 public final class Witness {
-  /** Says in the lines which kind of order one is. */
+  /** Adds the kind of event to each line. */
   @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "told")
   @JsonSubTypes({@JsonSubTypes.Type(value = Told.State.class, name = "state"),
       @JsonSubTypes.Type(value = Told.Born.class, name = "born"),
@@ -27,52 +28,56 @@
 
   private Witness() {}
 
-  private static <T> void write(Path file, Class<T> type, List<T> all) throws IOException {
-    try (SequenceWriter w = JSON.writerFor(type).withRootValueSeparator("\n").writeValues(file.toFile())) {
-      w.writeAll(all);
+  private static <T> void write(Path file, Class<T> type, List<T> values) throws IOException {
+    try (SequenceWriter writer = JSON.writerFor(type)
+        .withRootValueSeparator("\n")
+        .writeValues(file.toFile())) {
+      writer.writeAll(values);
     }
   }
 
   private static <T> List<T> readAll(Path dir, String prefix, Class<T> type) throws IOException {
-    List<T> all = new ArrayList<>();
+    List<T> values = new ArrayList<>();
     List<Path> files;
-    try (Stream<Path> found = Files.list(dir)) {
-      files = found.filter(f -> f.getFileName().toString().matches(prefix + "-.*\\.jsonl")).sorted().toList();
+    try (Stream<Path> entries = Files.list(dir)) {
+      files = entries.filter(file -> file.getFileName().toString().matches(prefix + "-.*\\.jsonl"))
+          .sorted()
+          .toList();
     }
-    for (Path f : files) {
-      try (MappingIterator<T> i = JSON.readerFor(type).readValues(f.toFile())) {
-        i.forEachRemaining(all::add);
+    for (Path file : files) {
+      try (MappingIterator<T> lines = JSON.readerFor(type).readValues(file.toFile())) {
+        lines.forEachRemaining(values::add);
       } catch (IOException | RuntimeException e) {
-        throw new IOException(f.getFileName() + ": record " + (all.size() + 1) + ": " + e.getMessage(), e);
+        throw new IOException(file.getFileName() + ": record " + (values.size() + 1) + ": " + e.getMessage(),
+            e);
       }
     }
-    return all;
+    return values;
   }
 
-  public static void asked(Path dir, String who, List<Asked> all) throws IOException {
-    write(dir.resolve("asked-" + who + ".jsonl"), Asked.class, all);
+  public static void asked(Path dir, String client, List<Asked> requests) throws IOException {
+    write(dir.resolve("asked-" + client + ".jsonl"), Asked.class, requests);
   }
 
-  public static void commands(Path dir, String who, List<Command> all) throws IOException {
-    write(dir.resolve("commands-" + who + ".jsonl"), Command.class, all);
+  public static void commands(Path dir, String server, List<Command> commands) throws IOException {
+    write(dir.resolve("commands-" + server + ".jsonl"), Command.class, commands);
   }
 
-  public static void told(Path dir, String who, List<Told> all) throws IOException {
-    write(dir.resolve("told-" + who + ".jsonl"), Told.class, all);
+  public static void told(Path dir, String operator, List<Told> events) throws IOException {
+    write(dir.resolve("told-" + operator + ".jsonl"), Told.class, events);
   }
 
-  public static void figures(Path dir, Figures figures) throws IOException {
-    JSON.writeValue(dir.resolve("figures.json").toFile(), figures);
+  public static void figures(Path dir, Figures parameters) throws IOException {
+    JSON.writeValue(dir.resolve("figures.json").toFile(), parameters);
   }
 
-  /** Audits what a folder holds.
+  /** Audits the records in a directory.
    *
    * @throws IOException
-   *           a record cannot be read; names the file and the record */
+   *           if a record cannot be read; the message names the file and the record */
   public static Auditor.Report audit(Path dir) throws IOException {
-    Figures figures = JSON.readValue(dir.resolve("figures.json").toFile(), Figures.class);
-    return Auditor.check(figures, readAll(dir, "asked", Asked.class), readAll(dir, "commands", Command.class),
-        readAll(
-            dir, "told", Told.class));
+    Figures parameters = JSON.readValue(dir.resolve("figures.json").toFile(), Figures.class);
+    return Auditor.check(parameters, readAll(dir, "asked", Asked.class),
+        readAll(dir, "commands", Command.class), readAll(dir, "told", Told.class));
   }
 }
--- a/src/main/java/hollyslip/standin/Command.java
+++ b/src/main/java/hollyslip/standin/Command.java
@@ -1,60 +1,60 @@
 package hollyslip.standin;
 
-/** One command as a disk server saw it: the audit's second witness. Times are of the machine's monotonic
- * clock, us; {@code checksum} is the CRC-32 of the bytes written or returned.
+/** A command as a disk server saw it. Times are microseconds on the machine's monotonic clock;
+ * {@code checksum} is the CRC-32 of the data written or returned.
  *
  * @param node
  *          name of the disk server
  * @param boot
- *          number of its start
+ *          number of the server's start, from 1
  * @param client
- *          who sent it, by its fence; empty: did not say
+ *          name and epoch of the gateway that sent it, from its fence; empty: unknown
  * @param connection
- *          serial of the connection at the server
+ *          serial number of the connection at the server
  * @param cookie
- *          as sent
+ *          NBD cookie of the command
  * @param kind
  *          NBD command
  * @param offset
- *          first byte
+ *          offset of the first byte
  * @param length
- *          bytes
+ *          length in bytes
  * @param receivedUs
- *          when it had come in whole
+ *          when it was received completely
  * @param doneUs
- *          when it had its effect; 0: never
+ *          when it took effect; 0: never
  * @param result
- *          what came of it
+ *          how it ended
  * @param sentUs
- *          when its gateway sent it, where that can be seen from outside; 0: it cannot */
+ *          when its gateway sent it, if that is observable; 0: unknown */
 public record Command(String node, long boot, String client, long connection, long cookie, String export,
     int kind, long offset, long length, long receivedUs, long doneUs, long checksum, Result result,
     long sentUs) {
-  /** One whose sending nobody saw. */
+  /** A command whose time of sending is unknown. */
   public Command(String node, long boot, String client, long connection, long cookie, String export, int kind,
       long offset, long length, long receivedUs, long doneUs, long checksum, Result result) {
     this(node, boot, client, connection, cookie, export, kind, offset, length, receivedUs, doneUs, checksum,
         result, 0);
   }
 
-  /** When it was sent, as near as can be told. */
+  /** Returns the time of sending if known, else that of receipt. */
   public long sentOrReceivedUs() {
     return sentUs > 0 ? sentUs : receivedUs;
   }
 
-  /** What came of it. */
+  /** How a command ended. */
   public enum Result {
-    /** Done and answered. */
+    /** Executed and answered. */
     DONE,
-    /** Done, the answer thrown away. */
+    /** Executed, but the answer was dropped. */
     DONE_SILENTLY,
-    /** Never done, never answered. */
+    /** Neither executed nor answered. */
     SWALLOWED,
-    /** Turned away: the queue is full, or it is draining. */
+    /** Refused: the queue is full, or the server is draining. */
     FULL,
-    /** Answered with an error, not done. */
+    /** Answered with an error, not executed. */
     ERROR,
-    /** Dropped because its connection is dead by a fence. */
+    /** Refused because a newer fence supersedes that of its connection. */
     FENCED
   }
 }
--- a/src/main/java/hollyslip/standin/DiskServer.java
+++ b/src/main/java/hollyslip/standin/DiskServer.java
@@ -30,28 +30,27 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.zip.CRC32;
 
-/** A small disk server on a loopback port that serves NBD to any client of that protocol, with exports
- * {@code shard-N} in memory, service times and faults. It is a stand-in: for tests, demos and
- * measurements. */
+/** A small NBD disk server on a loopback port, with exports {@code shard-N} in memory or in files, simulated
+ * service times and faults. It stands in for a real disk server in tests, demos and benchmarks. */
 public final class DiskServer implements AutoCloseable {
   private static final int MAX_LENGTH = 32 << 20;
 
-  /** What it is built from.
+  /** Parameters of the server.
    *
    * @param name
-   *          of the server
+   *          name of the server
    * @param shardBytes
    *          size of each export, bytes
    * @param model
-   *          its speed
+   *          model of its service times
    * @param seed
-   *          of all that is drawn
+   *          seed of the random values
    * @param initialAgeUs
-   *          how long it claims to have run at its first start, us
+   *          uptime that it reports at its first start, us
    * @param supportsContexts
-   *          whether it knows the contexts of ours
+   *          whether it supports the hollyslip metadata contexts
    * @param recordCommands
-   *          whether it keeps its commands */
+   *          whether it records its commands */
   public record Config(String name, long shardBytes, ServiceModel.Config model, long seed, long initialAgeUs,
       boolean supportsContexts, boolean recordCommands) {
     /** A server without service times that started long ago. */
@@ -59,7 +58,7 @@
       return new Config(name, shardBytes, ServiceModel.Config.PLAIN, 1, 3_600_000_000L, true, log);
     }
 
-    /** One with cores, a queue and a mean time a command. */
+    /** A server with cores, a queue and a mean service time per command. */
     public static Config timed(String name, long shardBytes, int cores, int queue, long baseUs, long seed) {
       return new Config(name, shardBytes, ServiceModel.timed(cores, queue, baseUs), seed, 3_600_000_000L,
           true, true);
@@ -72,15 +71,15 @@
   private final Map<String, Export> exports = new ConcurrentHashMap<>();
   private final ConcurrentLinkedQueue<Command> commandLog = new ConcurrentLinkedQueue<>();
   private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
-  /** The newest fence of each client: what an older one killed, it kills too. */
+  /** The newest fence of each client; it supersedes everything that an older one superseded. */
   private final Map<String, Fence> newestFences = new HashMap<>();
   private final AtomicLong serials = new AtomicLong();
   private volatile Thread worker;
   private final PriorityQueue<Job> jobs = new PriorityQueue<>();
   private final SplittableRandom random;
   private final int port;
-  /** Bound and never used: while the server is down no other socket is given its port, not even the far end
-   * of a connection that a gateway tries to it. */
+  /** Reserves the port; it is bound but never used. Without it, another socket could be given the port while
+   * the server is down, even the local end of a connection that a gateway attempts to it. */
   private final Socket portReservation;
   private ServerSocket listener;
   private Thread acceptor;
@@ -90,7 +89,7 @@
   private volatile long startedAtUs;
   private volatile int queuedCount;
 
-  /** Data of an export; what was written stays over restarts. */
+  /** An export; its data survives restarts of the server. */
   private final class Export {
     final String name;
     final ByteBuffer data;
@@ -101,20 +100,20 @@
     }
   }
 
-  /** An export kept in a file: it outlives the process. */
+  /** Maps the file of an export, so that its data outlives the process. */
   private ByteBuffer mapFile(String name, long size) {
     if (!name.matches("[A-Za-z0-9._-]+")) {
-      throw new IllegalArgumentException("export: '" + name + "' cannot be a file's name");
+      throw new IllegalArgumentException("export: '" + name + "' is not a valid file name");
     }
-    try (FileChannel c = FileChannel.open(directory.resolve(name), StandardOpenOption.CREATE,
+    try (FileChannel channel = FileChannel.open(directory.resolve(name), StandardOpenOption.CREATE,
         StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-      return c.map(FileChannel.MapMode.READ_WRITE, 0, size);
+      return channel.map(FileChannel.MapMode.READ_WRITE, 0, size);
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
   }
 
-  /** A command on its way. */
+  /** A command in the queue. */
   private record Job(long doneAtUs, long order, Connection connection, long cookie, int kind, long offset,
       int length,
       byte[] payload, long receivedUs) implements Comparable<Job> {
@@ -129,26 +128,26 @@
     this(config, 0, null);
   }
 
-  /** Starts on a port of the loopback address, 0: a free one; exports in files of {@code folder}, null: in
-   * memory. */
-  public DiskServer(Config config, int wanted, Path folder) throws IOException {
-    this.directory = folder;
+  /** Starts on a port of the loopback address (0: any free port), with exports in files of {@code directory}
+   * (null: in memory). */
+  public DiskServer(Config config, int requestedPort, Path directory) throws IOException {
+    this.directory = directory;
     this.config = config;
     this.random = new SplittableRandom(config.seed());
     startedAtUs = now() - config.initialAgeUs();
     portReservation = new Socket();
     portReservation.setReuseAddress(true);
-    portReservation.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), wanted));
+    portReservation.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), requestedPort));
     port = portReservation.getLocalPort();
     listener = listen(port);
     start();
   }
 
   private static ServerSocket listen(int port) throws IOException {
-    ServerSocket s = new ServerSocket();
-    s.setReuseAddress(true);
-    s.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 64);
-    return s;
+    ServerSocket socket = new ServerSocket();
+    socket.setReuseAddress(true);
+    socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 64);
+    return socket;
   }
 
   private static long now() {
@@ -162,19 +161,19 @@
       model = new ServiceModel(config.model(), config.seed() + bootCount, startedAtUs);
     }
     startAccepting(listener);
-    long mine = bootCount;
-    startDaemon("standin-work", () -> processJobs(mine));
+    long currentBoot = bootCount;
+    startDaemon("standin-work", () -> processJobs(currentBoot));
   }
 
-  private void startAccepting(ServerSocket from) {
-    acceptor = startDaemon("standin-accept", () -> accept(from));
+  private void startAccepting(ServerSocket socket) {
+    acceptor = startDaemon("standin-accept", () -> accept(socket));
   }
 
   private Thread startDaemon(String name, Runnable task) {
-    Thread t = new Thread(task, name + "-" + config.name());
-    t.setDaemon(true);
-    t.start();
-    return t;
+    Thread thread = new Thread(task, name + "-" + config.name());
+    thread.setDaemon(true);
+    thread.start();
+    return thread;
   }
 
   public InetSocketAddress address() {
@@ -185,33 +184,34 @@
     return config.name();
   }
 
-  /** Commands so far, in the order in which they ended. */
+  /** Returns the recorded commands, in the order in which they ended. */
   public List<Command> commands() {
     return new ArrayList<>(commandLog);
   }
 
-  /** Bytes of an export, for comparison. */
+  /** Returns bytes of an export, for comparison. */
   public byte[] read(String export, long offset, int length) {
     byte[] bytes = new byte[length];
     export(export).data.get((int) offset, bytes);
     return bytes;
   }
 
-  /** Serves nothing for so long. */
+  /** Serves nothing for the given time. */
   public void stall(long us) {
     synchronized (jobs) {
       model.stall(now() + us);
     }
   }
 
-  /** Takes so many times the usual time. */
+  /** Multiplies all service times by a factor. */
   public void slow(double factor) {
     synchronized (jobs) {
       model.slow(factor);
     }
   }
 
-  /** Its network goes: connections are cut and none is taken; the process and what it knows live on. */
+  /** Simulates a network failure: closes all connections and accepts none. The process and its state live
+   * on. */
   public void disconnectNetwork() throws IOException {
     listener.close();
     connections.forEach(Connection::disconnect);
@@ -222,13 +222,13 @@
     }
   }
 
-  /** Its network is back, on the same port. */
+  /** Ends a network failure; listens on the same port. */
   public void reconnectNetwork() throws IOException {
     listener = listen(port);
     startAccepting(listener);
   }
 
-  /** The process dies: connections are cut, what waits is lost. */
+  /** Simulates the death of the process: closes all connections and drops queued commands. */
   public void kill() {
     running = false;
     try {
@@ -238,7 +238,7 @@
     }
     connections.forEach(Connection::disconnect);
     try {
-      // The kernel keeps a listening socket as long as a thread waits in it, and its port with it.
+      // The kernel keeps a listening socket, and its port, as long as a thread is blocked in it.
       acceptor.join();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -250,7 +250,7 @@
     }
   }
 
-  /** Comes up again, cold, on the same port, with the data that it had. */
+  /** Restarts the server, cold, on the same port and with its data. */
   public void restart() throws IOException {
     if (running) {
       kill();
@@ -279,23 +279,23 @@
     return exports.computeIfAbsent(export, k -> new Export(k, config.shardBytes()));
   }
 
-  private void accept(ServerSocket from) {
+  private void accept(ServerSocket listener) {
     while (running) {
       try {
-        Socket s = from.accept();
-        s.setTcpNoDelay(true);
-        Connection c = new Connection(s);
-        connections.add(c);
-        startDaemon("standin-conn", c::run);
+        Socket socket = listener.accept();
+        socket.setTcpNoDelay(true);
+        Connection connection = new Connection(socket);
+        connections.add(connection);
+        startDaemon("standin-conn", connection::run);
       } catch (IOException e) {
         return;
       }
     }
   }
 
-  private void processJobs(long mine) {
+  private void processJobs(long boot) {
     worker = Thread.currentThread();
-    while (running && bootCount == mine) {
+    while (running && bootCount == boot) {
       Job job;
       long wait;
       synchronized (jobs) {
@@ -307,7 +307,7 @@
         }
       }
       if (wait > 0) {
-        // Not by waiting on the monitor, which rounds up to the next millisecond.
+        // Parks rather than waiting on the monitor, which rounds up to the next millisecond.
         LockSupport.parkNanos(jobs, wait * 1_000);
       } else {
         finish(job);
@@ -315,10 +315,11 @@
     }
   }
 
-  /** A command has come in whole: turned away, swallowed, done at once or put in turn. */
-  private void onCommand(Connection c, long cookie, int kind, long offset, int length, byte[] payload) {
+  /** Handles a complete command: ignores, refuses, executes or queues it. */
+  private void onCommand(Connection connection, long cookie, int kind, long offset, int length,
+      byte[] payload) {
     long now = now();
-    Job job = new Job(now, 0, c, cookie, kind, offset, length, payload, now);
+    Job job = new Job(now, 0, connection, cookie, kind, offset, length, payload, now);
     if (faults.silent) {
       recordResult(job, 0, 0, Command.Result.SWALLOWED);
     } else if (faults.draining || faults.full) {
@@ -331,18 +332,19 @@
   }
 
   private void enqueue(Job job, long now) {
-    long at;
+    long doneAtUs;
     synchronized (jobs) {
-      at = model.doneAt(now, job.length, queuedCount, faults.heavyPart, faults.heavyFactor);
-      if (at >= 0) {
-        at += job.kind == Nbd.CMD_WRITE ? faults.lateWriteUs : 0;
-        jobs.add(new Job(at, serials.incrementAndGet(), job.connection, job.cookie, job.kind, job.offset,
+      doneAtUs = model.doneAt(now, job.length, queuedCount, faults.heavyPart, faults.heavyFactor);
+      if (doneAtUs >= 0) {
+        doneAtUs += job.kind == Nbd.CMD_WRITE ? faults.lateWriteUs : 0;
+        jobs.add(new Job(doneAtUs, serials.incrementAndGet(), job.connection, job.cookie, job.kind,
+            job.offset,
             job.length, job.payload, job.receivedUs));
         queuedCount++;
         LockSupport.unpark(worker);
       }
     }
-    if (at < 0) {
+    if (doneAtUs < 0) {
       reject(job);
     }
   }
@@ -364,9 +366,9 @@
       job.connection.sendError(job.cookie, Nbd.EIO, "");
       return;
     }
-    long done;
+    long doneUs;
     byte[] data;
-    // Under the fences' monitor: a fence that stands means that nothing older has an effect after it.
+    // Under the monitor of the fences: once a fence is in place, no older command may take effect.
     synchronized (newestFences) {
       Fence newest = job.connection.fence == null ? null : newestFences.get(job.connection.fence.client());
       if (newest != null && newest.kills(job.connection.fence)) {
@@ -375,10 +377,10 @@
         return;
       }
       data = apply(job);
-      done = now();
+      doneUs = now();
     }
     boolean lost = chance < faults.errors + faults.loseAnswers;
-    recordResult(job, done, config.recordCommands() ? crc(data != null ? data : job.payload) : 0, lost
+    recordResult(job, doneUs, config.recordCommands() ? crc(data != null ? data : job.payload) : 0, lost
         ? Command.Result.DONE_SILENTLY
         : Command.Result.DONE);
     if (!lost) {
@@ -409,20 +411,20 @@
     return crc.getValue();
   }
 
-  private void recordResult(Job job, long done, long checksum, Command.Result result) {
+  private void recordResult(Job job, long doneUs, long checksum, Command.Result result) {
     if (config.recordCommands()) {
-      Fence f = job.connection.fence;
-      commandLog.add(new Command(config.name(), bootCount, f == null
+      Fence fence = job.connection.fence;
+      commandLog.add(new Command(config.name(), bootCount, fence == null
           ? ""
-          : f.client() + "/" + f.holder().epoch(),
+          : fence.client() + "/" + fence.holder().epoch(),
           job.connection.serial,
-          job.cookie, job.connection.export.name, job.kind, job.offset, job.length, job.receivedUs, done,
+          job.cookie, job.connection.export.name, job.kind, job.offset, job.length, job.receivedUs, doneUs,
           checksum,
           result));
     }
   }
 
-  /** Who holds a client's name here. */
+  /** Returns the holder of a client's name at this server. */
   private NodeView nodeView(String client) {
     synchronized (newestFences) {
       Fence newest = newestFences.get(client);
@@ -437,7 +439,7 @@
     }
   }
 
-  /** One client's connection: negotiation, then commands. */
+  /** The connection of one client: negotiation, then commands. */
   private final class Connection {
     private final Socket socket;
     private final DataInputStream in;
@@ -459,7 +461,7 @@
       try {
         socket.close();
       } catch (IOException e) {
-        // Cut is what was wanted.
+        // Closing was the purpose.
         connections.remove(this);
       }
     }
@@ -471,7 +473,7 @@
           serveCommands();
         }
       } catch (IOException e) {
-        // The peer is gone or was cut off; its queued commands go on, as those of a real server may.
+        // The connection is closed; its queued commands are still executed, as a real server may do.
         connections.remove(this);
       } finally {
         connections.remove(this);
@@ -498,8 +500,8 @@
         byte[] data = in.readNBytes(length);
         if (option == Nbd.OPT_EXPORT_NAME) {
           export = export(new String(data, StandardCharsets.UTF_8));
-          ByteBuffer b = ByteBuffer.allocate((flags & Nbd.FLAG_NO_ZEROES) != 0 ? 10 : 134);
-          send(b.putLong(config.shardBytes()).putShort(flags()).array());
+          ByteBuffer reply = ByteBuffer.allocate((flags & Nbd.FLAG_NO_ZEROES) != 0 ? 10 : 134);
+          send(reply.putLong(config.shardBytes()).putShort(flags()).array());
           return true;
         }
         if (option == Nbd.OPT_ABORT) {
@@ -517,24 +519,27 @@
           | Nbd.CAN_MULTI_CONN);
     }
 
-    private boolean handleOption(int option, ByteBuffer d) throws IOException {
+    private boolean handleOption(int option, ByteBuffer data) throws IOException {
       switch (option) {
         case Nbd.OPT_STRUCTURED_REPLY -> { structured = true; reply(option, Nbd.REP_ACK, new byte[0]); }
         case Nbd.OPT_LIST -> {
           for (String name : exports.keySet()) {
-            byte[] n = name.getBytes(StandardCharsets.UTF_8);
-            reply(option, Nbd.REP_SERVER, ByteBuffer.allocate(4 + n.length).putInt(n.length).put(n).array());
+            byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
+            reply(option, Nbd.REP_SERVER, ByteBuffer.allocate(4 + bytes.length)
+                .putInt(bytes.length)
+                .put(bytes)
+                .array());
           }
           reply(option, Nbd.REP_ACK, new byte[0]);
         }
-        case Nbd.OPT_SET_META_CONTEXT, Nbd.OPT_LIST_META_CONTEXT -> metaContexts(option, d);
+        case Nbd.OPT_SET_META_CONTEXT, Nbd.OPT_LIST_META_CONTEXT -> metaContexts(option, data);
         case Nbd.OPT_INFO, Nbd.OPT_GO -> {
-          String name = readText(d);
+          String name = readText(data);
           if (name == null) {
             reply(option, Nbd.REP_ERR_INVALID, new byte[0]);
             return false;
           }
-          Export m = export(name);
+          Export requested = export(name);
           reply(option, Nbd.REP_INFO, ByteBuffer.allocate(12)
               .putShort((short) Nbd.INFO_EXPORT)
               .putLong(config.shardBytes())
@@ -542,7 +547,7 @@
               .array());
           reply(option, Nbd.REP_ACK, new byte[0]);
           if (option == Nbd.OPT_GO) {
-            export = m;
+            export = requested;
             return true;
           }
         }
@@ -551,33 +556,32 @@
       return false;
     }
 
-    /** Sets contexts, or, without an effect, lists them. */
-    private void metaContexts(int option, ByteBuffer d) throws IOException {
-      boolean sets = option == Nbd.OPT_SET_META_CONTEXT;
-      if (sets) {
+    /** Sets or only lists metadata contexts. */
+    private void metaContexts(int option, ByteBuffer data) throws IOException {
+      boolean setting = option == Nbd.OPT_SET_META_CONTEXT;
+      if (setting) {
         metaContexts.clear();
       }
-      String export = readText(d);
-      if (export == null || d.remaining() < 4) {
+      String export = readText(data);
+      if (export == null || data.remaining() < 4) {
         reply(option, Nbd.REP_ERR_INVALID, new byte[0]);
         return;
       }
-      int queries = d.getInt();
-      for (int i = 0; i < queries && d.hasRemaining(); i++) {
-        String query = readText(d);
-        Fence f = query == null || !config.supportsContexts() ? null : Fence.parse(query);
-        if (f != null && sets) {
+      int queries = data.getInt();
+      for (int i = 0; i < queries && data.hasRemaining(); i++) {
+        String query = readText(data);
+        Fence requestedFence = query == null || !config.supportsContexts() ? null : Fence.parse(query);
+        if (requestedFence != null && setting) {
           synchronized (newestFences) {
-            fence = f;
-            newestFences.merge(f.client(), f, Fence::orNewer);
+            fence = requestedFence;
+            newestFences.merge(requestedFence.client(), requestedFence, Fence::orNewer);
           }
           addMetaContext(option, 2, query);
         } else if (config.supportsContexts() && Nbd.CONTEXT_LOAD.equals(query)) {
           addMetaContext(option, 1, query);
         } else if (config.supportsContexts() && query != null && query.startsWith(Nbd.CONTEXT_EPOCH)) {
-          addMetaContext(option, 3, Fence.answer(query.substring(Nbd.CONTEXT_EPOCH.length()), nodeView(query
-              .substring(
-                  Nbd.CONTEXT_EPOCH.length()))));
+          addMetaContext(option, 3, Fence.answer(query.substring(Nbd.CONTEXT_EPOCH.length()),
+              nodeView(query.substring(Nbd.CONTEXT_EPOCH.length()))));
         }
       }
       reply(option, Nbd.REP_ACK, new byte[0]);
@@ -594,16 +598,16 @@
           .array());
     }
 
-    private String readText(ByteBuffer d) {
-      if (d.remaining() < 4) {
+    private String readText(ByteBuffer data) {
+      if (data.remaining() < 4) {
         return null;
       }
-      int n = d.getInt();
-      if (n < 0 || n > d.remaining()) {
+      int length = data.getInt();
+      if (length < 0 || length > data.remaining()) {
         return null;
       }
-      byte[] bytes = new byte[n];
-      d.get(bytes);
+      byte[] bytes = new byte[length];
+      data.get(bytes);
       return new String(bytes, StandardCharsets.UTF_8);
     }
 
@@ -666,46 +670,46 @@
                 queuedCount,
                 queuedCount, config.model().baseUs()}
             : new long[]{0};
-        ByteBuffer b = ByteBuffer.allocate(20 + 4 + 8 * values.length);
-        b.putInt(Nbd.STRUCTURED_REPLY)
+        ByteBuffer chunk = ByteBuffer.allocate(20 + 4 + 8 * values.length);
+        chunk.putInt(Nbd.STRUCTURED_REPLY)
             .putShort((short) (id == last ? Nbd.CHUNK_DONE : 0))
             .putShort((short) Nbd.CHUNK_BLOCK_STATUS)
             .putLong(cookie)
             .putInt(4 + 8 * values.length)
             .putInt(id);
-        for (long v : values) {
-          b.putInt(Nbd.LOAD_STEP).putInt((int) v);
+        for (long value : values) {
+          chunk.putInt(Nbd.LOAD_STEP).putInt((int) value);
         }
-        send(b.array());
+        send(chunk.array());
       }
       flush();
     }
 
     void sendError(long cookie, int error, String message) {
-      byte[] m = message.getBytes(StandardCharsets.UTF_8);
-      ByteBuffer b;
+      byte[] text = message.getBytes(StandardCharsets.UTF_8);
+      ByteBuffer reply;
       if (structured) {
-        b = ByteBuffer.allocate(26 + m.length)
+        reply = ByteBuffer.allocate(26 + text.length)
             .putInt(Nbd.STRUCTURED_REPLY)
             .putShort((short) Nbd.CHUNK_DONE)
             .putShort((short) Nbd.CHUNK_ERROR)
             .putLong(cookie)
-            .putInt(6 + m.length)
+            .putInt(6 + text.length)
             .putInt(error)
-            .putShort((short) m.length)
-            .put(m);
+            .putShort((short) text.length)
+            .put(text);
       } else {
-        b = ByteBuffer.allocate(16).putInt(Nbd.SIMPLE_REPLY).putInt(error).putLong(cookie);
+        reply = ByteBuffer.allocate(16).putInt(Nbd.SIMPLE_REPLY).putInt(error).putLong(cookie);
       }
-      sendOrDisconnect(b.array());
+      sendOrDisconnect(reply.array());
     }
 
     void sendReply(Job job, byte[] data, boolean reset) {
       byte[] reply = reply(job, data);
-      int half = faults.truncatedReplyBytes;
-      if (half > 0 && data != null) {
+      int truncated = faults.truncatedReplyBytes;
+      if (truncated > 0 && data != null) {
         faults.truncatedReplyBytes = 0;
-        sendOrDisconnect(java.util.Arrays.copyOf(reply, half));
+        sendOrDisconnect(java.util.Arrays.copyOf(reply, truncated));
       } else if (reset) {
         sendOrDisconnect(java.util.Arrays.copyOf(reply, reply.length / 2));
         disconnect();
@@ -718,32 +722,33 @@
     }
 
     private byte[] reply(Job job, byte[] data) {
-      Faults.ProtocolViolation malice = faults.protocolViolation;
-      long cookie = malice == Faults.ProtocolViolation.UNKNOWN_COOKIE ? ~job.cookie : job.cookie;
-      int n = data == null ? 0 : data.length;
-      int claimed = malice == Faults.ProtocolViolation.OVERSIZE ? n + 512 : n;
+      Faults.ProtocolViolation violation = faults.protocolViolation;
+      long cookie = violation == Faults.ProtocolViolation.UNKNOWN_COOKIE ? ~job.cookie : job.cookie;
+      int length = data == null ? 0 : data.length;
+      int claimed = violation == Faults.ProtocolViolation.OVERSIZE ? length + 512 : length;
       if (!structured) {
-        return ByteBuffer.allocate(16 + n)
+        return ByteBuffer.allocate(16 + length)
             .putInt(Nbd.SIMPLE_REPLY)
             .putInt(0)
             .putLong(cookie)
             .put(data == null ? new byte[0] : data)
             .array();
       }
-      int magic = malice == Faults.ProtocolViolation.BAD_MAGIC ? 0x12345678 : Nbd.STRUCTURED_REPLY;
-      ByteBuffer b = ByteBuffer.allocate(20 + (data == null ? 0 : 8 + claimed));
-      b.putInt(magic)
+      int magic = violation == Faults.ProtocolViolation.BAD_MAGIC ? 0x12345678 : Nbd.STRUCTURED_REPLY;
+      ByteBuffer chunk = ByteBuffer.allocate(20 + (data == null ? 0 : 8 + claimed));
+      chunk.putInt(magic)
           .putShort((short) Nbd.CHUNK_DONE)
           .putShort((short) (data == null ? Nbd.CHUNK_NONE : Nbd.CHUNK_DATA))
           .putLong(cookie)
           .putInt(data == null ? 0 : 8 + claimed);
       if (data != null) {
-        b.putLong(malice == Faults.ProtocolViolation.WRONG_OFFSET ? job.offset + 1 : job.offset).put(data);
+        chunk.putLong(violation == Faults.ProtocolViolation.WRONG_OFFSET ? job.offset + 1 : job.offset)
+            .put(data);
       }
-      return b.array();
+      return chunk.array();
     }
 
-    /** Sends from any thread; a peer that is gone needs nothing. */
+    /** Sends from any thread; on failure, closes the connection. */
     private void sendOrDisconnect(byte[] bytes) {
       try {
         send(bytes);
--- a/src/main/java/hollyslip/standin/Faults.java
+++ b/src/main/java/hollyslip/standin/Faults.java
@@ -1,35 +1,36 @@
 package hollyslip.standin;
 
-/** What goes wrong at a disk server at present; changed while it runs. All parts are chances from 0 to 1. */
+/** The faults that a disk server currently simulates; they can be changed while it runs. Rates are
+ * probabilities from 0 to 1. */
 public final class Faults {
-  /** Takes commands and does nothing with them. */
+  /** Accepts commands without executing or answering them. */
   public volatile boolean silent;
-  /** Refuses new work with ESHUTDOWN. */
+  /** Refuses new commands with ESHUTDOWN. */
   public volatile boolean draining;
-  /** Answers as if its queue were full. */
+  /** Refuses new commands as if the queue were full. */
   public volatile boolean full;
-  /** Does the work, throws the answer away. */
+  /** Rate of commands that are executed but not answered. */
   public volatile double loseAnswers;
-  /** Answers with EIO without doing the work. */
+  /** Rate of commands that are answered with EIO and not executed. */
   public volatile double errors;
-  /** Cuts the connection in the middle of a reply. */
+  /** Rate of replies in the middle of which the connection is closed. */
   public volatile double resetRate;
-  /** Writes are done this much later than they should be and go on when their connection is gone, us. */
+  /** Additional delay of writes, us; they take effect even if their connection is closed meanwhile. */
   public volatile long lateWriteUs;
-  /** Sends so many bytes of the next read's reply and then nothing more; 0: off. */
+  /** Number of bytes to send of the next read's reply, and nothing after them; 0: off. */
   public volatile int truncatedReplyBytes;
-  /** This part of the commands costs {@link #heavyFactor} times the work. */
+  /** Rate of commands that take {@link #heavyFactor} times as long. */
   public volatile double heavyPart;
   public volatile double heavyFactor = 1;
-  /** The next replies go wrong on purpose. */
+  /** How replies violate the protocol. */
   public volatile ProtocolViolation protocolViolation = ProtocolViolation.NONE;
 
-  /** Ways to break the protocol. */
+  /** Ways to violate the protocol. */
   public enum ProtocolViolation {
     NONE, UNKNOWN_COOKIE, TWICE, OVERSIZE, BAD_MAGIC, WRONG_OFFSET
   }
 
-  /** Ends all faults. */
+  /** Stops all faults. */
   public void clear() {
     silent = false;
     draining = false;
--- a/src/main/java/hollyslip/standin/ServiceModel.java
+++ b/src/main/java/hollyslip/standin/ServiceModel.java
@@ -2,28 +2,28 @@
 
 import java.util.SplittableRandom;
 
-/** How long a disk server takes: cores that serve one command each, a queue with a bound in turn of arrival,
- * a cold start, pauses and a factor for slow days. Free of I/O and clock; drawn from a seed. Not safe for
- * several threads. */
+/** Model of a disk server's service times: cores that each serve one command at a time, a bounded FIFO queue,
+ * a cold start, pauses and a slowdown factor. It does no I/O and reads no clock; its random values come from
+ * a seed. Not thread-safe. */
 public final class ServiceModel {
-  /** What it is built from.
+  /** Parameters of the model.
    *
    * @param cores
-   *          commands served at once; 0: all at once, without any time
+   *          number of commands served at a time; 0: unlimited, without service times
    * @param queueLimit
-   *          commands that may wait
+   *          maximum number of queued commands
    * @param baseUs
-   *          work of a command, us
+   *          service time of a command, us
    * @param perKibUs
-   *          work of each KiB more, us
+   *          additional service time per KiB, us
    * @param jitter
-   *          part by which the work varies, up and down
+   *          fraction by which the service time varies, up and down
    * @param coldFrom
-   *          part of its speed at a start
+   *          fraction of full speed at the start
    * @param coldUs
-   *          time until it is warm, us
+   *          time until full speed, us
    * @param pauseIntervalUs
-   *          between two pauses, us; 0: none
+   *          interval between pauses, us; 0: no pauses
    * @param pauseUs
    *          length of a pause, us */
   public record Config(int cores, int queueLimit, long baseUs, long perKibUs, double jitter, double coldFrom,
@@ -32,8 +32,8 @@
     public static final Config PLAIN = new Config(0, Integer.MAX_VALUE, 0, 0, 0, 1, 0, 0, 0);
   }
 
-  /** A timed server's: cores that take {@code baseUs} a command, give or take three tenths, a fifth of the
-   * speed at a start and all of it after five seconds. */
+  /** Returns the parameters of a server with service times of {@code baseUs} plus or minus 30 %, a fifth of
+   * the speed at the start and full speed after five seconds. */
   public static Config timed(int cores, int queue, long baseUs) {
     return new Config(cores, queue, baseUs, 0, 0.3, 0.2, 5_000_000, 0, 0);
   }
@@ -60,13 +60,13 @@
     slow = factor;
   }
 
-  /** Serves nothing until then. */
+  /** Serves nothing until the given time. */
   public void stall(long until) {
     stalledUntilUs = until;
   }
 
-  /** When a command of so many bytes that comes now is done, or -1: the queue is full. {@code held}: those
-   * that it holds already. */
+  /** Returns when a command of {@code bytes} that arrives now will be done, or -1 if the queue is full.
+   * {@code held}: number of commands in the server already. */
   public long doneAt(long now, long bytes, int held, double heavyPart, double heavyFactor) {
     if (config.cores() > 0 && held >= config.cores() + config.queueLimit()) {
       return -1;
