--- a/src/main/java/hollyslip/cli/ReplayCommand.java
+++ b/src/main/java/hollyslip/cli/ReplayCommand.java
@@ -10,23 +10,23 @@
 import picocli.CommandLine.Parameters;
 
 /** Plays a day file through real gateways. */
-@Command(name = "replay", mixinStandardHelpOptions = true, description = "Plays a day file (docs/replay.md) in real time through real gateways on stand-ins, audits it, and ends with 1 if a rule was broken.")
+@Command(name = "replay", mixinStandardHelpOptions = true, description = "Plays a day file (docs/replay.md) in real time through real gateways on stand-ins, audits it, and exits with 1 if a rule was broken.")
 final class ReplayCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE", description = "day file")
   Path file;
-  @Option(names = "--dir", description = "folder for records and logs; a fresh temporary one if not given")
+  @Option(names = "--dir", description = "directory for records and logs; default: a new temporary directory")
   Path dir;
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    Logs.to(Logs.Form.text, ch.qos.logback.classic.Level.WARN);
+    LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.WARN);
     Day day;
     try {
       day = Day.parse(Files.readString(file));
     } catch (Day.Wrong e) {
       System.err.println(file + ": " + e.getMessage());
-      return Main.WRONG;
+      return Main.EXIT_USAGE;
     }
-    return Days.play(day, dir);
+    return DayPlayback.play(day, dir);
   }
 }
--- a/src/main/java/hollyslip/settings/Operators.java
+++ b/src/main/java/hollyslip/settings/Operators.java
@@ -2,157 +2,159 @@
 
 import hollyslip.settings.Evaluator.Callable;
 import hollyslip.settings.Evaluator.Dict;
-import hollyslip.settings.Evaluator.Items;
-import hollyslip.settings.ScriptError.Place;
+import hollyslip.settings.Evaluator.Sequence;
+import hollyslip.settings.ScriptError.Location;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 
-/** Operators and methods of values. Source: the Starlark specification, "Expressions" and "Built-in
- * methods". */
+/** Operators on values, and methods of lists and dicts. Source: the Starlark specification, "Expressions" and
+ * "Built-in methods". */
 final class Operators {
   private Operators() {}
 
-  static String type(Object v) {
-    return v == null
+  static String typeName(Object value) {
+    return value == null
         ? "NoneType"
-        : v instanceof Boolean
+        : value instanceof Boolean
             ? "bool"
-            : v instanceof Long
+            : value instanceof Long
                 ? "int"
-                : v instanceof Double
+                : value instanceof Double
                     ? "float"
-                    : v instanceof String
+                    : value instanceof String
                         ? "string"
-                        : v instanceof Items i
-                            ? i.tuple ? "tuple" : "list"
-                            : v instanceof Dict ? "dict" : "function";
+                        : value instanceof Sequence sequence
+                            ? sequence.tuple ? "tuple" : "list"
+                            : value instanceof Dict ? "dict" : "function";
   }
 
-  static ScriptError wrong(Place place, String what, Object... values) {
+  static ScriptError typeError(Location location, String operation, Object... values) {
     List<String> types = new ArrayList<>();
-    for (Object v : values) {
-      types.add(type(v));
+    for (Object value : values) {
+      types.add(typeName(value));
     }
-    return new ScriptError(place, what + " does not go with " + String.join(" and ", types));
+    return new ScriptError(location, operation + " is not supported for " + String.join(" and ", types));
   }
 
-  static List<Object> items(Place place, Object v) {
-    if (v instanceof Items i) {
-      return new ArrayList<>(i.all);
+  static List<Object> elements(Location location, Object value) {
+    if (value instanceof Sequence sequence) {
+      return new ArrayList<>(sequence.elements);
     }
-    if (v instanceof Dict d) {
-      return new ArrayList<>(d.all.keySet());
+    if (value instanceof Dict dict) {
+      return new ArrayList<>(dict.entries.keySet());
     }
-    throw wrong(place, "going through it", v);
+    throw typeError(location, "iteration", value);
   }
 
-  static Object sign(Place place, String op, Object v) {
-    if (v instanceof Long n) {
-      return op.equals("-") ? exact(place, () -> Math.negateExact(n)) : n;
+  static Object unary(Location location, String op, Object operand) {
+    if (operand instanceof Long integer) {
+      return op.equals("-") ? checkOverflow(location, () -> Math.negateExact(integer)) : integer;
     }
-    if (v instanceof Double d) {
-      return op.equals("-") ? -d : d;
+    if (operand instanceof Double floating) {
+      return op.equals("-") ? -floating : floating;
     }
-    throw wrong(place, "'" + op + "'", v);
+    throw typeError(location, "'" + op + "'", operand);
   }
 
-  private static Object exact(Place place, java.util.function.Supplier<Long> of) {
+  private static Object checkOverflow(Location location, java.util.function.Supplier<Long> operation) {
     try {
-      return of.get();
+      return operation.get();
     } catch (ArithmeticException e) {
-      throw new ScriptError(place, "result is not a number of 64 bits");
+      throw new ScriptError(location, "result does not fit into 64 bits");
     }
   }
 
-  static Object binary(Place place, String op, Object a, Object b) {
+  static Object binary(Location location, String op, Object a, Object b) {
     switch (op) {
       case "==" :
-        return Evaluator.same(a, b);
+        return Evaluator.areEqual(a, b);
       case "!=" :
-        return !Evaluator.same(a, b);
+        return !Evaluator.areEqual(a, b);
       case "in" :
-        return in(place, a, b);
+        return contains(location, a, b);
       case "not in" :
-        return !in(place, a, b);
+        return !contains(location, a, b);
       case "<" :
-        return compare(place, a, b) < 0;
+        return compare(location, a, b) < 0;
       case ">" :
-        return compare(place, a, b) > 0;
+        return compare(location, a, b) > 0;
       case "<=" :
-        return compare(place, a, b) <= 0;
+        return compare(location, a, b) <= 0;
       case ">=" :
-        return compare(place, a, b) >= 0;
+        return compare(location, a, b) >= 0;
       default :
-        return arithmetic(place, op, a, b);
+        return arithmetic(location, op, a, b);
     }
   }
 
-  private static Object arithmetic(Place place, String op, Object a, Object b) {
+  private static Object arithmetic(Location location, String op, Object a, Object b) {
     if (a instanceof Long x && b instanceof Long y && !op.equals("/")) {
-      return integers(place, op, x, y);
+      return integerArithmetic(location, op, x, y);
     }
     if (a instanceof Number x && b instanceof Number y) {
-      return floats(place, op, x.doubleValue(), y.doubleValue());
+      return floatArithmetic(location, op, x.doubleValue(), y.doubleValue());
     }
     if (op.equals("+") && a instanceof String x && b instanceof String y) {
       return x + y;
     }
-    if (op.equals("+") && a instanceof Items x && b instanceof Items y && x.tuple == y.tuple) {
-      List<Object> all = new ArrayList<>(x.all);
-      all.addAll(y.all);
-      return new Items(all, x.tuple);
+    if (op.equals("+") && a instanceof Sequence x && b instanceof Sequence y && x.tuple == y.tuple) {
+      List<Object> all = new ArrayList<>(x.elements);
+      all.addAll(y.elements);
+      return new Sequence(all, x.tuple);
     }
     if (op.equals("*") && a instanceof Long && !(b instanceof Long)) {
-      return arithmetic(place, op, b, a);
+      return arithmetic(location, op, b, a);
     }
     if (op.equals("*") && b instanceof Long n) {
-      return repeat(place, a, n);
+      return repeat(location, a, n);
     }
     if (op.equals("%") && a instanceof String s) {
-      return Builtins.percent(place, s, b instanceof Items i && i.tuple ? i.all : java.util.Arrays.asList(b));
+      return Builtins.formatPercent(location, s, b instanceof Sequence i && i.tuple
+          ? i.elements
+          : java.util.Arrays.asList(b));
     }
-    throw wrong(place, "'" + op + "'", a, b);
+    throw typeError(location, "'" + op + "'", a, b);
   }
 
-  private static Object repeat(Place place, Object a, long n) {
-    long times = Math.max(0, n);
-    if (a instanceof String s) {
-      if (times * s.length() > 1 << 20 || times > 1 << 20) {
-        throw new ScriptError(place, "a value larger than a script may make");
+  private static Object repeat(Location location, Object value, long count) {
+    long times = Math.max(0, count);
+    if (value instanceof String text) {
+      if (times * text.length() > 1 << 20 || times > 1 << 20) {
+        throw new ScriptError(location, "value is too large");
       }
-      return s.repeat((int) times);
+      return text.repeat((int) times);
     }
-    if (a instanceof Items i) {
-      if (times * i.all.size() > 200_000 || times > 200_000) {
-        throw new ScriptError(place, "a value larger than a script may make");
+    if (value instanceof Sequence sequence) {
+      if (times * sequence.elements.size() > 200_000 || times > 200_000) {
+        throw new ScriptError(location, "value is too large");
       }
-      List<Object> all = new ArrayList<>();
+      List<Object> repeated = new ArrayList<>();
       for (long k = 0; k < times; k++) {
-        all.addAll(i.all);
+        repeated.addAll(sequence.elements);
       }
-      return new Items(all, i.tuple);
+      return new Sequence(repeated, sequence.tuple);
     }
-    throw wrong(place, "'*'", a, n);
+    throw typeError(location, "'*'", value, count);
   }
 
-  private static Object integers(Place place, String op, long x, long y) {
+  private static Object integerArithmetic(Location location, String op, long x, long y) {
     if ((op.equals("//") || op.equals("%")) && y == 0) {
-      throw new ScriptError(place, "division by zero");
+      throw new ScriptError(location, "division by zero");
     }
-    return exact(place, () -> switch (op) {
+    return checkOverflow(location, () -> switch (op) {
       case "+" -> Math.addExact(x, y);
       case "-" -> Math.subtractExact(x, y);
       case "*" -> Math.multiplyExact(x, y);
       case "//" -> Math.floorDiv(x, y);
       case "%" -> Math.floorMod(x, y);
-      default -> throw wrong(place, "'" + op + "'", x, y);
+      default -> throw typeError(location, "'" + op + "'", x, y);
     });
   }
 
-  private static Object floats(Place place, String op, double x, double y) {
+  private static Object floatArithmetic(Location location, String op, double x, double y) {
     if (op.contains("/") && y == 0) {
-      throw new ScriptError(place, "division by zero");
+      throw new ScriptError(location, "division by zero");
     }
     return switch (op) {
       case "+" -> x + y;
@@ -161,11 +163,11 @@
       case "/" -> x / y;
       case "//" -> Math.floor(x / y);
       case "%" -> x - Math.floor(x / y) * y;
-      default -> throw wrong(place, "'" + op + "'", x, y);
+      default -> throw typeError(location, "'" + op + "'", x, y);
     };
   }
 
-  static int compare(Place place, Object a, Object b) {
+  static int compare(Location location, Object a, Object b) {
     if (a instanceof Long x && b instanceof Long y) {
       return x.compareTo(y);
     }
@@ -175,118 +177,121 @@
     if (a instanceof String x && b instanceof String y) {
       return x.compareTo(y);
     }
-    if (a instanceof Items x && b instanceof Items y) {
-      for (int i = 0; i < Math.min(x.all.size(), y.all.size()); i++) {
-        if (!Evaluator.same(x.all.get(i), y.all.get(i))) {
-          return compare(place, x.all.get(i), y.all.get(i));
+    if (a instanceof Sequence x && b instanceof Sequence y) {
+      for (int i = 0; i < Math.min(x.elements.size(), y.elements.size()); i++) {
+        if (!Evaluator.areEqual(x.elements.get(i), y.elements.get(i))) {
+          return compare(location, x.elements.get(i), y.elements.get(i));
         }
       }
-      return Integer.compare(x.all.size(), y.all.size());
+      return Integer.compare(x.elements.size(), y.elements.size());
     }
-    throw wrong(place, "a comparison", a, b);
+    throw typeError(location, "comparison", a, b);
   }
 
-  private static boolean in(Place place, Object a, Object b) {
-    if (b instanceof String s && a instanceof String part) {
-      return s.contains(part);
+  private static boolean contains(Location location, Object element, Object container) {
+    if (container instanceof String text && element instanceof String part) {
+      return text.contains(part);
     }
-    if (b instanceof Dict d) {
-      return d.all.containsKey(a);
+    if (container instanceof Dict dict) {
+      return dict.entries.containsKey(element);
     }
-    return items(place, b).stream().anyMatch(i -> Evaluator.same(i, a));
+    return elements(location, container).stream().anyMatch(other -> Evaluator.areEqual(other, element));
   }
 
-  static Object index(Place place, Object of, Object index) {
-    if (of instanceof Dict d) {
-      if (!d.all.containsKey(index)) {
-        throw new ScriptError(place, "the dict has no key " + Builtins.repr(index));
+  static Object getIndex(Location location, Object object, Object index) {
+    if (object instanceof Dict dict) {
+      if (!dict.entries.containsKey(index)) {
+        throw new ScriptError(location, "the dict has no key " + Builtins.repr(index));
       }
-      return d.all.get(index);
+      return dict.entries.get(index);
     }
-    if (index instanceof Long n && of instanceof Items i) {
-      return i.all.get(place(place, n, i.all.size()));
+    if (index instanceof Long number && object instanceof Sequence sequence) {
+      return sequence.elements.get(elementIndex(location, number, sequence.elements.size()));
     }
-    if (index instanceof Long n && of instanceof String s) {
-      int k = place(place, n, s.length());
-      return s.substring(k, k + 1);
+    if (index instanceof Long number && object instanceof String text) {
+      int position = elementIndex(location, number, text.length());
+      return text.substring(position, position + 1);
     }
-    throw wrong(place, "an index", of, index);
+    throw typeError(location, "indexing", object, index);
   }
 
-  private static int place(Place place, long n, int size) {
-    long k = n < 0 ? n + size : n;
-    if (k < 0 || k >= size) {
-      throw new ScriptError(place, "index " + n + " of " + size);
+  private static int elementIndex(Location location, long index, int size) {
+    long position = index < 0 ? index + size : index;
+    if (position < 0 || position >= size) {
+      throw new ScriptError(location, "index " + index + " is out of range for length " + size);
     }
-    return (int) k;
+    return (int) position;
   }
 
-  static Object slice(Place place, Object of, Object from, Object to) {
-    int size = of instanceof String s ? s.length() : of instanceof Items i ? i.all.size() : -1;
-    if (size < 0 || from != null && !(from instanceof Long) || to != null && !(to instanceof Long)) {
-      throw wrong(place, "a slice", of);
-    }
-    int a = bound(from, size, 0);
-    int b = Math.max(a, bound(to, size, size));
-    return of instanceof String s
-        ? s.substring(a, b)
-        : new Items(new ArrayList<>(((Items) of).all.subList(a, b)), ((Items) of).tuple);
+  static Object slice(Location location, Object object, Object start, Object end) {
+    int size = object instanceof String text
+        ? text.length()
+        : object instanceof Sequence sequence ? sequence.elements.size() : -1;
+    if (size < 0 || start != null && !(start instanceof Long) || end != null && !(end instanceof Long)) {
+      throw typeError(location, "slicing", object);
+    }
+    int first = sliceBound(start, size, 0);
+    int last = Math.max(first, sliceBound(end, size, size));
+    return object instanceof String text
+        ? text.substring(first, last)
+        : new Sequence(new ArrayList<>(((Sequence) object).elements.subList(first, last)),
+            ((Sequence) object).tuple);
   }
 
-  private static int bound(Object n, int size, int standard) {
-    if (n == null) {
-      return standard;
+  private static int sliceBound(Object index, int size, int defaultBound) {
+    if (index == null) {
+      return defaultBound;
     }
-    long k = (Long) n < 0 ? (Long) n + size : (Long) n;
-    return (int) Math.max(0, Math.min(size, k));
+    long position = (Long) index < 0 ? (Long) index + size : (Long) index;
+    return (int) Math.max(0, Math.min(size, position));
   }
 
-  static void store(Place place, Object of, Object index, Object value) {
-    if (of instanceof Dict d) {
-      if (d.frozen) {
-        throw new ScriptError(place, "the dict is frozen");
+  static void setIndex(Location location, Object object, Object index, Object value) {
+    if (object instanceof Dict dict) {
+      if (dict.frozen) {
+        throw new ScriptError(location, "the dict is frozen");
       }
-      if (index instanceof Dict || index instanceof Items i && !i.tuple) {
-        throw new ScriptError(place, type(index) + " cannot be a key");
+      if (index instanceof Dict || index instanceof Sequence sequence && !sequence.tuple) {
+        throw new ScriptError(location, typeName(index) + " cannot be a dict key");
       }
-      d.all.put(index, value);
-    } else if (of instanceof Items i && !i.tuple && index instanceof Long n) {
-      if (i.frozen) {
-        throw new ScriptError(place, "the list is frozen");
+      dict.entries.put(index, value);
+    } else if (object instanceof Sequence sequence && !sequence.tuple && index instanceof Long number) {
+      if (sequence.frozen) {
+        throw new ScriptError(location, "the list is frozen");
       }
-      i.all.set(place(place, n, i.all.size()), value);
+      sequence.elements.set(elementIndex(location, number, sequence.elements.size()), value);
     } else {
-      throw wrong(place, "an assignment to an index", of, index);
+      throw typeError(location, "assignment to an index", object, index);
     }
   }
 
-  /** A method of a value, bound to it. */
-  static Object method(Place place, Object of, String name) {
-    Callable m = of instanceof String s
-        ? Builtins.stringMethod(s, name)
-        : of instanceof Items i && !i.tuple
-            ? listMethod(i, name)
-            : of instanceof Dict d ? dictMethod(d, name) : null;
-    if (m == null) {
-      throw new ScriptError(place, type(of) + " has no method " + name);
-    }
-    return m;
+  /** Returns a method bound to its object. */
+  static Object boundMethod(Location location, Object object, String name) {
+    Callable method = object instanceof String text
+        ? Builtins.stringMethod(text, name)
+        : object instanceof Sequence sequence && !sequence.tuple
+            ? listMethod(sequence, name)
+            : object instanceof Dict dict ? dictMethod(dict, name) : null;
+    if (method == null) {
+      throw new ScriptError(location, typeName(object) + " has no method " + name);
+    }
+    return method;
   }
 
-  private static Callable listMethod(Items i, String name) {
+  private static Callable listMethod(Sequence list, String name) {
     return switch (name) {
-      case "append" -> (p, a, n) -> {
-        Builtins.count(p, "append", a, 1, 1);
-        thaw(p, i);
-        i.all.add(a.get(0));
+      case "append" -> (location, arguments, named) -> {
+        Builtins.checkArgumentCount(location, "append", arguments, 1, 1);
+        requireMutable(location, list);
+        list.elements.add(arguments.get(0));
         return null;
       };
-      case "extend" -> (p, a, n) -> {
-        Builtins.count(p, "extend", a, 1, 1);
-        thaw(p, i);
-        i.all.addAll(items(p, a.get(0)));
-        if (i.all.size() > 200_000) {
-          throw new ScriptError(p, "a value larger than a script may make");
+      case "extend" -> (location, arguments, named) -> {
+        Builtins.checkArgumentCount(location, "extend", arguments, 1, 1);
+        requireMutable(location, list);
+        list.elements.addAll(elements(location, arguments.get(0)));
+        if (list.elements.size() > 200_000) {
+          throw new ScriptError(location, "value is too large");
         }
         return null;
       };
@@ -294,26 +299,31 @@
     };
   }
 
-  private static void thaw(Place place, Items i) {
-    if (i.frozen) {
-      throw new ScriptError(place, "the list is frozen");
+  private static void requireMutable(Location location, Sequence list) {
+    if (list.frozen) {
+      throw new ScriptError(location, "the list is frozen");
     }
   }
 
-  private static Callable dictMethod(Dict d, String name) {
+  private static Callable dictMethod(Dict dict, String name) {
     return switch (name) {
-      case "get" -> (p, a, n) -> {
-        Builtins.count(p, "get", a, 1, 2);
-        return d.all.containsKey(a.get(0)) ? d.all.get(a.get(0)) : a.size() > 1 ? a.get(1) : null;
+      case "get" -> (location, arguments, named) -> {
+        Builtins.checkArgumentCount(location, "get", arguments, 1, 2);
+        return dict.entries.containsKey(arguments.get(0))
+            ? dict.entries.get(arguments.get(0))
+            : arguments.size() > 1 ? arguments.get(1) : null;
       };
-      case "keys" -> (p, a, n) -> new Items(new ArrayList<>(d.all.keySet()), false);
-      case "values" -> (p, a, n) -> new Items(new ArrayList<>(d.all.values()), false);
-      case "items" -> (p, a, n) -> {
+      case "keys" -> (location, arguments, named) -> new Sequence(new ArrayList<>(dict.entries.keySet()),
+          false);
+      case "values" -> (location, arguments, named) -> new Sequence(new ArrayList<>(dict.entries.values()),
+          false);
+      case "items" -> (location, arguments, named) -> {
         List<Object> pairs = new ArrayList<>();
-        for (Map.Entry<Object, Object> e : d.all.entrySet()) {
-          pairs.add(new Items(new ArrayList<>(java.util.Arrays.asList(e.getKey(), e.getValue())), true));
+        for (Map.Entry<Object, Object> entry : dict.entries.entrySet()) {
+          pairs.add(new Sequence(new ArrayList<>(java.util.Arrays.asList(entry.getKey(), entry.getValue())),
+              true));
         }
-        return new Items(pairs, false);
+        return new Sequence(pairs, false);
       };
       default -> null;
     };
--- a/src/main/java/hollyslip/settings/ScriptError.java
+++ b/src/main/java/hollyslip/settings/ScriptError.java
@@ -3,40 +3,40 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A fault of a settings script: what, where, and through which calls. */
+/** An error in a settings script, with its location and the calls that led to it. */
 public final class ScriptError extends RuntimeException {
-  private final List<String> calls = new ArrayList<>();
-  private final Place place;
+  private final List<String> callers = new ArrayList<>();
+  private final Location location;
 
-  /** A place in a file; lines and columns count from 1. */
-  public record Place(String file, int line, int column) {
+  /** A position in a file; lines and columns count from 1. */
+  public record Location(String file, int line, int column) {
     @Override
     public String toString() {
       return file + ":" + line + ":" + column;
     }
   }
 
-  ScriptError(Place place, String what) {
-    super(what);
-    this.place = place;
+  ScriptError(Location location, String message) {
+    super(message);
+    this.location = location;
   }
 
-  /** The call of a function at a place passes this on. */
-  ScriptError through(String function, Place at) {
-    if (calls.size() < 20) {
-      calls.add("  called from " + at + " (" + function + ")");
+  /** Records that the error passed through a call of {@code function}; at most 20 calls are kept. */
+  ScriptError addCaller(String function, Location callLocation) {
+    if (callers.size() < 20) {
+      callers.add("  called from " + callLocation + " (" + function + ")");
     }
     return this;
   }
 
-  public Place place() {
-    return place;
+  public Location location() {
+    return location;
   }
 
-  /** {@code file:line:column: what}, then a line for each call on the way. */
+  /** Returns {@code file:line:column: message}, followed by a line for each call, innermost first. */
   public String text() {
-    return calls.isEmpty()
-        ? place + ": " + getMessage()
-        : place + ": " + getMessage() + "\n" + String.join("\n", calls);
+    return callers.isEmpty()
+        ? location + ": " + getMessage()
+        : location + ": " + getMessage() + "\n" + String.join("\n", callers);
   }
 }
--- a/src/main/java/hollyslip/standin/Faults.java
+++ b/src/main/java/hollyslip/standin/Faults.java
@@ -1,45 +1,46 @@
 package hollyslip.standin;
 
-/** What goes wrong at a disk server at present; changed while it runs. All parts are chances from 0 to 1. */
+/** The faults that a disk server currently simulates; they can be changed while it runs. Rates are
+ * probabilities from 0 to 1. */
 public final class Faults {
-  /** Takes commands and does nothing with them. */
+  /** Accepts commands without executing or answering them. */
   public volatile boolean silent;
-  /** Refuses new work with ESHUTDOWN. */
+  /** Refuses new commands with ESHUTDOWN. */
   public volatile boolean draining;
-  /** Answers as if its queue were full. */
+  /** Refuses new commands as if the queue were full. */
   public volatile boolean full;
-  /** Does the work, throws the answer away. */
+  /** Rate of commands that are executed but not answered. */
   public volatile double loseAnswers;
-  /** Answers with EIO without doing the work. */
+  /** Rate of commands that are answered with EIO and not executed. */
   public volatile double errors;
-  /** Cuts the connection in the middle of a reply. */
-  public volatile double resets;
-  /** Writes are done this much later than they should be and go on when their connection is gone, us. */
+  /** Rate of replies in the middle of which the connection is closed. */
+  public volatile double resetRate;
+  /** Additional delay of writes, us; they take effect even if their connection is closed meanwhile. */
   public volatile long lateWriteUs;
-  /** Sends so many bytes of the next read's reply and then nothing more; 0: off. */
-  public volatile int halfReply;
-  /** This part of the commands costs {@link #heavyFactor} times the work. */
+  /** Number of bytes to send of the next read's reply, and nothing after them; 0: off. */
+  public volatile int truncatedReplyBytes;
+  /** Rate of commands that take {@link #heavyFactor} times as long. */
   public volatile double heavyPart;
   public volatile double heavyFactor = 1;
-  /** The next replies go wrong on purpose. */
-  public volatile Malice malice = Malice.NONE;
+  /** How replies violate the protocol. */
+  public volatile ProtocolViolation protocolViolation = ProtocolViolation.NONE;
 
-  /** Ways to break the protocol. */
-  public enum Malice {
+  /** Ways to violate the protocol. */
+  public enum ProtocolViolation {
     NONE, UNKNOWN_COOKIE, TWICE, OVERSIZE, BAD_MAGIC, WRONG_OFFSET
   }
 
-  /** Ends all faults. */
+  /** Stops all faults. */
   public void clear() {
     silent = false;
     draining = false;
     full = false;
     loseAnswers = 0;
     errors = 0;
-    resets = 0;
+    resetRate = 0;
     lateWriteUs = 0;
-    halfReply = 0;
+    truncatedReplyBytes = 0;
     heavyPart = 0;
-    malice = Malice.NONE;
+    protocolViolation = ProtocolViolation.NONE;
   }
 }
