--- a/src/test/java/hollyslip/audit/AuditorTest.java
+++ b/src/test/java/hollyslip/audit/AuditorTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A run that keeps the rules passes; one violation planted for each rule is found, and found alone. */
+/** A run that keeps the rules passes; a violation of one rule is reported for that rule only. */
 class AuditorTest {
   private static final Figures FIGURES = new Figures(8_000, 1_000_000, 300_000, 20, 0.5, 5_000_000, 2_000_000,
-      2, 0.1, 5_000_000, 0, 1 << 20, 4096, 16, Map.of("v", new Figures.Limit(100, 20, 2)), List.of(
-          new Figures.Area("v", "shard-0", 0, 1 << 20)));
+      2, 0.1, 5_000_000, 0, 1 << 20, 4096, 16, Map.of("v", new Figures.Limit(100, 20, 2)),
+      List.of(new Figures.Area("v", "shard-0", 0, 1 << 20)));
   private final List<Asked> requests = new ArrayList<>();
   private final List<Command> commands = new ArrayList<>();
   private final List<Told> operatorEvents = new ArrayList<>();
@@ -57,34 +57,37 @@
   }
 
   private void assertOnly(Rule rule) {
-    Auditor.Report r = check();
-    assertTrue(!r.breaches().isEmpty() && r.breaches().stream().allMatch(b -> b.rule() == rule), r.breaches()
-        .toString());
+    Auditor.Report report = check();
+    assertTrue(!report.breaches().isEmpty() && report.breaches().stream().allMatch(b -> b.rule() == rule),
+        report.breaches()
+            .toString());
   }
 
-  private void replaceRequest(int i, Asked a) {
-    requests.set(i, a);
+  private void replaceRequest(int index, Asked request) {
+    requests.set(index, request);
   }
 
-  private static Asked withAnswer(Asked a, int answers, long answered, Asked.Answer answer) {
-    return new Asked(a.client(), a.gateway(), a.volume(), a.id(), a.kind(), a.offset(), a.length(), a.units(),
-        a.key(), a.checksum(), a.askedUs(), a.deadlineUs(), answers, answered, answer, a.left());
+  private static Asked withAnswer(Asked request, int answers, long answered, Asked.Answer answer) {
+    return new Asked(request.client(), request.gateway(), request.volume(), request.id(), request.kind(),
+        request.offset(), request.length(), request.units(),
+        request.key(), request.checksum(), request.askedUs(), request.deadlineUs(), answers, answered, answer,
+        request.left());
   }
 
   @Test
   void runThatKeepsTheRulesPasses() {
-    Auditor.Report r = check();
-    assertEquals(List.of(), r.breaches());
-    assertEquals(0, r.checked().get(Rule.DRAINS_KEPT));
-    assertEquals(41, r.checked().get(Rule.ONE_ANSWER));
+    Auditor.Report report = check();
+    assertEquals(List.of(), report.breaches());
+    assertEquals(0, report.checked().get(Rule.DRAINS_KEPT));
+    assertEquals(41, report.checked().get(Rule.ONE_ANSWER));
   }
 
   @Test
   void findsDuplicateMissingAndLateAnswers() {
-    Asked a = requests.get(5);
-    for (Asked bad : List.of(withAnswer(a, 2, a.answeredUs(), a.answer()), withAnswer(a, 0, 0,
-        Asked.Answer.NONE), withAnswer(a,
-            1, a.deadlineUs() + 8_001, a.answer()))) {
+    Asked good = requests.get(5);
+    for (Asked bad : List.of(withAnswer(good, 2, good.answeredUs(), good.answer()), withAnswer(good, 0, 0,
+        Asked.Answer.NONE), withAnswer(good,
+            1, good.deadlineUs() + 8_001, good.answer()))) {
       replaceRequest(5, bad);
       assertOnly(Rule.ONE_ANSWER);
     }
@@ -101,7 +104,7 @@
 
   @Test
   void findsWriteThatTakesEffectAfterNewerOne() {
-    // Number 5 was given up at 610 ms; 200 wrote its blocks and was answered; then 5 landed.
+    // Request 5 failed at 610 ms; request 200 wrote to its blocks and was answered; then write 5 took effect.
     commands.removeIf(c -> c.cookie() >> 12 == 5);
     replaceRequest(5, withAnswer(requests.get(5), 1, 610_000, Asked.Answer.FAILED));
     requests.add(new Asked("c", "g", "v", 200, Nbd.CMD_WRITE, 4096 * 5, 4096, 1, -1, 7, 5_000_000, 7_000_000,
@@ -149,7 +152,7 @@
 
   @Test
   void findsKeyedRequestsOutOfOrder() {
-    // Request 9 follows request 5 in the line of key 1.
+    // Request 9 follows request 5 among the requests with key 1.
     commands.removeIf(c -> c.cookie() >> 12 == 9);
     addCommand(9, 605_500, 1_006_000);
     assertOnly(Rule.ORDER_KEPT);
--- a/src/test/java/hollyslip/e2e/HardCasesTest.java
+++ b/src/test/java/hollyslip/e2e/HardCasesTest.java
@@ -33,17 +33,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The hard cases of a running gateway, each over real rings and sockets, judged by the audit. */
+/** Fault scenarios of a running gateway over real rings and sockets, checked by the audit. */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class HardCasesTest {
   @TempDir
   Path dir;
 
-  private static void awaitUntil(java.util.concurrent.Callable<Boolean> what) {
-    Awaitility.await().pollInterval(5, TimeUnit.MILLISECONDS).atMost(60, TimeUnit.SECONDS).until(what);
+  private static void awaitUntil(java.util.concurrent.Callable<Boolean> condition) {
+    Awaitility.await().pollInterval(5, TimeUnit.MILLISECONDS).atMost(60, TimeUnit.SECONDS).until(condition);
   }
 
-  /** Clients leave while a stand-in sits on its answers, and another is declared draining mid-burst. */
+  /** A client leaves while one node answers nothing, and another node is set to draining under load: each
+   * request of the others is answered once, and the drained node gets no command after its grace period. */
   @Test
   void eachOfTenThousandRequestsIsAnsweredOnceAndDrainedNodeGetsNone() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 4, i -> DiskServer.Config.timed("disk-" + i,
@@ -73,8 +74,8 @@
           .count());
       assertEquals(List.of(), run.audit().breaches());
       assertEquals(List.of(), run.wrongReads());
-      assertTrue(run.count(Asked.Answer.SERVED) > 5_000 && run.count(Asked.Answer.REFUSED) > 0 && run.count(
-          Asked.Answer.FAILED) > 0, "answers of each kind");
+      assertTrue(run.count(Asked.Answer.SERVED) > 5_000 && run.count(Asked.Answer.REFUSED) > 0
+          && run.count(Asked.Answer.FAILED) > 0, "answers of each kind");
       assertTrue(run.audit().checked().get(Rule.NO_EFFECT_TWICE) > 1_000);
       assertTrue(run.requests().stream().anyMatch(Asked::left));
       long lastAtDrained = site.disks.get(2)
@@ -84,19 +85,19 @@
           .max()
           .orElseThrow();
       assertTrue(lastAtDrained <= at + 1_000_000, "last command " + (lastAtDrained - at)
-          + " us after the word");
+          + " us after the node was set to draining");
     }
   }
 
-  /** A write is given up while it waits in its node; a newer one to the same blocks is answered; then the old
-   * one's time comes. With a fence it never lands; a node without our contexts is given the settle time. */
+  /** A write fails while its node delays it, a newer write to the same blocks is answered, and then the old
+   * one is due. With a fence it never takes effect; with a node that does not support fences, the gateway
+   * waits for the settle time before it sends the newer write. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void lateWriteNeverOverwritesNewerOne(boolean fences) throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 1, i -> new DiskServer.Config("disk-0",
-        TestDeployment.SHARD_BYTES, DiskServer.Config
-            .plain("", 1, true)
-            .model(), 1, 3_600_000_000L, fences, true));
+        TestDeployment.SHARD_BYTES, DiskServer.Config.plain("", 1, true).model(), 1, 3_600_000_000L, fences,
+        true));
         RingClient client = new RingClient(RingClient.Options.usual(1, 16, 4096))) {
       site.deadlineUs = 800_000;
       client.connect(site.startGateway().socket("stock"));
@@ -109,7 +110,7 @@
       disk.faults.lateWriteUs = 1_000_000;
       int[] first = {-1};
       client.submit(0, IoKind.WRITE, 0, 4096, ByteBuffer.wrap(old), (status, retry, d) -> first[0] = status);
-      // Answered after the write went out, so that the node does not look dead.
+      // Answered after the write was sent, so that the node does not appear dead.
       assertEquals(0, RingRequests.execute(client, IoKind.READ, 65536, 4096, new byte[4096]));
       awaitUntil(() -> client.await(10) && client.poll() >= 0 && first[0] == 1);
       disk.faults.clear();
@@ -122,8 +123,8 @@
     }
   }
 
-  /** A node dies with a write in doubt and another takes over its shard: the blocks of that write are not
-   * locked for ever. */
+  /** A node dies with a write of unknown outcome and another node takes over its shard: the blocks of that
+   * write must not stay locked forever. */
   @Test
   void replacedNodeKeepsNoBlocksLocked() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 1);
@@ -149,8 +150,8 @@
     }
   }
 
-  /** Killed with its rings full, a gateway finds what it had taken; each request is answered once, no write
-   * runs twice out of order. */
+  /** A gateway that is killed with full rings recovers the requests that it had accepted: each is answered
+   * once, and no write runs twice out of order. */
   @Test
   void killedGatewayAnswersEverythingOnceAfterRestart() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 3, i -> DiskServer.Config.timed("disk-" + i,
@@ -176,7 +177,7 @@
     }
   }
 
-  /** Replies that break the protocol, or stop half way, cost the connection and nothing else. */
+  /** Replies that violate the protocol or are truncated affect only their connection. */
   @Test
   void protocolViolationsOfNodeAffectOnlyItsConnection() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 2)) {
@@ -208,8 +209,8 @@
     }
   }
 
-  /** Clients die with requests queued and in flight: their memory and descriptors go, when nothing can write
-   * to them any more, and others are served on. */
+  /** Clients die with requests queued and in flight: their memory and descriptors are released once nothing
+   * can write to them any more, and other clients are still served. */
   @Test
   void deadClientsMemoryIsReleasedAndOthersAreServed() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 2, i -> DiskServer.Config.timed("disk-" + i,
@@ -243,8 +244,8 @@
     }
   }
 
-  /** Four gateway processes and a node that restarts cold: together they stay within what it bears; and a
-   * limit holds over all of them while they are restarted in turn. */
+  /** Four gateway processes and a node that restarts cold: together they send it no more than it can serve,
+   * and a limit holds over all of them while they are restarted one by one. */
   @Test
   void gatewaysRespectColdNodeAndLimitAcrossRestarts() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 2, i -> DiskServer.Config.timed("disk-" + i,
--- a/src/test/java/hollyslip/e2e/HostedTest.java
+++ b/src/test/java/hollyslip/e2e/HostedTest.java
@@ -33,7 +33,8 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tenants made, changed and removed through the API while their rings and others' are at work. */
+/** Tenants are created, changed and removed through the API while their rings and those of others are in
+ * use. */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class HostedTest {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -42,8 +43,8 @@
   @TempDir
   Path dir;
 
-  private static void awaitUntil(Callable<Boolean> what) {
-    Awaitility.await().pollInterval(2, TimeUnit.MILLISECONDS).atMost(30, TimeUnit.SECONDS).until(what);
+  private static void awaitUntil(Callable<Boolean> condition) {
+    Awaitility.await().pollInterval(2, TimeUnit.MILLISECONDS).atMost(30, TimeUnit.SECONDS).until(condition);
   }
 
   private ApiClient apiClient(String gateway) throws IOException {
@@ -57,9 +58,10 @@
 
   private static ApiClient.Answer request(ApiClient api, String method, String path, String body)
       throws IOException {
-    ApiClient.Answer a = api.ask(method, path, body == null ? null : json(body), Map.of("If-Match", "*"));
-    assertTrue(a.good(), () -> a.toString());
-    return a;
+    ApiClient.Answer answer = api.ask(method, path, body == null ? null : json(body), Map.of("If-Match",
+        "*"));
+    assertTrue(answer.good(), () -> answer.toString());
+    return answer;
   }
 
   private static long ownUid() throws IOException {
@@ -78,9 +80,9 @@
   }
 
   private static RingClient connectRing(Path socket) throws IOException {
-    RingClient c = new RingClient(RingClient.Options.usual(1, 64, 4096));
-    c.connect(socket);
-    return c;
+    RingClient client = new RingClient(RingClient.Options.usual(1, 64, 4096));
+    client.connect(socket);
+    return client;
   }
 
   @Test
@@ -99,7 +101,7 @@
           byte[] read = new byte[4096];
           assertEquals(0, RingRequests.execute(c, IoKind.READ, 65536 * 3 + 4096, 4096, read));
           assertArrayEquals(bytes, read);
-          assertEquals(1, RingRequests.execute(c, IoKind.READ, 1048576, 4096, read), "behind the end");
+          assertEquals(1, RingRequests.execute(c, IoKind.READ, 1048576, 4096, read), "past the end");
           int[] backend = backendConnection(c);
           JsonNode before = request(api, "GET", "/v1/tenants/lee/volumes/v", null).body().get("shards");
           assertEquals(3, before.size(), "spread over the shards");
@@ -108,11 +110,12 @@
           awaitUntil(() -> RingRequests.execute(c, IoKind.READ, 1048576, 4096, read) == 0);
           com.sun.jna.Memory said = new com.sun.jna.Memory(64);
           awaitUntil(() -> Linux.receive(backend[0], said, 0, 64).bytes() == Wire.HEADER);
-          assertEquals(Wire.BACKEND_CONFIG_CHANGE, said.getInt(0), "the client is told to look again, once");
+          assertEquals(Wire.BACKEND_CONFIG_CHANGE, said.getInt(0),
+              "the client is notified of the change, once");
           Linux.closeAll(backend);
           assertEquals(0, RingRequests.execute(c, IoKind.READ, 65536 * 3 + 4096, 4096, read));
-          assertArrayEquals(bytes, read, "what was there stays where it was");
-          // Whoever is no member any more is cut off, and cannot come back.
+          assertArrayEquals(bytes, read, "existing data is unchanged");
+          // A user who is no longer a member is disconnected, and cannot reconnect.
           request(api, "PATCH", "/v1/tenants/lee", "{'members':{'me':null,'other':" + (ownUid() + 1) + "}}");
           awaitUntil(() -> !c.await(10));
         }
@@ -124,7 +127,7 @@
           } catch (IOException e) {
             served = false;
           }
-          assertFalse(served, "no member");
+          assertFalse(served, "not a member");
         }
         request(api, "DELETE", "/v1/tenants/lee/volumes/v", null);
         awaitUntil(() -> !Files.exists(socket));
@@ -133,7 +136,8 @@
     }
   }
 
-  /** Gives the device one end of a connection for messages of its own; the other end, and a spare. */
+  /** Gives the device one end of a connection for backend messages; returns the other end and the listening
+   * socket. */
   private int[] backendConnection(RingClient c) throws IOException {
     Path path = dir.resolve("backend.sock");
     int listening = Linux.listen(path);
@@ -144,8 +148,8 @@
     return new int[]{mine, listening};
   }
 
-  /** One tenant keeps sixteen times as many requests out as the other, whose weight is the same: both get
-   * what the nodes can do in about even parts, by the stand-ins' log. */
+  /** One tenant keeps sixteen times as many requests in flight as another of the same weight: by the
+   * stand-ins' records, both get about the same share of what the nodes can serve. */
   @Test
   void floodingTenantGetsItsShareAndNoMore() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 2, i -> DiskServer.Config.timed("disk-" + i,
@@ -189,7 +193,8 @@
     }
   }
 
-  /** A client that keeps so many requests out until told to stop, then waits for all of them. */
+  /** A client that keeps a number of requests in flight until it is told to finish, and then waits for their
+   * answers. */
   private static final class ClosedLoopClient extends Thread {
     final RingClient ring;
     final int depth;
@@ -231,9 +236,9 @@
     }
   }
 
-  /** Of a removed tenant every request that is in flight gets one final answer; the others, who ask at a
-   * pace, are served all the same: compared with a run without the removal by answers and by the stand-ins'
-   * log. */
+  /** Every request in flight of a removed tenant gets one final answer, and the other tenants, whose rate is
+   * fixed, are served as before: compared with a run without the removal by answers and by the stand-ins'
+   * records. */
   @Test
   void tenantIsRemovedWhileItsRequestsAreInFlight() throws Exception {
     long[] with = runWithRemoval(dir.resolve("with"), true);
@@ -243,7 +248,8 @@
     }
   }
 
-  /** Served to b and to c by their rings, and commands done on their extents at the stand-ins. */
+  /** Returns the numbers of requests of b and c that were served, and of commands executed on their
+   * extents. */
   private long[] runWithRemoval(Path at, boolean removed) throws Exception {
     Files.createDirectories(at);
     try (TestDeployment site = new TestDeployment(at, 2, i -> DiskServer.Config.timed("disk-" + i,
@@ -251,8 +257,8 @@
         1_000, i))) {
       site.hosted = true;
       Gateway g = site.startGateway("gw", 0);
-      try (ApiClient api = ApiClient.at(at.resolve("gw/admin.sock"), Files.readString(at.resolve(
-          "gw-state/operator.token")).trim())) {
+      try (ApiClient api = ApiClient.at(at.resolve("gw/admin.sock"),
+          Files.readString(at.resolve("gw-state/operator.token")).trim())) {
         request(api, "POST", "/v1/plans", "{'name':'gold','reserve':200,'weight':1}");
         for (String t : List.of("a", "b", "c")) {
           createTenant(api, t, "gold");
@@ -280,11 +286,11 @@
           assertEquals(1_000, o.answered);
           assertEquals(0, o.duplicateAnswers);
         }
-        assertEquals(a.asked, a.answered, "each has its answer");
+        assertEquals(a.asked, a.answered, "each has one answer");
         assertEquals(0, a.duplicateAnswers);
         assertEquals(a.asked, a.answersByStatus.get(0) + a.answersByStatus.get(REFUSED) + a.answersByStatus
             .get(1));
-        assertTrue(!removed || a.answersByStatus.get(REFUSED) > 0, "some came after the removal began");
+        assertTrue(!removed || a.answersByStatus.get(REFUSED) > 0, "some arrived after the removal began");
         List<Command> log = site.disks.stream().flatMap(d -> d.commands().stream()).toList();
         long[] figures = new long[4];
         for (int i = 0; i < 2; i++) {
@@ -293,8 +299,9 @@
         for (int i = 0; i < 2; i++) {
           List<Volume.Extent> extents = g.lanes().volumes().get(List.of("b/v", "c/v").get(i)).extents();
           figures[2 + i] = log.stream()
-              .filter(c -> c.doneUs() > 0 && extents.contains(new Volume.Extent(Integer.parseInt(c.export()
-                  .substring(6)), c.offset() / 65536 * 65536)))
+              .filter(c -> c.doneUs() > 0
+                  && extents.contains(new Volume.Extent(Integer.parseInt(c.export().substring(6)),
+                      c.offset() / 65536 * 65536)))
               .count();
           assertTrue(figures[2 + i] >= 1_000);
         }
@@ -312,8 +319,9 @@
     }
   }
 
-  /** Four gateways, one limit: lowered to a tenth in a surge, raised again, one of the gateways killed
-   * between. By the stand-ins' log all together stay under what was told, in every span. */
+  /** Four gateways share one limit, which is lowered to a tenth under load and raised again, while one
+   * gateway is killed in between. By the stand-ins' records, all together stay below the current limit in
+   * every interval. */
   @Test
   void changedLimitHoldsOverAllGatewaysAndAKill() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 2)) {
@@ -357,13 +365,13 @@
             .mapToLong(Command::receivedUs)
             .sorted()
             .toArray();
-        // A tenth of a second for what was sent before the change was told and had not arrived.
+        // Allows a tenth of a second for commands that were sent before the change and had not arrived.
         assertTrue(maxExcess(at, lowered + 100_000, raised, 200, 20 + 20) <= 0, "lowered");
         assertTrue(maxExcess(at, 0, Long.MAX_VALUE, 2000, 200 + 20) <= 0, "throughout");
         assertTrue(Arrays.stream(at).filter(t -> t > lowered && t < raised).count() > 40);
       } finally {
         for (ClosedLoopClient c : clients) {
-          // Its memory may go only when its thread has ended.
+          // Its memory may be released only after its thread has ended.
           c.abort = true;
           c.join(10_000);
           c.ring.close();
@@ -378,8 +386,8 @@
     }
   }
 
-  /** A gateway said that it was ready while sockets of the store's volumes did not listen yet; a file that a
-   * dead one left must not be in the way, and one at which somebody listens must not be taken. */
+  /** A gateway reported that it was ready before the sockets of all stored volumes listened. A stale socket
+   * file must not prevent that, and a socket at which another process listens must not be taken. */
   @Test
   void startedGatewayListensForAllVolumesOfTheStore() throws Exception {
     int volumes = 300;
@@ -404,7 +412,7 @@
           connectRing(again.socket("lee", "v" + i)).close();
         }
       }
-      assertTrue(Files.exists(again.socket("lee", "v1")), "another's socket is left alone");
+      assertTrue(Files.exists(again.socket("lee", "v1")), "the socket of another process is not replaced");
       Linux.closeAll(taken);
       byte[] read = new byte[4096];
       awaitUntil(() -> {
@@ -417,16 +425,16 @@
     }
   }
 
-  /** By how many units the worst span passes a rate and burst; 0 or less: none does. */
-  private static double maxExcess(long[] at, long from, long to, double rate, double burst) {
+  /** Returns by how many units the worst interval exceeds a rate and burst; 0 or less: none does. */
+  private static double maxExcess(long[] times, long from, long to, double rate, double burst) {
     double level = 0;
     double worst = -burst;
     long last = Long.MIN_VALUE;
-    for (long t : at) {
-      if (t >= from && t <= to) {
-        level = last == Long.MIN_VALUE ? 0 : Math.max(0, level - (t - last) * rate / 1e6);
+    for (long time : times) {
+      if (time >= from && time <= to) {
+        level = last == Long.MIN_VALUE ? 0 : Math.max(0, level - (time - last) * rate / 1e6);
         level += 1;
-        last = t;
+        last = time;
         worst = Math.max(worst, level - burst);
       }
     }
--- a/src/test/java/hollyslip/e2e/LanesTest.java
+++ b/src/test/java/hollyslip/e2e/LanesTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Several cores: volumes on lanes, moved between them, and a lane that stalls. */
+/** A gateway with several lanes: volumes that move between them, and a lane that stalls. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class LanesTest {
   private static final int BLOCK = 4096, BLOCKS = 256;
@@ -29,10 +29,10 @@
   @TempDir
   Path dir;
 
-  private static RingClient connectRing(Gateway g, String volume) throws IOException {
-    RingClient c = new RingClient(RingClient.Options.usual(1, 256, BLOCK));
-    c.connect(g.socket(volume));
-    return c;
+  private static RingClient connectRing(Gateway gateway, String volume) throws IOException {
+    RingClient client = new RingClient(RingClient.Options.usual(1, 256, BLOCK));
+    client.connect(gateway.socket(volume));
+    return client;
   }
 
   private TestDeployment twoLaneDeployment() throws IOException {
@@ -41,22 +41,23 @@
     return site;
   }
 
-  /** Writes every block once a round with the round's number, 256 out, while {@code meanwhile} runs round by
-   * round; answers by status. */
-  private static int[] writeRounds(RingClient c, int rounds, Runnable meanwhile) {
+  /** Writes every block once per round with the number of the round, 256 writes in flight, and runs
+   * {@code meanwhile} in each round. Returns the number of answers by status. */
+  private static int[] writeRounds(RingClient client, int rounds, Runnable meanwhile) {
     int[] answers = new int[256];
     for (int round = 1; round <= rounds; round++) {
       byte[] bytes = new byte[BLOCK];
       Arrays.fill(bytes, (byte) round);
-      for (int b = 0; b < BLOCKS; b++) {
-        assertTrue(c.submit(0, IoKind.WRITE, (long) b * BLOCK, BLOCK, ByteBuffer.wrap(bytes), (s, r,
-            d) -> answers[s]++));
+      for (int block = 0; block < BLOCKS; block++) {
+        assertTrue(client.submit(0, IoKind.WRITE, (long) block * BLOCK, BLOCK, ByteBuffer.wrap(bytes), (
+            status, retryMs,
+            data) -> answers[status]++));
       }
-      c.kick();
+      client.kick();
       meanwhile.run();
-      while (c.out() > 0) {
-        assertTrue(c.await(1_000));
-        c.poll();
+      while (client.out() > 0) {
+        assertTrue(client.await(1_000));
+        client.poll();
       }
     }
     return answers;
@@ -79,7 +80,7 @@
         int rounds = 20;
         int[] answers = writeRounds(c, rounds, () -> g.lanes().move("stock", 1 - g.lanes().laneOf("stock")));
         assertEquals(rounds * BLOCKS, answers[0], "served: " + Arrays.toString(answers));
-        assertEquals(rounds * BLOCKS, countWrites(site), "each has its effect once");
+        assertEquals(rounds * BLOCKS, countWrites(site), "each takes effect once");
         byte[] want = new byte[BLOCK];
         Arrays.fill(want, (byte) rounds);
         byte[] got = new byte[BLOCK];
@@ -91,7 +92,7 @@
     }
   }
 
-  /** A limit is one bucket, on the lane where the volume is; a move brings no tokens with it. */
+  /** A limit has one token bucket, on the lane of its volume; moving the volume adds no tokens. */
   @Test
   void limitHoldsWhileItsVolumeMovesBetweenLanes() throws Exception {
     try (TestDeployment site = twoLaneDeployment()) {
@@ -153,7 +154,7 @@
               d) -> heldAnswers[s]++));
         }
         held.kick();
-        assertEquals(4 * BLOCKS, writeRounds(other, 4, () -> {})[0], "the other lane serves on");
+        assertEquals(4 * BLOCKS, writeRounds(other, 4, () -> {})[0], "the other lane is not delayed");
         held.poll();
         assertEquals(0, heldAnswers[0]);
         free.countDown();
@@ -161,12 +162,13 @@
           assertTrue(held.await(1_000));
           held.poll();
         }
-        assertEquals(100, Arrays.stream(heldAnswers).sum(), "each has its one answer");
+        assertEquals(100, Arrays.stream(heldAnswers).sum(), "each has one answer");
       }
     }
   }
 
-  /** The lanes of a killed process are fenced by the first connection of any lane of the next. */
+  /** All lanes of a gateway share one name and epoch: no lane fences another, and the first connection of any
+   * lane of a restarted gateway fences all lanes of the killed one. */
   @Test
   void lanesShareOneNameAndOneFence() throws Exception {
     try (TestDeployment site = twoLaneDeployment()) {
@@ -175,7 +177,7 @@
         assertEquals(BLOCKS, writeRounds(a, 1, () -> {})[0]);
         assertEquals(BLOCKS, writeRounds(b, 1, () -> {})[0]);
         assertEquals(BLOCKS, writeRounds(a, 1, () -> {})[0],
-            "a connection of one lane leaves the other's alone");
+            "a connection of one lane does not fence the other");
         assertTrue(site.disks.stream()
             .flatMap(d -> d.commands().stream())
             .noneMatch(c -> c.result() == Command.Result.FENCED));
@@ -183,7 +185,8 @@
             .flatMap(d -> d.commands().stream())
             .mapToLong(c -> c.cookie() >> 12)
             .toArray();
-        assertEquals(3 * BLOCKS, Arrays.stream(requests).distinct().count(), "numbers of two lanes differ");
+        assertEquals(3 * BLOCKS, Arrays.stream(requests).distinct().count(),
+            "request numbers of two lanes differ");
       }
       assertTrue(g.close());
     }
--- a/src/test/java/hollyslip/e2e/LoadScenario.java
+++ b/src/test/java/hollyslip/e2e/LoadScenario.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Clients at work on a site, and what the audit says of it. */
+/** Ring clients that load a {@link TestDeployment}, and the audit of their records. */
 final class LoadScenario {
   final TestDeployment site;
   final List<RingLoad> loads = new ArrayList<>();
@@ -30,23 +30,23 @@
   RingLoad addLoad(String name, String gateway, Path socket, String volume, int part, int parts, int count,
       int depth) throws IOException {
     long bytes = TestDeployment.VOLUME_BYTES / parts;
-    RingLoad l = new RingLoad(new RingLoad.Plan(name, gateway, volume, part * bytes, bytes, count, depth,
+    RingLoad load = new RingLoad(new RingLoad.Plan(name, gateway, volume, part * bytes, bytes, count, depth,
         gapUs, reads, maxBlocks, site.deadlineUs, 4096, 17 + loads.size()), socket);
-    loads.add(l);
-    return l;
+    loads.add(load);
+    return load;
   }
 
   void start(RingLoad load) {
-    Thread t = new Thread(load, "load");
-    threads.add(t);
-    t.start();
+    Thread thread = new Thread(load, "load");
+    threads.add(thread);
+    thread.start();
   }
 
   void join() throws InterruptedException {
-    for (Thread t : threads) {
-      t.join(60_000);
-      if (t.isAlive()) {
-        throw new IllegalStateException("a client does not end");
+    for (Thread thread : threads) {
+      thread.join(60_000);
+      if (thread.isAlive()) {
+        throw new IllegalStateException("a client does not finish");
       }
     }
   }
@@ -67,18 +67,19 @@
     List<Figures.Area> areas = new ArrayList<>();
     List<String> names = List.of("stock", "orders", "capped");
     for (int id = 1; id <= names.size(); id++) {
-      Volume v = TestDeployment.volume(id, names.get(id - 1), "gold", site.disks.size(), 1);
+      Volume volume = TestDeployment.volume(id, names.get(id - 1), "gold", site.disks.size(), 1);
       for (int shard = 0; shard < site.disks.size(); shard++) {
-        long from = (id - 1) * TestDeployment.VOLUME_BYTES;
-        areas.add(new Figures.Area(v.name(), "shard-" + shard, from, from + TestDeployment.VOLUME_BYTES));
+        long start = (id - 1) * TestDeployment.VOLUME_BYTES;
+        areas.add(new Figures.Area(volume.name(), "shard-" + shard, start, start
+            + TestDeployment.VOLUME_BYTES));
       }
     }
-    // Wide, since a loaded machine must not change the verdict; the demo and replays go by the deployment's
-    // figure.
+    // Generous, since a loaded machine must not change the verdict; demo and replay use the value of the
+    // deployment.
     return new Figures(500_000, 1_000_000, 300_000, 200, 0.2, site.coldUs, 2_000_000, 20, 0.5, 5_000_000,
-        50_000, TestDeployment.EXTENT_BYTES, 4096, 256, Map.of("capped", new Figures.Limit(site.limitedPlan
-            .limit(), site.limitedPlan
-                .limitBurst(), site.limitedPlan.limitSlack() + 0.1 * site.limitedPlan.limitBurst())), areas);
+        50_000, TestDeployment.EXTENT_BYTES, 4096, 256, Map.of("capped",
+            new Figures.Limit(site.limitedPlan.limit(), site.limitedPlan.limitBurst(),
+                site.limitedPlan.limitSlack() + 0.1 * site.limitedPlan.limitBurst())), areas);
   }
 
   Auditor.Report audit() {
--- a/src/test/java/hollyslip/e2e/RingNoiseTest.java
+++ b/src/test/java/hollyslip/e2e/RingNoiseTest.java
@@ -22,12 +22,13 @@
 import net.jqwik.api.lifecycle.BeforeContainer;
 import org.awaitility.Awaitility;
 
-/** Messages and rings out of nothing: whatever they are, the next client is served and nothing leaks. */
+/** Random messages and random ring contents: whatever they are, the next client is served and nothing
+ * leaks. */
 class RingNoiseTest {
   private static TestDeployment site;
   private static Gateway gateway;
 
-  /** A message; {@code fds}: how often the memory's descriptor comes along. */
+  /** A message; {@code fds}: how many copies of the memory's descriptor are sent with it. */
   record Message(int request, int flags, byte[] payload, int fds) {}
 
   @BeforeContainer
@@ -51,7 +52,7 @@
         .ofMaxSize(8);
   }
 
-  /** Words of a descriptor table: addresses near the memory or anywhere, lengths and flags. */
+  /** Words of a descriptor table: random values, addresses near the memory, and small lengths and flags. */
   @Provide
   Arbitrary<List<Long>> words() {
     return Arbitraries.oneOf(Arbitraries.longs(), Arbitraries.longs().between(0x1000_0000L, 0x1001_0000L),
@@ -63,20 +64,20 @@
       @ForAll("words") List<Long> words)
       throws IOException {
     int mappings = Linux.mappings();
-    try (RingClient c = new RingClient(new RingClient.Options(1, 16, 4096, false, true, true, true))) {
-      c.connect(gateway.socket("stock"));
+    try (RingClient client = new RingClient(new RingClient.Options(1, 16, 4096, false, true, true, true))) {
+      client.connect(gateway.socket("stock"));
       for (int i = 0; i < words.size(); i++) {
-        c.queue(0).table.putLong(8 * i, words.get(i));
+        client.queue(0).table.putLong(8 * i, words.get(i));
       }
-      c.publish(c.queue(0), (int) (words.get(0) & 15));
-      c.kick();
-      for (Message m : messages) {
-        int[] fds = new int[m.fds];
-        java.util.Arrays.fill(fds, c.memoryFd());
-        c.send(m.request, m.flags, m.payload, fds);
+      client.publish(client.queue(0), (int) (words.get(0) & 15));
+      client.kick();
+      for (Message message : messages) {
+        int[] fds = new int[message.fds];
+        java.util.Arrays.fill(fds, client.memoryFd());
+        client.send(message.request, message.flags, message.payload, fds);
       }
     } catch (IOException e) {
-      // The device has stopped before all was sent: that is what it is for.
+      // The device stopped before everything was sent, as it should.
     }
     Awaitility.await()
         .atMost(20, TimeUnit.SECONDS)
--- a/src/test/java/hollyslip/e2e/RingRequests.java
+++ b/src/test/java/hollyslip/e2e/RingRequests.java
@@ -10,19 +10,20 @@
 final class RingRequests {
   private RingRequests() {}
 
-  /** Asks and waits; the status. A write takes {@code bytes}, a read fills them. */
+  /** Sends a request, waits for its answer and returns its status. A write sends {@code bytes}, a read fills
+   * them. */
   static int execute(RingClient client, IoKind kind, long offset, int length, byte[] bytes) {
     int[] status = {-1};
     ByteBuffer data = kind == IoKind.WRITE ? ByteBuffer.wrap(bytes) : null;
-    assertTrue(client.submit(0, kind, offset, length, data, (s, r, d) -> {
-      if (kind == IoKind.READ && s == 0) {
-        d.get(bytes);
+    assertTrue(client.submit(0, kind, offset, length, data, (answerStatus, retryMs, answerData) -> {
+      if (kind == IoKind.READ && answerStatus == 0) {
+        answerData.get(bytes);
       }
-      status[0] = s;
+      status[0] = answerStatus;
     }));
     client.kick();
-    long until = System.nanoTime() + 20_000_000_000L;
-    while (status[0] < 0 && System.nanoTime() < until) {
+    long deadlineNanos = System.nanoTime() + 20_000_000_000L;
+    while (status[0] < 0 && System.nanoTime() < deadlineNanos) {
       assertTrue(client.await(1_000), "the gateway closed the connection");
       client.poll();
     }
--- a/src/test/java/hollyslip/e2e/RingSpecTest.java
+++ b/src/test/java/hollyslip/e2e/RingSpecTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a front end written from the specification finds. */
+/** The device as a front end sees it that was written from the specification. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class RingSpecTest {
   @TempDir
@@ -25,18 +25,18 @@
     return new RingClient(new RingClient.Options(1, 16, 4096, false, false, refused, false));
   }
 
-  /** A raw request of any type in slot 0; the status byte, its data left in the slot. */
-  private static int sendRaw(RingClient c, int type, int length, boolean into) {
-    Queue q = c.queue(0);
-    q.free.poll();
+  /** Sends a request of any type in slot 0 and returns its status byte; its data stays in the slot. */
+  private static int sendRaw(RingClient client, int type, int length, boolean into) {
+    Queue queue = client.queue(0);
+    queue.free.poll();
     int[] status = {-1};
-    q.out[0] = (s, r, d) -> status[0] = s;
-    q.lengths[0] = length;
-    c.post(q, 0, type, 0, length, into);
-    c.kick();
+    queue.out[0] = (answerStatus, retryMs, data) -> status[0] = answerStatus;
+    queue.lengths[0] = length;
+    client.post(queue, 0, type, 0, length, into);
+    client.kick();
     while (status[0] < 0) {
-      assertTrue(c.await(1_000));
-      c.poll();
+      assertTrue(client.await(1_000));
+      client.poll();
     }
     return status[0];
   }
@@ -68,7 +68,8 @@
     }
   }
 
-  /** A region comes and goes beside the first; a ring that stops tells where it was and can start again. */
+  /** A second memory region is added and removed; a stopped ring reports its position, from which it can be
+   * restarted. */
   @Test
   void memorySlotsAndStoppedRing() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 1); RingClient c = newClient(true)) {
@@ -90,7 +91,7 @@
     }
   }
 
-  /** Refused is told apart only from a client that has agreed to it. */
+  /** Refusals have their own status only for a client that has negotiated it. */
   @Test
   void refusedHasItsOwnStatusOnlyIfNegotiated() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 1)) {
--- a/src/test/java/hollyslip/e2e/RingToNodeTest.java
+++ b/src/test/java/hollyslip/e2e/RingToNodeTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The whole way: ring, gateway, node and back. */
+/** Requests from the ring through the gateway to a node and back. */
 class RingToNodeTest {
   @TempDir
   Path dir;
@@ -21,14 +21,15 @@
       RingClient.Options options = plain
           ? new RingClient.Options(2, 64, 256 * 1024, false, false, false, false)
           : RingClient.Options.usual(1, 64, 256 * 1024);
-      try (TestDeployment site = new TestDeployment(dir, 3); RingClient client = new RingClient(options)) {
-        client.connect(site.startGateway().socket("stock"));
+      try (TestDeployment deployment = new TestDeployment(dir, 3);
+          RingClient client = new RingClient(options)) {
+        client.connect(deployment.startGateway().socket("stock"));
         byte[] bytes = new byte[200 * 1024];
         new Random(3).nextBytes(bytes);
-        byte[] back = new byte[bytes.length];
+        byte[] read = new byte[bytes.length];
         assertEquals(0, RingRequests.execute(client, IoKind.WRITE, 4096 * 5, bytes.length, bytes));
-        assertEquals(0, RingRequests.execute(client, IoKind.READ, 4096 * 5, bytes.length, back));
-        assertArrayEquals(bytes, back);
+        assertEquals(0, RingRequests.execute(client, IoKind.READ, 4096 * 5, bytes.length, read));
+        assertArrayEquals(bytes, read);
         assertEquals(0, RingRequests.execute(client, IoKind.FLUSH, 0, 0, null));
         assertEquals(0, RingRequests.execute(client, IoKind.DISCARD, 0, 65536 * 2, null));
         assertEquals(0, RingRequests.execute(client, IoKind.WRITE_ZEROES, 0, 65536 * 2, null));
--- a/src/test/java/hollyslip/e2e/SftpTest.java
+++ b/src/test/java/hollyslip/e2e/SftpTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** File commands over the same engine, and over pipes. */
+/** SFTP through the gateway, over its socket and over a pipe. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class SftpTest {
   private static final int OPEN = 3, CLOSE = 4, READ = 5, WRITE = 6, OPENDIR = 11, READDIR = 12,
@@ -29,7 +29,7 @@
   @TempDir
   Path dir;
 
-  /** A small client of the protocol, one request at a time. */
+  /** A minimal SFTP client, with one request at a time. */
   private static final class Client implements AutoCloseable {
     final SocketChannel channel;
     final DataInputStream in;
@@ -46,9 +46,9 @@
     }
 
     void send(byte[] packet) throws IOException {
-      ByteBuffer b = ByteBuffer.allocate(4 + packet.length).putInt(packet.length).put(packet).flip();
-      while (b.hasRemaining()) {
-        channel.write(b);
+      ByteBuffer buffer = ByteBuffer.allocate(4 + packet.length).putInt(packet.length).put(packet).flip();
+      while (buffer.hasRemaining()) {
+        channel.write(buffer);
       }
     }
 
@@ -66,23 +66,23 @@
     }
 
     ByteBuffer request(int type, byte[]... parts) throws IOException {
-      int n = 0;
-      for (byte[] p : parts) {
-        n += p.length;
+      int length = 0;
+      for (byte[] part : parts) {
+        length += part.length;
       }
-      ByteBuffer b = ByteBuffer.allocate(5 + n).put((byte) type).putInt(++id);
-      for (byte[] p : parts) {
-        b.put(p);
+      ByteBuffer packet = ByteBuffer.allocate(5 + length).put((byte) type).putInt(++id);
+      for (byte[] part : parts) {
+        packet.put(part);
       }
-      send(b.array());
+      send(packet.array());
       return reply();
     }
 
-    /** The reply's type, with its id checked. */
-    ByteBuffer expect(int type, ByteBuffer r) {
-      assertEquals(type, r.get());
-      assertEquals(id, r.getInt());
-      return r;
+    /** Checks the type and id of a reply. */
+    ByteBuffer expect(int type, ByteBuffer reply) {
+      assertEquals(type, reply.get());
+      assertEquals(id, reply.getInt());
+      return reply;
     }
 
     int status(ByteBuffer r) {
@@ -125,7 +125,7 @@
         assertEquals(6, real.getInt());
         byte[] folder = c.handle(c.request(OPENDIR, Client.string("/")));
         assertEquals(3, c.expect(NAME, c.request(READDIR, folder)).getInt());
-        assertEquals(1, c.status(c.request(READDIR, folder)), "end of folder");
+        assertEquals(1, c.status(c.request(READDIR, folder)), "end of directory");
         assertEquals(0, c.status(c.request(CLOSE, folder)));
         ByteBuffer attrs = c.expect(ATTRS, c.request(STAT, Client.string("/stock")));
         attrs.getInt();
@@ -134,7 +134,7 @@
         byte[] h = c.handle(c.request(OPEN, Client.string("stock"), u32(3), u32(0)));
         byte[] bytes = new byte[100_001];
         new Random(1).nextBytes(bytes);
-        assertEquals(0, c.status(c.request(WRITE, h, u64(12_345), bytes(bytes))), "not on block boundaries");
+        assertEquals(0, c.status(c.request(WRITE, h, u64(12_345), bytes(bytes))), "not aligned to blocks");
         ByteBuffer data = c.expect(DATA, c.request(READ, h, u64(12_345), u32(bytes.length)));
         byte[] back = new byte[data.getInt()];
         data.get(back);
@@ -142,9 +142,8 @@
         assertEquals(0, c.status(c.request(EXTENDED, Client.string("fsync@openssh.com"), h)));
         assertEquals(1, c.status(c.request(READ, h, u64(TestDeployment.VOLUME_BYTES), u32(10))),
             "end of file");
-        assertEquals(4, c.status(c.request(WRITE, h, u64(TestDeployment.VOLUME_BYTES - 1), bytes(
-            new byte[2]))),
-            "past the end");
+        assertEquals(4, c.status(c.request(WRITE, h, u64(TestDeployment.VOLUME_BYTES - 1),
+            bytes(new byte[2]))), "past the end");
         assertEquals(0, c.status(c.request(CLOSE, h)));
         assertEquals(4, c.status(c.request(READ, h, u64(0), u32(1))), "a closed handle");
         byte[] readOnly = c.handle(c.request(OPEN, Client.string("stock"), u32(1), u32(0)));
@@ -191,8 +190,8 @@
     try (TestDeployment site = new TestDeployment(dir, 1)) {
       site.startGateway();
       Process p = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-          "-cp", System.getProperty("java.class.path"), "hollyslip.cli.Main", "sftp-server", dir.resolve(
-              "gw-0/sftp.sock").toString()).start();
+          "-cp", System.getProperty("java.class.path"), "hollyslip.cli.Main", "sftp-server",
+          dir.resolve("gw-0/sftp.sock").toString()).start();
       p.getOutputStream().write(new byte[]{0, 0, 0, 5, 1, 0, 0, 0, 3});
       p.getOutputStream().flush();
       DataInputStream in = new DataInputStream(p.getInputStream());
--- a/src/test/java/hollyslip/e2e/SupersededTest.java
+++ b/src/test/java/hollyslip/e2e/SupersededTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** State folders that were lost or copied, and two gateways of one name. */
+/** Gateways with a lost or old state folder, and two gateways with the same name. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class SupersededTest {
   private static final int SERVED = 0, REFUSED = 128;
@@ -29,34 +29,36 @@
   @TempDir
   Path dir;
 
-  private static RingClient connectRing(Gateway g) throws IOException {
-    RingClient c = new RingClient(RingClient.Options.usual(1, 64, 4096));
-    c.connect(g.socket("stock"));
-    return c;
+  private static RingClient connectRing(Gateway gateway) throws IOException {
+    RingClient client = new RingClient(RingClient.Options.usual(1, 64, 4096));
+    client.connect(gateway.socket("stock"));
+    return client;
   }
 
-  private static void write(Gateway g, byte value) throws IOException {
+  private static void write(Gateway gateway, byte value) throws IOException {
     byte[] bytes = new byte[4096];
     Arrays.fill(bytes, value);
-    try (RingClient c = connectRing(g)) {
-      assertEquals(SERVED, RingRequests.execute(c, IoKind.WRITE, 0, 4096, bytes));
-      assertEquals(SERVED, RingRequests.execute(c, IoKind.WRITE, TestDeployment.EXTENT_BYTES, 4096, bytes));
+    try (RingClient client = connectRing(gateway)) {
+      assertEquals(SERVED, RingRequests.execute(client, IoKind.WRITE, 0, 4096, bytes));
+      assertEquals(SERVED, RingRequests.execute(client, IoKind.WRITE, TestDeployment.EXTENT_BYTES, 4096,
+          bytes));
     }
   }
 
-  private static void assertReads(Gateway g, byte value) throws IOException {
-    byte[] want = new byte[4096];
-    Arrays.fill(want, value);
-    byte[] got = new byte[4096];
-    try (RingClient c = connectRing(g)) {
-      assertEquals(SERVED, RingRequests.execute(c, IoKind.READ, 0, 4096, got));
-      assertArrayEquals(want, got);
-      assertEquals(SERVED, RingRequests.execute(c, IoKind.READ, TestDeployment.EXTENT_BYTES, 4096, got));
-      assertArrayEquals(want, got);
+  private static void assertReads(Gateway gateway, byte value) throws IOException {
+    byte[] expected = new byte[4096];
+    Arrays.fill(expected, value);
+    byte[] actual = new byte[4096];
+    try (RingClient client = connectRing(gateway)) {
+      assertEquals(SERVED, RingRequests.execute(client, IoKind.READ, 0, 4096, actual));
+      assertArrayEquals(expected, actual);
+      assertEquals(SERVED, RingRequests.execute(client, IoKind.READ, TestDeployment.EXTENT_BYTES, 4096,
+          actual));
+      assertArrayEquals(expected, actual);
     }
   }
 
-  /** Nodes stayed silent to every request of a gateway whose epoch had begun again. */
+  /** Guards against a gateway whose epoch restarted: nodes answered none of its requests. */
   @Test
   void lostStateFolderServesAgainWithNewerEpoch() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 2)) {
@@ -78,7 +80,7 @@
     }
   }
 
-  /** The one node that knows the newest epoch is away at the start. */
+  /** The only node that knows the newest epoch is unreachable at the start. */
   @Test
   void epochLearntLateIsExceededInService() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 2)) {
@@ -90,7 +92,7 @@
       assertEquals(41, high.epoch());
       byte[] bytes = new byte[4096];
       try (RingClient c = connectRing(high)) {
-        // Node 0 alone hears of 41.
+        // Only node 0 learns of epoch 41.
         assertEquals(SERVED, RingRequests.execute(c, IoKind.WRITE, 0, 4096, bytes));
       }
       assertTrue(high.close());
@@ -118,14 +120,16 @@
       write(first, (byte) 5);
       IOException same = assertThrows(IOException.class, () -> site.startGateway("gw", 0));
       assertTrue(same.getMessage().contains("state folder"), same.getMessage());
-      IOException e = assertThrows(IOException.class, () -> new Gateway(site.deploymentWithFolder("gw",
+      IOException other = assertThrows(IOException.class, () -> new Gateway(site.deploymentWithFolder("gw",
           "elsewhere")));
-      assertTrue(e.getMessage().contains("another gateway named gw lives, with epoch 1"), e.getMessage());
+      assertTrue(other.getMessage().contains("another gateway named gw lives, with epoch 1"), other
+          .getMessage());
       assertReads(first, (byte) 5);
     }
   }
 
-  /** Both would run if the operator is wrong: the older one is told, answers each request and ends. */
+  /** If the operator is wrong, both gateways run: the older one is notified, answers each request and
+   * ends. */
   @Test
   void olderOfTwoLiveGatewaysEndsAndRunsNothing() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 2)) {
@@ -144,7 +148,7 @@
           assertEquals(REFUSED, RingRequests.execute(c, IoKind.WRITE, 0, 4096, bytes));
         }
         long us = (System.nanoTime() - from) / 1_000;
-        assertTrue(us < 10 * site.deadlineUs, "refused at once, not at 50 deadlines: " + us);
+        assertTrue(us < 10 * site.deadlineUs, "refused immediately, not at 50 deadlines: " + us);
       }
       assertFalse(second.superseded().isDone());
       assertEquals(before, countEffects(site, 1));
@@ -153,7 +157,7 @@
     }
   }
 
-  /** Commands of an epoch that had an effect. */
+  /** Returns the number of commands of an epoch that took effect. */
   private static long countEffects(TestDeployment site, long epoch) {
     return site.disks.stream()
         .flatMap(d -> d.commands().stream())
--- a/src/test/java/hollyslip/e2e/TestDeployment.java
+++ b/src/test/java/hollyslip/e2e/TestDeployment.java
@@ -20,7 +20,8 @@
 import java.util.List;
 import java.util.Set;
 
-/** A small deployment on loopback for tests: stand-ins, settings that point at them, gateways. */
+/** A small deployment on loopback for tests: stand-in disk servers, settings that refer to them, and
+ * gateways. */
 final class TestDeployment implements AutoCloseable {
   static final long EXTENT_BYTES = 64 * 1024, SHARD_BYTES = 16 << 20, VOLUME_BYTES = 4 << 20;
 
@@ -56,17 +57,16 @@
     return new Volume(id, name, "tenant-" + id, plan, hosts, VOLUME_BYTES, EXTENT_BYTES, extents);
   }
 
-  /** A gateway of a name in folders of another name. */
+  /** The deployment of a gateway whose folders have another name than the gateway. */
   Deployment deploymentWithFolder(String name, String folder) {
-    Deployment d = deployment(name, 0, List.of());
-    Deployment.Process p = d.gateway();
-    return new Deployment(new Deployment.Process(name, p.index(), p.hosts(), p.zone(), dir.resolve(folder),
-        dir
-            .resolve(folder + "-state"), p.seed(), p.tickUs(), p.unitBytes(), p.mostRequests(), p.mostBytes(),
-        p
-            .connections(), p.perConnection(), p.ioThreads(), p.sftp(), p.hosting(), cores), d.classes(), d
-                .rows(), d
-                    .plans(), d.rules(), d.allowed(), d.store(), d.nodes(), d.volumes());
+    Deployment deployment = deployment(name, 0, List.of());
+    Deployment.Process gateway = deployment.gateway();
+    return new Deployment(new Deployment.Process(name, gateway.index(), gateway.hosts(), gateway.zone(),
+        dir.resolve(folder), dir.resolve(folder + "-state"), gateway.seed(), gateway.tickUs(),
+        gateway.unitBytes(), gateway.mostRequests(), gateway.mostBytes(), gateway.connections(),
+        gateway.perConnection(), gateway.ioThreads(), gateway.sftp(), gateway.hosting(), cores),
+        deployment.classes(), deployment.rows(), deployment.plans(), deployment.rules(), deployment.allowed(),
+        deployment.store(), deployment.nodes(), deployment.volumes());
   }
 
   Deployment deployment(String name, int index, List<Integer> draining) {
@@ -81,61 +81,59 @@
             Long.MAX_VALUE));
     List<Deployment.Node> nodes = new ArrayList<>();
     for (int i = 0; i < disks.size(); i++) {
-      nodes.add(new Deployment.Node(100 + i, disks.get(i).name(), "127.0.0.1", disks.get(i)
-          .address()
-          .getPort(), "a", i, draining.contains(i) ? NodeState.DRAINING : NodeState.ON, capacity,
-          SHARD_BYTES));
+      nodes.add(new Deployment.Node(100 + i, disks.get(i).name(), "127.0.0.1",
+          disks.get(i).address().getPort(), "a", i, draining.contains(i) ? NodeState.DRAINING : NodeState.ON,
+          capacity, SHARD_BYTES));
     }
     List<Volume> volumes = List.of(volume(1, "stock", "gold", disks.size(), hosts), volume(2, "orders",
         "gold", disks.size(), hosts), volume(3, "capped", "limited", disks.size(), hosts));
-    return new Deployment(new Deployment.Process(name, index, hosts, "a", dir.resolve(name), dir.resolve(name
-        + "-state"), 7, 1_000, 4096, 10_000, 256 << 20, 2, 256, 2, true, hosted
+    return new Deployment(new Deployment.Process(name, index, hosts, "a", dir.resolve(name),
+        dir.resolve(name + "-state"), 7, 1_000, 4096, 10_000, 256 << 20, 2, 256, 2, true, hosted
             ? new Deployment.Hosting(0, null, null)
-            : null, cores), classes, rows, List.of(new Plan("gold", 1e6, 1e5, 3, 1, 0, 0, 0), limitedPlan),
-        new Rules(
-            8_000, 1_000_000, 0.2, coldUs, 3, 2_000_000, 300_000, 0.5, 20, 5_000_000, 0), new Allowed(4,
-                false, false, false, true, 500_000, 250_000), new Store(1, 256, 200, 0.4, 0.1, 0, false),
-        nodes, volumes);
+            : null, cores), classes, rows,
+        List.of(new Plan("gold", 1e6, 1e5, 3, 1, 0, 0, 0), limitedPlan),
+        new Rules(8_000, 1_000_000, 0.2, coldUs, 3, 2_000_000, 300_000, 0.5, 20, 5_000_000, 0),
+        new Allowed(4, false, false, false, true, 500_000, 250_000),
+        new Store(1, 256, 200, 0.4, 0.1, 0, false), nodes, volumes);
   }
 
-  /** The same deployment as a script, for a gateway in a process of its own. */
+  /** Writes the same deployment as a settings script, for a gateway in its own process. */
   Path writeSettings(String name, int index, int hosts) throws IOException {
-    StringBuilder s = new StringBuilder();
-    s.append(String.format(
+    StringBuilder script = new StringBuilder();
+    script.append(String.format(
         "gateway('%s', index = %d, hosts = %d, zone = 'a', socket_dir = '%s', state_dir = '%s-state', "
             + "unit_bytes = 4 * KiB, hosted = %s)%n", name, index, hosts, name, name, hosted
                 ? "True"
                 : "False"));
-    s.append(String.format(
+    script.append(String.format(
         "rules(drain_grace = seconds(1), cold_from = 0.2, cold = %d, fall_multiple = 3, fall = seconds(2), "
             + "settle = ms(300), budget_share = 0.5, budget_free = 20, budget_window = seconds(5))%n",
         coldUs));
-    s.append("store(mean_units = 1, most_units = 256, cold_units = 200)\n");
-    s.append(String.format(
+    script.append("store(mean_units = 1, most_units = 256, cold_units = 200)\n");
+    script.append(String.format(
         "request_class('read', kinds = ['read'], effect = 'safe', aim = ms(250), deadline = %d, "
             + "worth = 2)%n", deadlineUs));
-    s.append(String.format(
+    script.append(String.format(
         "request_class('write', kinds = ['write', 'flush', 'discard', 'write_zeroes'], effect = 'unsafe', "
             + "aim = ms(250), deadline = %d, worth = 2)%n", deadlineUs));
-    s.append("plan('gold', rate = 1e6, reserve = 1e5, weight = 3)\n");
-    s.append(String.format(
+    script.append("plan('gold', rate = 1e6, reserve = 1e5, weight = 3)\n");
+    script.append(String.format(
         "plan('limited', rate = %s, reserve = %s, weight = 1, limit = %s, limit_burst = %s, limit_slack = "
             + "%s)%n", limitedPlan.rate(), limitedPlan.reserve(), limitedPlan.limit(), limitedPlan
                 .limitBurst(), limitedPlan
                     .limitSlack()));
     for (int i = 0; i < disks.size(); i++) {
-      s.append(String.format("node('%s', id = %d, port = %d, shard = %d, capacity = %s, bytes = %d)%n", disks
-          .get(i)
-          .name(), 100 + i, disks.get(i).address().getPort(), i, capacity, SHARD_BYTES));
+      script.append(String.format("node('%s', id = %d, port = %d, shard = %d, capacity = %s, bytes = %d)%n",
+          disks.get(i).name(), 100 + i, disks.get(i).address().getPort(), i, capacity, SHARD_BYTES));
     }
     int id = 0;
-    for (String v : List.of("stock", "orders", "capped")) {
-      s.append(String.format(
+    for (String volume : List.of("stock", "orders", "capped")) {
+      script.append(String.format(
           "volume('%s', tenant = 't', plan = '%s', size = 4 * MiB, extent = 64 * KiB, shards = "
-              + "list(range(%d)), at = %d * MiB)%n", v, id == 2 ? "limited" : "gold", disks.size(), 4
+              + "list(range(%d)), at = %d * MiB)%n", volume, id == 2 ? "limited" : "gold", disks.size(), 4
                   * id++));
     }
-    return java.nio.file.Files.writeString(dir.resolve(name + ".star"), s);
+    return java.nio.file.Files.writeString(dir.resolve(name + ".star"), script);
   }
 
   Gateway startGateway() throws IOException {
@@ -143,9 +141,9 @@
   }
 
   Gateway startGateway(String name, int index) throws IOException {
-    Gateway g = new Gateway(deployment(name, index, List.of()));
-    gateways.add(g);
-    return g;
+    Gateway gateway = new Gateway(deployment(name, index, List.of()));
+    gateways.add(gateway);
+    return gateway;
   }
 
   @Override
--- a/src/test/java/hollyslip/standin/DiskServerTest.java
+++ b/src/test/java/hollyslip/standin/DiskServerTest.java
@@ -9,20 +9,20 @@
 import org.junit.jupiter.api.Test;
 
 class DiskServerTest {
-  /** A stand-in that is down keeps its port: another socket of the machine that were given it would keep the
-   * stand-in from coming back. */
+  /** A stopped server must keep its port reserved: if another socket were given the port, the server could
+   * not restart. */
   @Test
   void stoppedServerKeepsItsPort() throws Exception {
-    try (DiskServer s = new DiskServer(DiskServer.Config.plain("d", 4096, false))) {
-      InetSocketAddress address = s.address();
-      s.kill();
+    try (DiskServer server = new DiskServer(DiskServer.Config.plain("d", 4096, false))) {
+      InetSocketAddress address = server.address();
+      server.kill();
       try (Socket other = new Socket()) {
         assertThrows(BindException.class, () -> other.bind(address));
       }
       for (int i = 0; i < 300; i++) {
-        s.restart();
+        server.restart();
       }
-      assertEquals(address, s.address());
+      assertEquals(address, server.address());
       try (Socket client = new Socket()) {
         client.connect(address);
       }
