--- a/src/main/java/hollyslip/cli/AdminCommand.java
+++ b/src/main/java/hollyslip/cli/AdminCommand.java
@@ -79,7 +79,7 @@
   public Integer call() {
     if (!supportedVerbs().contains(verb)) {
       System.err.println("unsupported verb; supported: " + supportedVerbs());
-      return Main.EXIT_USAGE;
+      return Main.EXIT_INVALID_INPUT;
     }
     LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.WARN);
     String token;
@@ -87,7 +87,7 @@
       token = Files.readString(tokenFile).trim();
     } catch (IOException e) {
       System.err.println("--token-file: " + tokenFile + " cannot be read: " + e.getClass().getSimpleName());
-      return Main.EXIT_USAGE;
+      return Main.EXIT_INVALID_INPUT;
     }
     try (ApiClient api = port == null ? ApiClient.at(socket, token) : ApiClient.at(port, trust, token)) {
       return execute(api);
@@ -194,7 +194,7 @@
             + ": " + problem.path("detail").asText() + (problem.has("figures")
                 ? " " + problem.get("figures")
                 : ""));
-    return answer.status() < 500 ? Main.EXIT_USAGE : Main.EXIT_FAILURE;
+    return answer.status() < 500 ? Main.EXIT_INVALID_INPUT : Main.EXIT_FAILURE;
   }
 
   /** Parses fields such as {@code a.b=1} into an object. */
--- a/src/main/java/hollyslip/cli/AuditCommand.java
+++ b/src/main/java/hollyslip/cli/AuditCommand.java
@@ -22,7 +22,7 @@
       return printReport(Witness.audit(dir)) ? Main.EXIT_OK : Main.EXIT_FAILURE;
     } catch (IOException e) {
       System.err.println(e.getMessage());
-      return Main.EXIT_USAGE;
+      return Main.EXIT_INVALID_INPUT;
     }
   }
 
--- a/src/main/java/hollyslip/cli/BenchCommand.java
+++ b/src/main/java/hollyslip/cli/BenchCommand.java
@@ -21,7 +21,7 @@
   @Override
   public Integer call() {
     picocli.CommandLine.usage(this, System.err);
-    return Main.EXIT_USAGE;
+    return Main.EXIT_INVALID_INPUT;
   }
 
   /** Options shared by all benchmarks. */
--- a/src/main/java/hollyslip/cli/CheckCommand.java
+++ b/src/main/java/hollyslip/cli/CheckCommand.java
@@ -18,7 +18,7 @@
     loaded.faults().forEach(System.out::println);
     if (!loaded.faults().isEmpty()) {
       System.out.println(loaded.faults().size() + " faults");
-      return Main.EXIT_USAGE;
+      return Main.EXIT_INVALID_INPUT;
     }
     var deployment = loaded.deployment();
     System.out.println("no faults: " + deployment.nodes().size() + " nodes, " + deployment.volumes().size()
--- a/src/main/java/hollyslip/cli/EmulateCommand.java
+++ b/src/main/java/hollyslip/cli/EmulateCommand.java
@@ -44,7 +44,7 @@
       return AuditCommand.printReport(outcome.audit()) ? Main.EXIT_OK : Main.EXIT_FAILURE;
     } catch (IllegalArgumentException e) {
       System.err.println(file + ": " + e.getMessage());
-      return Main.EXIT_USAGE;
+      return Main.EXIT_INVALID_INPUT;
     }
   }
 
--- a/src/main/java/hollyslip/cli/ExperimentCommand.java
+++ b/src/main/java/hollyslip/cli/ExperimentCommand.java
@@ -39,7 +39,7 @@
       experiment = Experiment.read(file);
     } catch (IllegalArgumentException | java.nio.file.NoSuchFileException e) {
       System.err.println(e.getMessage());
-      return Main.EXIT_USAGE;
+      return Main.EXIT_INVALID_INPUT;
     }
     Files.createDirectories(out);
     int concurrency = threads > 0 ? threads : Runtime.getRuntime().availableProcessors();
--- a/src/main/java/hollyslip/cli/LoadCommand.java
+++ b/src/main/java/hollyslip/cli/LoadCommand.java
@@ -30,7 +30,7 @@
   @Override
   public Integer call() {
     picocli.CommandLine.usage(this, System.err);
-    return Main.EXIT_USAGE;
+    return Main.EXIT_INVALID_INPUT;
   }
 
   /** Runs the load of the volumes of a day file. */
@@ -72,7 +72,7 @@
             : startUs, closed, (long) (maxLatenessMs * 1_000)));
       } catch (IllegalArgumentException e) {
         System.err.println(file + ": " + e.getMessage());
-        return Main.EXIT_USAGE;
+        return Main.EXIT_INVALID_INPUT;
       }
       // Ctrl-C ends the schedule early; the report is still written.
       CountDownLatch reported = new CountDownLatch(1);
@@ -168,7 +168,7 @@
         return Main.EXIT_OK;
       } catch (IOException e) {
         System.err.println(e.getMessage());
-        return Main.EXIT_USAGE;
+        return Main.EXIT_INVALID_INPUT;
       }
     }
 
@@ -213,7 +213,7 @@
         return Main.EXIT_OK;
       } catch (IOException e) {
         System.err.println(e.getMessage());
-        return Main.EXIT_USAGE;
+        return Main.EXIT_INVALID_INPUT;
       }
     }
   }
@@ -239,7 +239,7 @@
         return Main.EXIT_OK;
       } catch (IllegalArgumentException e) {
         System.err.println(file + ": " + e.getMessage());
-        return Main.EXIT_USAGE;
+        return Main.EXIT_INVALID_INPUT;
       }
     }
 
--- a/src/main/java/hollyslip/cli/Main.java
+++ b/src/main/java/hollyslip/cli/Main.java
@@ -23,7 +23,7 @@
         "1:failure; for demo, replay and audit: a rule was broken",
         "2:invalid command line, settings or input"}, footerHeading = "%n", footer = "Settings are described in docs/settings.md, operation in docs/operators.md.")
 public final class Main implements Callable<Integer> {
-  static final int EXIT_OK = 0, EXIT_FAILURE = 1, EXIT_USAGE = 2;
+  static final int EXIT_OK = 0, EXIT_FAILURE = 1, EXIT_INVALID_INPUT = 2;
 
   public static void main(String[] args) throws IOException, InterruptedException {
     // These two are started often, and platform runs with little memory, so they bypass the command-line
@@ -42,7 +42,7 @@
   @Override
   public Integer call() {
     CommandLine.usage(this, System.err);
-    return EXIT_USAGE;
+    return EXIT_INVALID_INPUT;
   }
 
   /** Declared for the help only; {@link #main} runs it directly. */
--- a/src/main/java/hollyslip/cli/ReplayCommand.java
+++ b/src/main/java/hollyslip/cli/ReplayCommand.java
@@ -25,7 +25,7 @@
       day = Day.parse(Files.readString(file));
     } catch (Day.Wrong e) {
       System.err.println(file + ": " + e.getMessage());
-      return Main.EXIT_USAGE;
+      return Main.EXIT_INVALID_INPUT;
     }
     return DayPlayback.play(day, dir);
   }
--- a/src/main/java/hollyslip/cli/RingCommand.java
+++ b/src/main/java/hollyslip/cli/RingCommand.java
@@ -21,7 +21,7 @@
   @Override
   public Integer call() {
     picocli.CommandLine.usage(this, System.err);
-    return Main.EXIT_USAGE;
+    return Main.EXIT_INVALID_INPUT;
   }
 
   /** Sends one request, waits for its answer and returns its status. */
--- a/src/main/java/hollyslip/cli/SearchCommand.java
+++ b/src/main/java/hollyslip/cli/SearchCommand.java
@@ -53,7 +53,7 @@
       return broken.isEmpty() ? Main.EXIT_OK : Main.EXIT_FAILURE;
     } catch (IllegalArgumentException e) {
       System.err.println(file + ": " + e.getMessage());
-      return Main.EXIT_USAGE;
+      return Main.EXIT_INVALID_INPUT;
     }
   }
 }
--- a/src/main/java/hollyslip/cli/ServeCommand.java
+++ b/src/main/java/hollyslip/cli/ServeCommand.java
@@ -38,7 +38,7 @@
     Loader.Loaded loaded = Loader.load(file);
     if (!loaded.faults().isEmpty()) {
       loaded.faults().forEach(System.err::println);
-      return Main.EXIT_USAGE;
+      return Main.EXIT_INVALID_INPUT;
     }
     CountDownLatch stopRequested = new CountDownLatch(1);
     Gateway gateway = new Gateway(loaded.deployment(), takeOver);
--- a/src/main/java/hollyslip/settings/Evaluator.java
+++ b/src/main/java/hollyslip/settings/Evaluator.java
@@ -235,8 +235,8 @@
     if (target instanceof Identifier identifier) {
       scope.names.put(identifier.name(), value);
     } else if (target instanceof IndexExpression subscript) {
-      Operators.setIndex(subscript.location(), evaluate(subscript.object(), scope), evaluate(subscript
-          .index(), scope), value);
+      Operators.setIndex(subscript.location(), evaluate(subscript.object(), scope),
+          evaluate(subscript.index(), scope), value);
     } else {
       List<Expression> targets = target instanceof TupleExpression tuple
           ? tuple.items()
@@ -393,8 +393,8 @@
       return Operators.boundMethod(dot.location(), evaluate(dot.object(), scope), dot.name());
     }
     if (expression instanceof IndexExpression subscript) {
-      return Operators.getIndex(subscript.location(), evaluate(subscript.object(), scope), evaluate(subscript
-          .index(), scope));
+      return Operators.getIndex(subscript.location(), evaluate(subscript.object(), scope),
+          evaluate(subscript.index(), scope));
     }
     SliceExpression slice = (SliceExpression) expression;
     return Operators.slice(slice.location(), evaluate(slice.object(), scope), slice.start() == null
--- a/src/main/java/hollyslip/standin/DiskServer.java
+++ b/src/main/java/hollyslip/standin/DiskServer.java
@@ -338,8 +338,7 @@
       if (doneAtUs >= 0) {
         doneAtUs += job.kind == Nbd.CMD_WRITE ? faults.lateWriteUs : 0;
         jobs.add(new Job(doneAtUs, serials.incrementAndGet(), job.connection, job.cookie, job.kind,
-            job.offset,
-            job.length, job.payload, job.receivedUs));
+            job.offset, job.length, job.payload, job.receivedUs));
         queuedCount++;
         LockSupport.unpark(worker);
       }
--- a/src/test/java/hollyslip/e2e/HostileClientTest.java
+++ b/src/test/java/hollyslip/e2e/HostileClientTest.java
@@ -156,13 +156,8 @@
     violations.put("region that overlaps", (c, q) -> c.send(Wire.ADD_MEM_REG, 0,
         littleEndian(40).putLong(0).putLong(GUEST).putLong(4096).putLong(0).putLong(0).array(),
         c.memoryFd()));
-    violations.put("region that is not there", (c, q) -> c.send(Wire.REM_MEM_REG, 0, littleEndian(40).putLong(
-        0)
-        .putLong(1)
-        .putLong(1)
-        .putLong(1)
-        .putLong(0)
-        .array()));
+    violations.put("region that is not there", (c, q) -> c.send(Wire.REM_MEM_REG, 0,
+        littleEndian(40).putLong(0).putLong(1).putLong(1).putLong(1).putLong(0).array()));
     violations.put("memory that goes while a ring runs in it", (c, q) -> c.send(Wire.SET_MEM_TABLE, 0,
         littleEndian(8)
             .putLong(0)
@@ -239,9 +234,8 @@
         client.connect(gateway.socket("stock"));
         site.disks.get(0).stall(50_000);
         for (int i = 0; i < 5; i++) {
-          assertTrue(client.submit(0, IoKind.WRITE, i * 4096L, 4096, java.nio.ByteBuffer.allocate(4096), (s,
-              r,
-              d) -> {}));
+          assertTrue(client.submit(0, IoKind.WRITE, i * 4096L, 4096,
+              java.nio.ByteBuffer.allocate(4096), (s, r, d) -> {}));
         }
         // The rest arrive when the first are sent, and are sent when those are answered.
         client.kick();
--- a/src/test/java/hollyslip/e2e/LanesTest.java
+++ b/src/test/java/hollyslip/e2e/LanesTest.java
@@ -49,9 +49,8 @@
       byte[] bytes = new byte[BLOCK];
       Arrays.fill(bytes, (byte) round);
       for (int block = 0; block < BLOCKS; block++) {
-        assertTrue(client.submit(0, IoKind.WRITE, (long) block * BLOCK, BLOCK, ByteBuffer.wrap(bytes), (
-            status, retryMs,
-            data) -> answers[status]++));
+        assertTrue(client.submit(0, IoKind.WRITE, (long) block * BLOCK, BLOCK, ByteBuffer.wrap(bytes),
+            (status, retryMs, data) -> answers[status]++));
       }
       client.kick();
       meanwhile.run();
--- a/src/test/java/hollyslip/e2e/RingNoiseTest.java
+++ b/src/test/java/hollyslip/e2e/RingNoiseTest.java
@@ -83,9 +83,9 @@
         .atMost(20, TimeUnit.SECONDS)
         .pollInterval(1, TimeUnit.MILLISECONDS)
         .until(() -> gateway.devices("stock") == 0 && Linux.mappings() <= mappings);
-    try (RingClient honest = new RingClient(RingClient.Options.usual(1, 16, 4096))) {
-      honest.connect(gateway.socket("orders"));
-      assertEquals(0, RingRequests.execute(honest, IoKind.READ, 0, 4096, new byte[4096]));
+    try (RingClient wellBehaved = new RingClient(RingClient.Options.usual(1, 16, 4096))) {
+      wellBehaved.connect(gateway.socket("orders"));
+      assertEquals(0, RingRequests.execute(wellBehaved, IoKind.READ, 0, 4096, new byte[4096]));
     }
     Awaitility.await()
         .atMost(20, TimeUnit.SECONDS)
--- a/src/test/java/hollyslip/e2e/TestDeployment.java
+++ b/src/test/java/hollyslip/e2e/TestDeployment.java
@@ -119,9 +119,8 @@
     script.append("plan('gold', rate = 1e6, reserve = 1e5, weight = 3)\n");
     script.append(String.format(
         "plan('limited', rate = %s, reserve = %s, weight = 1, limit = %s, limit_burst = %s, limit_slack = "
-            + "%s)%n", limitedPlan.rate(), limitedPlan.reserve(), limitedPlan.limit(), limitedPlan
-                .limitBurst(), limitedPlan
-                    .limitSlack()));
+            + "%s)%n", limitedPlan.rate(), limitedPlan.reserve(), limitedPlan.limit(),
+        limitedPlan.limitBurst(), limitedPlan.limitSlack()));
     for (int i = 0; i < disks.size(); i++) {
       script.append(String.format("node('%s', id = %d, port = %d, shard = %d, capacity = %s, bytes = %d)%n",
           disks.get(i).name(), 100 + i, disks.get(i).address().getPort(), i, capacity, SHARD_BYTES));
