--- a/src/main/java/hollyslip/admin/AdminServer.java
+++ b/src/main/java/hollyslip/admin/AdminServer.java
@@ -103,7 +103,7 @@
 
   /** Creates the first operator token and writes it to a file that only the owner can read, unless an
    * operator token exists. */
-  public static void bootstrap(Control control, Path file) throws IOException {
+  public static void ensureOperatorToken(Control control, Path file) throws IOException {
     boolean needed = control.read(route -> route.tokens().stream().noneMatch(t -> t.tenant() == 0)).join();
     if (needed) {
       AuthenticatedCaller.IssuedToken issued = AuthenticatedCaller.issueToken("operator", 0);
@@ -113,7 +113,7 @@
           "rw-------")));
       Files.writeString(temporaryFile, issued.token() + "\n");
       Files.move(temporaryFile, file, java.nio.file.StandardCopyOption.ATOMIC_MOVE);
-      control.command((route, address) -> route.createToken(address, "gateway", issued.storedToken()),
+      control.execute((route, address) -> route.createToken(address, "gateway", issued.storedToken()),
           route -> null).join();
     }
   }
@@ -163,7 +163,7 @@
 
   /** Reloads key and certificate from their files. Existing connections continue. Returns false if the new
    * ones cannot be used; the previous ones then stay in use. */
-  public boolean reloadKeys() {
+  public boolean reloadCertificate() {
     if (certFile == null) {
       return true;
     }
--- a/src/main/java/hollyslip/admin/Api.java
+++ b/src/main/java/hollyslip/admin/Api.java
@@ -139,7 +139,7 @@
   private CompletableFuture<Response> change(Request request, boolean operatorsOnly,
       Function<CommandContext, ChangeSet> decide, Function<Registry, JsonNode> current,
       BiFunction<Registry, ChangeSet, Response> view) {
-    return control.command((commandHandler, at) -> {
+    return control.execute((commandHandler, at) -> {
       Registry registry = commandHandler.registry();
       AuthenticatedCaller caller = operatorsOnly
           ? requireOperator(registry, request)
@@ -162,7 +162,7 @@
   private CompletableFuture<Response> create(Request request, boolean operatorsOnly,
       Function<CommandContext, ChangeSet> decide, BiFunction<Registry, String, Response> view) {
     String[] path = new String[1];
-    return control.command((commandHandler, at) -> {
+    return control.execute((commandHandler, at) -> {
       Registry registry = commandHandler.registry();
       AuthenticatedCaller caller = operatorsOnly
           ? requireOperator(registry, request)
--- a/src/main/java/hollyslip/admin/ApiClient.java
+++ b/src/main/java/hollyslip/admin/ApiClient.java
@@ -26,9 +26,9 @@
   private static final long TIMEOUT_S = 30;
 
   /** A response; a body or header that was not sent is null. */
-  public record Answer(int status, JsonNode body, String tag, String location) {
+  public record Answer(int status, JsonNode body, String etag, String location) {
     /** Whether the request succeeded. */
-    public boolean good() {
+    public boolean isSuccess() {
       return status < 300;
     }
   }
@@ -53,12 +53,12 @@
   }
 
   /** Creates a client for the gateway's Unix socket. */
-  public static ApiClient at(Path socket, String token) {
+  public static ApiClient connect(Path socket, String token) {
     return new ApiClient(SocketAddress.domainSocketAddress(socket.toString()), null, token);
   }
 
   /** Creates a client for a loopback port; {@code trustedCertificates} is a PEM file, or null for no TLS. */
-  public static ApiClient at(int port, Path trustedCertificates, String token) {
+  public static ApiClient connect(int port, Path trustedCertificates, String token) {
     return new ApiClient(SocketAddress.inetSocketAddress(port, "localhost"), trustedCertificates, token);
   }
 
@@ -70,7 +70,7 @@
    *          headers besides Authorization
    * @throws IOException
    *           no response was received */
-  public Answer ask(String method, String path, JsonNode body, Map<String, String> headers)
+  public Answer send(String method, String path, JsonNode body, Map<String, String> headers)
       throws IOException {
     RequestOptions options = new RequestOptions().setServer(server)
         .setHost("localhost")
--- a/src/main/java/hollyslip/admin/Carrier.java
+++ b/src/main/java/hollyslip/admin/Carrier.java
@@ -17,7 +17,7 @@
   CompletableFuture<Void> drain(HostedVolume volume, Tenant tenant);
 
   /** Sets the state that administrators chose for a node. */
-  void node(String name, NodeState state);
+  void setNodeState(String name, NodeState state);
 
   /** Returns the known nodes by name. */
   java.util.Map<String, NodeView> nodes();
--- a/src/main/java/hollyslip/admin/Control.java
+++ b/src/main/java/hollyslip/admin/Control.java
@@ -104,7 +104,7 @@
   public CompletableFuture<Void> start() {
     CompletableFuture<Void> attempted = new CompletableFuture<>();
     submit(attempted, () -> {
-      registry.nodes().forEach(n -> provisioner.node(n.node(), n.state()));
+      registry.nodes().forEach(n -> provisioner.setNodeState(n.node(), n.state()));
       List<CompletableFuture<Void>> all = new ArrayList<>();
       registry.volumes()
           .stream()
@@ -122,13 +122,13 @@
 
   /** Executes a command on the current registry. The future completes, with the view of the registry after
    * it, once the change set is synced. A change set of null means no change and is not an error. */
-  public <T> CompletableFuture<T> command(BiFunction<RegistryCommandHandler, Long, ChangeSet> decide,
+  public <T> CompletableFuture<T> execute(BiFunction<RegistryCommandHandler, Long, ChangeSet> decide,
       Function<Registry, T> view) {
-    return command(decide, (r, changeSet) -> view.apply(r));
+    return execute(decide, (r, changeSet) -> view.apply(r));
   }
 
   /** As above, with the change set passed to the view. */
-  <T> CompletableFuture<T> command(BiFunction<RegistryCommandHandler, Long, ChangeSet> decide,
+  <T> CompletableFuture<T> execute(BiFunction<RegistryCommandHandler, Long, ChangeSet> decide,
       BiFunction<Registry, ChangeSet, T> view) {
     CompletableFuture<T> answer = new CompletableFuture<>();
     submit(answer, () -> {
@@ -205,7 +205,7 @@
     });
     append.thenRun(() -> submit(provisioned, () -> {
       steps.forEach(this::provision);
-      nodes.forEach(n -> provisioner.node(n.node(), n.state()));
+      nodes.forEach(n -> provisioner.setNodeState(n.node(), n.state()));
       auditRecords.forEach(t -> listeners.forEach(l -> l.accept(t)));
     }));
     bytesSinceSnapshot += bytes.length;
@@ -221,7 +221,7 @@
   }
 
   /** Writes a snapshot of the current state. */
-  public CompletableFuture<Long> keep() {
+  public CompletableFuture<Long> takeSnapshot() {
     CompletableFuture<Long> done = new CompletableFuture<>();
     submit(done, () -> snapshot().whenComplete((n, e) -> {
       if (e == null) {
@@ -248,7 +248,7 @@
         return;
       }
       if (error == null) {
-        command(decide, r -> null);
+        execute(decide, r -> null);
       } else {
         LOG.atWarn()
             .addKeyValue("volume", step.volume.name())
--- a/src/main/java/hollyslip/audit/Witness.java
+++ b/src/main/java/hollyslip/audit/Witness.java
@@ -55,19 +55,19 @@
     return values;
   }
 
-  public static void asked(Path dir, String client, List<Asked> requests) throws IOException {
+  public static void writeRequests(Path dir, String client, List<Asked> requests) throws IOException {
     write(dir.resolve("asked-" + client + ".jsonl"), Asked.class, requests);
   }
 
-  public static void commands(Path dir, String server, List<Command> commands) throws IOException {
+  public static void writeCommands(Path dir, String server, List<Command> commands) throws IOException {
     write(dir.resolve("commands-" + server + ".jsonl"), Command.class, commands);
   }
 
-  public static void told(Path dir, String operator, List<Told> events) throws IOException {
+  public static void writeOperatorEvents(Path dir, String operator, List<Told> events) throws IOException {
     write(dir.resolve("told-" + operator + ".jsonl"), Told.class, events);
   }
 
-  public static void figures(Path dir, Figures parameters) throws IOException {
+  public static void writeParameters(Path dir, Figures parameters) throws IOException {
     JSON.writeValue(dir.resolve("figures.json").toFile(), parameters);
   }
 
--- a/src/main/java/hollyslip/cli/AdminCommand.java
+++ b/src/main/java/hollyslip/cli/AdminCommand.java
@@ -89,7 +89,9 @@
       System.err.println("--token-file: " + tokenFile + " cannot be read: " + e.getClass().getSimpleName());
       return Main.EXIT_INVALID_INPUT;
     }
-    try (ApiClient api = port == null ? ApiClient.at(socket, token) : ApiClient.at(port, trust, token)) {
+    try (ApiClient api = port == null
+        ? ApiClient.connect(socket, token)
+        : ApiClient.connect(port, trust, token)) {
       return execute(api);
     } catch (IOException e) {
       System.err.println(e.getMessage());
@@ -100,11 +102,11 @@
   private int execute(ApiClient api) throws IOException {
     return switch (verb) {
       case LIST -> listAll(api);
-      case SHOW -> printResponse(api.ask("GET", itemPath(name()), null, Map.of()));
+      case SHOW -> printResponse(api.send("GET", itemPath(name()), null, Map.of()));
       case CREATE -> {
         ObjectNode body = parseFields(arguments.subList(1, arguments.size()));
         body.put("name", name().substring(name().indexOf('/') + 1));
-        yield printResponse(api.ask("POST", collectionPath(name()), body, Map.of()));
+        yield printResponse(api.send("POST", collectionPath(name()), body, Map.of()));
       }
       case SET -> update(api, "PATCH", parseFields(arguments.subList(1, arguments.size())));
       case DRAIN -> update(api, "PATCH", JSON.createObjectNode().put("state", "draining"));
@@ -116,13 +118,13 @@
   private int update(ApiClient api, String method, JsonNode body) throws IOException {
     String tag = revision == null ? null : "\"" + revision + "\"";
     if (tag == null) {
-      ApiClient.Answer current = api.ask("GET", itemPath(name()), null, Map.of());
-      if (!current.good()) {
+      ApiClient.Answer current = api.send("GET", itemPath(name()), null, Map.of());
+      if (!current.isSuccess()) {
         return printResponse(current);
       }
-      tag = current.tag();
+      tag = current.etag();
     }
-    return printResponse(api.ask(method, itemPath(name()), body, Map.of("If-Match", tag)));
+    return printResponse(api.send(method, itemPath(name()), body, Map.of("If-Match", tag)));
   }
 
   /** Prints the whole list, page by page. */
@@ -131,11 +133,11 @@
     String base = collectionPath(arguments.isEmpty() ? "" : arguments.get(0) + "/");
     String after = null;
     do {
-      ApiClient.Answer answer = api.ask("GET", base + "?limit=1000" + (after == null
+      ApiClient.Answer answer = api.send("GET", base + "?limit=1000" + (after == null
           ? ""
           : "&after=" + after),
           null, Map.of());
-      if (!answer.good()) {
+      if (!answer.isSuccess()) {
         return printResponse(answer);
       }
       answer.body().get("items").forEach(items::add);
@@ -158,7 +160,7 @@
       for (int i = 0; i < row.length; i++) {
         JsonNode value = item.at("/" + headers[i].replace('.', '/'));
         row[i] = headers[i].endsWith("bytes") && value.isIntegralNumber()
-            ? Plain.bytes(value.asLong())
+            ? Plain.formatBytes(value.asLong())
             : value.asText();
       }
       rows.add(row);
@@ -179,7 +181,7 @@
   }
 
   private int printResponse(ApiClient.Answer answer) {
-    if (answer.good()) {
+    if (answer.isSuccess()) {
       if (answer.body() != null) {
         System.out.println(json ? answer.body().toString() : answer.body().toPrettyString());
       }
--- a/src/main/java/hollyslip/cli/DayPlayback.java
+++ b/src/main/java/hollyslip/cli/DayPlayback.java
@@ -38,7 +38,7 @@
     System.out.println(result.stoppedCleanly()
         ? "gateways stopped cleanly"
         : "a gateway did not stop cleanly");
-    System.out.println(result.kept() && kept ? "all rules kept" : "NOT all rules kept");
-    return result.kept() ? Main.EXIT_OK : Main.EXIT_FAILURE;
+    System.out.println(result.isClean() && kept ? "all rules kept" : "NOT all rules kept");
+    return result.isClean() ? Main.EXIT_OK : Main.EXIT_FAILURE;
   }
 }
--- a/src/main/java/hollyslip/cli/EmulateCommand.java
+++ b/src/main/java/hollyslip/cli/EmulateCommand.java
@@ -40,7 +40,7 @@
       }
       System.out.printf(Locale.ROOT,
           "simulated: %.0f s of %d gateways and %d nodes in %.2f s, %,.0f happenings a second%n",
-          day.seconds(), day.gateways(), day.nodes().count(), seconds, outcome.happenings() / seconds);
+          day.seconds(), day.gateways(), day.nodes().count(), seconds, outcome.eventCount() / seconds);
       return AuditCommand.printReport(outcome.audit()) ? Main.EXIT_OK : Main.EXIT_FAILURE;
     } catch (IllegalArgumentException e) {
       System.err.println(file + ": " + e.getMessage());
--- a/src/main/java/hollyslip/cli/ExperimentCommand.java
+++ b/src/main/java/hollyslip/cli/ExperimentCommand.java
@@ -60,23 +60,23 @@
   private static String formatTable(Experiment experiment, List<Run> runs) {
     StringBuilder table = new StringBuilder(
         "simulated; mean and half the interval of 95 in 100 over the seeds\n");
-    table.append(String.format("%-40s", String.join(", ", experiment.names())));
-    Experiment.FIGURES.keySet().forEach(figure -> table.append(String.format(" %18s", figure)));
+    table.append(String.format("%-40s", String.join(", ", experiment.sweepNames())));
+    Experiment.MEASURES.keySet().forEach(figure -> table.append(String.format(" %18s", figure)));
     table.append(String.format(" %7s%n", "broken"));
     Map<String, String> previous = null;
     for (Map<String, String> point : experiment.points()) {
-      List<Run> pointRuns = Experiment.of(runs, point);
+      List<Run> pointRuns = Experiment.runsAt(runs, point);
       table.append(String.format("%-40s", String.join(", ", point.values())));
-      for (var figure : Experiment.FIGURES.values()) {
+      for (var figure : Experiment.MEASURES.values()) {
         table.append(formatEstimate(Estimate.of(values(pointRuns, figure)), ""));
       }
       table.append(String.format(" %7d%n", pointRuns.stream().filter(r -> !r.broken().isEmpty()).count()));
       if (previous != null && differOnlyInLastName(experiment, previous, point)) {
         table.append(String.format("%-40s", "  more than the one above"));
-        for (var figure : Experiment.FIGURES.values()) {
-          Estimate difference = Estimate.paired(values(Experiment.of(runs, previous), figure),
+        for (var figure : Experiment.MEASURES.values()) {
+          Estimate difference = Estimate.paired(values(Experiment.runsAt(runs, previous), figure),
               values(pointRuns, figure));
-          table.append(formatEstimate(difference, difference.clear() ? "*" : ""));
+          table.append(formatEstimate(difference, difference.isSignificant() ? "*" : ""));
         }
         table.append(System.lineSeparator());
       }
@@ -87,14 +87,14 @@
 
   private static String formatEstimate(Estimate estimate, String mark) {
     return String.format(Locale.ROOT, " %18s", String.format(Locale.ROOT, "%.2f +-%.2f%s", estimate.mean(),
-        estimate.half(),
+        estimate.halfWidth(),
         mark));
   }
 
   /** Returns whether two points differ only in the last parameter. */
   private static boolean differOnlyInLastName(Experiment experiment, Map<String, String> a,
       Map<String, String> b) {
-    List<String> names = experiment.names();
+    List<String> names = experiment.sweepNames();
     return names.size() > 1 && names.subList(0, names.size() - 1)
         .stream()
         .allMatch(k -> a.get(k).equals(b.get(k)));
@@ -104,21 +104,21 @@
    * combination of the others. */
   private void writePlots(Experiment experiment, List<Run> runs) throws IOException {
     System.setProperty("java.awt.headless", "true");
-    if (experiment.names().isEmpty()) {
+    if (experiment.sweepNames().isEmpty()) {
       return;
     }
-    String first = experiment.names().get(0);
-    for (var figure : Experiment.FIGURES.entrySet()) {
+    String first = experiment.sweepNames().get(0);
+    for (var figure : Experiment.MEASURES.entrySet()) {
       Map<String, List<double[]>> lines = new LinkedHashMap<>();
       for (Map<String, String> point : experiment.points()) {
         Map<String, String> others = new LinkedHashMap<>(point);
         others.remove(first);
-        Estimate estimate = Estimate.of(values(Experiment.of(runs, point), figure.getValue()));
+        Estimate estimate = Estimate.of(values(Experiment.runsAt(runs, point), figure.getValue()));
         try {
           lines.computeIfAbsent(others.isEmpty() ? figure.getKey() : others.toString(),
               k -> new ArrayList<>())
               .add(new double[]{Double.parseDouble(point.get(first)), estimate.mean(),
-                  Double.isInfinite(estimate.half()) ? 0 : estimate.half()});
+                  Double.isInfinite(estimate.halfWidth()) ? 0 : estimate.halfWidth()});
         } catch (NumberFormatException notNumeric) {
           return;
         }
--- a/src/main/java/hollyslip/cli/LoadCommand.java
+++ b/src/main/java/hollyslip/cli/LoadCommand.java
@@ -64,11 +64,11 @@
       Day day;
       try {
         day = Day.parse(Files.readString(file));
-        day = seconds == null ? day : day.lasting(seconds);
+        day = seconds == null ? day : day.withDuration(seconds);
         day = seed == null ? day : day.with(seed);
         int[] share = parseProcess();
         run = new LoadRun(new LoadRun.Config(day, sockets, share[0], share[1], startUs == null
-            ? LoadRun.soon()
+            ? LoadRun.nearFutureStartUs()
             : startUs, closed, (long) (maxLatenessMs * 1_000)));
       } catch (IllegalArgumentException e) {
         System.err.println(file + ": " + e.getMessage());
@@ -123,7 +123,7 @@
       json.put("lateness_p999_us", result.lateness().getValueAtPercentile(99.9));
       result.ends().forEach((end, count) -> json.put(end.name().toLowerCase(Locale.ROOT), count));
       for (String tag : result.log().tags()) {
-        Histogram histogram = result.log().all(tag);
+        Histogram histogram = result.log().merged(tag);
         ObjectNode percentiles = json.putObject(tag).put("count", histogram.getTotalCount());
         for (double percentile : PERCENTILES) {
           percentiles.put("p" + percentile, histogram.getValueAtPercentile(percentile));
@@ -175,7 +175,7 @@
     private static void printSeconds(LatencyLog all) {
       java.util.TreeMap<Long, Histogram> histograms = new java.util.TreeMap<>();
       for (String tag : all.tags()) {
-        all.seconds(tag)
+        all.histogramsBySecond(tag)
             .forEach((second, histogram) -> histograms.computeIfAbsent(second,
                 k -> new Histogram(3_600_000_000L, 3)).add(histogram));
       }
@@ -199,8 +199,8 @@
         LatencyLog second = LatencyLog.read(after);
         System.out.printf("%-20s %8s %12s %12s %8s%n", "tag", "at", "before ms", "after ms", "ratio");
         for (String tag : first.tags()) {
-          Histogram firstHistogram = first.all(tag);
-          Histogram secondHistogram = second.all(tag);
+          Histogram firstHistogram = first.merged(tag);
+          Histogram secondHistogram = second.merged(tag);
           for (double percentile : PERCENTILES) {
             if (secondHistogram != null) {
               double firstMs = firstHistogram.getValueAtPercentile(percentile) / 1e3;
@@ -234,7 +234,7 @@
         System.out.printf("%-6s %-16s %26s %26s %26s%n", "load", "plan.kind", "served a second", "p50 ms",
             "p99 ms");
         for (double t : loadFactors) {
-          compareAtLoad(day.times(t), t);
+          compareAtLoad(day.scaledBy(t), t);
         }
         return Main.EXIT_OK;
       } catch (IllegalArgumentException e) {
@@ -249,15 +249,16 @@
       try (Stage stage = new Stage(day, dir)) {
         stage.start();
         // Warm-up: the JVM compiles the gateways' code as it is used, so the first run is not counted.
-        new LoadRun(new LoadRun.Config(day.lasting(Math.min(5, day.seconds())), stage.sockets(), 0, 1,
-            LoadRun.soon(), false, 1_000)).run();
-        result = new LoadRun(new LoadRun.Config(day, stage.sockets(), 0, 1, LoadRun.soon(), false, 1_000))
+        new LoadRun(new LoadRun.Config(day.withDuration(Math.min(5, day.seconds())), stage.socketDirs(), 0, 1,
+            LoadRun.nearFutureStartUs(), false, 1_000)).run();
+        result = new LoadRun(new LoadRun.Config(day, stage.socketDirs(), 0, 1, LoadRun.nearFutureStartUs(),
+            false, 1_000))
             .run();
       }
       Outcome outcome = World.play(day);
       for (String tag : result.log().tags()) {
-        Histogram measured = result.log().all(tag);
-        Histogram simulated = outcome.kinds().get(tag).latency();
+        Histogram measured = result.log().merged(tag);
+        Histogram simulated = outcome.plansAndKinds().get(tag).latency();
         double seconds = day.seconds();
         System.out.printf(Locale.ROOT, "%-6s %-16s %s %s %s%n", times, tag,
             formatPair(measured.getTotalCount() / seconds, simulated.getTotalCount() / seconds),
@@ -284,7 +285,7 @@
 
   private static void printTable(LatencyLog log) {
     printHeader("plan.kind");
-    log.tags().forEach(tag -> printRow(tag, log.all(tag)));
+    log.tags().forEach(tag -> printRow(tag, log.merged(tag)));
   }
 
   private static void printHeader(String first) {
--- a/src/main/java/hollyslip/cli/RingCommand.java
+++ b/src/main/java/hollyslip/cli/RingCommand.java
@@ -28,7 +28,7 @@
   private static int runRequest(Path socket, IoKind kind, long offset, int length, ByteBuffer data,
       byte[] target)
       throws IOException {
-    try (RingClient client = new RingClient(RingClient.Options.usual(1, 16, MAX_BYTES))) {
+    try (RingClient client = new RingClient(RingClient.Options.allFeatures(1, 16, MAX_BYTES))) {
       client.connect(socket);
       int[] status = {-1};
       client.submit(0, kind, offset, length, data, (answerStatus, retryMs, answerData) -> {
@@ -119,8 +119,10 @@
       System.out.printf("%d answers; ms p50 %.2f p99 %.2f most %.2f%n", latency.getTotalCount(),
           latency.getValueAtPercentile(50) / 1e3, latency.getValueAtPercentile(99) / 1e3,
           latency.getMaxValue() / 1e3);
-      load.wrong().forEach(System.out::println);
-      return load.wrong().isEmpty() && latency.getTotalCount() == count ? Main.EXIT_OK : Main.EXIT_FAILURE;
+      load.wrongReads().forEach(System.out::println);
+      return load.wrongReads().isEmpty() && latency.getTotalCount() == count
+          ? Main.EXIT_OK
+          : Main.EXIT_FAILURE;
     }
   }
 }
--- a/src/main/java/hollyslip/cli/SearchCommand.java
+++ b/src/main/java/hollyslip/cli/SearchCommand.java
@@ -35,8 +35,8 @@
     try {
       BadDays search = new BadDays(Day.parse(Files.readString(file)), seed);
       List<Found> all = search.search(rounds, days);
-      List<Found> broken = all.stream().filter(found -> !found.broken().isEmpty()).toList();
-      System.out.printf("simulated: %d days, %d broke a rule%n", search.played(), broken.size());
+      List<Found> broken = all.stream().filter(found -> !found.brokenRules().isEmpty()).toList();
+      System.out.printf("simulated: %d days, %d broke a rule%n", search.runCount(), broken.size());
       Files.createDirectories(out);
       int written = 0;
       for (Found found : (broken.isEmpty() ? all : broken).subList(0, Math.min(keep, broken.isEmpty()
@@ -46,9 +46,9 @@
         Path target = out.resolve((broken.isEmpty() ? "worst-" : "broken-") + written++ + ".day");
         Files.writeString(target, "# found by hollyslip search, seed " + seed + "; in aim " + smallest.inAim()
             + " "
-            + smallest.first().replace("\n", " ") + "\n" + smallest.day().text());
+            + smallest.firstBreach().replace("\n", " ") + "\n" + smallest.scenario().toText());
         System.out.printf(Locale.ROOT, "%s: %d troubles, %.1f%% in aim, %s%n", target,
-            smallest.day().troubles().size(), 100 * smallest.inAim(), smallest.first());
+            smallest.scenario().disturbances().size(), 100 * smallest.inAim(), smallest.firstBreach());
       }
       return broken.isEmpty() ? Main.EXIT_OK : Main.EXIT_FAILURE;
     } catch (IllegalArgumentException e) {
--- a/src/main/java/hollyslip/cli/ServeCommand.java
+++ b/src/main/java/hollyslip/cli/ServeCommand.java
@@ -45,7 +45,7 @@
     Signal.handle(new Signal("TERM"), s -> stopRequested.countDown());
     Signal.handle(new Signal("INT"), s -> stopRequested.countDown());
     Signal.handle(new Signal("HUP"), s -> reload(gateway));
-    gateway.onFault(stopRequested::countDown);
+    gateway.onTermination(stopRequested::countDown);
     System.out.println(READY);
     System.out.flush();
     stopRequested.await();
@@ -58,12 +58,12 @@
    * older signal could replace those read for a newer one, and stay. */
   private synchronized void reload(Gateway gateway) {
     if (gateway.admin() != null) {
-      gateway.admin().reloadKeys();
+      gateway.admin().reloadCertificate();
     }
     Loader.Loaded reloaded = Loader.load(file);
     if (reloaded.faults().isEmpty()) {
       Deployment deployment = reloaded.deployment();
-      gateway.nodes(deployment);
+      gateway.replaceNodes(deployment);
     } else {
       reloaded.faults()
           .forEach(fault -> LOG.atError().addKeyValue("fault", fault.toString()).log("settings.refused"));
--- a/src/main/java/hollyslip/cli/StandinCommand.java
+++ b/src/main/java/hollyslip/cli/StandinCommand.java
@@ -52,7 +52,7 @@
         }
       }
       if (records != null) {
-        Witness.commands(records, name, server.commands());
+        Witness.writeCommands(records, name, server.commands());
       }
     }
     return Main.EXIT_OK;
--- a/src/main/java/hollyslip/emulator/BadDays.java
+++ b/src/main/java/hollyslip/emulator/BadDays.java
@@ -22,11 +22,11 @@
 
   private final Day base;
   private final SplittableRandom random;
-  private int played;
+  private int runCount;
 
   /** A scenario that was run: {@code broken} are the rules that it broke, {@code inAim} is the fraction of
    * requests served within their aim. */
-  public record Found(Day day, List<Auditor.Rule> broken, double inAim, String first) {}
+  public record Found(Day scenario, List<Auditor.Rule> brokenRules, double inAim, String firstBreach) {}
 
   /** @param base
    *          scenario whose disturbances are replaced by generated ones */
@@ -36,8 +36,8 @@
   }
 
   /** Number of scenarios run. */
-  public int played() {
-    return played;
+  public int runCount() {
+    return runCount;
   }
 
   /** Runs {@code rounds} rounds of {@code each} scenarios. Half of each round is generated, the other half
@@ -51,12 +51,12 @@
         boolean mutated = !all.isEmpty() && i % 2 == 0;
         scenarios.add(base.with(random.nextLong(1L << 40))
             .with(mutated
-                ? mutate(all.get(random.nextInt(Math.min(each, all.size()))).day().troubles())
+                ? mutate(all.get(random.nextInt(Math.min(each, all.size()))).scenario().disturbances())
                 : randomDisturbances()));
       }
       all.addAll(IntStream.range(0, each).parallel().mapToObj(i -> play(scenarios.get(i))).toList());
-      played += each;
-      all.sort(Comparator.comparingInt((Found finding) -> finding.broken().isEmpty() ? 1 : 0)
+      runCount += each;
+      all.sort(Comparator.comparingInt((Found finding) -> finding.brokenRules().isEmpty() ? 1 : 0)
           .thenComparingDouble(Found::inAim));
     }
     return all;
@@ -79,17 +79,17 @@
    * removing disturbances, shortening them, reducing the fraction that they affect, and shortening the
    * load. */
   public Found shrink(Found found) {
-    Auditor.Rule rule = found.broken().get(0);
+    Auditor.Rule rule = found.brokenRules().get(0);
     Found[] smallest = {found};
     Predicate<Day> breaks = scenario -> {
       Found finding = play(scenario);
-      played++;
-      boolean stillBreaks = finding.broken().contains(rule);
+      runCount++;
+      boolean stillBreaks = finding.brokenRules().contains(rule);
       smallest[0] = stillBreaks ? finding : smallest[0];
       return stillBreaks;
     };
     for (boolean shrunk = true; shrunk;) {
-      Optional<Day> next = simplifications(smallest[0].day()).stream().filter(breaks).findFirst();
+      Optional<Day> next = simplifications(smallest[0].scenario()).stream().filter(breaks).findFirst();
       shrunk = next.isPresent();
     }
     return smallest[0];
@@ -98,7 +98,7 @@
   /** All scenarios that are one step simpler, the largest steps first. */
   static List<Day> simplifications(Day scenario) {
     List<Day> all = new ArrayList<>();
-    List<Disturbance> disturbances = scenario.troubles();
+    List<Disturbance> disturbances = scenario.disturbances();
     for (int i = 0; i < disturbances.size(); i++) {
       List<Disturbance> fewer = new ArrayList<>(disturbances);
       fewer.remove(i);
@@ -110,7 +110,7 @@
         .orElse(0);
     for (double seconds : new double[]{scenario.seconds() / 2, scenario.seconds() * 0.8}) {
       if (seconds >= 1 && seconds >= lastEnd) {
-        all.add(scenario.lasting(seconds));
+        all.add(scenario.withDuration(seconds));
       }
     }
     for (int i = 0; i < disturbances.size(); i++) {
--- a/src/main/java/hollyslip/emulator/EmulatedGateway.java
+++ b/src/main/java/hollyslip/emulator/EmulatedGateway.java
@@ -49,7 +49,7 @@
     this.classifier = classifier;
     this.random = random;
     name = "gateway-" + index;
-    HostScheduler.Settings common = emulation.deployment().module();
+    HostScheduler.Settings common = emulation.deployment().schedulerSettings();
     settings = new HostScheduler.Settings(common.seed(), index, common.hosts(), common.zone(), common
         .tickUs(), common.listOnRequest(),
         common
@@ -72,7 +72,9 @@
   }
 
   int maxInFlight() {
-    return emulation.deployment().gateway().connections() * emulation.deployment().gateway().perConnection();
+    return emulation.deployment().gateway().connectionsPerNode() * emulation.deployment()
+        .gateway()
+        .maxAttemptsPerConnection();
   }
 
   long connectTimeoutUs() {
@@ -87,9 +89,9 @@
     busyUntil = emulation.events.now();
     transport = new EmulatedTransport(this, ++epoch);
     engine = new Engine(new Engine.Config(settings, classifier, new ExtentSplitter(MAX_COMMAND_BYTES), gateway
-        .mostRequests(),
+        .maxRequests(),
         gateway
-            .mostBytes(), 0), volumes, new TokenBorrowingScheduler(settings), emulation.events::now);
+            .maxRequestBytes(), 0), volumes, new TokenBorrowingScheduler(settings), emulation.events::now);
     engine.startWithoutThread(transport);
     Engine startedEngine = engine;
     membership = new Membership(settings.rules().coldUs(), startedEngine::updateNodes);
--- a/src/main/java/hollyslip/emulator/EmulatedNode.java
+++ b/src/main/java/hollyslip/emulator/EmulatedNode.java
@@ -60,7 +60,7 @@
   }
 
   void stallFor(long durationUs) {
-    model.stall(events.now() + durationUs);
+    model.stallUntil(events.now() + durationUs);
   }
 
   /** Ends the node's process: pending commands are never executed, and its connections break. */
@@ -108,14 +108,16 @@
     }
     long doneAt = faults.full || faults.draining
         ? -1
-        : model.doneAt(events.now(), command.length, pending.size(), faults.heavyPart, faults.heavyFactor);
+        : model.completionTime(events.now(), command.length, pending.size(), faults.slowCommandRate,
+            faults.slowCommandFactor);
     if (doneAt < 0) {
       recordCommand(command, 0, Command.Result.FULL);
       command.connection.reply(command, hollyslip.HostScheduler.Result.FULL);
       return;
     }
     pending.add(command);
-    events.schedule(doneAt + (command.kind == Nbd.CMD_WRITE ? faults.lateWriteUs : 0), () -> finish(command));
+    events.schedule(doneAt + (command.kind == Nbd.CMD_WRITE ? faults.writeDelayUs : 0), () -> finish(
+        command));
   }
 
   private void finish(InFlightCommand command) {
@@ -125,10 +127,10 @@
     double draw = random.nextDouble();
     if (newestSerialByClient.getOrDefault(command.connection.client(), 0L) > command.connection.serial) {
       recordCommand(command, 0, Command.Result.FENCED);
-    } else if (draw < faults.errors) {
+    } else if (draw < faults.errorRate) {
       recordCommand(command, 0, Command.Result.ERROR);
       command.connection.reply(command, hollyslip.HostScheduler.Result.ERROR);
-    } else if (draw < faults.errors + faults.loseAnswers) {
+    } else if (draw < faults.errorRate + faults.lostResponseRate) {
       recordCommand(command, events.now(), Command.Result.DONE_SILENTLY);
     } else {
       recordCommand(command, events.now(), Command.Result.DONE);
--- a/src/main/java/hollyslip/emulator/Estimate.java
+++ b/src/main/java/hollyslip/emulator/Estimate.java
@@ -7,11 +7,11 @@
  *
  * @param mean
  *          mean of the runs
- * @param half
+ * @param halfWidth
  *          half the width of the interval; infinite for a single run
  * @param runs
  *          number of runs */
-public record Estimate(double mean, double half, int runs) {
+public record Estimate(double mean, double halfWidth, int runs) {
   /** Confidence level of the interval. */
   public static final double CONFIDENCE_LEVEL = 0.95;
 
@@ -44,7 +44,7 @@
   }
 
   /** Whether the mean differs significantly from zero. */
-  public boolean clear() {
-    return Math.abs(mean) > half;
+  public boolean isSignificant() {
+    return Math.abs(mean) > halfWidth;
   }
 }
--- a/src/main/java/hollyslip/emulator/Experiment.java
+++ b/src/main/java/hollyslip/emulator/Experiment.java
@@ -46,7 +46,7 @@
   }
 
   /** Measures of a run, by name. */
-  public static final Map<String, ToDoubleFunction<Run>> FIGURES = measures();
+  public static final Map<String, ToDoubleFunction<Run>> MEASURES = measures();
 
   private final String scenarioTemplate;
   private final int seeds;
@@ -81,7 +81,7 @@
     JsonNode declared;
     try {
       Script script = Script.run(file, FUNCTIONS);
-      declared = script.declared();
+      declared = script.declarations();
     } catch (ScriptError e) {
       throw new IllegalArgumentException(e.text());
     }
@@ -125,7 +125,7 @@
   }
 
   /** Names of the sweeps, in order. */
-  public List<String> names() {
+  public List<String> sweepNames() {
     return List.copyOf(sweeps.keySet());
   }
 
@@ -247,7 +247,7 @@
             .count(Asked.Answer.FAILED) / requests, tally.latency().getValueAtPercentile(50), tally.latency()
                 .getValueAtPercentile(99), tally
                     .latency()
-                    .getValueAtPercentile(99.9), result.happenings(), result.audit()
+                    .getValueAtPercentile(99.9), result.eventCount(), result.audit()
                         .breaches()
                         .stream()
                         .map(breach -> breach.rule().name())
@@ -257,7 +257,7 @@
   }
 
   /** Runs at one point, ordered by seed. */
-  public static List<Run> of(List<Run> runs, Map<String, String> point) {
+  public static List<Run> runsAt(List<Run> runs, Map<String, String> point) {
     Map<Long, Run> bySeed = new TreeMap<>();
     runs.stream().filter(run -> run.point().equals(point)).forEach(run -> bySeed.put(run.seed(), run));
     return List.copyOf(bySeed.values());
--- a/src/main/java/hollyslip/emulator/Outcome.java
+++ b/src/main/java/hollyslip/emulator/Outcome.java
@@ -14,15 +14,15 @@
  *          result of the audit of the seven rules, from what both ends observed
  * @param plans
  *          tallies by plan
- * @param kinds
+ * @param plansAndKinds
  *          tallies by plan and kind, such as {@code gold.read}
  * @param timeline
  *          tallies by due time of the requests, in intervals of {@link #INTERVAL_US} from the start
- * @param happenings
+ * @param eventCount
  *          number of events processed in virtual time */
-public record Outcome(Auditor.Report audit, Map<String, Tally> plans, Map<String, Tally> kinds,
+public record Outcome(Auditor.Report audit, Map<String, Tally> plans, Map<String, Tally> plansAndKinds,
     List<Tally> timeline,
-    long happenings) {
+    long eventCount) {
   /** Length of an interval of the timeline, us. */
   public static final long INTERVAL_US = 250_000;
 
--- a/src/main/java/hollyslip/emulator/World.java
+++ b/src/main/java/hollyslip/emulator/World.java
@@ -64,9 +64,10 @@
   private World(Day scenario, Deployment deployment) {
     this.scenario = scenario;
     this.deployment = deployment;
-    volumes = deployment.byName();
-    classifier = new RequestClassifier(deployment.rows(), deployment.gateway().unitBytes(), deployment.store()
-        .maxUnits());
+    volumes = deployment.volumesByName();
+    classifier = new RequestClassifier(deployment.classificationRules(), deployment.gateway().unitBytes(),
+        deployment.store()
+            .maxUnits());
     random = new SplittableRandom(scenario.seed());
     states = new NodeState[scenario.nodes().count()];
     Arrays.fill(states, NodeState.ON);
@@ -79,7 +80,7 @@
   public static Outcome play(Day scenario) {
     World emulation = new World(scenario, deployment(scenario));
     emulation.build();
-    emulation.scenario.troubles().forEach(emulation::scheduleDisturbance);
+    emulation.scenario.disturbances().forEach(emulation::scheduleDisturbance);
     return emulation.run();
   }
 
@@ -258,21 +259,22 @@
           node -> node.faults.silent = false);
       case "vanish" -> scheduleOnNodes(disturbance, node -> node.faults.silent = true, this::restart);
       case "mass-restart" -> scheduleOnNodes(disturbance, this::restart, node -> {});
-      case "fast-errors" -> scheduleOnNodes(disturbance, node -> node.faults.errors = disturbance.size(),
-          node -> node.faults.errors = 0);
-      case "answer-lost" -> scheduleOnNodes(disturbance, node -> node.faults.loseAnswers = disturbance.size(),
-          node -> node.faults.loseAnswers = 0);
-      case "late-write" -> scheduleOnNodes(disturbance, node -> node.faults.lateWriteUs = (long) (disturbance
+      case "fast-errors" -> scheduleOnNodes(disturbance, node -> node.faults.errorRate = disturbance.size(),
+          node -> node.faults.errorRate = 0);
+      case "answer-lost" -> scheduleOnNodes(disturbance, node -> node.faults.lostResponseRate = disturbance
+          .size(),
+          node -> node.faults.lostResponseRate = 0);
+      case "late-write" -> scheduleOnNodes(disturbance, node -> node.faults.writeDelayUs = (long) (disturbance
           .size() * 1e6),
-          node -> node.faults.lateWriteUs = 0);
+          node -> node.faults.writeDelayUs = 0);
       case "slow" -> scheduleOnNodes(disturbance, node -> node.setSlowdown(Math.max(0.01, disturbance
           .size())), node -> node.setSlowdown(1));
       case "full" -> scheduleOnNodes(disturbance, node -> node.faults.full = true,
           node -> node.faults.full = false);
       case "heavy-tail" -> scheduleOnNodes(disturbance, node -> {
-        node.faults.heavyFactor = disturbance.size();
-        node.faults.heavyPart = 0.02;
-      }, node -> node.faults.heavyPart = 0);
+        node.faults.slowCommandFactor = disturbance.size();
+        node.faults.slowCommandRate = 0.02;
+      }, node -> node.faults.slowCommandRate = 0);
       case "drain" -> scheduleOnNodes(disturbance, node -> setNodeState(node, NodeState.DRAINING),
           node -> setNodeState(node,
               NodeState.ON));
--- a/src/main/java/hollyslip/front/sys/Linux.java
+++ b/src/main/java/hollyslip/front/sys/Linux.java
@@ -263,14 +263,14 @@
 
   /** Adds one to an eventfd. If the counter is full nothing is lost, because its reader will wake up
    * anyway. */
-  public static void signal(int fd) {
+  public static void signalEventfd(int fd) {
     Memory value = EVENTFD_VALUE.get();
     value.setLong(0, 1);
     write(fd, value, 8);
   }
 
   /** Reads and resets the counter of an eventfd. */
-  public static void drain(int fd) {
+  public static void drainEventfd(int fd) {
     read(fd, EVENTFD_VALUE.get(), 8);
   }
 
@@ -370,7 +370,7 @@
   private static final AtomicInteger MAPPING_COUNT = new AtomicInteger();
 
   /** Number of mappings not yet ended, for tests that look for leaks. */
-  public static int mappings() {
+  public static int mappingCount() {
     return MAPPING_COUNT.get();
   }
 
--- a/src/main/java/hollyslip/front/vhost/Acceptor.java
+++ b/src/main/java/hollyslip/front/vhost/Acceptor.java
@@ -99,7 +99,7 @@
   @Override
   public void close() {
     closing = true;
-    Linux.signal(wakeUpFd);
+    Linux.signalEventfd(wakeUpFd);
     try {
       thread.join(1_000);
     } catch (InterruptedException e) {
--- a/src/main/java/hollyslip/front/vhost/Device.java
+++ b/src/main/java/hollyslip/front/vhost/Device.java
@@ -91,7 +91,7 @@
    * may refer to something else. */
   private synchronized void signal() {
     if (!wakeClosed) {
-      Linux.signal(wakeUpFd);
+      Linux.signalEventfd(wakeUpFd);
     }
   }
 
@@ -196,11 +196,11 @@
     }
     poll.await(timeoutMs);
     if (poll.events(0) != 0) {
-      Linux.drain(wakeUpFd);
+      Linux.drainEventfd(wakeUpFd);
     }
     for (int i = 0; i < rings.size(); i++) {
       if (poll.events(firstRing + i) != 0) {
-        Linux.drain(rings.get(i).kickFd);
+        Linux.drainEventfd(rings.get(i).kickFd);
         connection.start(rings.get(i));
       }
     }
--- a/src/main/java/hollyslip/front/vhost/Ring.java
+++ b/src/main/java/hollyslip/front/vhost/Ring.java
@@ -23,7 +23,7 @@
   /** Signals the client if it wants a call for what was pushed. */
   void signalCall() {
     if (queue != null && queue.needsCall() && callFd >= 0) {
-      Linux.signal(callFd);
+      Linux.signalEventfd(callFd);
     }
   }
 }
--- a/src/main/java/hollyslip/front/vhost/VhostServer.java
+++ b/src/main/java/hollyslip/front/vhost/VhostServer.java
@@ -22,7 +22,7 @@
   private static final int MAX_DEVICES = 64;
 
   /** Allows every user who may open the socket. */
-  public static final LongPredicate ANYBODY = user -> true;
+  public static final LongPredicate ANY_USER = user -> true;
 
   private final RequestIntake engine;
   private final Acceptor acceptor;
--- a/src/main/java/hollyslip/front/vhost/VhostUserConnection.java
+++ b/src/main/java/hollyslip/front/vhost/VhostUserConnection.java
@@ -21,7 +21,8 @@
   /** Maximum number of queues of one device. */
   static final int MAX_QUEUES = 16;
 
-  private static final long FEATURES = Wire.F_INDIRECT | Wire.F_EVENT_IDX | Wire.F_PROTOCOL | Wire.F_VERSION_1
+  private static final long FEATURES = Wire.F_INDIRECT_DESC | Wire.F_EVENT_IDX | Wire.F_PROTOCOL_FEATURES
+      | Wire.F_VERSION_1
       | Wire.BLK_SEG_MAX | Wire.BLK_BLK_SIZE | Wire.BLK_FLUSH | Wire.BLK_MQ | Wire.BLK_DISCARD
       | Wire.BLK_WRITE_ZEROES | Wire.BLK_REFUSED;
   private static final long PROTOCOL_FEATURES = Wire.PROTOCOL_F_MQ | Wire.PROTOCOL_F_REPLY_ACK
@@ -89,7 +90,8 @@
   void notifyConfigChanged() {
     if (backendRequestFd >= 0) {
       try {
-        Linux.sendWithoutBlocking(backendRequestFd, Wire.message(Wire.BACKEND_CONFIG_CHANGE, 0, new byte[0]));
+        Linux.sendWithoutBlocking(backendRequestFd, Wire.encode(Wire.BACKEND_CONFIG_CHANGE_MSG, 0,
+            new byte[0]));
       } catch (IOException e) {
         LOG.atDebug()
             .addKeyValue("volume", volume.get().name())
@@ -129,22 +131,23 @@
   }
 
   private void handleMessage(Wire.Message message) throws IOException {
-    ProtocolViolationException.check((message.flags() & Wire.REPLY) == 0, "message.flags: unexpected reply");
+    ProtocolViolationException.check((message.flags() & Wire.FLAG_REPLY) == 0,
+        "message.flags: unexpected reply");
     ByteBuffer payload = message.payload();
     boolean replied = true;
     switch (message.request()) {
-      case Wire.GET_FEATURES -> reply(message, Wire.u64(FEATURES));
-      case Wire.GET_PROTOCOL_FEATURES -> reply(message, Wire.u64(PROTOCOL_FEATURES));
-      case Wire.GET_QUEUE_NUM -> reply(message, Wire.u64(MAX_QUEUES));
-      case Wire.GET_MAX_MEM_SLOTS -> reply(message, Wire.u64(MAX_MEMORY_SLOTS));
+      case Wire.GET_FEATURES -> reply(message, Wire.u64Payload(FEATURES));
+      case Wire.GET_PROTOCOL_FEATURES -> reply(message, Wire.u64Payload(PROTOCOL_FEATURES));
+      case Wire.GET_QUEUE_NUM -> reply(message, Wire.u64Payload(MAX_QUEUES));
+      case Wire.GET_MAX_MEM_SLOTS -> reply(message, Wire.u64Payload(MAX_MEMORY_SLOTS));
       case Wire.GET_CONFIG -> sendConfig(message);
       case Wire.GET_INFLIGHT_FD -> createInflightRegion(message);
       case Wire.GET_VRING_BASE -> stopRing(message);
       default -> { handleCommand(message, payload); replied = false; }
     }
-    if (!replied && (message.flags() & Wire.NEED_REPLY) != 0 && (protocolFeatures
+    if (!replied && (message.flags() & Wire.FLAG_NEED_REPLY) != 0 && (protocolFeatures
         & Wire.PROTOCOL_F_REPLY_ACK) != 0) {
-      reply(message, Wire.u64(0));
+      reply(message, Wire.u64Payload(0));
     }
   }
 
@@ -231,7 +234,7 @@
   }
 
   private void reply(Wire.Message message, byte[] payload, int... fds) throws IOException {
-    Linux.send(socket, Wire.message(message.request(), Wire.REPLY, payload), fds);
+    Linux.send(socket, Wire.encode(message.request(), Wire.FLAG_REPLY, payload), fds);
   }
 
   private static void requireSize(ByteBuffer payload, int bytes, String field) {
@@ -246,7 +249,7 @@
     while (rings.size() <= index) {
       rings.add(new Ring(rings.size()));
       // Without protocol features a ring starts enabled: "Ring states".
-      rings.get(rings.size() - 1).enabled = (features & Wire.F_PROTOCOL) == 0;
+      rings.get(rings.size() - 1).enabled = (features & Wire.F_PROTOCOL_FEATURES) == 0;
     }
     return rings.get(index);
   }
@@ -425,7 +428,7 @@
       ring.kickFd = -1;
     }
     try {
-      reply(pendingBaseRequest, Wire.state(ring.index, nextAvailIdx));
+      reply(pendingBaseRequest, Wire.vringStatePayload(ring.index, nextAvailIdx));
     } catch (IOException e) {
       throw new DisconnectedException();
     }
--- a/src/main/java/hollyslip/front/vhost/Wire.java
+++ b/src/main/java/hollyslip/front/vhost/Wire.java
@@ -15,14 +15,14 @@
   public static final int SET_INFLIGHT_FD = 32, GET_MAX_MEM_SLOTS = 36, ADD_MEM_REG = 37, REM_MEM_REG = 38;
   public static final int SET_BACKEND_REQ_FD = 21;
   /** Message sent by the back end: "Back-end message types". */
-  public static final int BACKEND_CONFIG_CHANGE = 2;
+  public static final int BACKEND_CONFIG_CHANGE_MSG = 2;
 
-  public static final int FLAG_VERSION = 1, REPLY = 4, NEED_REPLY = 8;
-  public static final int HEADER = 12;
+  public static final int FLAG_VERSION = 1, FLAG_REPLY = 4, FLAG_NEED_REPLY = 8;
+  public static final int HEADER_BYTES = 12;
   /** Maximum accepted payload in bytes: a memory table of eight regions has 264, a config message 268. */
   public static final int MAX_PAYLOAD_BYTES = 512;
 
-  public static final long F_INDIRECT = 1L << 28, F_EVENT_IDX = 1L << 29, F_PROTOCOL = 1L << 30;
+  public static final long F_INDIRECT_DESC = 1L << 28, F_EVENT_IDX = 1L << 29, F_PROTOCOL_FEATURES = 1L << 30;
   public static final long F_VERSION_1 = 1L << 32;
   public static final long BLK_SEG_MAX = 1L << 2, BLK_BLK_SIZE = 1L << 6, BLK_FLUSH = 1L << 9;
   public static final long BLK_MQ = 1L << 12, BLK_DISCARD = 1L << 13, BLK_WRITE_ZEROES = 1L << 14;
@@ -45,7 +45,7 @@
    * @throws ProtocolViolationException
    *           if the version or the size is invalid */
   static Message decode(ByteBuffer in) {
-    if (in.remaining() < HEADER) {
+    if (in.remaining() < HEADER_BYTES) {
       return null;
     }
     int start = in.position();
@@ -56,18 +56,18 @@
     ProtocolViolationException.check(size >= 0 && size <= MAX_PAYLOAD_BYTES, "message.size: invalid size "
         + Integer
             .toUnsignedString(size));
-    if (in.remaining() < HEADER + size) {
+    if (in.remaining() < HEADER_BYTES + size) {
       return null;
     }
     byte[] payload = new byte[size];
-    in.get(start + HEADER, payload);
-    in.position(start + HEADER + size);
+    in.get(start + HEADER_BYTES, payload);
+    in.position(start + HEADER_BYTES + size);
     return new Message(in.getInt(start), flags, ByteBuffer.wrap(payload).order(ByteOrder.LITTLE_ENDIAN));
   }
 
   /** Encodes a message. */
-  public static byte[] message(int request, int flags, byte[] payload) {
-    return ByteBuffer.allocate(HEADER + payload.length)
+  public static byte[] encode(int request, int flags, byte[] payload) {
+    return ByteBuffer.allocate(HEADER_BYTES + payload.length)
         .order(ByteOrder.LITTLE_ENDIAN)
         .putInt(request)
         .putInt(FLAG_VERSION | flags)
@@ -77,12 +77,12 @@
   }
 
   /** Encodes a payload of one u64. */
-  public static byte[] u64(long value) {
+  public static byte[] u64Payload(long value) {
     return ByteBuffer.allocate(8).order(ByteOrder.LITTLE_ENDIAN).putLong(value).array();
   }
 
   /** Encodes a payload of two u32 values: "vring state description". */
-  public static byte[] state(int index, int number) {
+  public static byte[] vringStatePayload(int index, int number) {
     return ByteBuffer.allocate(8).order(ByteOrder.LITTLE_ENDIAN).putInt(index).putInt(number).array();
   }
 }
--- a/src/main/java/hollyslip/gateway/Gateway.java
+++ b/src/main/java/hollyslip/gateway/Gateway.java
@@ -94,14 +94,16 @@
     Deployment.Process process = deployment.gateway();
     epochStore = new EpochStore(process.stateDir());
     holder = takeEpoch(takeOver);
-    lanes = new EngineLanes(createEngines(), deployment.byName(), this::settingsTerms);
+    lanes = new EngineLanes(createEngines(), deployment.volumesByName(), this::settingsTerms);
     membership = new Membership(deployment.rules().coldUs(), lanes::updateNodes);
     ConnectionSerials serials = new ConnectionSerials();
     for (int i = 0; i < process.cores(); i++) {
       NodePool pool = new NodePool(lanes.lane(i), new NodePool.Limits(process.name(), holder, process
-          .connections(), process
-              .perConnection(), deployment.allowed().connectTimeoutUs(), deployment.rules().orderSettleUs()),
-          serials, deployment.module().reportFields(), new MembershipUpdater(), process.ioThreads());
+          .connectionsPerNode(), process
+              .maxAttemptsPerConnection(), deployment.allowed().connectTimeoutUs(), deployment.rules()
+                  .orderSettleUs()),
+          serials, deployment.schedulerSettings().reportFields(), new MembershipUpdater(), process
+              .ioThreads());
       pool.updateAddresses(nodeAddresses(deployment));
       lanes.lane(i).start(pool);
       pools.add(pool);
@@ -111,8 +113,8 @@
     Files.createDirectories(process.socketDir());
     acceptor = new Acceptor();
     for (Volume volume : deployment.volumes()) {
-      vhostServers.add(new VhostServer(lanes, acceptor, volume.name(), socket(volume.name()),
-          VhostServer.ANYBODY));
+      vhostServers.add(new VhostServer(lanes, acceptor, volume.name(), socketPath(volume.name()),
+          VhostServer.ANY_USER));
     }
     sftp = process.sftp() ? new SftpServer(lanes, process.socketDir().resolve("sftp.sock")) : null;
     hostedVolumes = process.hosting() == null
@@ -141,12 +143,13 @@
    * limits. */
   private List<Engine> createEngines() {
     Deployment.Process process = deployment.gateway();
-    RequestClassifier classifier = new RequestClassifier(deployment.rows(), process.unitBytes(), deployment
-        .store()
-        .maxUnits());
+    RequestClassifier classifier = new RequestClassifier(deployment.classificationRules(), process
+        .unitBytes(), deployment
+            .store()
+            .maxUnits());
     List<Engine> engines = new ArrayList<>();
     for (int i = 0; i < process.cores(); i++) {
-      HostScheduler.Settings settings = deployment.module();
+      HostScheduler.Settings settings = deployment.schedulerSettings();
       HostScheduler.Rules rules = settings.rules();
       // The free part of the attempt budget, beside its share of the requests, is per process: the lanes
       // divide it, because their sum would exceed it otherwise.
@@ -167,7 +170,8 @@
           MAX_COMMAND_BYTES), Math
               .max(1,
                   process
-                      .mostRequests() / process.cores()), Math.max(1, process.mostBytes() / process.cores()),
+                      .maxRequests() / process.cores()), Math.max(1, process.maxRequestBytes() / process
+                          .cores()),
           i
               * REQUEST_IDS_PER_LANE), Map
                   .of(),
@@ -278,7 +282,7 @@
 
   private AdminServer admin(Deployment.Process process) throws IOException {
     Deployment.Hosting hosting = process.hosting();
-    AdminServer.bootstrap(control, process.stateDir().resolve("operator.token"));
+    AdminServer.ensureOperatorToken(control, process.stateDir().resolve("operator.token"));
     return new AdminServer(control, process.socketDir().resolve("admin.sock"), hosting.port(), hosting.cert(),
         hosting.key());
   }
@@ -333,7 +337,7 @@
   }
 
   private static List<NodeEntry> nodeEntries(Deployment deployment) {
-    return deployment.nodes().stream().map(Deployment.Node::listed).toList();
+    return deployment.nodes().stream().map(Deployment.Node::toNodeEntry).toList();
   }
 
   /** Passes events of the nodes through the membership to the scheduler. */
@@ -383,7 +387,7 @@
   }
 
   /** Replaces the node list; all other settings stay unchanged. */
-  public void nodes(Deployment newDeployment) {
+  public void replaceNodes(Deployment newDeployment) {
     List<NodePool.Address> addresses = nodeAddresses(newDeployment);
     for (int i = 0; i < pools.size(); i++) {
       NodePool pool = pools.get(i);
@@ -402,12 +406,12 @@
   }
 
   /** Returns the socket path of a volume in the settings. */
-  public Path socket(String volume) {
+  public Path socketPath(String volume) {
     return deployment.gateway().socketDir().resolve(volume + ".sock");
   }
 
   /** Returns the socket path of a hosted volume. */
-  public Path socket(String tenant, String volume) {
+  public Path socketPath(String tenant, String volume) {
     return hostedVolumes.socketPath(tenant, volume);
   }
 
@@ -422,9 +426,9 @@
   }
 
   /** Returns the number of clients connected to a volume. */
-  public int devices(String volume) {
+  public int deviceCount(String volume) {
     return vhostServers.stream()
-        .filter(f -> f.path().equals(socket(volume)))
+        .filter(f -> f.path().equals(socketPath(volume)))
         .mapToInt(VhostServer::deviceCount)
         .sum();
   }
@@ -469,7 +473,7 @@
 
   /** Registers a listener that is called when the engine terminates, intended or not, or when a newer gateway
    * has superseded this one. */
-  public void onFault(Runnable listener) {
+  public void onTermination(Runnable listener) {
     lanes.termination().whenComplete((done, error) -> listener.run());
     superseded.thenRun(listener);
   }
--- a/src/main/java/hollyslip/gateway/HostedVolumes.java
+++ b/src/main/java/hollyslip/gateway/HostedVolumes.java
@@ -121,7 +121,7 @@
   }
 
   @Override
-  public void node(String name, NodeState state) {
+  public void setNodeState(String name, NodeState state) {
     nodeStateSetter.accept(name, state);
   }
 
--- a/src/main/java/hollyslip/load/CoresBench.java
+++ b/src/main/java/hollyslip/load/CoresBench.java
@@ -132,7 +132,7 @@
         int index = volume;
         clients[volume] = new Thread(() -> {
           try {
-            measurements[index] = RingBench.measureRingBlocking("v" + index, gateway.socket("v" + index),
+            measurements[index] = RingBench.measureRingBlocking("v" + index, gateway.socketPath("v" + index),
                 depth, BLOCK, seconds,
                 BYTES,
                 gateway
--- a/src/main/java/hollyslip/load/Day.java
+++ b/src/main/java/hollyslip/load/Day.java
@@ -26,10 +26,10 @@
  *          parameters of the plans, by plan name
  * @param volumes
  *          volumes and their load
- * @param troubles
+ * @param disturbances
  *          disturbances in order of time */
 public record Day(double seconds, long seed, int gateways, int lanes, boolean exampleSettings, Nodes nodes,
-    Map<String, Map<String, Double>> plans, List<VolumeLoad> volumes, List<Disturbance> troubles) {
+    Map<String, Map<String, Double>> plans, List<VolumeLoad> volumes, List<Disturbance> disturbances) {
 
   /** The stand-in nodes; they differ only in their seeds. {@code netUs} and {@code engineUs} apply to the
    * emulator only: the mean one-way network delay, drawn from half to one and a half of it, and the time that
@@ -136,7 +136,7 @@
       throw new IllegalArgumentException("at most " + MAX_ON_SOCKETS
           + " nodes and gateways are supported over sockets; use 'hollyslip emulate' for more");
     }
-    for (Disturbance disturbance : troubles) {
+    for (Disturbance disturbance : disturbances) {
       if (EMULATOR_ONLY_KINDS.contains(disturbance.kind())) {
         throw new IllegalArgumentException("disturbance '" + disturbance.kind() + "' at " + disturbance.at()
             + " is supported by 'hollyslip emulate' only");
@@ -145,7 +145,7 @@
   }
 
   /** Formats the scenario as text that {@link #parse} parses to an equal scenario. */
-  public String text() {
+  public String toText() {
     StringBuilder text = new StringBuilder();
     text.append("day ").append(seconds).append("\nseed ").append(seed).append("\ngateways ").append(gateways);
     text.append("\nlanes ").append(lanes).append(exampleSettings ? "\nsettings example" : "");
@@ -169,7 +169,7 @@
       text.append('\n');
     });
     volumes.forEach(value -> text.append(value.toText()).append('\n'));
-    troubles.forEach(t -> text.append(t.toText()).append('\n'));
+    disturbances.forEach(t -> text.append(t.toText()).append('\n'));
     return text.toString();
   }
 
@@ -196,20 +196,20 @@
   }
 
   /** Returns a copy with the load multiplied by {@code factor}. */
-  public Day times(double factor) {
+  public Day scaledBy(double factor) {
     return new Day(seconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes.stream()
         .map(v -> v.scaledBy(factor))
-        .toList(), troubles);
+        .toList(), disturbances);
   }
 
   /** Returns a copy whose load lasts {@code newSeconds} seconds. */
-  public Day lasting(double newSeconds) {
-    return new Day(newSeconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes, troubles);
+  public Day withDuration(double newSeconds) {
+    return new Day(newSeconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes, disturbances);
   }
 
   /** Returns a copy with another seed. */
   public Day with(long otherSeed) {
-    return new Day(seconds, otherSeed, gateways, lanes, exampleSettings, nodes, plans, volumes, troubles);
+    return new Day(seconds, otherSeed, gateways, lanes, exampleSettings, nodes, plans, volumes, disturbances);
   }
 
   private static final class Parser {
--- a/src/main/java/hollyslip/load/DayRunner.java
+++ b/src/main/java/hollyslip/load/DayRunner.java
@@ -68,7 +68,7 @@
   /** Result of playing a scenario. */
   public record Result(Auditor.Report audit, List<String> wrongReads, Map<Asked.Answer, Long> answers,
       Map<String, Histogram> latency, boolean stoppedCleanly) {
-    public boolean kept() {
+    public boolean isClean() {
       return audit.kept() && wrongReads.isEmpty() && stoppedCleanly;
     }
   }
@@ -132,7 +132,7 @@
     int clientCount = scenario.clientCount(volume);
     int gateway = scenario.gatewayOf(volume, index);
     Deployment deployment = deployments.get(gateway);
-    long partBytes = deployment.byName().get(volume.volume()).bytes() / clientCount / 4096 * 4096;
+    long partBytes = deployment.volumesByName().get(volume.volume()).bytes() / clientCount / 4096 * 4096;
     long deadlineUs = deployment.classes().stream().mapToLong(c -> c.deadlineUs()).max().orElseThrow();
     RingLoad load = new RingLoad(new RingLoad.Plan(volume.volume() + "-" + index, deployment.gateway().name(),
         volume.volume(),
@@ -154,14 +154,14 @@
   }
 
   private void scheduleSteps() {
-    for (Day.Disturbance disturbance : scenario.troubles()) {
+    for (Day.Disturbance disturbance : scenario.disturbances()) {
       scheduleDisturbance(disturbance);
     }
     for (double atSeconds = 10; atSeconds < scenario.seconds(); atSeconds += 10) {
       double now = atSeconds;
       scheduleStep(now, "", () -> out.printf(Locale.ROOT, "%6.1f s  %d requests submitted%n", now, clients
           .stream()
-          .mapToInt(c -> c.load().asked())
+          .mapToInt(c -> c.load().requestCount())
           .sum()));
     }
     scheduleStep(scenario.seconds(), "load ends", () -> clients.forEach(c -> c.load().finish()));
@@ -174,19 +174,20 @@
       case "hang" -> scheduleOnNodes(disturbance, d -> d.faults.silent = true, d -> d.faults.silent = false);
       case "vanish" -> scheduleOnNodes(disturbance, d -> d.faults.silent = true, this::restart);
       case "mass-restart" -> scheduleOnNodes(disturbance, this::restart, null);
-      case "fast-errors" -> scheduleOnNodes(disturbance, d -> d.faults.errors = disturbance.size(),
-          d -> d.faults.errors = 0);
-      case "answer-lost" -> scheduleOnNodes(disturbance, d -> d.faults.loseAnswers = disturbance.size(),
-          d -> d.faults.loseAnswers = 0);
-      case "late-write" -> scheduleOnNodes(disturbance, d -> d.faults.lateWriteUs = (long) (disturbance.size()
+      case "fast-errors" -> scheduleOnNodes(disturbance, d -> d.faults.errorRate = disturbance.size(),
+          d -> d.faults.errorRate = 0);
+      case "answer-lost" -> scheduleOnNodes(disturbance, d -> d.faults.lostResponseRate = disturbance.size(),
+          d -> d.faults.lostResponseRate = 0);
+      case "late-write" -> scheduleOnNodes(disturbance, d -> d.faults.writeDelayUs = (long) (disturbance
+          .size()
           * 1e6),
-          d -> d.faults.lateWriteUs = 0);
+          d -> d.faults.writeDelayUs = 0);
       case "slow" -> scheduleOnNodes(disturbance, d -> d.slow(disturbance.size()), d -> d.slow(1));
       case "full" -> scheduleOnNodes(disturbance, d -> d.faults.full = true, d -> d.faults.full = false);
       case "heavy-tail" -> scheduleOnNodes(disturbance, d -> {
-        d.faults.heavyFactor = disturbance.size();
-        d.faults.heavyPart = 0.02;
-      }, d -> d.faults.heavyPart = 0);
+        d.faults.slowCommandFactor = disturbance.size();
+        d.faults.slowCommandRate = 0.02;
+      }, d -> d.faults.slowCommandRate = 0);
       case "drain" -> scheduleOnNodes(disturbance, d -> setNodeState(d, NodeState.DRAINING), disturbance
           .seconds() > 0
               ? d -> setNodeState(d, NodeState.ON)
@@ -376,10 +377,10 @@
     List<Asked> asked = clients.stream().flatMap(client -> client.load().records().stream()).toList();
     List<Command> commands = disks.stream().flatMap(d -> d.commands().stream()).toList();
     Figures figures = ScenarioSettings.auditFigures(deployments.get(0), slackUs, 50_000);
-    Witness.figures(dir, figures);
-    Witness.asked(dir, "clients", asked);
-    Witness.commands(dir, "nodes", commands);
-    Witness.told(dir, "operator", operatorRecords);
+    Witness.writeParameters(dir, figures);
+    Witness.writeRequests(dir, "clients", asked);
+    Witness.writeCommands(dir, "nodes", commands);
+    Witness.writeOperatorEvents(dir, "operator", operatorRecords);
     Map<Asked.Answer, Long> answers = new java.util.EnumMap<>(Asked.Answer.class);
     asked.forEach(request -> answers.merge(request.answer(), 1L, Long::sum));
     Map<String, Histogram> latency = new java.util.TreeMap<>();
@@ -393,13 +394,13 @@
     // The vanishing client reads blocks of another client, which its own block stamps do not cover.
     List<String> wrongReads = clients.stream()
         .filter(client -> !client.thread().getName().equals("leaver"))
-        .flatMap(client -> client.load().wrong().stream())
+        .flatMap(client -> client.load().wrongReads().stream())
         .toList();
     return new Result(Auditor.check(figures, asked, commands, operatorRecords), wrongReads, answers, latency,
         stoppedCleanly);
   }
 
   private String planOf(String volume) {
-    return deployments.get(0).byName().get(volume).plan();
+    return deployments.get(0).volumesByName().get(volume).plan();
   }
 }
--- a/src/main/java/hollyslip/load/LatencyLog.java
+++ b/src/main/java/hollyslip/load/LatencyLog.java
@@ -37,7 +37,7 @@
   }
 
   /** Histogram of a tag over all seconds; null if the tag is absent. */
-  public synchronized Histogram all(String tag) {
+  public synchronized Histogram merged(String tag) {
     TreeMap<Long, Histogram> bySecond = byTag.get(tag);
     if (bySecond == null) {
       return null;
@@ -53,7 +53,7 @@
   }
 
   /** Histograms of a tag by second of the run. */
-  public synchronized Map<Long, Histogram> seconds(String tag) {
+  public synchronized Map<Long, Histogram> histogramsBySecond(String tag) {
     return new TreeMap<>(byTag.getOrDefault(tag, new TreeMap<>()));
   }
 
--- a/src/main/java/hollyslip/load/LoadBench.java
+++ b/src/main/java/hollyslip/load/LoadBench.java
@@ -69,7 +69,7 @@
   private void measure(int rate, int round) throws InterruptedException {
     Day.VolumeLoad load = new Day.VolumeLoad("v", "p", 64, rate, 0.5, 4, 64, threads,
         ArrivalProcess.Shape.POISSON, 0, 0, 0);
-    long start = LoadRun.soon();
+    long start = LoadRun.nearFutureStartUs();
     List<OpenLoop.Stats> stats = new ArrayList<>();
     List<Thread> threadList = new ArrayList<>();
     for (int t = 0; t < threads; t++) {
--- a/src/main/java/hollyslip/load/LoadRun.java
+++ b/src/main/java/hollyslip/load/LoadRun.java
@@ -126,7 +126,7 @@
   }
 
   /** A start time that leaves all clients enough time to start. */
-  public static long soon() {
+  public static long nearFutureStartUs() {
     return Engine.monotonicMicros() + 200_000;
   }
 }
--- a/src/main/java/hollyslip/load/ModuleBench.java
+++ b/src/main/java/hollyslip/load/ModuleBench.java
@@ -43,7 +43,7 @@
     TokenBorrowingScheduler scheduler = new TokenBorrowingScheduler(BenchDeployment.load(Files
         .createTempDirectory(
             "hollyslip-bench-"), new int[]{1, 2},
-        ", hosted = True", "").module());
+        ", hosted = True", "").schedulerSettings());
     List<HostScheduler.Action> actions = new ArrayList<>();
     ArrayDeque<HostScheduler.Send> inFlight = new ArrayDeque<>();
     long nowUs = 1_000_000;
--- a/src/main/java/hollyslip/load/RingBench.java
+++ b/src/main/java/hollyslip/load/RingBench.java
@@ -87,7 +87,7 @@
       long bytes,
       Supplier<Engine.Totals> totals, boolean blocking) throws IOException {
     int queueSize = Integer.highestOneBit(Math.max(4, 2 * depth - 1));
-    try (RingClient client = new RingClient(RingClient.Options.usual(1, queueSize, block))) {
+    try (RingClient client = new RingClient(RingClient.Options.allFeatures(1, queueSize, block))) {
       client.connect(socket);
       Histogram latencies = new Histogram(60_000_000_000L, 3);
       SplittableRandom random = new SplittableRandom(1);
@@ -108,7 +108,7 @@
           allocatedBefore = allocatedBytesByThread();
           measuredFrom = now;
         }
-        while (client.out() < depth) {
+        while (client.inFlight() < depth) {
           long submittedAt = System.nanoTime();
           client.submit(0, IoKind.READ, random.nextLong(bytes / block) * block, block, null, (status, retryMs,
               data) -> {
--- a/src/main/java/hollyslip/load/RingClient.java
+++ b/src/main/java/hollyslip/load/RingClient.java
@@ -35,7 +35,7 @@
    *          whether the gateway keeps its inflight region in the client's memory */
   public record Options(int queues, int queueSize, int slotBytes, boolean indirect, boolean eventIdx,
       boolean refusedStatus, boolean inflightRegion) {
-    public static Options usual(int queues, int queueSize, int slotBytes) {
+    public static Options allFeatures(int queues, int queueSize, int slotBytes) {
       return new Options(queues, queueSize, slotBytes, true, true, true, true);
     }
   }
@@ -62,13 +62,13 @@
   public final class Queue {
     final int index;
     final long baseOffset;
-    public final ByteBuffer table, avail, used;
+    public final ByteBuffer descriptors, avail, used;
     final int slots;
     /** Per slot, the listener of the outstanding request and its number of data bytes; and the free slots.
      * Public for tests that submit raw requests. */
     public final CompletionListener[] out;
     public final int[] lengths;
-    public final ArrayDeque<Integer> free = new ArrayDeque<>();
+    public final ArrayDeque<Integer> freeSlots = new ArrayDeque<>();
     int kickFd = -1, callFd = -1;
     int availIdx, usedIdx, lastKickedIdx;
 
@@ -76,14 +76,14 @@
       this.index = index;
       this.baseOffset = baseOffset;
       int queueSize = options.queueSize();
-      table = view(baseOffset, 16 * queueSize);
+      descriptors = view(baseOffset, 16 * queueSize);
       avail = view(baseOffset + 16L * queueSize, 6 + 2 * queueSize);
       used = view(usedRingOffset(), 6 + 8 * queueSize);
       slots = options.indirect() ? queueSize : queueSize / 3;
       out = new CompletionListener[slots];
       lengths = new int[slots];
       for (int i = 0; i < slots; i++) {
-        free.add(i);
+        freeSlots.add(i);
       }
     }
 
@@ -103,7 +103,7 @@
 
     /** Number of outstanding requests. */
     public int out() {
-      return slots - free.size();
+      return slots - freeSlots.size();
     }
   }
 
@@ -146,15 +146,16 @@
   public void connect(Path path) throws IOException {
     detach();
     socket = Linux.connect(path);
-    long offered = ask(Wire.GET_FEATURES, new byte[0]).getLong();
-    features = offered & (Wire.F_PROTOCOL | Wire.F_VERSION_1 | Wire.BLK_FLUSH | Wire.BLK_MQ | Wire.BLK_DISCARD
-        | Wire.BLK_WRITE_ZEROES | (options.indirect() ? Wire.F_INDIRECT : 0) | (options.eventIdx()
+    long offered = sendAndReceive(Wire.GET_FEATURES, new byte[0]).getLong();
+    features = offered & (Wire.F_PROTOCOL_FEATURES | Wire.F_VERSION_1 | Wire.BLK_FLUSH | Wire.BLK_MQ
+        | Wire.BLK_DISCARD
+        | Wire.BLK_WRITE_ZEROES | (options.indirect() ? Wire.F_INDIRECT_DESC : 0) | (options.eventIdx()
             ? Wire.F_EVENT_IDX
             : 0) | (options.refusedStatus() ? Wire.BLK_REFUSED : 0));
-    long protocol = ask(Wire.GET_PROTOCOL_FEATURES, new byte[0]).getLong();
-    tell(Wire.SET_PROTOCOL_FEATURES, Wire.u64(protocol));
-    tell(Wire.SET_OWNER, new byte[0]);
-    tell(Wire.SET_FEATURES, Wire.u64(features));
+    long protocol = sendAndReceive(Wire.GET_PROTOCOL_FEATURES, new byte[0]).getLong();
+    sendAcknowledged(Wire.SET_PROTOCOL_FEATURES, Wire.u64Payload(protocol));
+    sendAcknowledged(Wire.SET_OWNER, new byte[0]);
+    sendAcknowledged(Wire.SET_FEATURES, Wire.u64Payload(features));
     if (options.inflightRegion()) {
       shareInflight();
     }
@@ -164,7 +165,7 @@
         .putLong(memoryBytes)
         .putLong(USER_BASE)
         .putLong(0);
-    tell(Wire.SET_MEM_TABLE, table.array(), memoryFd);
+    sendAcknowledged(Wire.SET_MEM_TABLE, table.array(), memoryFd);
     for (Queue q : queues) {
       startQueue(q);
     }
@@ -176,7 +177,7 @@
         .putShort((short) queues.length)
         .putShort((short) options.queueSize());
     if (inflightFd >= 0) {
-      tell(Wire.SET_INFLIGHT_FD, inflightState, inflightFd);
+      sendAcknowledged(Wire.SET_INFLIGHT_FD, inflightState, inflightFd);
       return;
     }
     send(Wire.GET_INFLIGHT_FD, 0, payload.array());
@@ -188,21 +189,22 @@
   private void startQueue(Queue q) throws IOException {
     q.kickFd = Linux.eventfd();
     q.callFd = Linux.eventfd();
-    tell(Wire.SET_VRING_NUM, Wire.state(q.index, options.queueSize()));
+    sendAcknowledged(Wire.SET_VRING_NUM, Wire.vringStatePayload(q.index, options.queueSize()));
     // After the back end has died, all unanswered requests are submitted again, from the index of the used
     // ring on.
-    tell(Wire.SET_VRING_BASE, Wire.state(q.index, Short.toUnsignedInt(q.used.getShort(2))));
-    tell(Wire.SET_VRING_ADDR, littleEndian(40).putInt(q.index)
+    sendAcknowledged(Wire.SET_VRING_BASE, Wire.vringStatePayload(q.index, Short.toUnsignedInt(q.used.getShort(
+        2))));
+    sendAcknowledged(Wire.SET_VRING_ADDR, littleEndian(40).putInt(q.index)
         .putInt(0)
         .putLong(USER_BASE + q.baseOffset)
         .putLong(USER_BASE + q.usedRingOffset())
         .putLong(USER_BASE + q.baseOffset + 16L * options.queueSize())
         .putLong(0)
         .array());
-    tell(Wire.SET_VRING_CALL, Wire.u64(q.index), q.callFd);
-    tell(Wire.SET_VRING_KICK, Wire.u64(q.index), q.kickFd);
-    tell(Wire.SET_VRING_ENABLE, Wire.state(q.index, 1));
-    Linux.signal(q.kickFd);
+    sendAcknowledged(Wire.SET_VRING_CALL, Wire.u64Payload(q.index), q.callFd);
+    sendAcknowledged(Wire.SET_VRING_KICK, Wire.u64Payload(q.index), q.kickFd);
+    sendAcknowledged(Wire.SET_VRING_ENABLE, Wire.vringStatePayload(q.index, 1));
+    Linux.signalEventfd(q.kickFd);
   }
 
   private static ByteBuffer littleEndian(int bytes) {
@@ -212,8 +214,8 @@
   private record Reply(ByteBuffer payload, int fd) {}
 
   /** Sends a message that is acknowledged, and waits for the acknowledgement. */
-  public void tell(int request, byte[] payload, int... fds) throws IOException {
-    send(request, Wire.NEED_REPLY, payload, fds);
+  public void sendAcknowledged(int request, byte[] payload, int... fds) throws IOException {
+    send(request, Wire.FLAG_NEED_REPLY, payload, fds);
     // Messages are acknowledged only once the protocol features are set.
     if (request != Wire.SET_PROTOCOL_FEATURES) {
       long result = receive().payload.getLong();
@@ -226,14 +228,14 @@
   }
 
   /** Sends a message that has a reply of its own and returns the payload of the reply. */
-  public ByteBuffer ask(int request, byte[] payload) throws IOException {
+  public ByteBuffer sendAndReceive(int request, byte[] payload) throws IOException {
     send(request, 0, payload);
     return receive().payload;
   }
 
   /** Sends a message without waiting for a reply. */
   public void send(int request, int flags, byte[] payload, int... fds) throws IOException {
-    Linux.send(socket, Wire.message(request, flags, payload), fds);
+    Linux.send(socket, Wire.encode(request, flags, payload), fds);
   }
 
   /** Sends raw bytes. */
@@ -245,7 +247,7 @@
     com.sun.jna.Memory buffer = new com.sun.jna.Memory(1024);
     int received = 0;
     int fd = -1;
-    int expected = Wire.HEADER;
+    int expected = Wire.HEADER_BYTES;
     while (received < expected) {
       Linux.Poll p = new Linux.Poll();
       p.add(socket);
@@ -259,11 +261,11 @@
       }
       received += Math.max(0, part.bytes());
       fd = part.fds().length > 0 ? part.fds()[0] : fd;
-      if (received == Wire.HEADER && expected == Wire.HEADER) {
+      if (received == Wire.HEADER_BYTES && expected == Wire.HEADER_BYTES) {
         expected += buffer.getInt(8);
       }
     }
-    return new Reply(ByteBuffer.wrap(buffer.getByteArray(Wire.HEADER, expected - Wire.HEADER))
+    return new Reply(ByteBuffer.wrap(buffer.getByteArray(Wire.HEADER_BYTES, expected - Wire.HEADER_BYTES))
         .order(ByteOrder.LITTLE_ENDIAN), fd);
   }
 
@@ -276,7 +278,7 @@
   public boolean submit(int queue, IoKind kind, long offset, int length, ByteBuffer data,
       CompletionListener listener) {
     Queue q = queues[queue];
-    Integer slot = q.free.poll();
+    Integer slot = q.freeSlots.poll();
     if (slot == null) {
       return false;
     }
@@ -298,39 +300,42 @@
       dataLength = 16;
       offset = 0;
     }
-    post(q, slot, type, offset / 512, kind == IoKind.FLUSH ? 0 : dataLength, kind == IoKind.READ);
+    postRequest(q, slot, type, offset / 512, kind == IoKind.FLUSH ? 0 : dataLength, kind == IoKind.READ);
     return true;
   }
 
   /** Adds a raw request of any type with {@code length} bytes of data to a slot. */
-  public void post(Queue q, int slot, int type, long sector, int length, boolean deviceWrites) {
+  public void postRequest(Queue q, int slot, int type, long sector, int length, boolean deviceWrites) {
     long slotBase = q.slotOffset(slot);
     ByteBuffer header = view(slotBase + INDIRECT_TABLE_BYTES, HEADER_BYTES + TAIL_BYTES);
     header.putInt(0, type).putInt(4, 0).putLong(8, sector).putLong(HEADER_BYTES, -1L);
     int first = options.indirect() ? slot : 3 * slot;
-    ByteBuffer table = options.indirect() ? view(slotBase, INDIRECT_TABLE_BYTES) : q.table;
+    ByteBuffer table = options.indirect() ? view(slotBase, INDIRECT_TABLE_BYTES) : q.descriptors;
     int descriptor = options.indirect() ? 0 : first;
-    describe(table, descriptor, GUEST_BASE + slotBase + INDIRECT_TABLE_BYTES, HEADER_BYTES, 1, descriptor
-        + 1);
+    writeDescriptor(table, descriptor, GUEST_BASE + slotBase + INDIRECT_TABLE_BYTES, HEADER_BYTES, 1,
+        descriptor
+            + 1);
     int last = descriptor + 1;
     if (length > 0) {
-      describe(table, last, GUEST_BASE + slotBase + INDIRECT_TABLE_BYTES + HEADER_BYTES + TAIL_BYTES, length,
+      writeDescriptor(table, last, GUEST_BASE + slotBase + INDIRECT_TABLE_BYTES + HEADER_BYTES + TAIL_BYTES,
+          length,
           deviceWrites
               ? 3
               : 1, last + 1);
       last++;
     }
-    describe(table, last, GUEST_BASE + slotBase + INDIRECT_TABLE_BYTES + HEADER_BYTES, options.refusedStatus()
-        ? TAIL_BYTES
-        : 1, 2, 0);
+    writeDescriptor(table, last, GUEST_BASE + slotBase + INDIRECT_TABLE_BYTES + HEADER_BYTES, options
+        .refusedStatus()
+            ? TAIL_BYTES
+            : 1, 2, 0);
     if (options.indirect()) {
-      describe(q.table, first, GUEST_BASE + slotBase, 16 * (last + 1), 4, 0);
+      writeDescriptor(q.descriptors, first, GUEST_BASE + slotBase, 16 * (last + 1), 4, 0);
     }
-    publish(q, first);
+    makeAvailable(q, first);
   }
 
   /** Writes one descriptor. */
-  public static void describe(ByteBuffer table, int i, long address, int length, int flags, int next) {
+  public static void writeDescriptor(ByteBuffer table, int i, long address, int length, int flags, int next) {
     table.putLong(16 * i, address)
         .putInt(16 * i + 8, length)
         .putShort(16 * i + 12, (short) flags)
@@ -338,7 +343,7 @@
   }
 
   /** Adds a descriptor chain to the available ring. */
-  public void publish(Queue q, int head) {
+  public void makeAvailable(Queue q, int head) {
     q.avail.putShort(4 + 2 * (q.availIdx % options.queueSize()), (short) head);
     q.availIdx = q.availIdx + 1 & 0xffff;
     VarHandle.releaseFence();
@@ -361,7 +366,7 @@
       }
       queue.lastKickedIdx = queue.availIdx;
       if (notify) {
-        Linux.signal(queue.kickFd);
+        Linux.signalEventfd(queue.kickFd);
       }
     }
   }
@@ -385,7 +390,7 @@
           throw new IllegalStateException("descriptor head " + head + " completed twice");
         }
         listener.onComplete(status, options.refusedStatus() ? tail.getInt(4) : 0, data);
-        q.free.add(slot);
+        q.freeSlots.add(slot);
         completions++;
       }
     }
@@ -409,14 +414,14 @@
     poll.await(ready ? 0 : ms);
     for (int i = 0; i < queues.length; i++) {
       if (poll.events(i) != 0) {
-        Linux.drain(queues[i].callFd);
+        Linux.drainEventfd(queues[i].callFd);
       }
     }
     return (poll.events(queues.length) & (Linux.POLLHUP | Linux.POLLERR)) == 0;
   }
 
   /** Number of outstanding requests on all queues. */
-  public int out() {
+  public int inFlight() {
     int n = 0;
     for (Queue q : queues) {
       n += q.out();
@@ -425,8 +430,8 @@
   }
 
   /** Stops a queue and returns the index of the next entry of its available ring. */
-  public int stop(int queue) throws IOException {
-    return ask(Wire.GET_VRING_BASE, Wire.state(queue, 0)).getInt(4);
+  public int stopQueue(int queue) throws IOException {
+    return sendAndReceive(Wire.GET_VRING_BASE, Wire.vringStatePayload(queue, 0)).getInt(4);
   }
 
   /** File descriptor by which a queue is kicked. */
--- a/src/main/java/hollyslip/load/RingComparison.java
+++ b/src/main/java/hollyslip/load/RingComparison.java
@@ -72,7 +72,7 @@
       Engine echoEngine = startEchoEngine(deployment);
       VhostServer echoFront = new VhostServer(echoEngine, new hollyslip.front.vhost.Acceptor(), "v", dir
           .resolve(
-              "echo.sock"), VhostServer.ANYBODY);
+              "echo.sock"), VhostServer.ANY_USER);
       Map<String, List<Measurement>> rows = new HashMap<>();
       for (int round = 0; round < rounds; round++) {
         for (int depth : depths) {
@@ -82,7 +82,7 @@
                   echoEngine::totals);
               case "direct" -> RingBench.measureNodeClient(standins.get(0).address, depth, block, seconds,
                   BYTES);
-              default -> RingBench.measureRing(path, gateway.socket("v"), depth, block, seconds, BYTES,
+              default -> RingBench.measureRing(path, gateway.socketPath("v"), depth, block, seconds, BYTES,
                   gateway
                       .lanes()::totals);
             });
@@ -120,12 +120,13 @@
   /** Starts an engine whose nodes answer at once without transferring bytes, to measure the cost of ring,
    * engine and scheduler. */
   private static Engine startEchoEngine(Deployment deployment) {
-    Engine engine = new Engine(new Engine.Config(deployment.module(), new RequestClassifier(deployment.rows(),
+    Engine engine = new Engine(new Engine.Config(deployment.schedulerSettings(), new RequestClassifier(
+        deployment.classificationRules(),
         deployment.gateway()
             .unitBytes(), deployment
                 .store()
-                .maxUnits()), new ExtentSplitter(1 << 20), 65_536, 1 << 30, 0), deployment.byName(),
-        new TokenBorrowingScheduler(deployment.module()));
+                .maxUnits()), new ExtentSplitter(1 << 20), 65_536, 1 << 30, 0), deployment.volumesByName(),
+        new TokenBorrowingScheduler(deployment.schedulerSettings()));
     engine.start(new NodeTransport() {
       @Override
       public void send(Attempt attempt) {
@@ -154,7 +155,7 @@
     });
     engine.updateNodes(new hollyslip.HostScheduler.NodeList(true, deployment.nodes()
         .stream()
-        .map(Deployment.Node::listed)
+        .map(Deployment.Node::toNodeEntry)
         .toList()));
     return engine;
   }
--- a/src/main/java/hollyslip/load/RingLoad.java
+++ b/src/main/java/hollyslip/load/RingLoad.java
@@ -58,7 +58,7 @@
   private final BlockStamps stamps;
   private final List<OpenRequest> openRequests = new ArrayList<>();
   private final List<Asked> records = new ArrayList<>();
-  private final List<String> wrong = new ArrayList<>();
+  private final List<String> wrongReads = new ArrayList<>();
   private final TreeSet<Long> offsetsBeingWritten = new TreeSet<>();
   private final ByteBuffer writeBuffer;
   private final Histogram latency = new Histogram(60_000_000L, 3);
@@ -68,7 +68,7 @@
   private volatile boolean dropping;
   private volatile boolean readsOnly;
   private int pendingRetries;
-  private volatile int asked;
+  private volatile int requestCount;
   private boolean connected;
   private long nextDueUs;
 
@@ -102,7 +102,7 @@
         checksum = crc32(data, length);
         String mismatch = stamps.findMismatch(data, offset, minWriteIds);
         if (mismatch != null) {
-          wrong.add(config.name() + "/" + id + ": " + mismatch);
+          wrongReads.add(config.name() + "/" + id + ": " + mismatch);
         }
       }
       if (kind == IoKind.WRITE) {
@@ -130,7 +130,7 @@
     this.config = config;
     this.socket = socket;
     int queueSize = Integer.highestOneBit(Math.max(4, config.depth() * 2 - 1));
-    client = new RingClient(RingClient.Options.usual(1, queueSize, config.maxBlocks()
+    client = new RingClient(RingClient.Options.allFeatures(1, queueSize, config.maxBlocks()
         * BlockStamps.BLOCK_BYTES));
     random = new SplittableRandom(config.seed());
     stamps = new BlockStamps(config.seed() * 1_000_003 + config.name().hashCode());
@@ -173,8 +173,8 @@
   }
 
   /** Number of requests submitted so far. */
-  public int asked() {
-    return asked;
+  public int requestCount() {
+    return requestCount;
   }
 
   /** Runs until the last answer, or until no more answers can arrive. */
@@ -197,7 +197,7 @@
         }
       }
       openRequests.removeIf(request -> request.done);
-      boolean allSubmitted = finishing || config.maxRequests() > 0 && asked >= config.maxRequests();
+      boolean allSubmitted = finishing || config.maxRequests() > 0 && requestCount >= config.maxRequests();
       if (allSubmitted && giveUpAtUs == Long.MAX_VALUE) {
         giveUpAtUs = Engine.monotonicMicros() + 3 * config.deadlineUs() + 5_000_000;
       }
@@ -219,7 +219,7 @@
     nextDueUs = Engine.monotonicMicros();
     client.connect(socket);
     connected = true;
-    while (asked < config.maxRequests()) {
+    while (requestCount < config.maxRequests()) {
       issueDueRequests();
       client.kick();
       client.poll();
@@ -252,7 +252,7 @@
   }
 
   private void issueDueRequests() {
-    while (!finishing && (config.maxRequests() == 0 || asked < config.maxRequests()) && openRequests
+    while (!finishing && (config.maxRequests() == 0 || requestCount < config.maxRequests()) && openRequests
         .size() < config.depth()) {
       if (config.meanGapUs() > 0) {
         long now = Engine.monotonicMicros();
@@ -281,7 +281,7 @@
     if (!read && overlapsWrite(offset, length)) {
       read = true;
     }
-    OpenRequest request = new OpenRequest(++asked, read ? IoKind.READ : IoKind.WRITE, offset, length);
+    OpenRequest request = new OpenRequest(++requestCount, read ? IoKind.READ : IoKind.WRITE, offset, length);
     if (read) {
       request.minWriteIds = stamps.minWriteIds(offset, length);
     } else {
@@ -309,8 +309,8 @@
   }
 
   /** Reads that returned bytes contradicting earlier answers. */
-  public List<String> wrong() {
-    return wrong;
+  public List<String> wrongReads() {
+    return wrongReads;
   }
 
   /** Time from submission to answer, us. */
--- a/src/main/java/hollyslip/load/RingTarget.java
+++ b/src/main/java/hollyslip/load/RingTarget.java
@@ -24,7 +24,7 @@
     this.socket = socket;
     this.depth = depth;
     int queueSize = Integer.highestOneBit(Math.max(4, depth * 2 - 1));
-    client = new RingClient(RingClient.Options.usual(1, queueSize, maxBytes));
+    client = new RingClient(RingClient.Options.allFeatures(1, queueSize, maxBytes));
     writeBuffer = ByteBuffer.allocate(maxBytes);
     client.connect(socket);
   }
--- a/src/main/java/hollyslip/load/Stage.java
+++ b/src/main/java/hollyslip/load/Stage.java
@@ -75,7 +75,7 @@
   }
 
   /** Directories of the volumes' sockets, one per gateway. */
-  public List<Path> sockets() {
+  public List<Path> socketDirs() {
     return deployments.stream().map(d -> d.gateway().socketDir()).toList();
   }
 
--- a/src/main/java/hollyslip/load/TenantBench.java
+++ b/src/main/java/hollyslip/load/TenantBench.java
@@ -59,7 +59,7 @@
   // Scheduler alone.
 
   private static HostScheduler.Settings settings(Path dir) throws IOException {
-    return deployment(dir, 1, 2).module();
+    return deployment(dir, 1, 2).schedulerSettings();
   }
 
   private void measureModule() throws IOException {
@@ -134,7 +134,7 @@
     }
 
     @Override
-    public void node(String name, NodeState state) {}
+    public void setNodeState(String name, NodeState state) {}
 
     @Override
     public Map<String, NodeView> nodes() {
@@ -157,18 +157,18 @@
       Path folder = dir.resolve("store-" + tenants);
       Control control = control(folder);
       long startNs = System.nanoTime();
-      control.command((r, at) -> r.createPlan(at, "bench", new Wish.ForPlan("p", new Terms(10, 1, 1, 1, 0, 0,
+      control.execute((r, at) -> r.createPlan(at, "bench", new Wish.ForPlan("p", new Terms(10, 1, 1, 1, 0, 0,
           0))),
           r -> null).join();
       List<CompletableFuture<Object>> commands = new ArrayList<>();
       for (int t = 0; t < tenants; t++) {
         String name = "t" + t;
-        commands.add(control.command((r, at) -> r.createTenant(at, "bench", new Wish.ForTenant(name, 1,
+        commands.add(control.execute((r, at) -> r.createTenant(at, "bench", new Wish.ForTenant(name, 1,
             new Tenant.Quota(
                 100, 1L << 40, 100), Map.of())), r -> null));
         for (int v = 0; v < 5; v++) {
           String volume = "v" + v;
-          commands.add(control.command((r, at) -> r.createVolume(at, "bench", name, new Wish.ForVolume(volume,
+          commands.add(control.execute((r, at) -> r.createVolume(at, "bench", name, new Wish.ForVolume(volume,
               "p", null,
               16 << 20, 4 << 20)), r -> null));
         }
@@ -189,7 +189,7 @@
     Control control = control(folder);
     double ms = (System.nanoTime() - startNs) / 1e6;
     if (takeSnapshot) {
-      control.keep().join();
+      control.takeSnapshot().join();
     }
     control.close();
     return ms;
@@ -202,9 +202,10 @@
   }
 
   private static void request(ApiClient api, String method, String path, String body) throws IOException {
-    ApiClient.Answer answer = api.ask(method, path, JSON.readTree(body.replace('\'', '"')), Map.of("If-Match",
+    ApiClient.Answer answer = api.send(method, path, JSON.readTree(body.replace('\'', '"')), Map.of(
+        "If-Match",
         "*"));
-    if (!answer.good()) {
+    if (!answer.isSuccess()) {
       throw new IOException(path + ": " + answer);
     }
   }
@@ -215,7 +216,7 @@
         .mapToInt(standin -> standin.address.getPort())
         .toArray()));
     String token = Files.readString(dir.resolve("state/operator.token")).trim();
-    try (ApiClient api = ApiClient.at(dir.resolve("run/admin.sock"), token)) {
+    try (ApiClient api = ApiClient.connect(dir.resolve("run/admin.sock"), token)) {
       long uid = ((Number) Files.getAttribute(Path.of("/proc/self"), "unix:uid")).longValue();
       request(api, "POST", "/v1/plans", "{'name':'p','reserve':100,'weight':1}");
       for (String tenant : List.of("a", "b")) {
@@ -225,7 +226,7 @@
             "{'name':'v','plan':'p','bytes':4194304,'extent_bytes':65536}");
       }
       for (String tenant : List.of("a", "b")) {
-        while (!api.ask("GET", "/v1/tenants/" + tenant + "/volumes/v", null, Map.of())
+        while (!api.send("GET", "/v1/tenants/" + tenant + "/volumes/v", null, Map.of())
             .body()
             .get("phase")
             .asText()
@@ -236,8 +237,9 @@
       System.out.printf("%n%-34s %8s %10s %9s %9s %11s %12s%n", "requests of b, 4 KiB reads", "depth",
           "requests/s", "p50 us", "p99 us", "changes/s", "change p99");
       for (int round = 0; round < rounds; round++) {
-        print("alone", RingBench.measureRing("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES, gateway
-            .lanes()::totals), 4,
+        print("alone", RingBench.measureRing("b", gateway.socketPath("b", "v"), 4, BLOCK, seconds, BYTES,
+            gateway
+                .lanes()::totals), 4,
             null, 0);
         measureDuringChanges(gateway, api);
         measureDuringFlood(gateway);
@@ -275,7 +277,8 @@
       }
     });
     administrator.start();
-    Measurement measurement = RingBench.measureRing("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES,
+    Measurement measurement = RingBench.measureRing("b", gateway.socketPath("b", "v"), 4, BLOCK, seconds,
+        BYTES,
         gateway
             .lanes()::totals);
     stopped[0] = true;
@@ -288,7 +291,7 @@
     Measurement[] flood = new Measurement[1];
     Thread flooder = new Thread(() -> {
       try {
-        flood[0] = RingBench.measureRing("a", gateway.socket("a", "v"), 256, BLOCK, seconds * 1.5, BYTES,
+        flood[0] = RingBench.measureRing("a", gateway.socketPath("a", "v"), 256, BLOCK, seconds * 1.5, BYTES,
             gateway
                 .lanes()::totals);
       } catch (Exception e) {
@@ -296,7 +299,8 @@
       }
     });
     flooder.start();
-    Measurement measurement = RingBench.measureRing("b", gateway.socket("b", "v"), 4, BLOCK, seconds, BYTES,
+    Measurement measurement = RingBench.measureRing("b", gateway.socketPath("b", "v"), 4, BLOCK, seconds,
+        BYTES,
         gateway
             .lanes()::totals);
     flooder.join();
--- a/src/main/java/hollyslip/node/Fence.java
+++ b/src/main/java/hollyslip/node/Fence.java
@@ -62,7 +62,7 @@
   }
 
   /** Name of the context that answers this query. */
-  public static String answer(String client, NodeView known) {
+  public static String holderReplyName(String client, NodeView known) {
     return holderQueryName(client) + "/" + known.holder().epoch() + "/" + known.holder().instance() + "/"
         + known
             .openConnections();
@@ -92,7 +92,7 @@
   }
 
   /** Returns whether a connection with the given fence is dead once this fence is in force. */
-  public boolean kills(Fence other) {
+  public boolean invalidates(Fence other) {
     if (!other.client.equals(client) || other.holder.epoch() > holder.epoch()) {
       return false;
     }
@@ -100,7 +100,7 @@
   }
 
   /** Returns which of two fences of one client is in force, where this one was there first. */
-  public Fence orNewer(Fence next) {
+  public Fence newerOf(Fence next) {
     boolean newer = next.holder.epoch() > holder.epoch() || next.holder.equals(holder)
         && next.serial > serial;
     return newer ? next : this;
--- a/src/main/java/hollyslip/node/Nbd.java
+++ b/src/main/java/hollyslip/node/Nbd.java
@@ -4,12 +4,12 @@
  * newstyle negotiation", "Option types", "Request message", "Structured reply types" and "Error values", and
  * of this project's own metadata contexts (docs/node-protocol.md). */
 public final class Nbd {
-  public static final long MAGIC = 0x4e42444d41474943L;
+  public static final long INIT_MAGIC = 0x4e42444d41474943L;
   public static final long IHAVEOPT = 0x49484156454F5054L;
-  public static final long OPTION_REPLY = 0x0003e889045565a9L;
-  public static final int REQUEST = 0x25609513;
-  public static final int SIMPLE_REPLY = 0x67446698;
-  public static final int STRUCTURED_REPLY = 0x668e33ef;
+  public static final long OPTION_REPLY_MAGIC = 0x0003e889045565a9L;
+  public static final int REQUEST_MAGIC = 0x25609513;
+  public static final int SIMPLE_REPLY_MAGIC = 0x67446698;
+  public static final int STRUCTURED_REPLY_MAGIC = 0x668e33ef;
 
   public static final int FLAG_FIXED_NEWSTYLE = 1, FLAG_NO_ZEROES = 2;
   public static final int SEND_FLUSH = 1 << 2, SEND_TRIM = 1 << 5, SEND_WRITE_ZEROES = 1 << 6;
@@ -28,7 +28,7 @@
 
   public static final int CHUNK_NONE = 0, CHUNK_DATA = 1, CHUNK_HOLE = 2, CHUNK_BLOCK_STATUS = 5;
   public static final int CHUNK_ERROR = 32769, CHUNK_ERROR_OFFSET = 32770;
-  public static final int CHUNK_DONE = 1;
+  public static final int CHUNK_FLAG_DONE = 1;
 
   public static final int EPERM = 1, EIO = 5, ENOMEM = 12, EINVAL = 22, ENOSPC = 28, ENOTSUP = 95,
       ESHUTDOWN = 108;
@@ -41,7 +41,7 @@
   /** Metadata context of this project: who holds a client's name; see {@link Fence#parseHolderReply}. */
   public static final String CONTEXT_EPOCH = "hollyslip:epoch/";
   /** Size in bytes of the block whose status is one value of {@link #CONTEXT_LOAD}. */
-  public static final int LOAD_STEP = 512;
+  public static final int LOAD_BLOCK_BYTES = 512;
   /** Message of an ENOMEM error chunk between peers that share a context of this project: the command was
    * rejected unprocessed. */
   public static final String MESSAGE_FULL = "hollyslip:full";
@@ -49,7 +49,7 @@
    * runs. */
   public static final String MESSAGE_FENCED = "hollyslip:fenced";
   /** Maximum accepted size in bytes of a message or of option data. */
-  public static final int MOST_OPTION = 64 * 1024;
+  public static final int MAX_OPTION_BYTES = 64 * 1024;
 
   /** Values of {@link #CONTEXT_LOAD}, in order; each is an unsigned 32-bit integer. */
   public enum LoadMetric {
--- a/src/main/java/hollyslip/node/NbdConnection.java
+++ b/src/main/java/hollyslip/node/NbdConnection.java
@@ -252,7 +252,7 @@
       return;
     }
     ByteBuffer message = ByteBuffer.allocate(REQUEST_HEADER_BYTES)
-        .putInt(Nbd.REQUEST)
+        .putInt(Nbd.REQUEST_MAGIC)
         .putShort((short) 0)
         .putShort((short) Nbd.CMD_DISC)
         .putLong(0)
@@ -303,7 +303,7 @@
     long now = System.nanoTime();
     if (probePending && probeSentNs == 0) {
       probeSentNs = now;
-      putRequestHeader(0, Nbd.CMD_BLOCK_STATUS, LOAD_COOKIE, 0, loadValues.length * Nbd.LOAD_STEP);
+      putRequestHeader(0, Nbd.CMD_BLOCK_STATUS, LOAD_COOKIE, 0, loadValues.length * Nbd.LOAD_BLOCK_BYTES);
     }
     while (!queue.isEmpty() && burst.size() < MAX_BURST_COMMANDS && bytes < MAX_BURST_BYTES) {
       Command command = queue.poll();
@@ -354,7 +354,7 @@
   }
 
   private void putRequestHeader(int commandFlags, int type, long cookie, long offset, int length) {
-    headers.putInt(Nbd.REQUEST)
+    headers.putInt(Nbd.REQUEST_MAGIC)
         .putShort((short) commandFlags)
         .putShort((short) type)
         .putLong(cookie)
--- a/src/main/java/hollyslip/node/NbdHandshake.java
+++ b/src/main/java/hollyslip/node/NbdHandshake.java
@@ -109,13 +109,13 @@
       return false;
     }
     int start = in.position();
-    if (in.getLong(start) != Nbd.OPTION_REPLY) {
+    if (in.getLong(start) != Nbd.OPTION_REPLY_MAGIC) {
       throw new NegotiationException("option reply: wrong magic");
     }
     int option = in.getInt(start + 8);
     int type = in.getInt(start + 12);
     int length = in.getInt(start + 16);
-    if (length < 0 || length > Nbd.MOST_OPTION) {
+    if (length < 0 || length > Nbd.MAX_OPTION_BYTES) {
       throw new NegotiationException("option reply: length " + Integer.toUnsignedString(length));
     }
     if (in.remaining() < 20 + length) {
@@ -131,7 +131,7 @@
     if (in.remaining() < 18) {
       return false;
     }
-    if (in.getLong() != Nbd.MAGIC || in.getLong() != Nbd.IHAVEOPT) {
+    if (in.getLong() != Nbd.INIT_MAGIC || in.getLong() != Nbd.IHAVEOPT) {
       throw new NegotiationException("greeting: not a newstyle NBD server");
     }
     int offered = Short.toUnsignedInt(in.getShort());
--- a/src/main/java/hollyslip/node/NbdReplyParser.java
+++ b/src/main/java/hollyslip/node/NbdReplyParser.java
@@ -79,11 +79,11 @@
     }
     int start = in.position();
     int magic = in.getInt(start);
-    if (magic == Nbd.SIMPLE_REPLY) {
+    if (magic == Nbd.SIMPLE_REPLY_MAGIC) {
       parseSimpleReply(in, start);
       return true;
     }
-    if (magic != Nbd.STRUCTURED_REPLY || !structured) {
+    if (magic != Nbd.STRUCTURED_REPLY_MAGIC || !structured) {
       throw new MalformedReplyException("reply: unexpected magic " + Integer.toHexString(magic));
     }
     return in.remaining() >= 20 && parseChunk(in, start);
@@ -115,14 +115,14 @@
     if (data && length <= 8) {
       throw new MalformedReplyException("chunk: data chunk of " + length + " bytes");
     }
-    if (needed > Nbd.MOST_OPTION) {
+    if (needed > Nbd.MAX_OPTION_BYTES) {
       throw new MalformedReplyException("chunk: type " + type + " with a length of " + length + " bytes");
     }
     if (in.remaining() < 20 + needed) {
       return false;
     }
     beginReply(in.getLong(start + 8));
-    lastChunk = (chunkFlags & Nbd.CHUNK_DONE) != 0;
+    lastChunk = (chunkFlags & Nbd.CHUNK_FLAG_DONE) != 0;
     in.position(start + 20);
     ByteBuffer body = in.slice(start + 20, (int) needed);
     in.position(start + 20 + (int) needed);
--- a/src/main/java/hollyslip/node/NodeSurvey.java
+++ b/src/main/java/hollyslip/node/NodeSurvey.java
@@ -63,7 +63,7 @@
     private final String node;
     private final AsynchronousSocketChannel channel;
     private final NbdHandshake handshake;
-    private final ByteBuffer input = ByteBuffer.allocate(Nbd.MOST_OPTION + 64);
+    private final ByteBuffer input = ByteBuffer.allocate(Nbd.MAX_OPTION_BYTES + 64);
     private final CompletableFuture<NodeView> holderView = new CompletableFuture<>();
 
     NodeQuery(AsynchronousChannelGroup group, NodePool.Address node, String client) throws IOException {
--- a/src/main/java/hollyslip/settings/Deployment.java
+++ b/src/main/java/hollyslip/settings/Deployment.java
@@ -22,7 +22,7 @@
  *          settings of the gateway process
  * @param classes
  *          request classes
- * @param rows
+ * @param classificationRules
  *          rules that assign requests to classes by kind and size
  * @param plans
  *          service plans
@@ -36,7 +36,8 @@
  *          storage nodes
  * @param volumes
  *          volumes */
-public record Deployment(Process gateway, List<RequestClass> classes, List<RequestClassifier.Rule> rows,
+public record Deployment(Process gateway, List<RequestClass> classes,
+    List<RequestClassifier.Rule> classificationRules,
     List<Plan> plans, Rules rules, Allowed allowed, Store store, List<Node> nodes, List<Volume> volumes) {
 
   /** Settings of the gateway process.
@@ -59,13 +60,13 @@
    *          margin before a deadline by which answers are due, us
    * @param unitBytes
    *          bytes per unit of work
-   * @param mostRequests
+   * @param maxRequests
    *          maximum number of requests held at a time
-   * @param mostBytes
+   * @param maxRequestBytes
    *          maximum bytes of requests held at a time
-   * @param connections
+   * @param connectionsPerNode
    *          maximum number of connections to one node
-   * @param perConnection
+   * @param maxAttemptsPerConnection
    *          maximum number of concurrent attempts on one connection
    * @param ioThreads
    *          number of I/O threads for node connections
@@ -76,8 +77,8 @@
    * @param cores
    *          number of lanes; each is an engine with its own scheduler on its own core */
   public record Process(String name, int index, int hosts, String zone, Path socketDir, Path stateDir,
-      long seed, long tickUs, long unitBytes, long mostRequests, long mostBytes, int connections,
-      int perConnection, int ioThreads, boolean sftp, Hosting hosting, int cores) {
+      long seed, long tickUs, long unitBytes, long maxRequests, long maxRequestBytes, int connectionsPerNode,
+      int maxAttemptsPerConnection, int ioThreads, boolean sftp, Hosting hosting, int cores) {
     /** A gateway with one lane that hosts no tenants. */
     public Process(String name, int index, int hosts, String zone, Path socketDir, Path stateDir, long seed,
         long tickUs, long unitBytes, long mostRequests, long mostBytes, int connections, int perConnection,
@@ -108,13 +109,13 @@
     }
 
     /** Returns the scheduler's node list entry for this node. */
-    public NodeEntry listed() {
+    public NodeEntry toNodeEntry() {
       return new NodeEntry(id, zone, shard, state, 0);
     }
   }
 
   /** Returns the scheduler's settings. */
-  public Settings module() {
+  public Settings schedulerSettings() {
     return new Settings(gateway.seed(), gateway.index(), gateway.hosts(), gateway.zone(), gateway.tickUs(),
         false, classes, plans, rules, allowed, store, allowed.probes()
             ? ReportSource.PROBE
@@ -122,7 +123,7 @@
   }
 
   /** Returns the volumes by name, in order of declaration. */
-  public Map<String, Volume> byName() {
+  public Map<String, Volume> volumesByName() {
     Map<String, Volume> map = new LinkedHashMap<>();
     volumes.forEach(v -> map.put(v.name(), v));
     return map;
--- a/src/main/java/hollyslip/settings/Loader.java
+++ b/src/main/java/hollyslip/settings/Loader.java
@@ -62,13 +62,13 @@
   static Loaded load(Script script, Path dir) {
     List<Fault> faults = new ArrayList<>();
     Schema schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(SCHEMA);
-    for (Error error : schema.validate(script.declared())) {
+    for (Error error : schema.validate(script.declarations())) {
       String pointer = error.getInstanceLocation().toString();
       faults.add(new Fault(script.location(pointer), (pointer.isEmpty() ? "settings" : pointer.substring(1))
           + ": " + error.getMessage()));
     }
     if (faults.isEmpty()) {
-      JsonNode declarations = script.declared().deepCopy();
+      JsonNode declarations = script.declarations().deepCopy();
       if (!declarations.has("volume")) {
         ((ObjectNode) declarations).putArray("volume");
       }
--- a/src/main/java/hollyslip/settings/Script.java
+++ b/src/main/java/hollyslip/settings/Script.java
@@ -28,7 +28,7 @@
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final ObjectNode declared = JSON.createObjectNode();
+  private final ObjectNode declarations = JSON.createObjectNode();
   private final Map<String, Location> locations = new HashMap<>();
   private int declarationCount;
 
@@ -77,8 +77,8 @@
   }
 
   /** Returns the declarations: an array for each kind. */
-  public JsonNode declared() {
-    return declared;
+  public JsonNode declarations() {
+    return declarations;
   }
 
   /** Returns the location of the declaration that a JSON pointer such as {@code /node/3/port} points into, or
@@ -107,7 +107,7 @@
         declaration.set(argument.getKey(), toJson(location, argument.getValue(), 0));
       }
     }
-    ArrayNode sameKind = declared.withArray("/" + kind);
+    ArrayNode sameKind = declarations.withArray("/" + kind);
     locations.put("/" + kind + "/" + sameKind.size(), location);
     sameKind.add(declaration);
     return declaration.path("name").isTextual() ? declaration.get("name").asText() : null;
--- a/src/main/java/hollyslip/standin/DiskServer.java
+++ b/src/main/java/hollyslip/standin/DiskServer.java
@@ -199,7 +199,7 @@
   /** Serves nothing for the given time. */
   public void stall(long us) {
     synchronized (jobs) {
-      model.stall(now() + us);
+      model.stallUntil(now() + us);
     }
   }
 
@@ -324,7 +324,7 @@
       recordResult(job, 0, 0, Command.Result.SWALLOWED);
     } else if (faults.draining || faults.full) {
       reject(job);
-    } else if (model.hasNoDelays() && !(faults.lateWriteUs > 0 && kind == Nbd.CMD_WRITE)) {
+    } else if (model.hasNoDelays() && !(faults.writeDelayUs > 0 && kind == Nbd.CMD_WRITE)) {
       finish(job);
     } else {
       enqueue(job, now);
@@ -334,9 +334,10 @@
   private void enqueue(Job job, long now) {
     long doneAtUs;
     synchronized (jobs) {
-      doneAtUs = model.doneAt(now, job.length, queuedCount, faults.heavyPart, faults.heavyFactor);
+      doneAtUs = model.completionTime(now, job.length, queuedCount, faults.slowCommandRate,
+          faults.slowCommandFactor);
       if (doneAtUs >= 0) {
-        doneAtUs += job.kind == Nbd.CMD_WRITE ? faults.lateWriteUs : 0;
+        doneAtUs += job.kind == Nbd.CMD_WRITE ? faults.writeDelayUs : 0;
         jobs.add(new Job(doneAtUs, serials.incrementAndGet(), job.connection, job.cookie, job.kind,
             job.offset, job.length, job.payload, job.receivedUs));
         queuedCount++;
@@ -360,7 +361,7 @@
     synchronized (random) {
       chance = random.nextDouble();
     }
-    if (chance < faults.errors) {
+    if (chance < faults.errorRate) {
       recordResult(job, 0, 0, Command.Result.ERROR);
       job.connection.sendError(job.cookie, Nbd.EIO, "");
       return;
@@ -370,7 +371,7 @@
     // Under the monitor of the fences: once a fence is in place, no older command may take effect.
     synchronized (newestFences) {
       Fence newest = job.connection.fence == null ? null : newestFences.get(job.connection.fence.client());
-      if (newest != null && newest.kills(job.connection.fence)) {
+      if (newest != null && newest.invalidates(job.connection.fence)) {
         recordResult(job, 0, 0, Command.Result.FENCED);
         job.connection.sendError(job.cookie, Nbd.EPERM, Nbd.MESSAGE_FENCED);
         return;
@@ -378,7 +379,7 @@
       data = apply(job);
       doneUs = now();
     }
-    boolean lost = chance < faults.errors + faults.loseAnswers;
+    boolean lost = chance < faults.errorRate + faults.lostResponseRate;
     recordResult(job, doneUs, config.recordCommands() ? crc(data != null ? data : job.payload) : 0, lost
         ? Command.Result.DONE_SILENTLY
         : Command.Result.DONE);
@@ -482,7 +483,7 @@
 
     private boolean negotiate() throws IOException {
       ByteBuffer hello = ByteBuffer.allocate(18)
-          .putLong(Nbd.MAGIC)
+          .putLong(Nbd.INIT_MAGIC)
           .putLong(Nbd.IHAVEOPT)
           .putShort((short) (Nbd.FLAG_FIXED_NEWSTYLE | Nbd.FLAG_NO_ZEROES));
       send(hello.array());
@@ -493,7 +494,7 @@
         }
         int option = in.readInt();
         int length = in.readInt();
-        if (length < 0 || length > Nbd.MOST_OPTION) {
+        if (length < 0 || length > Nbd.MAX_OPTION_BYTES) {
           return false;
         }
         byte[] data = in.readNBytes(length);
@@ -573,13 +574,13 @@
         if (requestedFence != null && setting) {
           synchronized (newestFences) {
             fence = requestedFence;
-            newestFences.merge(requestedFence.client(), requestedFence, Fence::orNewer);
+            newestFences.merge(requestedFence.client(), requestedFence, Fence::newerOf);
           }
           addMetaContext(option, 2, query);
         } else if (config.supportsContexts() && Nbd.CONTEXT_LOAD.equals(query)) {
           addMetaContext(option, 1, query);
         } else if (config.supportsContexts() && query != null && query.startsWith(Nbd.CONTEXT_EPOCH)) {
-          addMetaContext(option, 3, Fence.answer(query.substring(Nbd.CONTEXT_EPOCH.length()),
+          addMetaContext(option, 3, Fence.holderReplyName(query.substring(Nbd.CONTEXT_EPOCH.length()),
               nodeView(query.substring(Nbd.CONTEXT_EPOCH.length()))));
         }
       }
@@ -612,7 +613,7 @@
 
     private void reply(int option, int type, byte[] data) throws IOException {
       send(ByteBuffer.allocate(20 + data.length)
-          .putLong(Nbd.OPTION_REPLY)
+          .putLong(Nbd.OPTION_REPLY_MAGIC)
           .putInt(option)
           .putInt(type)
           .putInt(data.length)
@@ -623,7 +624,7 @@
     private void serveCommands() throws IOException {
       flush();
       while (true) {
-        if (in.readInt() != Nbd.REQUEST) {
+        if (in.readInt() != Nbd.REQUEST_MAGIC) {
           return;
         }
         in.readUnsignedShort();
@@ -670,14 +671,14 @@
                 queuedCount, config.model().baseUs()}
             : new long[]{0};
         ByteBuffer chunk = ByteBuffer.allocate(20 + 4 + 8 * values.length);
-        chunk.putInt(Nbd.STRUCTURED_REPLY)
-            .putShort((short) (id == last ? Nbd.CHUNK_DONE : 0))
+        chunk.putInt(Nbd.STRUCTURED_REPLY_MAGIC)
+            .putShort((short) (id == last ? Nbd.CHUNK_FLAG_DONE : 0))
             .putShort((short) Nbd.CHUNK_BLOCK_STATUS)
             .putLong(cookie)
             .putInt(4 + 8 * values.length)
             .putInt(id);
         for (long value : values) {
-          chunk.putInt(Nbd.LOAD_STEP).putInt((int) value);
+          chunk.putInt(Nbd.LOAD_BLOCK_BYTES).putInt((int) value);
         }
         send(chunk.array());
       }
@@ -689,8 +690,8 @@
       ByteBuffer reply;
       if (structured) {
         reply = ByteBuffer.allocate(26 + text.length)
-            .putInt(Nbd.STRUCTURED_REPLY)
-            .putShort((short) Nbd.CHUNK_DONE)
+            .putInt(Nbd.STRUCTURED_REPLY_MAGIC)
+            .putShort((short) Nbd.CHUNK_FLAG_DONE)
             .putShort((short) Nbd.CHUNK_ERROR)
             .putLong(cookie)
             .putInt(6 + text.length)
@@ -698,7 +699,7 @@
             .putShort((short) text.length)
             .put(text);
       } else {
-        reply = ByteBuffer.allocate(16).putInt(Nbd.SIMPLE_REPLY).putInt(error).putLong(cookie);
+        reply = ByteBuffer.allocate(16).putInt(Nbd.SIMPLE_REPLY_MAGIC).putInt(error).putLong(cookie);
       }
       sendOrDisconnect(reply.array());
     }
@@ -727,16 +728,16 @@
       int claimed = violation == Faults.ProtocolViolation.OVERSIZE ? length + 512 : length;
       if (!structured) {
         return ByteBuffer.allocate(16 + length)
-            .putInt(Nbd.SIMPLE_REPLY)
+            .putInt(Nbd.SIMPLE_REPLY_MAGIC)
             .putInt(0)
             .putLong(cookie)
             .put(data == null ? new byte[0] : data)
             .array();
       }
-      int magic = violation == Faults.ProtocolViolation.BAD_MAGIC ? 0x12345678 : Nbd.STRUCTURED_REPLY;
+      int magic = violation == Faults.ProtocolViolation.BAD_MAGIC ? 0x12345678 : Nbd.STRUCTURED_REPLY_MAGIC;
       ByteBuffer chunk = ByteBuffer.allocate(20 + (data == null ? 0 : 8 + claimed));
       chunk.putInt(magic)
-          .putShort((short) Nbd.CHUNK_DONE)
+          .putShort((short) Nbd.CHUNK_FLAG_DONE)
           .putShort((short) (data == null ? Nbd.CHUNK_NONE : Nbd.CHUNK_DATA))
           .putLong(cookie)
           .putInt(data == null ? 0 : 8 + claimed);
--- a/src/main/java/hollyslip/standin/FaultControl.java
+++ b/src/main/java/hollyslip/standin/FaultControl.java
@@ -29,10 +29,10 @@
       case "restart" -> server.restart();
       case "stall" -> server.stall((long) (number(words) * 1_000));
       case "slow" -> server.slow(number(words));
-      case "late-write" -> faults.lateWriteUs = (long) (number(words) * 1_000);
+      case "late-write" -> faults.writeDelayUs = (long) (number(words) * 1_000);
       case "half-reply" -> faults.truncatedReplyBytes = (int) number(words);
-      case "lose" -> faults.loseAnswers = number(words);
-      case "errors" -> faults.errors = number(words);
+      case "lose" -> faults.lostResponseRate = number(words);
+      case "errors" -> faults.errorRate = number(words);
       case "resets" -> faults.resetRate = number(words);
       case "malice" -> faults.protocolViolation = Faults.ProtocolViolation.valueOf(words.length > 1
           ? words[1].toUpperCase(Locale.ROOT).replace('-', '_')
--- a/src/main/java/hollyslip/standin/Faults.java
+++ b/src/main/java/hollyslip/standin/Faults.java
@@ -10,18 +10,18 @@
   /** Refuses new commands as if the queue were full. */
   public volatile boolean full;
   /** Rate of commands that are executed but not answered. */
-  public volatile double loseAnswers;
+  public volatile double lostResponseRate;
   /** Rate of commands that are answered with EIO and not executed. */
-  public volatile double errors;
+  public volatile double errorRate;
   /** Rate of replies in the middle of which the connection is closed. */
   public volatile double resetRate;
   /** Additional delay of writes, us; they take effect even if their connection is closed meanwhile. */
-  public volatile long lateWriteUs;
+  public volatile long writeDelayUs;
   /** Number of bytes to send of the next read's reply, and nothing after them; 0: off. */
   public volatile int truncatedReplyBytes;
-  /** Rate of commands that take {@link #heavyFactor} times as long. */
-  public volatile double heavyPart;
-  public volatile double heavyFactor = 1;
+  /** Rate of commands that take {@link #slowCommandFactor} times as long. */
+  public volatile double slowCommandRate;
+  public volatile double slowCommandFactor = 1;
   /** How replies violate the protocol. */
   public volatile ProtocolViolation protocolViolation = ProtocolViolation.NONE;
 
@@ -35,12 +35,12 @@
     silent = false;
     draining = false;
     full = false;
-    loseAnswers = 0;
-    errors = 0;
+    lostResponseRate = 0;
+    errorRate = 0;
     resetRate = 0;
-    lateWriteUs = 0;
+    writeDelayUs = 0;
     truncatedReplyBytes = 0;
-    heavyPart = 0;
+    slowCommandRate = 0;
     protocolViolation = ProtocolViolation.NONE;
   }
 }
--- a/src/main/java/hollyslip/standin/ServiceModel.java
+++ b/src/main/java/hollyslip/standin/ServiceModel.java
@@ -61,13 +61,13 @@
   }
 
   /** Serves nothing until the given time. */
-  public void stall(long until) {
+  public void stallUntil(long until) {
     stalledUntilUs = until;
   }
 
   /** Returns when a command of {@code bytes} that arrives now will be done, or -1 if the queue is full.
    * {@code held}: number of commands in the server already. */
-  public long doneAt(long now, long bytes, int held, double heavyPart, double heavyFactor) {
+  public long completionTime(long now, long bytes, int held, double heavyPart, double heavyFactor) {
     if (config.cores() > 0 && held >= config.cores() + config.queueLimit()) {
       return -1;
     }
--- a/src/main/java/hollyslip/tenant/Plain.java
+++ b/src/main/java/hollyslip/tenant/Plain.java
@@ -32,7 +32,7 @@
 
   /** Formats a byte count in the largest unit of which there is at least one: {@code 1.5 GiB},
    * {@code 512 bytes}. */
-  public static String bytes(long bytes) {
+  public static String formatBytes(long bytes) {
     int unit = -1;
     double scaled = bytes;
     while (Math.abs(scaled) >= 1024 && unit < UNITS.size() - 1) {
--- a/src/main/java/hollyslip/tenant/RegistryCommandHandler.java
+++ b/src/main/java/hollyslip/tenant/RegistryCommandHandler.java
@@ -374,7 +374,7 @@
   }
 
   private static String formatFigure(String field, double figure) {
-    return field.endsWith("bytes") ? Plain.bytes((long) figure) : Plain.formatNumber(figure);
+    return field.endsWith("bytes") ? Plain.formatBytes((long) figure) : Plain.formatNumber(figure);
   }
 
   private static void requireQuotaRoom(Tenant t, String field, double used, double added, double limit) {
--- a/src/test/java/hollyslip/admin/AdminTest.java
+++ b/src/test/java/hollyslip/admin/AdminTest.java
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public void node(String name, NodeState state) {
+    public void setNodeState(String name, NodeState state) {
       nodes.put(name, state);
     }
 
@@ -96,7 +96,7 @@
         1L << 30, List.of()));
     control = new Control(new Folder(dir.resolve("store")), shards, 1 << 20, 1, provisioner,
         System::currentTimeMillis);
-    AdminServer.bootstrap(control, dir.resolve("token"));
+    AdminServer.ensureOperatorToken(control, dir.resolve("token"));
     server = new AdminServer(control, dir.resolve("admin.sock"), 0, null, null);
     control.start();
     operatorToken = Files.readString(dir.resolve("token")).trim();
@@ -260,7 +260,7 @@
     assertEquals("1073741824", response.body.at("/figures/would_fit").toString());
     Response plan = sendAsOperator("GET", "/v1/plans/gold", null);
     assertEquals("100", plan.body.get("reserve").toString());
-    assertEquals("1.5 KiB", Plain.bytes(1536));
+    assertEquals("1.5 KiB", Plain.formatBytes(1536));
     assertEquals("10000000.125", Plain.formatNumber(10_000_000.1251));
   }
 
@@ -452,7 +452,7 @@
   }
 
   private ApiClient connectOverTls(int port, Path trustedCertificates) {
-    return ApiClient.at(port, trustedCertificates, operatorToken);
+    return ApiClient.connect(port, trustedCertificates, operatorToken);
   }
 
   /** New keys are used for new connections only, existing ones continue, and unusable keys change nothing. */
@@ -464,21 +464,21 @@
     Path first = Files.copy(cert, dir.resolve("first.pem"));
     try (AdminServer tls = new AdminServer(control, dir.resolve("tls.sock"), 0, cert, key);
         ApiClient existing = connectOverTls(tls.port(), first)) {
-      assertEquals(200, existing.ask("GET", "/v1/tenants", null, Map.of()).status());
+      assertEquals(200, existing.send("GET", "/v1/tenants", null, Map.of()).status());
       createKeyPair("second", cert, key);
-      assertTrue(tls.reloadKeys());
+      assertTrue(tls.reloadCertificate());
       // The pool's only connection was set up with the first key.
-      assertEquals(200, existing.ask("GET", "/v1/tenants", null, Map.of()).status());
+      assertEquals(200, existing.send("GET", "/v1/tenants", null, Map.of()).status());
       try (ApiClient fresh = connectOverTls(tls.port(), cert);
           ApiClient old = connectOverTls(tls.port(), first)) {
-        assertEquals(200, fresh.ask("GET", "/v1/tenants", null, Map.of()).status());
-        assertThrows(IOException.class, () -> old.ask("GET", "/v1/tenants", null, Map.of()));
+        assertEquals(200, fresh.send("GET", "/v1/tenants", null, Map.of()).status());
+        assertThrows(IOException.class, () -> old.send("GET", "/v1/tenants", null, Map.of()));
       }
       Path second = Files.copy(cert, dir.resolve("second.pem"));
       Files.writeString(key, "no key");
-      assertFalse(tls.reloadKeys());
+      assertFalse(tls.reloadCertificate());
       try (ApiClient fresh = connectOverTls(tls.port(), second)) {
-        assertEquals(200, fresh.ask("GET", "/v1/tenants", null, Map.of()).status());
+        assertEquals(200, fresh.send("GET", "/v1/tenants", null, Map.of()).status());
       }
     }
   }
@@ -489,7 +489,7 @@
   void clientReceivesEveryResponse() throws Exception {
     AtomicBoolean done = new AtomicBoolean();
     List<Thread> spinners = new ArrayList<>();
-    try (ApiClient api = ApiClient.at(dir.resolve("admin.sock"), operatorToken)) {
+    try (ApiClient api = ApiClient.connect(dir.resolve("admin.sock"), operatorToken)) {
       for (int i = 0; i < 2 * Runtime.getRuntime().availableProcessors(); i++) {
         Thread t = new Thread(() -> {
           while (!done.get()) {
@@ -500,7 +500,7 @@
         spinners.add(t);
       }
       for (int i = 0; i < 1_500; i++) {
-        assertEquals(200, api.ask("GET", "/v1/plans", null, Map.of()).status());
+        assertEquals(200, api.send("GET", "/v1/plans", null, Map.of()).status());
       }
     } finally {
       done.set(true);
--- a/src/test/java/hollyslip/audit/AuditorTest.java
+++ b/src/test/java/hollyslip/audit/AuditorTest.java
@@ -169,10 +169,10 @@
   @Test
   void recordsAreReadBackFromDirectory(@TempDir Path dir) throws Exception {
     replaceRequest(5, withAnswer(requests.get(5), 2, 610_000, Asked.Answer.SERVED));
-    Witness.figures(dir, FIGURES);
-    Witness.asked(dir, "c", requests);
-    Witness.commands(dir, "n", commands);
-    Witness.told(dir, "op", operatorEvents);
+    Witness.writeParameters(dir, FIGURES);
+    Witness.writeRequests(dir, "c", requests);
+    Witness.writeCommands(dir, "n", commands);
+    Witness.writeOperatorEvents(dir, "op", operatorEvents);
     assertEquals(check().breaches(), Witness.audit(dir).breaches());
     assertEquals(1, check().breaches().size());
   }
--- a/src/test/java/hollyslip/e2e/HardCasesTest.java
+++ b/src/test/java/hollyslip/e2e/HardCasesTest.java
@@ -54,18 +54,18 @@
       Gateway g = site.startGateway();
       LoadScenario run = new LoadScenario(site);
       for (int i = 0; i < 4; i++) {
-        run.start(run.addLoad("c" + i, "gw-0", g.socket(i % 2 == 0 ? "stock" : "orders"), i % 2 == 0
+        run.start(run.addLoad("c" + i, "gw-0", g.socketPath(i % 2 == 0 ? "stock" : "orders"), i % 2 == 0
             ? "stock"
             : "orders", i / 2, 2, 2_500, 64));
       }
-      RingLoad leaver = run.addLoad("leaver", "gw-0", g.socket("capped"), "capped", 0, 1, 60, 32);
-      awaitUntil(() -> run.loads.get(0).asked() > 400);
+      RingLoad leaver = run.addLoad("leaver", "gw-0", g.socketPath("capped"), "capped", 0, 1, 60, 32);
+      awaitUntil(() -> run.loads.get(0).requestCount() > 400);
       site.disks.get(1).faults.silent = true;
       leaver.runThenVanish();
       long at = Engine.monotonicMicros();
       assertTrue(g.membership().setState(102, NodeState.DRAINING));
       run.operatorEvents.add(new Told.State("gw-0", "disk-2", NodeState.DRAINING, at));
-      awaitUntil(() -> run.loads.get(0).asked() > 1_200);
+      awaitUntil(() -> run.loads.get(0).requestCount() > 1_200);
       site.disks.get(1).faults.clear();
       run.join();
       assertEquals(10_000, run.requests()
@@ -98,16 +98,16 @@
     try (TestDeployment site = new TestDeployment(dir, 1, i -> new DiskServer.Config("disk-0",
         TestDeployment.SHARD_BYTES, DiskServer.Config.plain("", 1, true).model(), 1, 3_600_000_000L, fences,
         true));
-        RingClient client = new RingClient(RingClient.Options.usual(1, 16, 4096))) {
+        RingClient client = new RingClient(RingClient.Options.allFeatures(1, 16, 4096))) {
       site.deadlineUs = 800_000;
-      client.connect(site.startGateway().socket("stock"));
+      client.connect(site.startGateway().socketPath("stock"));
       DiskServer disk = site.disks.get(0);
       byte[] old = new byte[4096];
       byte[] fresh = new byte[4096];
       Arrays.fill(old, (byte) 1);
       Arrays.fill(fresh, (byte) 2);
       assertEquals(0, RingRequests.execute(client, IoKind.READ, 0, 4096, new byte[4096]));
-      disk.faults.lateWriteUs = 1_000_000;
+      disk.faults.writeDelayUs = 1_000_000;
       int[] first = {-1};
       client.submit(0, IoKind.WRITE, 0, 4096, ByteBuffer.wrap(old), (status, retry, d) -> first[0] = status);
       // Answered after the write was sent, so that the node does not appear dead.
@@ -129,10 +129,10 @@
   void replacedNodeKeepsNoBlocksLocked() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 1);
         DiskServer spare = new DiskServer(DiskServer.Config.plain("spare", TestDeployment.SHARD_BYTES, true));
-        RingClient client = new RingClient(RingClient.Options.usual(1, 16, 4096))) {
+        RingClient client = new RingClient(RingClient.Options.allFeatures(1, 16, 4096))) {
       site.deadlineUs = 800_000;
       Gateway g = site.startGateway();
-      client.connect(g.socket("stock"));
+      client.connect(g.socketPath("stock"));
       assertEquals(0, RingRequests.execute(client, IoKind.READ, 0, 4096, new byte[4096]));
       site.disks.get(0).faults.silent = true;
       int[] first = {-1};
@@ -143,7 +143,8 @@
       site.disks.get(0).kill();
       awaitUntil(() -> client.await(10) && client.poll() >= 0 && first[0] == 1);
       Deployment d = site.deployment("gw-0", 0, List.of());
-      g.nodes(new Deployment(d.gateway(), d.classes(), d.rows(), d.plans(), d.rules(), d.allowed(), d.store(),
+      g.replaceNodes(new Deployment(d.gateway(), d.classes(), d.classificationRules(), d.plans(), d.rules(), d
+          .allowed(), d.store(),
           List.of(new Deployment.Node(200, "spare", "127.0.0.1", spare.address().getPort(), "a", 0,
               NodeState.ON)), d.volumes()));
       awaitUntil(() -> RingRequests.execute(client, IoKind.WRITE, 0, 4096, new byte[4096]) == 0);
@@ -165,7 +166,7 @@
       }
       for (int kill = 1; kill <= 3; kill++) {
         int asked = kill * 400;
-        awaitUntil(() -> run.loads.get(0).asked() > asked);
+        awaitUntil(() -> run.loads.get(0).requestCount() > asked);
         gateway.kill();
         gateway = new Child(settings, dir.resolve("log"));
       }
@@ -185,7 +186,7 @@
       Gateway g = site.startGateway();
       LoadScenario run = new LoadScenario(site);
       run.gapUs = 500;
-      RingLoad load = run.addLoad("c", "gw-0", g.socket("stock"), "stock", 0, 1, 2_500, 16);
+      RingLoad load = run.addLoad("c", "gw-0", g.socketPath("stock"), "stock", 0, 1, 2_500, 16);
       run.start(load);
       Faults f = site.disks.get(0).faults;
       int at = 0;
@@ -193,13 +194,13 @@
         f.protocolViolation = m;
         at += 250;
         int next = at;
-        awaitUntil(() -> load.asked() > next);
+        awaitUntil(() -> load.requestCount() > next);
       }
       f.protocolViolation = Faults.ProtocolViolation.NONE;
       f.truncatedReplyBytes = 100;
-      awaitUntil(() -> f.truncatedReplyBytes == 0 && load.asked() > 1_800);
+      awaitUntil(() -> f.truncatedReplyBytes == 0 && load.requestCount() > 1_800);
       f.resetRate = 0.05;
-      awaitUntil(() -> load.asked() > 2_200);
+      awaitUntil(() -> load.requestCount() > 2_200);
       f.clear();
       run.join();
       assertEquals(2_500, run.requests().stream().filter(a -> a.answers() == 1).count());
@@ -218,15 +219,15 @@
         3_000, i))) {
       Gateway g = site.startGateway();
       LoadScenario run = new LoadScenario(site);
-      RingLoad other = run.addLoad("c", "gw-0", g.socket("orders"), "orders", 0, 1, 600, 8);
+      RingLoad other = run.addLoad("c", "gw-0", g.socketPath("orders"), "orders", 0, 1, 600, 8);
       run.start(other);
-      awaitUntil(() -> other.asked() > 20);
-      int mappings = Linux.mappings();
+      awaitUntil(() -> other.requestCount() > 20);
+      int mappings = Linux.mappingCount();
       long fds = openDescriptors();
       for (int i = 0; i < 10; i++) {
-        run.addLoad("leaver-" + i, "gw-0", g.socket("stock"), "stock", 0, 1, 90, 64).runThenVanish();
+        run.addLoad("leaver-" + i, "gw-0", g.socketPath("stock"), "stock", 0, 1, 90, 64).runThenVanish();
       }
-      awaitUntil(() -> Linux.mappings() == mappings);
+      awaitUntil(() -> Linux.mappingCount() == mappings);
       awaitUntil(() -> openDescriptors() <= fds);
       run.join();
       assertEquals(600, run.requests()
@@ -265,17 +266,17 @@
         run.start(run.addLoad("b" + i, "gw-" + i, dir.resolve("gw-" + i + "/stock.sock"), "stock", i, 4, 0,
             64));
       }
-      awaitUntil(() -> run.loads.stream().allMatch(l -> l.asked() > 200));
+      awaitUntil(() -> run.loads.stream().allMatch(l -> l.requestCount() > 200));
       run.operatorEvents.add(new Told.Born("disk-1", Engine.monotonicMicros()));
       site.disks.get(1).restart();
       for (int i = 0; i < 4; i++) {
-        int asked = run.loads.get(0).asked();
+        int asked = run.loads.get(0).requestCount();
         children[i].kill();
         children[i] = new Child(site.writeSettings("gw-" + i, i, 4), dir.resolve("log-" + i));
-        awaitUntil(() -> run.loads.get(0).asked() > asked + 100);
+        awaitUntil(() -> run.loads.get(0).requestCount() > asked + 100);
       }
-      int asked = run.loads.get(0).asked();
-      awaitUntil(() -> run.loads.get(0).asked() > asked + 400);
+      int asked = run.loads.get(0).requestCount();
+      awaitUntil(() -> run.loads.get(0).requestCount() > asked + 400);
       run.loads.forEach(RingLoad::finish);
       run.join();
       for (Child c : children) {
--- a/src/test/java/hollyslip/e2e/HostedTest.java
+++ b/src/test/java/hollyslip/e2e/HostedTest.java
@@ -48,7 +48,7 @@
   }
 
   private ApiClient apiClient(String gateway) throws IOException {
-    return ApiClient.at(dir.resolve(gateway).resolve("admin.sock"), Files.readString(dir.resolve(gateway
+    return ApiClient.connect(dir.resolve(gateway).resolve("admin.sock"), Files.readString(dir.resolve(gateway
         + "-state/operator.token")).trim());
   }
 
@@ -58,9 +58,9 @@
 
   private static ApiClient.Answer request(ApiClient api, String method, String path, String body)
       throws IOException {
-    ApiClient.Answer answer = api.ask(method, path, body == null ? null : json(body), Map.of("If-Match",
+    ApiClient.Answer answer = api.send(method, path, body == null ? null : json(body), Map.of("If-Match",
         "*"));
-    assertTrue(answer.good(), () -> answer.toString());
+    assertTrue(answer.isSuccess(), () -> answer.toString());
     return answer;
   }
 
@@ -80,7 +80,7 @@
   }
 
   private static RingClient connectRing(Path socket) throws IOException {
-    RingClient client = new RingClient(RingClient.Options.usual(1, 64, 4096));
+    RingClient client = new RingClient(RingClient.Options.allFeatures(1, 64, 4096));
     client.connect(socket);
     return client;
   }
@@ -95,7 +95,7 @@
         createTenant(api, "lee", "gold");
         byte[] bytes = new byte[4096];
         Arrays.fill(bytes, (byte) 7);
-        Path socket = g.socket("lee", "v");
+        Path socket = g.socketPath("lee", "v");
         try (RingClient c = connectRing(socket)) {
           assertEquals(0, RingRequests.execute(c, IoKind.WRITE, 65536 * 3 + 4096, 4096, bytes));
           byte[] read = new byte[4096];
@@ -109,8 +109,8 @@
           awaitUntil(() -> g.lanes().volumes().get("lee/v").bytes() == 2097152);
           awaitUntil(() -> RingRequests.execute(c, IoKind.READ, 1048576, 4096, read) == 0);
           com.sun.jna.Memory said = new com.sun.jna.Memory(64);
-          awaitUntil(() -> Linux.receive(backend[0], said, 0, 64).bytes() == Wire.HEADER);
-          assertEquals(Wire.BACKEND_CONFIG_CHANGE, said.getInt(0),
+          awaitUntil(() -> Linux.receive(backend[0], said, 0, 64).bytes() == Wire.HEADER_BYTES);
+          assertEquals(Wire.BACKEND_CONFIG_CHANGE_MSG, said.getInt(0),
               "the client is notified of the change, once");
           Linux.closeAll(backend);
           assertEquals(0, RingRequests.execute(c, IoKind.READ, 65536 * 3 + 4096, 4096, read));
@@ -119,7 +119,7 @@
           request(api, "PATCH", "/v1/tenants/lee", "{'members':{'me':null,'other':" + (ownUid() + 1) + "}}");
           awaitUntil(() -> !c.await(10));
         }
-        try (RingClient c = new RingClient(RingClient.Options.usual(1, 64, 4096))) {
+        try (RingClient c = new RingClient(RingClient.Options.allFeatures(1, 64, 4096))) {
           boolean served;
           try {
             c.connect(socket);
@@ -163,9 +163,9 @@
         createTenant(api, "b", "gold");
         List<ClosedLoopClient> flood = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-          flood.add(new ClosedLoopClient(g.socket("a", "v"), 60));
+          flood.add(new ClosedLoopClient(g.socketPath("a", "v"), 60));
         }
-        ClosedLoopClient b = new ClosedLoopClient(g.socket("b", "v"), 30);
+        ClosedLoopClient b = new ClosedLoopClient(g.socketPath("b", "v"), 30);
         flood.forEach(Thread::start);
         b.start();
         awaitUntil(() -> b.answered > 200);
@@ -213,8 +213,8 @@
     public void run() {
       long next = System.nanoTime();
       boolean connected = true;
-      while (connected && !abort && !(finish && ring.out() == 0) && !(answered == maxRequests)) {
-        while (!finish && asked < maxRequests && ring.out() < depth && System.nanoTime() >= next) {
+      while (connected && !abort && !(finish && ring.inFlight() == 0) && !(answered == maxRequests)) {
+        while (!finish && asked < maxRequests && ring.inFlight() < depth && System.nanoTime() >= next) {
           boolean[] told = new boolean[1];
           int n = asked++;
           ring.submit(0, n % 3 == 0 ? IoKind.WRITE : IoKind.READ, n % 200 * 4096L, 4096, n % 3 == 0
@@ -257,17 +257,17 @@
         1_000, i))) {
       site.hosted = true;
       Gateway g = site.startGateway("gw", 0);
-      try (ApiClient api = ApiClient.at(at.resolve("gw/admin.sock"),
+      try (ApiClient api = ApiClient.connect(at.resolve("gw/admin.sock"),
           Files.readString(at.resolve("gw-state/operator.token")).trim())) {
         request(api, "POST", "/v1/plans", "{'name':'gold','reserve':200,'weight':1}");
         for (String t : List.of("a", "b", "c")) {
           createTenant(api, t, "gold");
         }
-        ClosedLoopClient a = new ClosedLoopClient(g.socket("a", "v"), 32);
+        ClosedLoopClient a = new ClosedLoopClient(g.socketPath("a", "v"), 32);
         a.stopWhenRefused = true;
         List<ClosedLoopClient> others = new ArrayList<>();
         for (String t : List.of("b", "c")) {
-          ClosedLoopClient o = new ClosedLoopClient(g.socket(t, "v"), 16);
+          ClosedLoopClient o = new ClosedLoopClient(g.socketPath(t, "v"), 16);
           o.intervalNanos = 2_000_000;
           o.maxRequests = 1_000;
           others.add(o);
@@ -306,7 +306,7 @@
           assertTrue(figures[2 + i] >= 1_000);
         }
         if (removed) {
-          assertFalse(Files.exists(g.socket("a", "v")));
+          assertFalse(Files.exists(g.socketPath("a", "v")));
         }
         return figures;
       }
@@ -404,19 +404,20 @@
         }
       }
       assertTrue(first.close());
-      Linux.closeAll(Linux.listen(first.socket("lee", "v0")));
-      int taken = Linux.listen(first.socket("lee", "v1"));
+      Linux.closeAll(Linux.listen(first.socketPath("lee", "v0")));
+      int taken = Linux.listen(first.socketPath("lee", "v1"));
       Gateway again = site.startGateway("gw", 0);
       for (int i = volumes - 1; i >= 0; i--) {
         if (i != 1) {
-          connectRing(again.socket("lee", "v" + i)).close();
+          connectRing(again.socketPath("lee", "v" + i)).close();
         }
       }
-      assertTrue(Files.exists(again.socket("lee", "v1")), "the socket of another process is not replaced");
+      assertTrue(Files.exists(again.socketPath("lee", "v1")),
+          "the socket of another process is not replaced");
       Linux.closeAll(taken);
       byte[] read = new byte[4096];
       awaitUntil(() -> {
-        try (RingClient c = connectRing(again.socket("lee", "v1"))) {
+        try (RingClient c = connectRing(again.socketPath("lee", "v1"))) {
           return RingRequests.execute(c, IoKind.READ, 0, 4096, read) == 0;
         } catch (IOException e) {
           return false;
--- a/src/test/java/hollyslip/e2e/HostileClientTest.java
+++ b/src/test/java/hollyslip/e2e/HostileClientTest.java
@@ -45,8 +45,8 @@
   void start() throws IOException {
     site = new TestDeployment(dir, 1);
     gateway = site.startGateway();
-    wellBehaved = new RingClient(RingClient.Options.usual(1, 16, 4096));
-    wellBehaved.connect(gateway.socket("orders"));
+    wellBehaved = new RingClient(RingClient.Options.allFeatures(1, 16, 4096));
+    wellBehaved.connect(gateway.socketPath("orders"));
     assertEquals(0, RingRequests.execute(wellBehaved, IoKind.READ, 0, 4096, new byte[4096]));
   }
 
@@ -80,10 +80,10 @@
   /** Runs a client that violates the specification: its connection ends, its memory and descriptors are
    * released, and the well-behaved client is still served. */
   private void assertStopsDevice(String name, Violation violation) throws IOException {
-    int mappings = Linux.mappings();
+    int mappings = Linux.mappingCount();
     long fds = openDescriptors();
     try (RingClient client = rawClient()) {
-      client.connect(gateway.socket("stock"));
+      client.connect(gateway.socketPath("stock"));
       violation.perform(client, client.queue(0));
       long deadlineNanos = System.nanoTime() + 20_000_000_000L;
       boolean open = true;
@@ -92,15 +92,15 @@
       }
       assertFalse(open, name + ": the device does not stop");
     }
-    awaitUntil(name + ": mappings", () -> Linux.mappings() == mappings);
+    awaitUntil(name + ": mappings", () -> Linux.mappingCount() == mappings);
     awaitUntil(name + ": descriptors", () -> openDescriptors() <= fds);
     assertEquals(0, RingRequests.execute(wellBehaved, IoKind.READ, 4096, 4096, new byte[4096]), name);
   }
 
   private static Violation descriptorChain(long address, int length, int flags, int next) {
     return (c, q) -> {
-      RingClient.describe(q.table, 0, address, length, flags, next);
-      c.publish(q, 0);
+      RingClient.writeDescriptor(q.descriptors, 0, address, length, flags, next);
+      c.makeAvailable(q, 0);
       c.kick();
     };
   }
@@ -124,10 +124,10 @@
     violations.put("indirect of a crooked size", descriptorChain(GUEST, 40, 4, 0));
     violations.put("index that jumps", (c, q) -> {
       q.avail.putShort(2, (short) 100);
-      Linux.signal(kickDescriptor(c));
+      Linux.signalEventfd(kickDescriptor(c));
     });
     violations.put("head outside the table", (c, q) -> {
-      c.publish(q, 77);
+      c.makeAvailable(q, 77);
       c.kick();
     });
     violations.put("message too long", (c, q) -> c.sendRaw(littleEndian(12).putInt(1)
@@ -138,15 +138,18 @@
         .putInt(2)
         .putInt(0)
         .array()));
-    violations.put("reply not asked for", (c, q) -> c.send(Wire.GET_FEATURES, Wire.REPLY, new byte[0]));
+    violations.put("reply not asked for", (c, q) -> c.send(Wire.GET_FEATURES, Wire.FLAG_REPLY, new byte[0]));
     violations.put("unknown request", (c, q) -> c.send(99, 0, new byte[0]));
     violations.put("wrong size", (c, q) -> c.send(Wire.SET_FEATURES, 0, new byte[4]));
-    violations.put("features not offered", (c, q) -> c.send(Wire.SET_PROTOCOL_FEATURES, 0, Wire.u64(-1)));
+    violations.put("features not offered", (c, q) -> c.send(Wire.SET_PROTOCOL_FEATURES, 0, Wire.u64Payload(
+        -1)));
     violations.put("owner twice", (c, q) -> c.send(Wire.SET_OWNER, 0, new byte[0]));
-    violations.put("queue that is not there", (c, q) -> c.send(Wire.SET_VRING_ENABLE, 0, Wire.state(500, 1)));
-    violations.put("size while it runs", (c, q) -> c.send(Wire.SET_VRING_NUM, 0, Wire.state(0, 8)));
-    violations.put("kick without a descriptor", (c, q) -> c.send(Wire.SET_VRING_KICK, 0, Wire.u64(0)));
-    violations.put("kick that is no eventfd", (c, q) -> c.send(Wire.SET_VRING_KICK, 0, Wire.u64(0), c
+    violations.put("queue that is not there", (c, q) -> c.send(Wire.SET_VRING_ENABLE, 0, Wire
+        .vringStatePayload(500, 1)));
+    violations.put("size while it runs", (c, q) -> c.send(Wire.SET_VRING_NUM, 0, Wire.vringStatePayload(0,
+        8)));
+    violations.put("kick without a descriptor", (c, q) -> c.send(Wire.SET_VRING_KICK, 0, Wire.u64Payload(0)));
+    violations.put("kick that is no eventfd", (c, q) -> c.send(Wire.SET_VRING_KICK, 0, Wire.u64Payload(0), c
         .memoryFd()));
     violations.put("descriptors nobody asked for", (c, q) -> c.send(Wire.GET_FEATURES, 0, new byte[0],
         c.memoryFd(), c.memoryFd()));
@@ -172,7 +175,7 @@
     });
     violations.put("memory cut short while in use", (c, q) -> {
       Linux.truncate(c.memoryFd(), 0);
-      Linux.signal(kickDescriptor(c));
+      Linux.signalEventfd(kickDescriptor(c));
     });
     for (Map.Entry<String, Violation> entry : violations.entrySet()) {
       if (entry.getKey().equals("half a message, then gone") || entry.getKey()
@@ -193,7 +196,7 @@
       assertDeviceGoes("cut short, round " + i, (c, q) -> {
         q.avail.putShort(2, (short) (jump % 3));
         Linux.truncate(c.memoryFd(), 0);
-        Linux.signal(kickDescriptor(c));
+        Linux.signalEventfd(kickDescriptor(c));
       });
     }
   }
@@ -205,7 +208,7 @@
     for (int round = 0; round < 10; round++) {
       long before = gateway.lanes().totals().attempts();
       try (RingClient client = rawClient()) {
-        client.connect(gateway.socket("stock"));
+        client.connect(gateway.socketPath("stock"));
         site.disks.get(0).stall(50_000);
         for (int i = 0; i < 4; i++) {
           assertTrue(client.submit(0, IoKind.READ, i * 4096L, 4096, null, (s, r, d) -> {}));
@@ -231,7 +234,7 @@
       assertEquals(0, RingRequests.execute(wellBehaved, IoKind.WRITE, 0, 4096, secret));
       long before = gateway.lanes().totals().attempts();
       try (RingClient client = rawClient()) {
-        client.connect(gateway.socket("stock"));
+        client.connect(gateway.socketPath("stock"));
         site.disks.get(0).stall(50_000);
         for (int i = 0; i < 5; i++) {
           assertTrue(client.submit(0, IoKind.WRITE, i * 4096L, 4096,
@@ -267,15 +270,15 @@
   /** Like {@link #assertStopsDevice}, for clients that cannot observe the end of the connection
    * themselves. */
   private void assertDeviceGoes(String name, Violation violation) throws IOException {
-    int mappings = Linux.mappings();
-    int devices = gateway.devices("stock");
+    int mappings = Linux.mappingCount();
+    int devices = gateway.deviceCount("stock");
     try (RingClient client = rawClient()) {
-      client.connect(gateway.socket("stock"));
-      awaitUntil(() -> gateway.devices("stock") == devices + 1);
+      client.connect(gateway.socketPath("stock"));
+      awaitUntil(() -> gateway.deviceCount("stock") == devices + 1);
       violation.perform(client, client.queue(0));
-      awaitUntil(() -> gateway.devices("stock") == devices);
+      awaitUntil(() -> gateway.deviceCount("stock") == devices);
     }
-    awaitUntil(() -> Linux.mappings() == mappings);
+    awaitUntil(() -> Linux.mappingCount() == mappings);
     assertEquals(0, RingRequests.execute(wellBehaved, IoKind.READ, 4096, 4096, new byte[4096]), name);
   }
 
@@ -283,9 +286,9 @@
   void duplicateHeadInFlightStopsTheDevice() throws IOException {
     site.disks.get(0).faults.silent = true;
     try (RingClient client = rawClient()) {
-      client.connect(gateway.socket("stock"));
+      client.connect(gateway.socketPath("stock"));
       client.submit(0, IoKind.READ, 0, 4096, null, (s, r, d) -> {});
-      client.publish(client.queue(0), 0);
+      client.makeAvailable(client.queue(0), 0);
       client.kick();
       awaitUntil(() -> !client.await(50));
     } finally {
@@ -297,21 +300,21 @@
    * leak. */
   @Test
   void randomInputAffectsNoOtherClient() throws IOException {
-    int mappings = Linux.mappings();
+    int mappings = Linux.mappingCount();
     long fds = openDescriptors();
     SplittableRandom random = new SplittableRandom(42);
     for (int round = 0; round < 400; round++) {
       try (RingClient client = rawClient()) {
-        client.connect(gateway.socket("stock"));
+        client.connect(gateway.socketPath("stock"));
         for (int i = 0; i < 6; i++) {
           if (random.nextInt(3) == 0) {
             Queue queue = client.queue(0);
-            for (int position = 0; position < queue.table.capacity(); position += 8) {
-              queue.table.putLong(position, random.nextInt(2) == 0
+            for (int position = 0; position < queue.descriptors.capacity(); position += 8) {
+              queue.descriptors.putLong(position, random.nextInt(2) == 0
                   ? GUEST + random.nextInt(65_536)
                   : random.nextLong());
             }
-            client.publish(queue, random.nextInt(16));
+            client.makeAvailable(queue, random.nextInt(16));
             client.kick();
           } else {
             byte[] payload = new byte[random.nextInt(4) * 8 + (random.nextInt(8) == 0 ? 3 : 0)];
@@ -328,7 +331,7 @@
       }
     }
     assertEquals(0, RingRequests.execute(wellBehaved, IoKind.READ, 0, 4096, new byte[4096]));
-    awaitUntil(() -> Linux.mappings() == mappings);
+    awaitUntil(() -> Linux.mappingCount() == mappings);
     awaitUntil(() -> openDescriptors() <= fds);
   }
 }
--- a/src/test/java/hollyslip/e2e/LanesTest.java
+++ b/src/test/java/hollyslip/e2e/LanesTest.java
@@ -30,8 +30,8 @@
   Path dir;
 
   private static RingClient connectRing(Gateway gateway, String volume) throws IOException {
-    RingClient client = new RingClient(RingClient.Options.usual(1, 256, BLOCK));
-    client.connect(gateway.socket(volume));
+    RingClient client = new RingClient(RingClient.Options.allFeatures(1, 256, BLOCK));
+    client.connect(gateway.socketPath(volume));
     return client;
   }
 
@@ -54,7 +54,7 @@
       }
       client.kick();
       meanwhile.run();
-      while (client.out() > 0) {
+      while (client.inFlight() > 0) {
         assertTrue(client.await(1_000));
         client.poll();
       }
@@ -100,7 +100,7 @@
         int done = 0;
         int[] answered = {0};
         for (int i = 0; done < 4_000; i++) {
-          while (c.out() < 64) {
+          while (c.inFlight() < 64) {
             c.submit(0, IoKind.READ, (i & 255L) * BLOCK, BLOCK, null, (s, r, d) -> answered[0]++);
             done++;
           }
@@ -111,7 +111,7 @@
           assertTrue(c.await(100));
           c.poll();
         }
-        while (c.out() > 0) {
+        while (c.inFlight() > 0) {
           assertTrue(c.await(1_000));
           c.poll();
         }
@@ -157,7 +157,7 @@
         held.poll();
         assertEquals(0, heldAnswers[0]);
         free.countDown();
-        while (held.out() > 0) {
+        while (held.inFlight() > 0) {
           assertTrue(held.await(1_000));
           held.poll();
         }
--- a/src/test/java/hollyslip/e2e/LoadScenario.java
+++ b/src/test/java/hollyslip/e2e/LoadScenario.java
@@ -60,7 +60,7 @@
   }
 
   List<String> wrongReads() {
-    return loads.stream().flatMap(l -> l.wrong().stream()).toList();
+    return loads.stream().flatMap(l -> l.wrongReads().stream()).toList();
   }
 
   Figures auditParameters() {
--- a/src/test/java/hollyslip/e2e/RingNoiseTest.java
+++ b/src/test/java/hollyslip/e2e/RingNoiseTest.java
@@ -63,13 +63,13 @@
   void randomInputAffectsNoOtherClient(@ForAll("messages") List<Message> messages,
       @ForAll("words") List<Long> words)
       throws IOException {
-    int mappings = Linux.mappings();
+    int mappings = Linux.mappingCount();
     try (RingClient client = new RingClient(new RingClient.Options(1, 16, 4096, false, true, true, true))) {
-      client.connect(gateway.socket("stock"));
+      client.connect(gateway.socketPath("stock"));
       for (int i = 0; i < words.size(); i++) {
-        client.queue(0).table.putLong(8 * i, words.get(i));
+        client.queue(0).descriptors.putLong(8 * i, words.get(i));
       }
-      client.publish(client.queue(0), (int) (words.get(0) & 15));
+      client.makeAvailable(client.queue(0), (int) (words.get(0) & 15));
       client.kick();
       for (Message message : messages) {
         int[] fds = new int[message.fds];
@@ -82,14 +82,14 @@
     Awaitility.await()
         .atMost(20, TimeUnit.SECONDS)
         .pollInterval(1, TimeUnit.MILLISECONDS)
-        .until(() -> gateway.devices("stock") == 0 && Linux.mappings() <= mappings);
-    try (RingClient wellBehaved = new RingClient(RingClient.Options.usual(1, 16, 4096))) {
-      wellBehaved.connect(gateway.socket("orders"));
+        .until(() -> gateway.deviceCount("stock") == 0 && Linux.mappingCount() <= mappings);
+    try (RingClient wellBehaved = new RingClient(RingClient.Options.allFeatures(1, 16, 4096))) {
+      wellBehaved.connect(gateway.socketPath("orders"));
       assertEquals(0, RingRequests.execute(wellBehaved, IoKind.READ, 0, 4096, new byte[4096]));
     }
     Awaitility.await()
         .atMost(20, TimeUnit.SECONDS)
         .pollInterval(1, TimeUnit.MILLISECONDS)
-        .until(() -> gateway.devices("orders") == 0);
+        .until(() -> gateway.deviceCount("orders") == 0);
   }
 }
--- a/src/test/java/hollyslip/e2e/RingSpecTest.java
+++ b/src/test/java/hollyslip/e2e/RingSpecTest.java
@@ -28,11 +28,11 @@
   /** Sends a request of any type in slot 0 and returns its status byte; its data stays in the slot. */
   private static int sendRaw(RingClient client, int type, int length, boolean into) {
     Queue queue = client.queue(0);
-    queue.free.poll();
+    queue.freeSlots.poll();
     int[] status = {-1};
     queue.out[0] = (answerStatus, retryMs, data) -> status[0] = answerStatus;
     queue.lengths[0] = length;
-    client.post(queue, 0, type, 0, length, into);
+    client.postRequest(queue, 0, type, 0, length, into);
     client.kick();
     while (status[0] < 0) {
       assertTrue(client.await(1_000));
@@ -44,18 +44,18 @@
   @Test
   void servesConfigurationAndRequestsThatNeedNoNode() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 1)) {
-      Path socket = site.startGateway().socket("stock");
+      Path socket = site.startGateway().socketPath("stock");
       try (RingClient c = newClient(false)) {
         c.connect(socket);
         ByteBuffer ask = ByteBuffer.allocate(12 + 60)
             .order(ByteOrder.LITTLE_ENDIAN)
             .putInt(0, 0)
             .putInt(4, 60);
-        ByteBuffer config = c.ask(Wire.GET_CONFIG, ask.array());
+        ByteBuffer config = c.sendAndReceive(Wire.GET_CONFIG, ask.array());
         assertEquals(TestDeployment.VOLUME_BYTES / 512, config.getLong(12));
         assertEquals(512, config.getInt(12 + 20));
-        assertEquals(16, c.ask(Wire.GET_QUEUE_NUM, new byte[0]).getLong());
-        assertEquals(64, c.ask(Wire.GET_MAX_MEM_SLOTS, new byte[0]).getLong());
+        assertEquals(16, c.sendAndReceive(Wire.GET_QUEUE_NUM, new byte[0]).getLong());
+        assertEquals(64, c.sendAndReceive(Wire.GET_MAX_MEM_SLOTS, new byte[0]).getLong());
         assertEquals(0, sendRaw(c, 8, 20, true), "GET_ID");
         byte[] name = new byte[20];
         c.queue(0).data(0).get(name);
@@ -73,7 +73,7 @@
   @Test
   void memorySlotsAndStoppedRing() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 1); RingClient c = newClient(true)) {
-      c.connect(site.startGateway().socket("stock"));
+      c.connect(site.startGateway().socketPath("stock"));
       byte[] region = ByteBuffer.allocate(40)
           .order(ByteOrder.LITTLE_ENDIAN)
           .putLong(0)
@@ -82,12 +82,12 @@
           .putLong(0x6000_0000_0000L)
           .putLong(0)
           .array();
-      c.tell(Wire.ADD_MEM_REG, region, c.memoryFd());
-      c.tell(Wire.REM_MEM_REG, region);
+      c.sendAcknowledged(Wire.ADD_MEM_REG, region, c.memoryFd());
+      c.sendAcknowledged(Wire.REM_MEM_REG, region);
       for (int i = 0; i < 5; i++) {
         assertEquals(0, RingRequests.execute(c, IoKind.READ, 0, 4096, new byte[4096]));
       }
-      assertEquals(5, c.stop(0));
+      assertEquals(5, c.stopQueue(0));
     }
   }
 
@@ -96,7 +96,7 @@
   void refusedHasItsOwnStatusOnlyIfNegotiated() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 1)) {
       site.deadlineUs = 150_000;
-      Path socket = site.startGateway().socket("stock");
+      Path socket = site.startGateway().socketPath("stock");
       site.disks.get(0).faults.full = true;
       for (boolean agreed : new boolean[]{true, false}) {
         try (RingClient c = newClient(agreed)) {
--- a/src/test/java/hollyslip/e2e/RingToNodeTest.java
+++ b/src/test/java/hollyslip/e2e/RingToNodeTest.java
@@ -20,10 +20,10 @@
     for (boolean plain : new boolean[]{false, true}) {
       RingClient.Options options = plain
           ? new RingClient.Options(2, 64, 256 * 1024, false, false, false, false)
-          : RingClient.Options.usual(1, 64, 256 * 1024);
+          : RingClient.Options.allFeatures(1, 64, 256 * 1024);
       try (TestDeployment deployment = new TestDeployment(dir, 3);
           RingClient client = new RingClient(options)) {
-        client.connect(deployment.startGateway().socket("stock"));
+        client.connect(deployment.startGateway().socketPath("stock"));
         byte[] bytes = new byte[200 * 1024];
         new Random(3).nextBytes(bytes);
         byte[] read = new byte[bytes.length];
--- a/src/test/java/hollyslip/e2e/SupersededTest.java
+++ b/src/test/java/hollyslip/e2e/SupersededTest.java
@@ -30,8 +30,8 @@
   Path dir;
 
   private static RingClient connectRing(Gateway gateway) throws IOException {
-    RingClient client = new RingClient(RingClient.Options.usual(1, 64, 4096));
-    client.connect(gateway.socket("stock"));
+    RingClient client = new RingClient(RingClient.Options.allFeatures(1, 64, 4096));
+    client.connect(gateway.socketPath("stock"));
     return client;
   }
 
--- a/src/test/java/hollyslip/e2e/TestDeployment.java
+++ b/src/test/java/hollyslip/e2e/TestDeployment.java
@@ -63,9 +63,10 @@
     Deployment.Process gateway = deployment.gateway();
     return new Deployment(new Deployment.Process(name, gateway.index(), gateway.hosts(), gateway.zone(),
         dir.resolve(folder), dir.resolve(folder + "-state"), gateway.seed(), gateway.tickUs(),
-        gateway.unitBytes(), gateway.mostRequests(), gateway.mostBytes(), gateway.connections(),
-        gateway.perConnection(), gateway.ioThreads(), gateway.sftp(), gateway.hosting(), cores),
-        deployment.classes(), deployment.rows(), deployment.plans(), deployment.rules(), deployment.allowed(),
+        gateway.unitBytes(), gateway.maxRequests(), gateway.maxRequestBytes(), gateway.connectionsPerNode(),
+        gateway.maxAttemptsPerConnection(), gateway.ioThreads(), gateway.sftp(), gateway.hosting(), cores),
+        deployment.classes(), deployment.classificationRules(), deployment.plans(), deployment.rules(),
+        deployment.allowed(),
         deployment.store(), deployment.nodes(), deployment.volumes());
   }
 
--- a/src/test/java/hollyslip/emulator/EmulationTest.java
+++ b/src/test/java/hollyslip/emulator/EmulationTest.java
@@ -29,7 +29,7 @@
   }
 
   private static String figures(Outcome result) {
-    return result.happenings() + " " + result.all().asked() + " " + result.all().inAim() + " " + result.all()
+    return result.eventCount() + " " + result.all().asked() + " " + result.all().inAim() + " " + result.all()
         .latency()
         .getValueAtPercentile(99.9) + " " + result.audit().checked();
   }
--- a/src/test/java/hollyslip/emulator/ExperimentTest.java
+++ b/src/test/java/hollyslip/emulator/ExperimentTest.java
@@ -36,13 +36,13 @@
   void intervalsMatchStudentsT() {
     Estimate estimate = Estimate.of(1, 2, 3, 4, 5, 6, 7, 8, 9, 10);
     assertEquals(5.5, estimate.mean());
-    assertEquals(2.262 * Math.sqrt(55 / 6.0 / 10), estimate.half(), 0.002);
+    assertEquals(2.262 * Math.sqrt(55 / 6.0 / 10), estimate.halfWidth(), 0.002);
     Estimate difference = Estimate.paired(new double[]{10, 20, 30}, new double[]{11, 21.5, 32});
     assertEquals(1.5, difference.mean());
-    assertEquals(4.303 * 0.5 / Math.sqrt(3), difference.half(), 0.002);
-    assertTrue(difference.clear());
-    assertFalse(Estimate.of(-1, 1).clear());
-    assertTrue(Double.isInfinite(Estimate.of(3).half()));
+    assertEquals(4.303 * 0.5 / Math.sqrt(3), difference.halfWidth(), 0.002);
+    assertTrue(difference.isSignificant());
+    assertFalse(Estimate.of(-1, 1).isSignificant());
+    assertTrue(Double.isInfinite(Estimate.of(3).halfWidth()));
   }
 
   @Test
@@ -63,7 +63,7 @@
     List<Experiment.Run> resumed = experiment.run(kept, 2, fresh::add);
     assertEquals(1, fresh.size());
     for (var point : experiment.points()) {
-      assertEquals(Experiment.of(all, point), Experiment.of(resumed, point));
+      assertEquals(Experiment.runsAt(all, point), Experiment.runsAt(resumed, point));
     }
     // The repeated run must be stored now. Appended to the truncated line, it used to be lost each time.
     fresh.clear();
@@ -92,7 +92,7 @@
     Day scenario = Day.parse(DAY_FILE.replace("$rate", "50 shape burst period 2 swing 3")
         + "at 0.5 stall part 0.5 for 0.25\n"
         + "at 0.25 volume-burst target v size 3 for 0.5\n");
-    assertEquals(scenario, Day.parse(scenario.text()));
+    assertEquals(scenario, Day.parse(scenario.toText()));
   }
 
   @Test
@@ -101,15 +101,15 @@
     List<BadDays.Found> once = new BadDays(base, 4).search(2, 6);
     assertEquals(once, new BadDays(base, 4).search(2, 6));
     assertEquals(12, once.size());
-    Day worst = once.get(0).day();
+    Day worst = once.get(0).scenario();
     for (Day simpler : BadDays.simplifications(worst)) {
       double before = worst.seconds() + weight(worst);
-      assertTrue(simpler.seconds() + weight(simpler) < before, simpler::text);
+      assertTrue(simpler.seconds() + weight(simpler) < before, simpler::toText);
     }
   }
 
   private static double weight(Day scenario) {
-    return scenario.troubles()
+    return scenario.disturbances()
         .stream()
         .mapToDouble(disturbance -> 1 + disturbance.seconds() + disturbance.fraction())
         .sum();
--- a/src/test/java/hollyslip/front/sys/MappingTest.java
+++ b/src/test/java/hollyslip/front/sys/MappingTest.java
@@ -54,10 +54,10 @@
     ByteBuffer view = first.view(0, PAGE);
     view.putInt(8, 7);
     assertEquals(7, second.view(8, 4).getInt(0));
-    int mapped = Linux.mappings();
+    int mapped = Linux.mappingCount();
     first.unmap();
     first.unmap();
-    assertEquals(mapped - 1, Linux.mappings());
+    assertEquals(mapped - 1, Linux.mappingCount());
     assertEquals(0, view.getInt(8));
     view.putInt(8, 9);
     assertEquals(7, second.view(8, 4).getInt(0));
--- a/src/test/java/hollyslip/load/OpenLoopTest.java
+++ b/src/test/java/hollyslip/load/OpenLoopTest.java
@@ -180,8 +180,8 @@
       merged.add(LatencyLog.read(file));
     }
     for (String tag : one.tags()) {
-      assertEquals(one.all(tag), merged.all(tag));
-      assertEquals(one.seconds(tag).keySet(), merged.seconds(tag).keySet());
+      assertEquals(one.merged(tag), merged.merged(tag));
+      assertEquals(one.histogramsBySecond(tag).keySet(), merged.histogramsBySecond(tag).keySet());
     }
     Path corrupted = dir.resolve("cut");
     Files.writeString(corrupted, Files.readString(dir.resolve("log-0"))
--- a/src/test/java/hollyslip/load/ScenarioTest.java
+++ b/src/test/java/hollyslip/load/ScenarioTest.java
@@ -36,7 +36,7 @@
 
   @Test
   void errorsNameTheLine() {
-    assertEquals(5, Day.parse(SHORT).troubles().size());
+    assertEquals(5, Day.parse(SHORT).disturbances().size());
     assertEquals("line 2: unknown keyword 'wether'", parseError("day 5\nwether bad\n"));
     assertTrue(parseError("at 5 flood\n").startsWith("line 1: unknown disturbance 'flood'"));
     assertTrue(parseError("nodes count many\n").startsWith(
@@ -51,7 +51,7 @@
   void shortScenarioKeepsAllRules(@TempDir Path dir) throws Exception {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     DayRunner.Result result = new DayRunner(Day.parse(SHORT), dir, new PrintStream(out), 500_000).play();
-    assertTrue(result.kept(), result.audit().breaches() + " " + result.wrongReads() + " " + out);
+    assertTrue(result.isClean(), result.audit().breaches() + " " + result.wrongReads() + " " + out);
     assertTrue(result.audit().checked().values().stream().mapToLong(n -> n).sum() > 500, result.audit()
         .checked()
         .toString());
--- a/src/test/java/hollyslip/node/NbdParsersTest.java
+++ b/src/test/java/hollyslip/node/NbdParsersTest.java
@@ -59,7 +59,7 @@
 
   private static ByteBuffer chunk(int flags, int type, long cookie, byte[] body) {
     return ByteBuffer.allocate(20 + body.length)
-        .putInt(Nbd.STRUCTURED_REPLY)
+        .putInt(Nbd.STRUCTURED_REPLY_MAGIC)
         .putShort((short) flags)
         .putShort((short) type)
         .putLong(cookie)
@@ -109,7 +109,11 @@
         data(4_095, 8)), chunk(1, Nbd.CHUNK_DATA, 7, data(4_096, 1_025)), chunk(1, Nbd.CHUNK_DATA, 8, data(
             4_096, 1)), chunk(1, 77, 7, new byte[4]), chunk(1, Nbd.CHUNK_HOLE, 7, new byte[11]), ByteBuffer
                 .allocate(16)
-                .putInt(5), ByteBuffer.allocate(16).putInt(Nbd.SIMPLE_REPLY).putInt(0).putLong(7).flip())) {
+                .putInt(5), ByteBuffer.allocate(16)
+                    .putInt(Nbd.SIMPLE_REPLY_MAGIC)
+                    .putInt(0)
+                    .putLong(7)
+                    .flip())) {
       bad.rewind();
       assertThrows(NbdReplyParser.MalformedReplyException.class, () -> feed(bad));
     }
@@ -118,11 +122,14 @@
   @Property(tries = 3_000, seed = "5")
   void replyParserHandlesArbitraryBytes(@ForAll @Size(max = 200) byte[] bytes, @ForAll boolean framed) {
     ByteBuffer in = framed && bytes.length > 30
-        ? ByteBuffer.wrap(bytes).putInt(0, Nbd.STRUCTURED_REPLY).putLong(8, 7).putInt(16, bytes[16] & 0x7f)
+        ? ByteBuffer.wrap(bytes)
+            .putInt(0, Nbd.STRUCTURED_REPLY_MAGIC)
+            .putLong(8, 7)
+            .putInt(16, bytes[16] & 0x7f)
         : ByteBuffer.wrap(bytes);
     try {
       new NbdReplyParser(true, new RecordingSink()).feed(in);
-      assertTrue(in.remaining() <= 20 + Nbd.MOST_OPTION);
+      assertTrue(in.remaining() <= 20 + Nbd.MAX_OPTION_BYTES);
     } catch (NbdReplyParser.MalformedReplyException e) {
       assertFalse(e.getMessage().isEmpty());
     }
@@ -133,10 +140,10 @@
     NbdHandshake handshake = new NbdHandshake("x", new Fence("c", new Holder(1, 1), 1, Set.of()));
     ByteBuffer in = ByteBuffer.allocate(200);
     if (greeted) {
-      in.putLong(Nbd.MAGIC)
+      in.putLong(Nbd.INIT_MAGIC)
           .putLong(Nbd.IHAVEOPT)
           .putShort((short) 3)
-          .putLong(Nbd.OPTION_REPLY)
+          .putLong(Nbd.OPTION_REPLY_MAGIC)
           .putInt(Nbd.OPT_STRUCTURED_REPLY);
     }
     in.put(bytes).flip();
@@ -152,18 +159,18 @@
     Holder holder = new Holder(3, 7);
     Fence fence = new Fence("gw", holder, 9, Set.of(5L));
     assertEquals(fence, Fence.parse(fence.contextName()));
-    assertTrue(fence.kills(new Fence("gw", new Holder(2, 7), 50, Set.of())));
-    assertTrue(fence.kills(new Fence("gw", holder, 8, Set.of())));
-    assertFalse(fence.kills(new Fence("gw", holder, 5, Set.of())));
-    assertFalse(fence.kills(fence));
-    assertFalse(fence.kills(new Fence("gw", holder, 10, Set.of())));
-    assertFalse(fence.kills(new Fence("other", new Holder(1, 1), 1, Set.of())));
+    assertTrue(fence.invalidates(new Fence("gw", new Holder(2, 7), 50, Set.of())));
+    assertTrue(fence.invalidates(new Fence("gw", holder, 8, Set.of())));
+    assertFalse(fence.invalidates(new Fence("gw", holder, 5, Set.of())));
+    assertFalse(fence.invalidates(fence));
+    assertFalse(fence.invalidates(new Fence("gw", holder, 10, Set.of())));
+    assertFalse(fence.invalidates(new Fence("other", new Holder(1, 1), 1, Set.of())));
     Fence twin = new Fence("gw", new Holder(3, 8), 20, Set.of());
-    assertTrue(fence.kills(twin), "another process with the same epoch");
-    assertEquals(fence, fence.orNewer(twin), "the first one stays in force");
+    assertTrue(fence.invalidates(twin), "another process with the same epoch");
+    assertEquals(fence, fence.newerOf(twin), "the first one stays in force");
     NodeView holderView = new NodeView(holder, 2);
-    assertEquals(holderView, Fence.parseHolderReply(Fence.answer("gw", holderView), "gw"));
-    assertNull(Fence.parseHolderReply(Fence.answer("gw", holderView), "other"));
+    assertEquals(holderView, Fence.parseHolderReply(Fence.holderReplyName("gw", holderView), "gw"));
+    assertNull(Fence.parseHolderReply(Fence.holderReplyName("gw", holderView), "other"));
     assertNull(Fence.parseHolderReply("hollyslip:epoch/gw/x/1/0", "gw"));
     for (String bad : List.of("", "hollyslip:fence/", "hollyslip:fence/a/b/c/d/", "hollyslip:fence/a/1/2",
         "x")) {
--- a/src/test/java/hollyslip/settings/SettingsTest.java
+++ b/src/test/java/hollyslip/settings/SettingsTest.java
@@ -42,7 +42,7 @@
   }
 
   private static String declarations(String text) {
-    return Script.run("a.star", Map.of("a.star", text)::get).declared().toString();
+    return Script.run("a.star", Map.of("a.star", text)::get).declarations().toString();
   }
 
   @Test
@@ -51,9 +51,9 @@
     assertEquals(List.of(), loaded.faults());
     Deployment deployment = loaded.deployment();
     assertEquals(6, deployment.nodes().size());
-    assertEquals(96, deployment.byName().get("orders").extents().size());
+    assertEquals(96, deployment.volumesByName().get("orders").extents().size());
     assertEquals(Path.of("/x/run"), deployment.gateway().socketDir());
-    assertNotNull(deployment.module());
+    assertNotNull(deployment.schedulerSettings());
   }
 
   @Test
