--- a/src/main/java/hollyslip/admin/AdminServer.java
+++ b/src/main/java/hollyslip/admin/AdminServer.java
@@ -51,7 +51,7 @@
       DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
   private final Vertx vertx;
-  private final Control control;
+  private final ControlPlane control;
   private final Api api;
   private final List<HttpServer> servers = new ArrayList<>();
   private final Path certFile, keyFile;
@@ -70,7 +70,8 @@
    *          certificate chain for the port, PEM; null: no TLS
    * @param keyFile
    *          private key of the certificate, PEM */
-  public AdminServer(Control control, Path socket, int port, Path certFile, Path keyFile) throws IOException {
+  public AdminServer(ControlPlane control, Path socket, int port, Path certFile, Path keyFile)
+      throws IOException {
     this.control = control;
     this.certFile = certFile;
     this.keyFile = keyFile;
@@ -103,7 +104,7 @@
 
   /** Creates the first operator token and writes it to a file that only the owner can read, unless an
    * operator token exists. */
-  public static void ensureOperatorToken(Control control, Path file) throws IOException {
+  public static void ensureOperatorToken(ControlPlane control, Path file) throws IOException {
     boolean needed = control.read(route -> route.tokens().stream().noneMatch(t -> t.tenant() == 0)).join();
     if (needed) {
       AuthenticatedCaller.IssuedToken issued = AuthenticatedCaller.issueToken("operator", 0);
--- a/src/main/java/hollyslip/admin/Api.java
+++ b/src/main/java/hollyslip/admin/Api.java
@@ -29,9 +29,9 @@
   /** Number of entries of a page: the maximum and the default. */
   private static final int MAX_PAGE_SIZE = 1_000, DEFAULT_PAGE_SIZE = 100;
 
-  private final Control control;
+  private final ControlPlane control;
 
-  Api(Control control) {
+  Api(ControlPlane control) {
     this.control = control;
   }
 
@@ -373,12 +373,12 @@
 
   // Nodes.
 
-  private static NavigableMap<String, Carrier.NodeView> sorted(Map<String, Carrier.NodeView> nodes) {
+  private static NavigableMap<String, Provisioner.NodeView> sorted(Map<String, Provisioner.NodeView> nodes) {
     return new java.util.TreeMap<>(nodes);
   }
 
   private JsonNode node(Registry registry, String name) {
-    Carrier.NodeView v = control.provisioner().nodes().get(name);
+    Provisioner.NodeView v = control.provisioner().nodes().get(name);
     if (v == null) {
       throw ApiException.notFound();
     }
--- a/src/main/java/hollyslip/admin/ApiClient.java
+++ b/src/main/java/hollyslip/admin/ApiClient.java
@@ -26,7 +26,7 @@
   private static final long TIMEOUT_S = 30;
 
   /** A response; a body or header that was not sent is null. */
-  public record Answer(int status, JsonNode body, String etag, String location) {
+  public record Response(int status, JsonNode body, String etag, String location) {
     /** Whether the request succeeded. */
     public boolean isSuccess() {
       return status < 300;
@@ -70,7 +70,7 @@
    *          headers besides Authorization
    * @throws IOException
    *           no response was received */
-  public Answer send(String method, String path, JsonNode body, Map<String, String> headers)
+  public Response send(String method, String path, JsonNode body, Map<String, String> headers)
       throws IOException {
     RequestOptions options = new RequestOptions().setServer(server)
         .setHost("localhost")
@@ -85,7 +85,7 @@
           ? "application/merge-patch+json"
           : "application/json");
     }
-    CompletableFuture<Answer> answer = new CompletableFuture<>();
+    CompletableFuture<Response> answer = new CompletableFuture<>();
     // Everything runs on the client's event loop. If this thread asked for the body, the response could have
     // ended before, and the body would never arrive.
     vertx.runOnContext(v -> http.request(options)
@@ -105,9 +105,9 @@
     }
   }
 
-  private static Answer toResponse(HttpClientResponse response, Buffer body) {
+  private static Response toResponse(HttpClientResponse response, Buffer body) {
     try {
-      return new Answer(response.statusCode(), body.length() == 0 ? null : JSON.readTree(body.getBytes()),
+      return new Response(response.statusCode(), body.length() == 0 ? null : JSON.readTree(body.getBytes()),
           response.getHeader("ETag"), response.getHeader("Location"));
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
--- a/src/main/java/hollyslip/admin/Control.java
+++ b/src/main/java/hollyslip/admin/ControlPlane.java
@@ -34,8 +34,8 @@
  * on one thread: each is validated, recorded and applied. It is answered and carried out once its record is
  * synced; reads are answered once everything that they saw is synced. If the store cannot be written, nothing
  * changes any more, while volumes continue to be served. */
-public final class Control implements AutoCloseable {
-  private static final Logger LOG = LoggerFactory.getLogger(Control.class);
+public final class ControlPlane implements AutoCloseable {
+  private static final Logger LOG = LoggerFactory.getLogger(ControlPlane.class);
 
   /** Size of the records after which a snapshot is taken, bytes. */
   private static final long SNAPSHOT_BYTES = 8 << 20;
@@ -46,7 +46,7 @@
   private final Registry registry;
   private final RegistryCommandHandler commandHandler;
   private final Journal journal;
-  private final Carrier provisioner;
+  private final Provisioner provisioner;
   private final int hosts;
   private final LongSupplier clock;
   private final Set<Consumer<AuditRecord>> listeners = ConcurrentHashMap.newKeySet();
@@ -70,8 +70,8 @@
    *          number of gateways of the deployment
    * @param clock
    *          wall clock, ms since the Unix epoch */
-  public Control(StoreDirectory directory, Collection<Shard> shards, long firstId, int hosts,
-      Carrier provisioner, LongSupplier clock) throws IOException {
+  public ControlPlane(StoreDirectory directory, Collection<Shard> shards, long firstId, int hosts,
+      Provisioner provisioner, LongSupplier clock) throws IOException {
     this.provisioner = provisioner;
     this.hosts = hosts;
     this.clock = clock;
@@ -281,7 +281,7 @@
     return journal.failure();
   }
 
-  Carrier provisioner() {
+  Provisioner provisioner() {
     return provisioner;
   }
 
--- a/src/main/java/hollyslip/admin/Carrier.java
+++ b/src/main/java/hollyslip/admin/Provisioner.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** Carries out recorded changes. Calls arrive on one thread, in the order of the records. */
-public interface Carrier {
+public interface Provisioner {
   /** Serves a volume, or applies new terms or a new size to it. The future completes when this is in
    * effect. */
   CompletableFuture<Void> serve(HostedVolume volume, Tenant tenant, VolumeChanged terms);
--- a/src/main/java/hollyslip/admin/Views.java
+++ b/src/main/java/hollyslip/admin/Views.java
@@ -8,13 +8,13 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import hollyslip.tenant.Change;
 import hollyslip.tenant.HostedVolume;
-import hollyslip.tenant.Plain;
+import hollyslip.tenant.NumberFormatter;
 import hollyslip.tenant.Plan;
 import hollyslip.tenant.Registry;
 import hollyslip.tenant.Tenant;
 import hollyslip.tenant.Terms;
 import hollyslip.tenant.AuditRecord;
-import hollyslip.tenant.Wish;
+import hollyslip.tenant.Specs;
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
@@ -30,7 +30,7 @@
 
     @Override
     public NumericNode numberNode(double value) {
-      Number number = Plain.toWholeIfExact(value);
+      Number number = NumberFormatter.toWholeIfExact(value);
       return number instanceof Long whole ? super.numberNode(whole.longValue()) : super.numberNode(value);
     }
   });
@@ -70,11 +70,11 @@
     return plan(p).without(Set.of("revision"));
   }
 
-  static Wish.ForPlan plan(JsonNode body) {
+  static Specs.PlanSpec plan(JsonNode body) {
     Set<String> known = new java.util.HashSet<>(TERM_FIELDS);
     known.add("name");
     JsonObjectReader fields = new JsonObjectReader(body, "", known);
-    return new Wish.ForPlan(fields.string("name"), new Terms(fields.number("rate", 0.0), fields.number(
+    return new Specs.PlanSpec(fields.string("name"), new Terms(fields.number("rate", 0.0), fields.number(
         "reserve", 0.0), fields.number("weight", null), fields.number("price", 1.0), fields.number("limit",
             0.0), fields.number("limit_burst", 0.0), fields.number("limit_slack", 0.0)));
   }
@@ -102,11 +102,11 @@
     return node;
   }
 
-  static Wish.ForTenant tenant(JsonNode body) {
+  static Specs.TenantSpec tenant(JsonNode body) {
     JsonObjectReader fields = new JsonObjectReader(body, "", Set.of("name", "weight", "quota", "members"));
     JsonObjectReader quota = fields.object("quota", Set.of("reserve", "bytes", "volumes"));
     long volumes = quota.integer("volumes", 1_000L);
-    return new Wish.ForTenant(fields.string("name"), fields.number("weight", 1.0), new Tenant.Quota(quota
+    return new Specs.TenantSpec(fields.string("name"), fields.number("weight", 1.0), new Tenant.Quota(quota
         .number("reserve", null), quota.integer("bytes", null), (int) Math.max(-1, Math.min(Integer.MAX_VALUE,
             volumes))), fields.integerMap("members"));
   }
@@ -144,18 +144,19 @@
     }
   }
 
-  static Wish.ForVolume volume(JsonNode body) {
+  static Specs.VolumeSpec volume(JsonNode body) {
     JsonObjectReader fields = new JsonObjectReader(body, "", Set.of("name", "plan", "bytes", "extent_bytes",
         "reserve", "weight", "limit", "limit_burst"));
     long bytes = fields.integer("bytes", null);
-    return new Wish.ForVolume(fields.string("name"), fields.string("plan"), new Terms.Overrides(fields.number(
-        "reserve"), fields.number("weight"), fields.number("limit"), fields.number("limit_burst")), bytes,
+    return new Specs.VolumeSpec(fields.string("name"), fields.string("plan"), new Terms.Overrides(fields
+        .number(
+            "reserve"), fields.number("weight"), fields.number("limit"), fields.number("limit_burst")), bytes,
         fields.integer("extent_bytes", 4L << 20));
   }
 
   // Nodes, tasks, tokens and audit records.
 
-  static ObjectNode nodeOf(String name, Carrier.NodeView v, Change.NodeStatePut recorded) {
+  static ObjectNode nodeOf(String name, Provisioner.NodeView v, Change.NodeStatePut recorded) {
     return node().put("name", name)
         .put("id", v.id())
         .put("shard", v.shard())
--- a/src/main/java/hollyslip/audit/Figures.java
+++ b/src/main/java/hollyslip/audit/AuditParameters.java
@@ -33,7 +33,8 @@
  *          limits by volume
  * @param areas
  *          the areas of the exports that belong to volumes, to attribute commands of nodes */
-public record Figures(long answerSlackUs, long drainGraceUs, long settleUs, double coldUnits, double coldFrom,
+public record AuditParameters(long answerSlackUs, long drainGraceUs, long settleUs, double coldUnits,
+    double coldFrom,
     long coldUs, long fallUs, double budgetFree, double budgetShare, long budgetWindowUs, long skewUs,
     long extentBytes, long unitBytes, int mostUnits, Map<String, Limit> limits, List<Area> areas) {
   /** A range of bytes of an export that belongs to a volume. */
--- a/src/main/java/hollyslip/audit/Auditor.java
+++ b/src/main/java/hollyslip/audit/Auditor.java
@@ -2,8 +2,8 @@
 
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.node.Nbd;
-import hollyslip.standin.Command;
-import hollyslip.standin.Command.Result;
+import hollyslip.standin.CommandRecord;
+import hollyslip.standin.CommandRecord.Result;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -41,23 +41,23 @@
     }
   }
 
-  private final Figures parameters;
-  private final List<Asked> requests;
-  private final List<Command> commands;
+  private final AuditParameters parameters;
+  private final List<RequestRecord> requests;
+  private final List<CommandRecord> commands;
   /** The commands in order of sending, or of receipt where the time of sending is unknown. */
-  private final List<Command> commandsBySendTime;
-  private final Map<String, List<Command>> commandsByNode = new HashMap<>();
-  private final List<Told> operatorEvents;
+  private final List<CommandRecord> commandsBySendTime;
+  private final Map<String, List<CommandRecord>> commandsByNode = new HashMap<>();
+  private final List<OperatorEvent> operatorEvents;
   private final List<Breach> breaches = new ArrayList<>();
   private final Map<Rule, Long> checked = new TreeMap<>();
 
-  private Auditor(Figures parameters, List<Asked> requests, List<Command> commands,
-      List<Told> operatorEvents) {
+  private Auditor(AuditParameters parameters, List<RequestRecord> requests, List<CommandRecord> commands,
+      List<OperatorEvent> operatorEvents) {
     this.parameters = parameters;
-    this.requests = requests.stream().sorted(Comparator.comparingLong(Asked::askedUs)).toList();
-    this.commands = commands.stream().sorted(Comparator.comparingLong(Command::receivedUs)).toList();
+    this.requests = requests.stream().sorted(Comparator.comparingLong(RequestRecord::askedUs)).toList();
+    this.commands = commands.stream().sorted(Comparator.comparingLong(CommandRecord::receivedUs)).toList();
     commandsBySendTime = this.commands.stream()
-        .sorted(Comparator.comparingLong(Command::sentOrReceivedUs))
+        .sorted(Comparator.comparingLong(CommandRecord::sentOrReceivedUs))
         .toList();
     this.commands.forEach(command -> commandsByNode.computeIfAbsent(command.node(), k -> new ArrayList<>())
         .add(command));
@@ -65,8 +65,9 @@
   }
 
   /** Audits a finished run. */
-  public static Report check(Figures parameters, List<Asked> requests, List<Command> commands,
-      List<Told> operatorEvents) {
+  public static Report check(AuditParameters parameters, List<RequestRecord> requests,
+      List<CommandRecord> commands,
+      List<OperatorEvent> operatorEvents) {
     Auditor auditor = new Auditor(parameters, requests, commands, operatorEvents);
     for (Rule rule : Rule.values()) {
       auditor.checked.put(rule, 0L);
@@ -89,14 +90,14 @@
     checked.merge(rule, 1L, Long::sum);
   }
 
-  private static String describe(Asked request) {
+  private static String describe(RequestRecord request) {
     return request.client() + "/" + request.id() + " (" + request.volume() + " " + request.offset() + "+"
         + request.length() + ")";
   }
 
   /** Rule 1: each request gets one final answer before the client's deadline. */
   private void checkAnswers() {
-    for (Asked request : requests) {
+    for (RequestRecord request : requests) {
       countCheck(Rule.ONE_ANSWER);
       if (request.answers() > 1) {
         addBreach(Rule.ONE_ANSWER, describe(request) + " has " + request.answers() + " answers");
@@ -114,33 +115,33 @@
    * with the same checksum and length are the same write, since clients make their data unique. A write that
    * a gateway repeats after it was killed counts as the same attempt if no newer write came in between. */
   private void checkEffects() {
-    Map<String, List<Command>> effectsByData = new HashMap<>();
-    for (Command command : commands) {
+    Map<String, List<CommandRecord>> effectsByData = new HashMap<>();
+    for (CommandRecord command : commands) {
       if (command.kind() == Nbd.CMD_WRITE && command.doneUs() > 0) {
         effectsByData.computeIfAbsent(command.checksum() + "+" + command.length(), k -> new ArrayList<>())
             .add(command);
       }
     }
-    for (Asked request : requests) {
+    for (RequestRecord request : requests) {
       if (request.kind() != Nbd.CMD_WRITE) {
         continue;
       }
       countCheck(Rule.NO_EFFECT_TWICE);
-      List<Command> effects = effectsByData.getOrDefault(request.checksum() + "+" + request.length(),
+      List<CommandRecord> effects = effectsByData.getOrDefault(request.checksum() + "+" + request.length(),
           List.of());
       Set<String> processes = new HashSet<>();
-      for (Command command : effects) {
+      for (CommandRecord command : effects) {
         if (!processes.add(command.client())) {
           addBreach(Rule.NO_EFFECT_TWICE, describe(request) + " took effect twice, sent by " + command
               .client()
               + " to " + command.node());
         }
       }
-      if (request.answer() == Asked.Answer.REFUSED && !effects.isEmpty()) {
+      if (request.answer() == RequestRecord.Answer.REFUSED && !effects.isEmpty()) {
         addBreach(Rule.NO_EFFECT_TWICE, describe(request) + " was refused although it took effect at "
             + effects.get(0).node());
       }
-      if (request.answer() == Asked.Answer.SERVED && effects.isEmpty() && extentCount(request) == 1) {
+      if (request.answer() == RequestRecord.Answer.SERVED && effects.isEmpty() && extentCount(request) == 1) {
         addBreach(Rule.NO_EFFECT_TWICE, describe(request) + " was served but did not take effect");
       }
       if (request.answers() > 0) {
@@ -153,8 +154,8 @@
   }
 
   /** An effect after the answer must not overwrite a newer write that was answered before it. */
-  private void checkLateEffect(Asked request, Command late) {
-    for (Command newer : commandsByNode.getOrDefault(late.node(), List.of())) {
+  private void checkLateEffect(RequestRecord request, CommandRecord late) {
+    for (CommandRecord newer : commandsByNode.getOrDefault(late.node(), List.of())) {
       boolean overlaps = newer.node().equals(late.node()) && newer.offset() < late.offset() + late.length()
           && late.offset() < newer.offset() + newer.length();
       if (overlaps && newer != late && newer.kind() == Nbd.CMD_WRITE && newer.result() == Result.DONE && newer
@@ -169,17 +170,17 @@
   /** Rule 3: a gateway sends no command to a node later than the grace period after it was told that the node
    * drains. */
   private void checkDrains() {
-    Map<String, List<Command>> commandsByRoute = new HashMap<>();
-    for (Command command : commands) {
+    Map<String, List<CommandRecord>> commandsByRoute = new HashMap<>();
+    for (CommandRecord command : commands) {
       if (!command.client().isEmpty()) {
         String gateway = command.client().substring(0, command.client().lastIndexOf('/'));
         commandsByRoute.computeIfAbsent(gateway + " to " + command.node(), k -> new ArrayList<>())
             .add(command);
       }
     }
-    Map<String, List<Told.State>> statesByRoute = new HashMap<>();
-    for (Told event : operatorEvents) {
-      if (event instanceof Told.State state) {
+    Map<String, List<OperatorEvent.NodeStateChange>> statesByRoute = new HashMap<>();
+    for (OperatorEvent event : operatorEvents) {
+      if (event instanceof OperatorEvent.NodeStateChange state) {
         statesByRoute.computeIfAbsent(state.gateway() + " to " + state.node(), k -> new ArrayList<>())
             .add(state);
       }
@@ -189,13 +190,14 @@
         .forEach(state -> checkDrain(state, states, commandsByRoute.getOrDefault(route, List.of()))));
   }
 
-  private void checkDrain(Told.State drain, List<Told.State> states, List<Command> sent) {
+  private void checkDrain(OperatorEvent.NodeStateChange drain, List<OperatorEvent.NodeStateChange> states,
+      List<CommandRecord> sent) {
     long until = states.stream()
         .filter(later -> later.state() == NodeState.ON && later.atUs() > drain.atUs())
-        .mapToLong(Told::atUs)
+        .mapToLong(OperatorEvent::atUs)
         .min()
         .orElse(Long.MAX_VALUE);
-    for (Command command : sent) {
+    for (CommandRecord command : sent) {
       if (command.sentOrReceivedUs() > drain.atUs()) {
         countCheck(Rule.DRAINS_KEPT);
         if (command.sentOrReceivedUs() > drain.atUs() + parameters.drainGraceUs() && command
@@ -208,7 +210,7 @@
     }
   }
 
-  private double units(Command command) {
+  private double units(CommandRecord command) {
     boolean carriesData = command.kind() == Nbd.CMD_READ || command.kind() == Nbd.CMD_WRITE;
     return carriesData
         ? Math.max(1, Math.min(parameters.mostUnits(), (command.length() + parameters.unitBytes() - 1)
@@ -218,13 +220,13 @@
 
   /** Rule 4: within any window, all gateways together send a cold node no more than it can always serve. */
   private void checkColdNodes() {
-    for (Told event : operatorEvents) {
-      if (!(event instanceof Told.Born start)) {
+    for (OperatorEvent event : operatorEvents) {
+      if (!(event instanceof OperatorEvent.NodeStart start)) {
         continue;
       }
-      ArrayDeque<Command> window = new ArrayDeque<>();
+      ArrayDeque<CommandRecord> window = new ArrayDeque<>();
       double windowUnits = 0;
-      for (Command command : commands) {
+      for (CommandRecord command : commands) {
         if (!command.node().equals(start.node()) || command.receivedUs() < start.atUs() || command
             .receivedUs() > start.atUs()
                 + parameters.coldUs()) {
@@ -250,30 +252,30 @@
 
   /** Rule 5: requests with the same key run one at a time, in the order in which they were submitted. */
   private void checkOrder() {
-    Map<Long, List<Asked>> requestsByKey = new HashMap<>();
+    Map<Long, List<RequestRecord>> requestsByKey = new HashMap<>();
     requests.stream()
         .filter(request -> request.key() >= 0)
         .forEach(request -> requestsByKey.computeIfAbsent(request.key(), k -> new ArrayList<>())
             .add(request));
-    Map<String, List<Command>> writesByData = new HashMap<>();
+    Map<String, List<CommandRecord>> writesByData = new HashMap<>();
     commands.stream()
         .filter(command -> command.kind() == Nbd.CMD_WRITE)
         .forEach(command -> writesByData.computeIfAbsent(command.checksum() + "+" + command.length(),
             k -> new ArrayList<>())
             .add(command));
-    for (List<Asked> sameKey : requestsByKey.values()) {
+    for (List<RequestRecord> sameKey : requestsByKey.values()) {
       long busyUntilUs = 0;
-      Asked previous = null;
-      for (Asked request : sameKey) {
+      RequestRecord previous = null;
+      for (RequestRecord request : sameKey) {
         countCheck(Rule.ORDER_KEPT);
-        List<Command> writes = writesByData.getOrDefault(request.checksum() + "+" + request.length(),
+        List<CommandRecord> writes = writesByData.getOrDefault(request.checksum() + "+" + request.length(),
             List.of());
-        long firstSentUs = writes.stream().mapToLong(Command::receivedUs).min().orElse(Long.MAX_VALUE);
+        long firstSentUs = writes.stream().mapToLong(CommandRecord::receivedUs).min().orElse(Long.MAX_VALUE);
         if (firstSentUs < busyUntilUs) {
           addBreach(Rule.ORDER_KEPT, describe(request) + " was sent while " + describe(previous)
               + " before it was not finished");
         }
-        for (Command command : writes) {
+        for (CommandRecord command : writes) {
           long endUs = command.doneUs() > 0
               ? command.doneUs()
               : command.result() == Result.SWALLOWED
@@ -293,12 +295,12 @@
     if (parameters.budgetWindowUs() <= 0) {
       return;
     }
-    Map<String, List<Command>> commandsByClient = new HashMap<>();
+    Map<String, List<CommandRecord>> commandsByClient = new HashMap<>();
     commandsBySendTime.stream()
         .filter(command -> !command.client().isEmpty())
         .forEach(command -> commandsByClient.computeIfAbsent(command.client(), k -> new ArrayList<>())
             .add(command));
-    Map<String, List<Asked>> requestsByGateway = new HashMap<>();
+    Map<String, List<RequestRecord>> requestsByGateway = new HashMap<>();
     requests.forEach(request -> requestsByGateway.computeIfAbsent(request.gateway(), k -> new ArrayList<>())
         .add(request));
     commandsByClient.forEach((client, sent) -> checkBudget(client, sent, requestsByGateway
@@ -308,10 +310,10 @@
         .toArray()));
   }
 
-  private void checkBudget(String client, List<Command> sent, long[] requestTimes) {
+  private void checkBudget(String client, List<CommandRecord> sent, long[] requestTimes) {
     Set<Long> seenRequests = new HashSet<>();
     ArrayDeque<Long> retries = new ArrayDeque<>();
-    for (Command command : sent) {
+    for (CommandRecord command : sent) {
       countCheck(Rule.BUDGET_KEPT);
       if (seenRequests.add(command.cookie() >> 12)) {
         continue;
@@ -334,7 +336,7 @@
 
   /** Returns the number of extents that a request touches. The scheduler handles it as that many requests,
    * each with its own command and data. */
-  private long extentCount(Asked request) {
+  private long extentCount(RequestRecord request) {
     return (request.offset() + Math.max(1, request.length()) - 1) / parameters.extentBytes()
         - request.offset() / parameters.extentBytes() + 1;
   }
@@ -354,15 +356,15 @@
   /** Rule 7: a volume has one token bucket for all gateways, across restarts. A request is charged once, when
    * its first command is sent. */
   private void checkLimits() {
-    Map<String, List<Command>> commandsOfVolumes = parameters.limits().isEmpty()
+    Map<String, List<CommandRecord>> commandsOfVolumes = parameters.limits().isEmpty()
         ? Map.of()
         : commandsByVolume();
-    for (Map.Entry<String, Figures.Limit> entry : parameters.limits().entrySet()) {
-      Figures.Limit limit = entry.getValue();
+    for (Map.Entry<String, AuditParameters.Limit> entry : parameters.limits().entrySet()) {
+      AuditParameters.Limit limit = entry.getValue();
       List<Long> times = new ArrayList<>();
       List<Double> costs = new ArrayList<>();
       Set<String> charged = new HashSet<>();
-      for (Command command : commandsOfVolumes.getOrDefault(entry.getKey(), List.of())) {
+      for (CommandRecord command : commandsOfVolumes.getOrDefault(entry.getKey(), List.of())) {
         if (charged.add(command.client() + "/" + (command.cookie() >> 12))) {
           times.add(command.sentOrReceivedUs());
           costs.add(units(command));
@@ -383,13 +385,13 @@
   }
 
   /** Returns the commands by the volume whose bytes they touch, in order of sending. */
-  private Map<String, List<Command>> commandsByVolume() {
-    Map<String, TreeMap<Long, Figures.Area>> areas = new HashMap<>();
+  private Map<String, List<CommandRecord>> commandsByVolume() {
+    Map<String, TreeMap<Long, AuditParameters.Area>> areas = new HashMap<>();
     parameters.areas()
         .forEach(area -> areas.computeIfAbsent(area.export(), k -> new TreeMap<>()).put(area.from(), area));
-    Map<String, List<Command>> commandsOfVolumes = new HashMap<>();
-    for (Command command : commandsBySendTime) {
-      Map.Entry<Long, Figures.Area> candidate = areas.getOrDefault(command.export(), new TreeMap<>())
+    Map<String, List<CommandRecord>> commandsOfVolumes = new HashMap<>();
+    for (CommandRecord command : commandsBySendTime) {
+      Map.Entry<Long, AuditParameters.Area> candidate = areas.getOrDefault(command.export(), new TreeMap<>())
           .floorEntry(command.offset());
       if (candidate != null && command.offset() < candidate.getValue().to()) {
         commandsOfVolumes.computeIfAbsent(candidate.getValue().volume(), k -> new ArrayList<>()).add(command);
--- a/src/main/java/hollyslip/audit/Asked.java
+++ b/src/main/java/hollyslip/audit/RequestRecord.java
@@ -34,7 +34,8 @@
  *          the first answer
  * @param left
  *          whether the client disconnected before an answer */
-public record Asked(String client, String gateway, String volume, long id, int kind, long offset, long length,
+public record RequestRecord(String client, String gateway, String volume, long id, int kind, long offset,
+    long length,
     double units, long key, long checksum, long askedUs, long deadlineUs, int answers, long answeredUs,
     Answer answer, boolean left) {
   /** The answers that a client can distinguish. */
--- a/src/main/java/hollyslip/audit/Witness.java
+++ b/src/main/java/hollyslip/audit/RunRecords.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.MappingIterator;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SequenceWriter;
-import hollyslip.standin.Command;
+import hollyslip.standin.CommandRecord;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,17 +16,18 @@
 /** Reads and writes the records of a run in a directory: {@code figures.json} with the parameters of the
  * rules, and with one JSON value per line {@code asked-*.jsonl} of clients, {@code commands-*.jsonl} of disk
  * servers and {@code told-*.jsonl} of the operator. */
-public final class Witness {
+public final class RunRecords {
   /** Adds the kind of event to each line. */
   @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "told")
-  @JsonSubTypes({@JsonSubTypes.Type(value = Told.State.class, name = "state"),
-      @JsonSubTypes.Type(value = Told.Born.class, name = "born"),
-      @JsonSubTypes.Type(value = Told.Started.class, name = "started")})
+  @JsonSubTypes({@JsonSubTypes.Type(value = OperatorEvent.NodeStateChange.class, name = "state"),
+      @JsonSubTypes.Type(value = OperatorEvent.NodeStart.class, name = "born"),
+      @JsonSubTypes.Type(value = OperatorEvent.GatewayStart.class, name = "started")})
   private interface OperatorEventMixin {}
 
-  private static final ObjectMapper JSON = new ObjectMapper().addMixIn(Told.class, OperatorEventMixin.class);
+  private static final ObjectMapper JSON = new ObjectMapper().addMixIn(OperatorEvent.class,
+      OperatorEventMixin.class);
 
-  private Witness() {}
+  private RunRecords() {}
 
   private static <T> void write(Path file, Class<T> type, List<T> values) throws IOException {
     try (SequenceWriter writer = JSON.writerFor(type)
@@ -55,19 +56,20 @@
     return values;
   }
 
-  public static void writeRequests(Path dir, String client, List<Asked> requests) throws IOException {
-    write(dir.resolve("asked-" + client + ".jsonl"), Asked.class, requests);
+  public static void writeRequests(Path dir, String client, List<RequestRecord> requests) throws IOException {
+    write(dir.resolve("asked-" + client + ".jsonl"), RequestRecord.class, requests);
   }
 
-  public static void writeCommands(Path dir, String server, List<Command> commands) throws IOException {
-    write(dir.resolve("commands-" + server + ".jsonl"), Command.class, commands);
+  public static void writeCommands(Path dir, String server, List<CommandRecord> commands) throws IOException {
+    write(dir.resolve("commands-" + server + ".jsonl"), CommandRecord.class, commands);
   }
 
-  public static void writeOperatorEvents(Path dir, String operator, List<Told> events) throws IOException {
-    write(dir.resolve("told-" + operator + ".jsonl"), Told.class, events);
+  public static void writeOperatorEvents(Path dir, String operator, List<OperatorEvent> events)
+      throws IOException {
+    write(dir.resolve("told-" + operator + ".jsonl"), OperatorEvent.class, events);
   }
 
-  public static void writeParameters(Path dir, Figures parameters) throws IOException {
+  public static void writeParameters(Path dir, AuditParameters parameters) throws IOException {
     JSON.writeValue(dir.resolve("figures.json").toFile(), parameters);
   }
 
@@ -76,8 +78,8 @@
    * @throws IOException
    *           if a record cannot be read; the message names the file and the record */
   public static Auditor.Report audit(Path dir) throws IOException {
-    Figures parameters = JSON.readValue(dir.resolve("figures.json").toFile(), Figures.class);
-    return Auditor.check(parameters, readAll(dir, "asked", Asked.class),
-        readAll(dir, "commands", Command.class), readAll(dir, "told", Told.class));
+    AuditParameters parameters = JSON.readValue(dir.resolve("figures.json").toFile(), AuditParameters.class);
+    return Auditor.check(parameters, readAll(dir, "asked", RequestRecord.class),
+        readAll(dir, "commands", CommandRecord.class), readAll(dir, "told", OperatorEvent.class));
   }
 }
--- a/src/main/java/hollyslip/cli/AdminCommand.java
+++ b/src/main/java/hollyslip/cli/AdminCommand.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import hollyslip.admin.ApiClient;
-import hollyslip.tenant.Plain;
+import hollyslip.tenant.NumberFormatter;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -118,7 +118,7 @@
   private int update(ApiClient api, String method, JsonNode body) throws IOException {
     String tag = revision == null ? null : "\"" + revision + "\"";
     if (tag == null) {
-      ApiClient.Answer current = api.send("GET", itemPath(name()), null, Map.of());
+      ApiClient.Response current = api.send("GET", itemPath(name()), null, Map.of());
       if (!current.isSuccess()) {
         return printResponse(current);
       }
@@ -133,7 +133,7 @@
     String base = collectionPath(arguments.isEmpty() ? "" : arguments.get(0) + "/");
     String after = null;
     do {
-      ApiClient.Answer answer = api.send("GET", base + "?limit=1000" + (after == null
+      ApiClient.Response answer = api.send("GET", base + "?limit=1000" + (after == null
           ? ""
           : "&after=" + after),
           null, Map.of());
@@ -160,7 +160,7 @@
       for (int i = 0; i < row.length; i++) {
         JsonNode value = item.at("/" + headers[i].replace('.', '/'));
         row[i] = headers[i].endsWith("bytes") && value.isIntegralNumber()
-            ? Plain.formatBytes(value.asLong())
+            ? NumberFormatter.formatBytes(value.asLong())
             : value.asText();
       }
       rows.add(row);
@@ -180,7 +180,7 @@
     }
   }
 
-  private int printResponse(ApiClient.Answer answer) {
+  private int printResponse(ApiClient.Response answer) {
     if (answer.isSuccess()) {
       if (answer.body() != null) {
         System.out.println(json ? answer.body().toString() : answer.body().toPrettyString());
--- a/src/main/java/hollyslip/cli/AuditCommand.java
+++ b/src/main/java/hollyslip/cli/AuditCommand.java
@@ -1,7 +1,7 @@
 package hollyslip.cli;
 
 import hollyslip.audit.Auditor;
-import hollyslip.audit.Witness;
+import hollyslip.audit.RunRecords;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -19,7 +19,7 @@
   @Override
   public Integer call() {
     try {
-      return printReport(Witness.audit(dir)) ? Main.EXIT_OK : Main.EXIT_FAILURE;
+      return printReport(RunRecords.audit(dir)) ? Main.EXIT_OK : Main.EXIT_FAILURE;
     } catch (IOException e) {
       System.err.println(e.getMessage());
       return Main.EXIT_INVALID_INPUT;
--- a/src/main/java/hollyslip/cli/BenchCommand.java
+++ b/src/main/java/hollyslip/cli/BenchCommand.java
@@ -1,9 +1,9 @@
 package hollyslip.cli;
 
 import hollyslip.load.CoresBench;
-import hollyslip.load.LoadBench;
+import hollyslip.load.LoadGeneratorBench;
 import hollyslip.load.ModuleBench;
-import hollyslip.load.Profile;
+import hollyslip.load.Profiler;
 import hollyslip.load.RingComparison;
 import hollyslip.load.TenantBench;
 import java.nio.file.Path;
@@ -44,7 +44,7 @@
       if (profile == null) {
         run();
       } else {
-        Profile.run(event, profile, event + "-" + getClass().getSimpleName().toLowerCase(Locale.ROOT),
+        Profiler.run(event, profile, event + "-" + getClass().getSimpleName().toLowerCase(Locale.ROOT),
             this::run);
       }
       return Main.EXIT_OK;
@@ -108,7 +108,7 @@
 
     @Override
     void run() throws Exception {
-      new LoadBench(rounds, seconds, threads, rates).run();
+      new LoadGeneratorBench(rounds, seconds, threads, rates).run();
     }
   }
 }
--- a/src/main/java/hollyslip/cli/CheckCommand.java
+++ b/src/main/java/hollyslip/cli/CheckCommand.java
@@ -14,7 +14,7 @@
 
   @Override
   public Integer call() {
-    Loader.Loaded loaded = Loader.load(file);
+    Loader.LoadResult loaded = Loader.load(file);
     loaded.faults().forEach(System.out::println);
     if (!loaded.faults().isEmpty()) {
       System.out.println(loaded.faults().size() + " faults");
--- a/src/main/java/hollyslip/cli/DayPlayback.java
+++ b/src/main/java/hollyslip/cli/DayPlayback.java
@@ -1,7 +1,7 @@
 package hollyslip.cli;
 
-import hollyslip.load.Day;
-import hollyslip.load.DayRunner;
+import hollyslip.load.Scenario;
+import hollyslip.load.ScenarioRunner;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -15,10 +15,10 @@
 
   private DayPlayback() {}
 
-  static int play(Day day, Path dir) throws IOException, InterruptedException {
+  static int play(Scenario day, Path dir) throws IOException, InterruptedException {
     Path records = dir == null ? Files.createTempDirectory("hollyslip-day-") : dir;
     System.out.println("records and logs: " + records);
-    DayRunner.Result result = new DayRunner(day, records, System.out, CLOCK_SLACK_US).play();
+    ScenarioRunner.Result result = new ScenarioRunner(day, records, System.out, CLOCK_SLACK_US).play();
     System.out.println();
     System.out.printf("%-12s %10s%n", "answer", "requests");
     result.answers()
--- a/src/main/java/hollyslip/cli/DemoCommand.java
+++ b/src/main/java/hollyslip/cli/DemoCommand.java
@@ -1,6 +1,6 @@
 package hollyslip.cli;
 
-import hollyslip.load.Day;
+import hollyslip.load.Scenario;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -19,7 +19,7 @@
   public Integer call() throws IOException, InterruptedException {
     LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.WARN);
     try (InputStream in = DemoCommand.class.getResourceAsStream("/hollyslip/demo.day")) {
-      return DayPlayback.play(Day.parse(new String(in.readAllBytes(), StandardCharsets.UTF_8)), dir);
+      return DayPlayback.play(Scenario.parse(new String(in.readAllBytes(), StandardCharsets.UTF_8)), dir);
     }
   }
 }
--- a/src/main/java/hollyslip/cli/EmulateCommand.java
+++ b/src/main/java/hollyslip/cli/EmulateCommand.java
@@ -1,9 +1,9 @@
 package hollyslip.cli;
 
-import hollyslip.audit.Asked;
-import hollyslip.emulator.Outcome;
-import hollyslip.emulator.World;
-import hollyslip.load.Day;
+import hollyslip.audit.RequestRecord;
+import hollyslip.emulator.EmulationResult;
+import hollyslip.emulator.Emulation;
+import hollyslip.load.Scenario;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -27,12 +27,12 @@
   @Override
   public Integer call() throws IOException {
     LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.ERROR);
-    Day day;
+    Scenario day;
     try {
-      day = Day.parse(Files.readString(file));
+      day = Scenario.parse(Files.readString(file));
       day = seed == null ? day : day.with(seed);
       long startNanos = System.nanoTime();
-      Outcome outcome = World.play(day);
+      EmulationResult outcome = Emulation.play(day);
       double seconds = (System.nanoTime() - startNanos) / 1e9;
       printPlans(outcome);
       if (printTimeline) {
@@ -49,15 +49,16 @@
   }
 
   /** Prints a row per plan. */
-  static void printPlans(Outcome outcome) {
+  static void printPlans(EmulationResult outcome) {
     printHeader("plan");
     outcome.plans().forEach(EmulateCommand::printRow);
   }
 
-  private static void printTimeline(Outcome outcome) {
+  private static void printTimeline(EmulationResult outcome) {
     printHeader("due at, s");
     for (int i = 0; i < outcome.timeline().size(); i++) {
-      printRow(String.format(Locale.ROOT, "%.2f", i * Outcome.INTERVAL_US / 1e6), outcome.timeline().get(i));
+      printRow(String.format(Locale.ROOT, "%.2f", i * EmulationResult.INTERVAL_US / 1e6), outcome.timeline()
+          .get(i));
     }
   }
 
@@ -66,11 +67,12 @@
         "failed", "in aim", "p50 ms", "p99 ms", "p99.9 ms");
   }
 
-  private static void printRow(String name, Outcome.Tally tally) {
+  private static void printRow(String name, EmulationResult.Tally tally) {
     double requests = Math.max(1, tally.asked());
     System.out.printf(Locale.ROOT, "%-14s %9d %7.2f%% %7.2f%% %7.2f%% %7.2f%% %9.2f %9.2f %9.2f%n", name,
-        tally.asked(), 100 * tally.count(Asked.Answer.SERVED) / requests,
-        100 * tally.count(Asked.Answer.REFUSED) / requests, 100 * tally.count(Asked.Answer.FAILED) / requests,
+        tally.asked(), 100 * tally.count(RequestRecord.Answer.SERVED) / requests,
+        100 * tally.count(RequestRecord.Answer.REFUSED) / requests, 100 * tally.count(
+            RequestRecord.Answer.FAILED) / requests,
         100 * tally.inAim(), tally.latency().getValueAtPercentile(50) / 1e3,
         tally.latency().getValueAtPercentile(99) / 1e3, tally.latency().getValueAtPercentile(99.9) / 1e3);
   }
--- a/src/main/java/hollyslip/cli/LoadCommand.java
+++ b/src/main/java/hollyslip/cli/LoadCommand.java
@@ -2,12 +2,12 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import hollyslip.emulator.Outcome;
-import hollyslip.emulator.World;
-import hollyslip.load.Day;
+import hollyslip.emulator.EmulationResult;
+import hollyslip.emulator.Emulation;
+import hollyslip.load.Scenario;
 import hollyslip.load.LatencyLog;
 import hollyslip.load.LoadRun;
-import hollyslip.load.Stage;
+import hollyslip.load.LocalCluster;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -61,9 +61,9 @@
     public Integer call() throws IOException, InterruptedException {
       LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.WARN);
       LoadRun run;
-      Day day;
+      Scenario day;
       try {
-        day = Day.parse(Files.readString(file));
+        day = Scenario.parse(Files.readString(file));
         day = seconds == null ? day : day.withDuration(seconds);
         day = seed == null ? day : day.with(seed);
         int[] share = parseProcess();
@@ -230,7 +230,7 @@
     public Integer call() throws IOException, InterruptedException {
       LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.WARN);
       try {
-        Day day = Day.parse(Files.readString(file)).with(List.of());
+        Scenario day = Scenario.parse(Files.readString(file)).with(List.of());
         System.out.printf("%-6s %-16s %26s %26s %26s%n", "load", "plan.kind", "served a second", "p50 ms",
             "p99 ms");
         for (double t : loadFactors) {
@@ -243,10 +243,10 @@
       }
     }
 
-    private static void compareAtLoad(Day day, double times) throws IOException, InterruptedException {
+    private static void compareAtLoad(Scenario day, double times) throws IOException, InterruptedException {
       Path dir = Files.createTempDirectory("hollyslip-forecast");
       LoadRun.Result result;
-      try (Stage stage = new Stage(day, dir)) {
+      try (LocalCluster stage = new LocalCluster(day, dir)) {
         stage.start();
         // Warm-up: the JVM compiles the gateways' code as it is used, so the first run is not counted.
         new LoadRun(new LoadRun.Config(day.withDuration(Math.min(5, day.seconds())), stage.socketDirs(), 0, 1,
@@ -255,7 +255,7 @@
             false, 1_000))
             .run();
       }
-      Outcome outcome = World.play(day);
+      EmulationResult outcome = Emulation.play(day);
       for (String tag : result.log().tags()) {
         Histogram measured = result.log().merged(tag);
         Histogram simulated = outcome.plansAndKinds().get(tag).latency();
--- a/src/main/java/hollyslip/cli/ReplayCommand.java
+++ b/src/main/java/hollyslip/cli/ReplayCommand.java
@@ -1,6 +1,6 @@
 package hollyslip.cli;
 
-import hollyslip.load.Day;
+import hollyslip.load.Scenario;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -20,10 +20,10 @@
   @Override
   public Integer call() throws IOException, InterruptedException {
     LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.WARN);
-    Day day;
+    Scenario day;
     try {
-      day = Day.parse(Files.readString(file));
-    } catch (Day.Wrong e) {
+      day = Scenario.parse(Files.readString(file));
+    } catch (Scenario.ParseException e) {
       System.err.println(file + ": " + e.getMessage());
       return Main.EXIT_INVALID_INPUT;
     }
--- a/src/main/java/hollyslip/cli/RingCommand.java
+++ b/src/main/java/hollyslip/cli/RingCommand.java
@@ -112,7 +112,7 @@
 
     @Override
     public Integer call() throws IOException {
-      RingLoad load = new RingLoad(new RingLoad.Plan("burst", "", "", 0, bytes, count, depth, 0, reads, 4,
+      RingLoad load = new RingLoad(new RingLoad.Config("burst", "", "", 0, bytes, count, depth, 0, reads, 4,
           10_000_000, 4096, System.nanoTime()), socket);
       load.run();
       var latency = load.latency();
--- a/src/main/java/hollyslip/cli/SearchCommand.java
+++ b/src/main/java/hollyslip/cli/SearchCommand.java
@@ -1,8 +1,8 @@
 package hollyslip.cli;
 
-import hollyslip.emulator.BadDays;
-import hollyslip.emulator.BadDays.Found;
-import hollyslip.load.Day;
+import hollyslip.emulator.ScenarioSearch;
+import hollyslip.emulator.ScenarioSearch.Finding;
+import hollyslip.load.Scenario;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -33,16 +33,16 @@
   public Integer call() throws IOException {
     LogSetup.configure(LogSetup.Form.text, ch.qos.logback.classic.Level.OFF);
     try {
-      BadDays search = new BadDays(Day.parse(Files.readString(file)), seed);
-      List<Found> all = search.search(rounds, days);
-      List<Found> broken = all.stream().filter(found -> !found.brokenRules().isEmpty()).toList();
+      ScenarioSearch search = new ScenarioSearch(Scenario.parse(Files.readString(file)), seed);
+      List<Finding> all = search.search(rounds, days);
+      List<Finding> broken = all.stream().filter(found -> !found.brokenRules().isEmpty()).toList();
       System.out.printf("simulated: %d days, %d broke a rule%n", search.runCount(), broken.size());
       Files.createDirectories(out);
       int written = 0;
-      for (Found found : (broken.isEmpty() ? all : broken).subList(0, Math.min(keep, broken.isEmpty()
+      for (Finding found : (broken.isEmpty() ? all : broken).subList(0, Math.min(keep, broken.isEmpty()
           ? all.size()
           : broken.size()))) {
-        Found smallest = broken.isEmpty() ? found : search.shrink(found);
+        Finding smallest = broken.isEmpty() ? found : search.shrink(found);
         Path target = out.resolve((broken.isEmpty() ? "worst-" : "broken-") + written++ + ".day");
         Files.writeString(target, "# found by hollyslip search, seed " + seed + "; in aim " + smallest.inAim()
             + " "
--- a/src/main/java/hollyslip/cli/ServeCommand.java
+++ b/src/main/java/hollyslip/cli/ServeCommand.java
@@ -35,7 +35,7 @@
   @Override
   public Integer call() throws Exception {
     LogSetup.configure(form, Level.toLevel(logLevel));
-    Loader.Loaded loaded = Loader.load(file);
+    Loader.LoadResult loaded = Loader.load(file);
     if (!loaded.faults().isEmpty()) {
       loaded.faults().forEach(System.err::println);
       return Main.EXIT_INVALID_INPUT;
@@ -60,7 +60,7 @@
     if (gateway.admin() != null) {
       gateway.admin().reloadCertificate();
     }
-    Loader.Loaded reloaded = Loader.load(file);
+    Loader.LoadResult reloaded = Loader.load(file);
     if (reloaded.faults().isEmpty()) {
       Deployment deployment = reloaded.deployment();
       gateway.replaceNodes(deployment);
--- a/src/main/java/hollyslip/cli/StandinCommand.java
+++ b/src/main/java/hollyslip/cli/StandinCommand.java
@@ -1,8 +1,8 @@
 package hollyslip.cli;
 
-import hollyslip.audit.Witness;
+import hollyslip.audit.RunRecords;
 import hollyslip.standin.FaultControl;
-import hollyslip.standin.DiskServer;
+import hollyslip.standin.StandInDiskServer;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -36,10 +36,10 @@
 
   @Override
   public Integer call() throws IOException {
-    DiskServer.Config config = cores == 0
-        ? DiskServer.Config.plain(name, (long) shardMib << 20, records != null)
-        : DiskServer.Config.timed(name, (long) shardMib << 20, cores, queue, baseUs, seed);
-    try (DiskServer server = new DiskServer(config, port, data)) {
+    StandInDiskServer.Config config = cores == 0
+        ? StandInDiskServer.Config.plain(name, (long) shardMib << 20, records != null)
+        : StandInDiskServer.Config.timed(name, (long) shardMib << 20, cores, queue, baseUs, seed);
+    try (StandInDiskServer server = new StandInDiskServer(config, port, data)) {
       System.out.println("port " + server.address().getPort());
       BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
       for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -52,7 +52,7 @@
         }
       }
       if (records != null) {
-        Witness.writeCommands(records, name, server.commands());
+        RunRecords.writeCommands(records, name, server.commands());
       }
     }
     return Main.EXIT_OK;
--- a/src/main/java/hollyslip/emulator/EmulatedClient.java
+++ b/src/main/java/hollyslip/emulator/EmulatedClient.java
@@ -1,12 +1,12 @@
 package hollyslip.emulator;
 
 import hollyslip.HostScheduler.RequestClass;
-import hollyslip.audit.Asked;
+import hollyslip.audit.RequestRecord;
 import hollyslip.engine.Answer;
 import hollyslip.engine.Engine;
 import hollyslip.engine.IoRequest;
 import hollyslip.load.ArrivalProcess;
-import hollyslip.load.Day;
+import hollyslip.load.Scenario;
 import hollyslip.load.RequestMix;
 import hollyslip.node.Nbd;
 import hollyslip.volume.IoKind;
@@ -21,8 +21,8 @@
 /** A client of a volume at one gateway, which submits requests on an open-loop schedule. Requests that find
  * no room in its ring wait in a backlog; their latency counts from the due time. */
 final class EmulatedClient {
-  final Day.VolumeLoad load;
-  private final World emulation;
+  final Scenario.VolumeLoad load;
+  private final Emulation emulation;
   private final EmulatedGateway gateway;
   private final String name;
   private final ArrivalProcess arrivals;
@@ -82,14 +82,14 @@
         return;
       }
       if (answered) {
-        recordOutcome(2, Asked.Answer.NONE, false);
+        recordOutcome(2, RequestRecord.Answer.NONE, false);
         return;
       }
       answered = true;
       outstanding.remove(this);
-      Asked.Answer outcome = Asked.Answer.valueOf(answer.kind().name());
+      RequestRecord.Answer outcome = RequestRecord.Answer.valueOf(answer.kind().name());
       recordOutcome(1, outcome, false);
-      if (retryImmediately && outcome != Asked.Answer.SERVED && !ended) {
+      if (retryImmediately && outcome != RequestRecord.Answer.SERVED && !ended) {
         addDueRequest();
       }
       submitBacklog();
@@ -100,9 +100,9 @@
       // No memory to free.
     }
 
-    void recordOutcome(int answers, Asked.Answer answer, boolean disconnected) {
+    void recordOutcome(int answers, RequestRecord.Answer answer, boolean disconnected) {
       long now = emulation.events.now();
-      emulation.recordRequest(new Asked(name, gateway.name, load.volume(), id, kind == IoKind.READ
+      emulation.recordRequest(new RequestRecord(name, gateway.name, load.volume(), id, kind == IoKind.READ
           ? Nbd.CMD_READ
           : Nbd.CMD_WRITE, offset, length, 0, -1, writeId, askedUs, deadlineUs, answers, answers > 0
               ? now
@@ -111,7 +111,8 @@
     }
   }
 
-  EmulatedClient(World emulation, EmulatedGateway gateway, Day.VolumeLoad load, int index, int clientCount,
+  EmulatedClient(Emulation emulation, EmulatedGateway gateway, Scenario.VolumeLoad load, int index,
+      int clientCount,
       long volumeBytes, long seed) {
     this.emulation = emulation;
     this.gateway = gateway;
@@ -202,7 +203,7 @@
       if (request.accepted) {
         request.abandoned = true;
         outstanding.remove(request);
-        request.recordOutcome(0, Asked.Answer.NONE, true);
+        request.recordOutcome(0, RequestRecord.Answer.NONE, true);
         gateway.abandon(request.ioRequest);
       }
     }
@@ -213,7 +214,7 @@
   void recordUnanswered() {
     outstanding.forEach(request -> {
       if (request.accepted) {
-        request.recordOutcome(0, Asked.Answer.NONE, false);
+        request.recordOutcome(0, RequestRecord.Answer.NONE, false);
       }
     });
     emulation.recordNeverSubmitted(load.plan(), outstanding.stream()
--- a/src/main/java/hollyslip/emulator/EmulatedGateway.java
+++ b/src/main/java/hollyslip/emulator/EmulatedGateway.java
@@ -22,7 +22,7 @@
   /** Maximum length of a command, bytes; the same as in the real gateway. */
   private static final int MAX_COMMAND_BYTES = 1 << 20;
 
-  final World emulation;
+  final Emulation emulation;
   final int index;
   final String name;
   private final HostScheduler.Settings settings;
@@ -43,7 +43,7 @@
   private double busyUntil;
   private boolean runningEngine;
 
-  EmulatedGateway(World emulation, int index, RequestClassifier classifier, SplittableRandom random) {
+  EmulatedGateway(Emulation emulation, int index, RequestClassifier classifier, SplittableRandom random) {
     this.emulation = emulation;
     this.index = index;
     this.classifier = classifier;
--- a/src/main/java/hollyslip/emulator/EmulatedNode.java
+++ b/src/main/java/hollyslip/emulator/EmulatedNode.java
@@ -1,7 +1,7 @@
 package hollyslip.emulator;
 
 import hollyslip.node.Nbd;
-import hollyslip.standin.Command;
+import hollyslip.standin.CommandRecord;
 import hollyslip.standin.Faults;
 import hollyslip.standin.ServiceModel;
 import java.util.ArrayList;
@@ -21,7 +21,7 @@
   private final EventQueue events;
   private final ServiceModel.Config config;
   private final SplittableRandom random;
-  private final List<Command> commandLog = new ArrayList<>();
+  private final List<CommandRecord> commandLog = new ArrayList<>();
   /** Commands received but not finished. */
   private final Set<InFlightCommand> pending = new LinkedHashSet<>();
   private final Set<EmulatedConnection> connections = new LinkedHashSet<>();
@@ -66,7 +66,7 @@
   /** Ends the node's process: pending commands are never executed, and its connections break. */
   void kill() {
     up = false;
-    pending.forEach(command -> recordCommand(command, 0, Command.Result.SWALLOWED));
+    pending.forEach(command -> recordCommand(command, 0, CommandRecord.Result.SWALLOWED));
     pending.clear();
     newestSerialByClient.clear();
     List<EmulatedConnection> broken = List.copyOf(connections);
@@ -103,7 +103,7 @@
   void receive(InFlightCommand command) {
     command.receivedUs = events.now();
     if (faults.silent) {
-      recordCommand(command, 0, Command.Result.SWALLOWED);
+      recordCommand(command, 0, CommandRecord.Result.SWALLOWED);
       return;
     }
     long doneAt = faults.full || faults.draining
@@ -111,7 +111,7 @@
         : model.completionTime(events.now(), command.length, pending.size(), faults.slowCommandRate,
             faults.slowCommandFactor);
     if (doneAt < 0) {
-      recordCommand(command, 0, Command.Result.FULL);
+      recordCommand(command, 0, CommandRecord.Result.FULL);
       command.connection.reply(command, hollyslip.HostScheduler.Result.FULL);
       return;
     }
@@ -126,28 +126,28 @@
     }
     double draw = random.nextDouble();
     if (newestSerialByClient.getOrDefault(command.connection.client(), 0L) > command.connection.serial) {
-      recordCommand(command, 0, Command.Result.FENCED);
+      recordCommand(command, 0, CommandRecord.Result.FENCED);
     } else if (draw < faults.errorRate) {
-      recordCommand(command, 0, Command.Result.ERROR);
+      recordCommand(command, 0, CommandRecord.Result.ERROR);
       command.connection.reply(command, hollyslip.HostScheduler.Result.ERROR);
     } else if (draw < faults.errorRate + faults.lostResponseRate) {
-      recordCommand(command, events.now(), Command.Result.DONE_SILENTLY);
+      recordCommand(command, events.now(), CommandRecord.Result.DONE_SILENTLY);
     } else {
-      recordCommand(command, events.now(), Command.Result.DONE);
+      recordCommand(command, events.now(), CommandRecord.Result.DONE);
       command.connection.reply(command, hollyslip.HostScheduler.Result.OK);
     }
   }
 
-  private void recordCommand(InFlightCommand command, long doneUs, Command.Result result) {
-    commandLog.add(new Command(name, bootCount, command.connection.process(), command.connection.serial,
+  private void recordCommand(InFlightCommand command, long doneUs, CommandRecord.Result result) {
+    commandLog.add(new CommandRecord(name, bootCount, command.connection.process(), command.connection.serial,
         command.cookie,
         command.export, command.kind, command.offset,
         command.length, command.receivedUs, doneUs, command.writeId, result, command.sentUs));
   }
 
   /** All commands received; to be called after the end of the run. */
-  List<Command> commandLog() {
-    pending.forEach(command -> recordCommand(command, 0, Command.Result.SWALLOWED));
+  List<CommandRecord> commandLog() {
+    pending.forEach(command -> recordCommand(command, 0, CommandRecord.Result.SWALLOWED));
     pending.clear();
     return commandLog;
   }
--- a/src/main/java/hollyslip/emulator/World.java
+++ b/src/main/java/hollyslip/emulator/Emulation.java
@@ -3,15 +3,15 @@
 import hollyslip.HostScheduler.NodeEntry;
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.HostScheduler.RequestClass;
-import hollyslip.audit.Asked;
+import hollyslip.audit.RequestRecord;
 import hollyslip.audit.Auditor;
-import hollyslip.audit.Told;
-import hollyslip.load.Day;
+import hollyslip.audit.OperatorEvent;
+import hollyslip.load.Scenario;
 import hollyslip.load.ScenarioSettings;
 import hollyslip.node.Nbd;
 import hollyslip.settings.Deployment;
 import hollyslip.settings.Loader;
-import hollyslip.standin.Command;
+import hollyslip.standin.CommandRecord;
 import hollyslip.standin.ServiceModel;
 import hollyslip.volume.RequestClassifier;
 import hollyslip.volume.IoKind;
@@ -31,10 +31,10 @@
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 
-/** Plays a {@link Day} in virtual time, with the production engine and scheduler and with models of nodes,
- * network and clients. Single-threaded and deterministic: equal scenarios give equal runs. The models use
- * parameters of their own, so the results are always labelled as simulated. */
-public final class World {
+/** Plays a {@link Scenario} in virtual time, with the production engine and scheduler and with models of
+ * nodes, network and clients. Single-threaded and deterministic: equal scenarios give equal runs. The models
+ * use parameters of their own, so the results are always labelled as simulated. */
+public final class Emulation {
   /** Maximum delay until a gateway learns a node state set by the operator, us. */
   private static final long MAX_LIST_DELAY_US = 50_000;
   /** Age of the nodes at the start, us; they are long warm. */
@@ -42,7 +42,7 @@
   /** Additional run time after the end of the load and the last deadline, us. */
   private static final long DRAIN_TIME_US = 2_000_000;
 
-  final Day scenario;
+  final Scenario scenario;
   final EventQueue events = new EventQueue();
   private final Deployment deployment;
   private final Map<String, Volume> volumes;
@@ -52,16 +52,16 @@
   private final List<EmulatedGateway> gateways = new ArrayList<>();
   private final List<EmulatedClient> clients = new ArrayList<>();
   private final NodeState[] states;
-  private final List<Asked> asked = new ArrayList<>();
-  private final List<Told> operatorRecords = new ArrayList<>();
+  private final List<RequestRecord> asked = new ArrayList<>();
+  private final List<OperatorEvent> operatorRecords = new ArrayList<>();
   private final Map<String, NodeState> lastToldStates = new HashMap<>();
-  private final Map<String, Outcome.Tally> tallies = new TreeMap<>();
-  private final Map<String, Outcome.Tally> kinds = new TreeMap<>();
-  private final List<Outcome.Tally> timeline = new ArrayList<>();
+  private final Map<String, EmulationResult.Tally> tallies = new TreeMap<>();
+  private final Map<String, EmulationResult.Tally> kinds = new TreeMap<>();
+  private final List<EmulationResult.Tally> timeline = new ArrayList<>();
   private boolean nodeListDown;
   private long lastWriteId;
 
-  private World(Day scenario, Deployment deployment) {
+  private Emulation(Scenario scenario, Deployment deployment) {
     this.scenario = scenario;
     this.deployment = deployment;
     volumes = deployment.volumesByName();
@@ -77,15 +77,15 @@
    *
    * @throws IllegalArgumentException
    *           if its plans or volumes do not make valid settings; the message names the reason */
-  public static Outcome play(Day scenario) {
-    World emulation = new World(scenario, deployment(scenario));
+  public static EmulationResult play(Scenario scenario) {
+    Emulation emulation = new Emulation(scenario, deployment(scenario));
     emulation.build();
     emulation.scenario.disturbances().forEach(emulation::scheduleDisturbance);
     return emulation.run();
   }
 
   /** Settings of the scenario's gateways. */
-  private static Deployment deployment(Day scenario) {
+  private static Deployment deployment(Scenario scenario) {
     try {
       Path dir = Files.createTempDirectory("hollyslip-emulate");
       try {
@@ -94,7 +94,7 @@
             i -> NodeState.ON));
         Path file = Files.writeString(dir.resolve("gateway-0.star"), ScenarioSettings.gatewayScript(scenario,
             0));
-        Loader.Loaded loaded = Loader.load(file);
+        Loader.LoadResult loaded = Loader.load(file);
         if (!loaded.faults().isEmpty()) {
           throw new IllegalArgumentException("invalid settings for the scenario: " + loaded.faults());
         }
@@ -124,7 +124,7 @@
     }
     // Drawn exactly as in the load generator, so that both submit the same requests at the same times.
     SplittableRandom clientSeeds = new SplittableRandom(scenario.seed());
-    for (Day.VolumeLoad load : scenario.volumes()) {
+    for (Scenario.VolumeLoad load : scenario.volumes()) {
       int clientCount = scenario.clientCount(load);
       for (int index = 0; index < clientCount; index++) {
         EmulatedGateway gateway = gateways.get(scenario.gatewayOf(load, index));
@@ -137,13 +137,13 @@
       }
     }
     gateways.forEach(gateway -> {
-      operatorRecords.add(new Told.Started(gateway.name, events.now()));
+      operatorRecords.add(new OperatorEvent.GatewayStart(gateway.name, events.now()));
       gateway.start();
     });
     clients.forEach(EmulatedClient::scheduleNextArrival);
   }
 
-  private Outcome run() {
+  private EmulationResult run() {
     long end = EventQueue.START_US + (long) (scenario.seconds() * 1e6);
     events.runUntil(end);
     clients.forEach(EmulatedClient::endLoad);
@@ -153,9 +153,9 @@
         .max()
         .orElseThrow());
     clients.forEach(EmulatedClient::recordUnanswered);
-    List<Command> commands = new ArrayList<>();
+    List<CommandRecord> commands = new ArrayList<>();
     nodes.forEach(node -> commands.addAll(node.commandLog()));
-    return new Outcome(Auditor.check(ScenarioSettings.auditFigures(deployment, 0, 0), asked, commands,
+    return new EmulationResult(Auditor.check(ScenarioSettings.auditFigures(deployment, 0, 0), asked, commands,
         operatorRecords), tallies,
         kinds, timeline, events
             .processedCount());
@@ -216,22 +216,23 @@
       NodeState before = lastToldStates.getOrDefault(key, NodeState.ON);
       if (before != entry.state()) {
         lastToldStates.put(key, entry.state());
-        operatorRecords.add(new Told.State(gateway.name, nodes.get((int) entry.node() - 1).name, entry
-            .state(), events
-                .now()));
+        operatorRecords.add(new OperatorEvent.NodeStateChange(gateway.name, nodes.get((int) entry.node()
+            - 1).name, entry
+                .state(), events
+                    .now()));
       }
     }
   }
 
-  void recordRequest(Asked request, String plan, long dueUs, long aimUs) {
+  void recordRequest(RequestRecord request, String plan, long dueUs, long aimUs) {
     asked.add(request);
     tally(plan).add(request.answer(), request.left(), request.answeredUs() - dueUs, aimUs);
     kinds.computeIfAbsent(plan + (request.kind() == Nbd.CMD_READ ? ".read" : ".write"),
-        key -> new Outcome.Tally())
+        key -> new EmulationResult.Tally())
         .add(request.answer(), request.left(), request.answeredUs() - dueUs, aimUs);
-    int interval = (int) ((dueUs - EventQueue.START_US) / Outcome.INTERVAL_US);
+    int interval = (int) ((dueUs - EventQueue.START_US) / EmulationResult.INTERVAL_US);
     while (timeline.size() <= interval) {
-      timeline.add(new Outcome.Tally());
+      timeline.add(new EmulationResult.Tally());
     }
     timeline.get(interval).add(request.answer(), request.left(), request.answeredUs() - dueUs, aimUs);
   }
@@ -240,8 +241,8 @@
     tally(plan).neverSubmitted(count);
   }
 
-  private Outcome.Tally tally(String plan) {
-    return tallies.computeIfAbsent(plan, k -> new Outcome.Tally());
+  private EmulationResult.Tally tally(String plan) {
+    return tallies.computeIfAbsent(plan, k -> new EmulationResult.Tally());
   }
 
   // Disturbances.
@@ -250,7 +251,7 @@
     events.schedule(EventQueue.START_US + (long) (seconds * 1e6), action);
   }
 
-  private void scheduleDisturbance(Day.Disturbance disturbance) {
+  private void scheduleDisturbance(Scenario.Disturbance disturbance) {
     double endSeconds = disturbance.at() + disturbance.seconds();
     switch (disturbance.kind()) {
       case "stall" -> scheduleOnNodes(disturbance, node -> node.stallFor((long) (disturbance.seconds()
@@ -330,7 +331,7 @@
     }
   }
 
-  private void scheduleCrash(EmulatedGateway gateway, Day.Disturbance disturbance) {
+  private void scheduleCrash(EmulatedGateway gateway, Scenario.Disturbance disturbance) {
     schedule(disturbance.at(), () -> {
       if (gateway.isAlive()) {
         gateway.kill();
@@ -338,13 +339,13 @@
     });
     schedule(disturbance.at() + disturbance.seconds(), () -> {
       if (!gateway.isAlive()) {
-        operatorRecords.add(new Told.Started(gateway.name, events.now()));
+        operatorRecords.add(new OperatorEvent.GatewayStart(gateway.name, events.now()));
         gateway.start();
       }
     });
   }
 
-  private void scheduleOnNodes(Day.Disturbance disturbance, Consumer<EmulatedNode> begin,
+  private void scheduleOnNodes(Scenario.Disturbance disturbance, Consumer<EmulatedNode> begin,
       Consumer<EmulatedNode> end) {
     for (EmulatedNode node : affectedNodes(disturbance)) {
       schedule(disturbance.at(), () -> begin.accept(node));
@@ -352,7 +353,7 @@
     }
   }
 
-  private List<EmulatedNode> affectedNodes(Day.Disturbance disturbance) {
+  private List<EmulatedNode> affectedNodes(Scenario.Disturbance disturbance) {
     if (!disturbance.target().isEmpty()) {
       return nodes.stream().filter(node -> node.name.equals(disturbance.target())).toList();
     }
@@ -365,14 +366,14 @@
     return chosen;
   }
 
-  private List<EmulatedClient> targetClients(Day.Disturbance disturbance) {
+  private List<EmulatedClient> targetClients(Scenario.Disturbance disturbance) {
     return clients.stream()
         .filter(client -> client.load.volume().equals(disturbance.target()) || client.load.plan()
             .equals(disturbance.target()))
         .toList();
   }
 
-  private void scheduleLoadFactor(Day.Disturbance disturbance, Predicate<EmulatedClient> filter) {
+  private void scheduleLoadFactor(Scenario.Disturbance disturbance, Predicate<EmulatedClient> filter) {
     schedule(disturbance.at(), () -> clients.stream()
         .filter(filter)
         .forEach(client -> client.rateFactor(disturbance.size())));
@@ -384,7 +385,7 @@
   private void restart(EmulatedNode node) {
     node.faults.clear();
     node.start();
-    operatorRecords.add(new Told.Born(node.name, events.now()));
+    operatorRecords.add(new OperatorEvent.NodeStart(node.name, events.now()));
   }
 
   private void setNodeState(EmulatedNode node, NodeState state) {
--- a/src/main/java/hollyslip/emulator/Outcome.java
+++ b/src/main/java/hollyslip/emulator/EmulationResult.java
@@ -1,6 +1,6 @@
 package hollyslip.emulator;
 
-import hollyslip.audit.Asked;
+import hollyslip.audit.RequestRecord;
 import hollyslip.audit.Auditor;
 import java.util.EnumMap;
 import java.util.List;
@@ -20,7 +20,8 @@
  *          tallies by due time of the requests, in intervals of {@link #INTERVAL_US} from the start
  * @param eventCount
  *          number of events processed in virtual time */
-public record Outcome(Auditor.Report audit, Map<String, Tally> plans, Map<String, Tally> plansAndKinds,
+public record EmulationResult(Auditor.Report audit, Map<String, Tally> plans,
+    Map<String, Tally> plansAndKinds,
     List<Tally> timeline,
     long eventCount) {
   /** Length of an interval of the timeline, us. */
@@ -29,17 +30,17 @@
   /** Tally of requests. Latencies, us, are measured from due time to answer and cover served requests
    * only. */
   public static final class Tally {
-    private final Map<Asked.Answer, Long> answers = new EnumMap<>(Asked.Answer.class);
+    private final Map<RequestRecord.Answer, Long> answers = new EnumMap<>(RequestRecord.Answer.class);
     private final Histogram latency = new Histogram(3_600_000_000L, 3);
     private long inAim, abandoned, neverSubmitted;
 
-    void add(Asked.Answer answer, boolean disconnected, long latencyUs, long aimUs) {
+    void add(RequestRecord.Answer answer, boolean disconnected, long latencyUs, long aimUs) {
       if (disconnected) {
         abandoned++;
         return;
       }
       answers.merge(answer, 1L, Long::sum);
-      if (answer == Asked.Answer.SERVED) {
+      if (answer == RequestRecord.Answer.SERVED) {
         latency.recordValue(Math.min(latencyUs, latency.getHighestTrackableValue()));
         inAim += latencyUs <= aimUs ? 1 : 0;
       }
@@ -58,7 +59,7 @@
     }
 
     /** Number of requests that ended with this answer. */
-    public long count(Asked.Answer answer) {
+    public long count(RequestRecord.Answer answer) {
       return answers.getOrDefault(answer, 0L);
     }
 
--- a/src/main/java/hollyslip/emulator/Experiment.java
+++ b/src/main/java/hollyslip/emulator/Experiment.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import hollyslip.audit.Asked;
-import hollyslip.load.Day;
+import hollyslip.audit.RequestRecord;
+import hollyslip.load.Scenario;
 import hollyslip.settings.Script;
 import hollyslip.settings.ScriptError;
 import java.io.IOException;
@@ -162,8 +162,8 @@
     return matcher.appendTail(out).toString();
   }
 
-  private Day scenario(Map<String, String> point, long seed) {
-    return Day.parse(scenarioText(point)).with(seed);
+  private Scenario scenario(Map<String, String> point, long seed) {
+    return Scenario.parse(scenarioText(point)).with(seed);
   }
 
   /** Runs what is not stored yet on the given number of threads, and returns all runs of this experiment.
@@ -238,22 +238,24 @@
   }
 
   private Run play(Map<String, String> point, long seed, String dayText) {
-    Outcome result = World.play(scenario(point, seed));
-    Outcome.Tally tally = result.all();
+    EmulationResult result = Emulation.play(scenario(point, seed));
+    EmulationResult.Tally tally = result.all();
     double requests = Math.max(1, tally.asked());
-    return new Run(point, seed, dayText, tally.inAim(), tally.count(Asked.Answer.SERVED) / requests, tally
-        .count(Asked.Answer.REFUSED)
-        / requests, tally
-            .count(Asked.Answer.FAILED) / requests, tally.latency().getValueAtPercentile(50), tally.latency()
-                .getValueAtPercentile(99), tally
-                    .latency()
-                    .getValueAtPercentile(99.9), result.eventCount(), result.audit()
-                        .breaches()
-                        .stream()
-                        .map(breach -> breach.rule().name())
-                        .distinct()
-                        .sorted()
-                        .toList());
+    return new Run(point, seed, dayText, tally.inAim(), tally.count(RequestRecord.Answer.SERVED) / requests,
+        tally
+            .count(RequestRecord.Answer.REFUSED)
+            / requests, tally
+                .count(RequestRecord.Answer.FAILED) / requests, tally.latency().getValueAtPercentile(50),
+        tally.latency()
+            .getValueAtPercentile(99), tally
+                .latency()
+                .getValueAtPercentile(99.9), result.eventCount(), result.audit()
+                    .breaches()
+                    .stream()
+                    .map(breach -> breach.rule().name())
+                    .distinct()
+                    .sorted()
+                    .toList());
   }
 
   /** Runs at one point, ordered by seed. */
--- a/src/main/java/hollyslip/emulator/BadDays.java
+++ b/src/main/java/hollyslip/emulator/ScenarioSearch.java
@@ -1,8 +1,8 @@
 package hollyslip.emulator;
 
 import hollyslip.audit.Auditor;
-import hollyslip.load.Day;
-import hollyslip.load.Day.Disturbance;
+import hollyslip.load.Scenario;
+import hollyslip.load.Scenario.Disturbance;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -15,22 +15,23 @@
 /** Searches for scenarios that break a rule or serve the fewest requests in time: generates random
  * disturbances, mutates the worst scenarios found, and shrinks those that break a rule. Scenarios run on all
  * cores; the findings depend only on the seed. */
-public final class BadDays {
+public final class ScenarioSearch {
   private static final int MAX_DISTURBANCES = 6;
   private static final double MIN_DURATION_S = 0.1;
-  private static final List<String> KINDS = List.copyOf(new TreeSet<>(Day.KINDS));
+  private static final List<String> KINDS = List.copyOf(new TreeSet<>(Scenario.KINDS));
 
-  private final Day base;
+  private final Scenario base;
   private final SplittableRandom random;
   private int runCount;
 
   /** A scenario that was run: {@code broken} are the rules that it broke, {@code inAim} is the fraction of
    * requests served within their aim. */
-  public record Found(Day scenario, List<Auditor.Rule> brokenRules, double inAim, String firstBreach) {}
+  public record Finding(Scenario scenario, List<Auditor.Rule> brokenRules, double inAim,
+      String firstBreach) {}
 
   /** @param base
    *          scenario whose disturbances are replaced by generated ones */
-  public BadDays(Day base, long seed) {
+  public ScenarioSearch(Scenario base, long seed) {
     this.base = base;
     random = new SplittableRandom(seed);
   }
@@ -43,10 +44,10 @@
   /** Runs {@code rounds} rounds of {@code each} scenarios. Half of each round is generated, the other half
    * mutated from the worst scenarios so far. Returns all scenarios, worst first: those that broke a rule,
    * then by the fraction served in time. */
-  public List<Found> search(int rounds, int each) {
-    List<Found> all = new ArrayList<>();
+  public List<Finding> search(int rounds, int each) {
+    List<Finding> all = new ArrayList<>();
     for (int round = 0; round < rounds; round++) {
-      List<Day> scenarios = new ArrayList<>();
+      List<Scenario> scenarios = new ArrayList<>();
       for (int i = 0; i < each; i++) {
         boolean mutated = !all.isEmpty() && i % 2 == 0;
         scenarios.add(base.with(random.nextLong(1L << 40))
@@ -56,15 +57,15 @@
       }
       all.addAll(IntStream.range(0, each).parallel().mapToObj(i -> play(scenarios.get(i))).toList());
       runCount += each;
-      all.sort(Comparator.comparingInt((Found finding) -> finding.brokenRules().isEmpty() ? 1 : 0)
-          .thenComparingDouble(Found::inAim));
+      all.sort(Comparator.comparingInt((Finding finding) -> finding.brokenRules().isEmpty() ? 1 : 0)
+          .thenComparingDouble(Finding::inAim));
     }
     return all;
   }
 
-  private static Found play(Day scenario) {
-    Outcome result = World.play(scenario);
-    return new Found(scenario, result.audit()
+  private static Finding play(Scenario scenario) {
+    EmulationResult result = Emulation.play(scenario);
+    return new Finding(scenario, result.audit()
         .breaches()
         .stream()
         .map(Auditor.Breach::rule)
@@ -78,26 +79,26 @@
   /** Shrinks a finding to the smallest scenario that still breaks the first rule that {@code found} broke, by
    * removing disturbances, shortening them, reducing the fraction that they affect, and shortening the
    * load. */
-  public Found shrink(Found found) {
+  public Finding shrink(Finding found) {
     Auditor.Rule rule = found.brokenRules().get(0);
-    Found[] smallest = {found};
-    Predicate<Day> breaks = scenario -> {
-      Found finding = play(scenario);
+    Finding[] smallest = {found};
+    Predicate<Scenario> breaks = scenario -> {
+      Finding finding = play(scenario);
       runCount++;
       boolean stillBreaks = finding.brokenRules().contains(rule);
       smallest[0] = stillBreaks ? finding : smallest[0];
       return stillBreaks;
     };
     for (boolean shrunk = true; shrunk;) {
-      Optional<Day> next = simplifications(smallest[0].scenario()).stream().filter(breaks).findFirst();
+      Optional<Scenario> next = simplifications(smallest[0].scenario()).stream().filter(breaks).findFirst();
       shrunk = next.isPresent();
     }
     return smallest[0];
   }
 
   /** All scenarios that are one step simpler, the largest steps first. */
-  static List<Day> simplifications(Day scenario) {
-    List<Day> all = new ArrayList<>();
+  static List<Scenario> simplifications(Scenario scenario) {
+    List<Scenario> all = new ArrayList<>();
     List<Disturbance> disturbances = scenario.disturbances();
     for (int i = 0; i < disturbances.size(); i++) {
       List<Disturbance> fewer = new ArrayList<>(disturbances);
@@ -178,8 +179,8 @@
       case "late-write" -> Math.max(0.1, roundToTenth(random.nextDouble(3)));
       default -> 1;
     };
-    List<Day.VolumeLoad> volumes = base.volumes();
-    return new Disturbance(at, kind, Day.LOAD_KINDS.contains(kind)
+    List<Scenario.VolumeLoad> volumes = base.volumes();
+    return new Disturbance(at, kind, Scenario.LOAD_KINDS.contains(kind)
         ? volumes.get(random.nextInt(volumes.size())).volume()
         : "",
         seconds,
--- a/src/main/java/hollyslip/front/vhost/RequestProcessor.java
+++ b/src/main/java/hollyslip/front/vhost/RequestProcessor.java
@@ -170,7 +170,7 @@
   }
 
   private int tailBytes() {
-    return connection.hasFeature(Wire.BLK_REFUSED) ? BlockRequest.EXTENDED_TAIL_BYTES : 1;
+    return connection.hasFeature(VhostUserProtocol.BLK_REFUSED) ? BlockRequest.EXTENDED_TAIL_BYTES : 1;
   }
 
   private void answerImmediately(Ring ring, int head, BlockRequest request) {
@@ -189,7 +189,7 @@
     for (PendingRequest pending = answers.poll(); pending != null; pending = answers.poll()) {
       any = true;
       inFlight.remove(pending);
-      boolean refusedNegotiated = connection.hasFeature(Wire.BLK_REFUSED);
+      boolean refusedNegotiated = connection.hasFeature(VhostUserProtocol.BLK_REFUSED);
       byte status = switch (pending.answer.kind()) {
         case SERVED -> BlockRequest.OK;
         case REFUSED -> refusedNegotiated ? BlockRequest.REFUSED : BlockRequest.IOERR;
--- a/src/main/java/hollyslip/front/vhost/VhostUserConnection.java
+++ b/src/main/java/hollyslip/front/vhost/VhostUserConnection.java
@@ -21,13 +21,16 @@
   /** Maximum number of queues of one device. */
   static final int MAX_QUEUES = 16;
 
-  private static final long FEATURES = Wire.F_INDIRECT_DESC | Wire.F_EVENT_IDX | Wire.F_PROTOCOL_FEATURES
-      | Wire.F_VERSION_1
-      | Wire.BLK_SEG_MAX | Wire.BLK_BLK_SIZE | Wire.BLK_FLUSH | Wire.BLK_MQ | Wire.BLK_DISCARD
-      | Wire.BLK_WRITE_ZEROES | Wire.BLK_REFUSED;
-  private static final long PROTOCOL_FEATURES = Wire.PROTOCOL_F_MQ | Wire.PROTOCOL_F_REPLY_ACK
-      | Wire.PROTOCOL_F_BACKEND_REQ | Wire.PROTOCOL_F_CONFIG
-      | Wire.PROTOCOL_F_INFLIGHT_SHMFD | Wire.PROTOCOL_F_CONFIGURE_MEM_SLOTS;
+  private static final long FEATURES = VhostUserProtocol.F_INDIRECT_DESC | VhostUserProtocol.F_EVENT_IDX
+      | VhostUserProtocol.F_PROTOCOL_FEATURES
+      | VhostUserProtocol.F_VERSION_1
+      | VhostUserProtocol.BLK_SEG_MAX | VhostUserProtocol.BLK_BLK_SIZE | VhostUserProtocol.BLK_FLUSH
+      | VhostUserProtocol.BLK_MQ | VhostUserProtocol.BLK_DISCARD
+      | VhostUserProtocol.BLK_WRITE_ZEROES | VhostUserProtocol.BLK_REFUSED;
+  private static final long PROTOCOL_FEATURES = VhostUserProtocol.PROTOCOL_F_MQ
+      | VhostUserProtocol.PROTOCOL_F_REPLY_ACK
+      | VhostUserProtocol.PROTOCOL_F_BACKEND_REQ | VhostUserProtocol.PROTOCOL_F_CONFIG
+      | VhostUserProtocol.PROTOCOL_F_INFLIGHT_SHMFD | VhostUserProtocol.PROTOCOL_F_CONFIGURE_MEM_SLOTS;
   private static final int MAX_MEMORY_SLOTS = 64;
   private static final int CONFIG_BYTES = 60;
   private static final int MAX_SEGMENTS = 126;
@@ -48,7 +51,7 @@
   private ByteBuffer inflightView;
   private int inflightQueues, inflightSize;
   private Ring drainingRing;
-  private Wire.Message pendingBaseRequest;
+  private VhostUserProtocol.Message pendingBaseRequest;
 
   /** The client closed its end of the socket. */
   static final class DisconnectedException extends RuntimeException {
@@ -90,7 +93,8 @@
   void notifyConfigChanged() {
     if (backendRequestFd >= 0) {
       try {
-        Linux.sendWithoutBlocking(backendRequestFd, Wire.encode(Wire.BACKEND_CONFIG_CHANGE_MSG, 0,
+        Linux.sendWithoutBlocking(backendRequestFd, VhostUserProtocol.encode(
+            VhostUserProtocol.BACKEND_CONFIG_CHANGE_MSG, 0,
             new byte[0]));
       } catch (IOException e) {
         LOG.atDebug()
@@ -118,9 +122,9 @@
       byte[] bytes = receiveBuffer.getByteArray(0, received.bytes());
       input.put(bytes);
       input.flip();
-      for (Wire.Message message = Wire.decode(input); message != null
+      for (VhostUserProtocol.Message message = VhostUserProtocol.decode(input); message != null
           && drainingRing == null; message = drainingRing == null
-              ? Wire.decode(input)
+              ? VhostUserProtocol.decode(input)
               : null) {
         handleMessage(message);
         ProtocolViolationException.check(receivedFds.isEmpty(), "message " + message.request()
@@ -130,30 +134,32 @@
     }
   }
 
-  private void handleMessage(Wire.Message message) throws IOException {
-    ProtocolViolationException.check((message.flags() & Wire.FLAG_REPLY) == 0,
+  private void handleMessage(VhostUserProtocol.Message message) throws IOException {
+    ProtocolViolationException.check((message.flags() & VhostUserProtocol.FLAG_REPLY) == 0,
         "message.flags: unexpected reply");
     ByteBuffer payload = message.payload();
     boolean replied = true;
     switch (message.request()) {
-      case Wire.GET_FEATURES -> reply(message, Wire.u64Payload(FEATURES));
-      case Wire.GET_PROTOCOL_FEATURES -> reply(message, Wire.u64Payload(PROTOCOL_FEATURES));
-      case Wire.GET_QUEUE_NUM -> reply(message, Wire.u64Payload(MAX_QUEUES));
-      case Wire.GET_MAX_MEM_SLOTS -> reply(message, Wire.u64Payload(MAX_MEMORY_SLOTS));
-      case Wire.GET_CONFIG -> sendConfig(message);
-      case Wire.GET_INFLIGHT_FD -> createInflightRegion(message);
-      case Wire.GET_VRING_BASE -> stopRing(message);
+      case VhostUserProtocol.GET_FEATURES -> reply(message, VhostUserProtocol.u64Payload(FEATURES));
+      case VhostUserProtocol.GET_PROTOCOL_FEATURES -> reply(message, VhostUserProtocol.u64Payload(
+          PROTOCOL_FEATURES));
+      case VhostUserProtocol.GET_QUEUE_NUM -> reply(message, VhostUserProtocol.u64Payload(MAX_QUEUES));
+      case VhostUserProtocol.GET_MAX_MEM_SLOTS -> reply(message, VhostUserProtocol.u64Payload(
+          MAX_MEMORY_SLOTS));
+      case VhostUserProtocol.GET_CONFIG -> sendConfig(message);
+      case VhostUserProtocol.GET_INFLIGHT_FD -> createInflightRegion(message);
+      case VhostUserProtocol.GET_VRING_BASE -> stopRing(message);
       default -> { handleCommand(message, payload); replied = false; }
     }
-    if (!replied && (message.flags() & Wire.FLAG_NEED_REPLY) != 0 && (protocolFeatures
-        & Wire.PROTOCOL_F_REPLY_ACK) != 0) {
-      reply(message, Wire.u64Payload(0));
+    if (!replied && (message.flags() & VhostUserProtocol.FLAG_NEED_REPLY) != 0 && (protocolFeatures
+        & VhostUserProtocol.PROTOCOL_F_REPLY_ACK) != 0) {
+      reply(message, VhostUserProtocol.u64Payload(0));
     }
   }
 
-  private void handleCommand(Wire.Message message, ByteBuffer payload) throws IOException {
+  private void handleCommand(VhostUserProtocol.Message message, ByteBuffer payload) throws IOException {
     switch (message.request()) {
-      case Wire.SET_FEATURES -> {
+      case VhostUserProtocol.SET_FEATURES -> {
         requireSize(payload, 8, "SET_FEATURES");
         long requested = payload.getLong();
         ProtocolViolationException.check((requested & ~FEATURES) == 0, "SET_FEATURES: bits " + Long
@@ -164,7 +170,7 @@
             "SET_FEATURES: a ring is running");
         features = requested;
       }
-      case Wire.SET_PROTOCOL_FEATURES -> {
+      case VhostUserProtocol.SET_PROTOCOL_FEATURES -> {
         requireSize(payload, 8, "SET_PROTOCOL_FEATURES");
         long requested = payload.getLong();
         ProtocolViolationException.check((requested & ~PROTOCOL_FEATURES) == 0, "SET_PROTOCOL_FEATURES: bits "
@@ -172,13 +178,13 @@
                 & ~PROTOCOL_FEATURES) + " were not offered");
         protocolFeatures = requested;
       }
-      case Wire.SET_OWNER -> {
+      case VhostUserProtocol.SET_OWNER -> {
         ProtocolViolationException.check(!owned, "SET_OWNER: already has an owner");
         owned = true;
       }
-      case Wire.RESET_OWNER -> owned = false;
-      case Wire.SET_MEM_TABLE -> setMemoryTable(payload);
-      case Wire.ADD_MEM_REG -> {
+      case VhostUserProtocol.RESET_OWNER -> owned = false;
+      case VhostUserProtocol.SET_MEM_TABLE -> setMemoryTable(payload);
+      case VhostUserProtocol.ADD_MEM_REG -> {
         requireSize(payload, 40, "ADD_MEM_REG");
         payload.getLong();
         ProtocolViolationException.check(memory.regions.size() < MAX_MEMORY_SLOTS,
@@ -186,8 +192,8 @@
                 + MAX_MEMORY_SLOTS);
         addRegion(payload);
       }
-      case Wire.REM_MEM_REG -> removeRegion(payload);
-      case Wire.SET_VRING_NUM -> {
+      case VhostUserProtocol.REM_MEM_REG -> removeRegion(payload);
+      case VhostUserProtocol.SET_VRING_NUM -> {
         Ring ring = stoppedRing(payload, "SET_VRING_NUM");
         int size = payload.getInt();
         ProtocolViolationException.check(size > 0 && size <= Virtqueue.MAX_SIZE && Integer.bitCount(
@@ -195,46 +201,48 @@
             "SET_VRING_NUM: invalid queue size " + size);
         ring.size = size;
       }
-      case Wire.SET_VRING_ADDR -> setRingAddresses(payload);
-      case Wire.SET_VRING_BASE -> stoppedRing(payload, "SET_VRING_BASE").firstAvailIdx = payload.getInt()
+      case VhostUserProtocol.SET_VRING_ADDR -> setRingAddresses(payload);
+      case VhostUserProtocol.SET_VRING_BASE -> stoppedRing(payload, "SET_VRING_BASE").firstAvailIdx = payload
+          .getInt()
           & 0xffff;
-      case Wire.SET_VRING_KICK -> {
+      case VhostUserProtocol.SET_VRING_KICK -> {
         Ring ring = ringForFd(payload, "SET_VRING_KICK");
         ring.kickFd = takeEventfd(payload, ring.kickFd, "SET_VRING_KICK");
         start(ring);
       }
-      case Wire.SET_VRING_CALL -> {
+      case VhostUserProtocol.SET_VRING_CALL -> {
         Ring ring = ringForFd(payload, "SET_VRING_CALL");
         ring.callFd = takeEventfd(payload, ring.callFd, "SET_VRING_CALL");
       }
-      case Wire.SET_VRING_ERR -> {
+      case VhostUserProtocol.SET_VRING_ERR -> {
         Ring ring = ringForFd(payload, "SET_VRING_ERR");
         ring.errFd = takeEventfd(payload, ring.errFd, "SET_VRING_ERR");
       }
-      case Wire.SET_BACKEND_REQ_FD -> {
-        ProtocolViolationException.check((protocolFeatures & Wire.PROTOCOL_F_BACKEND_REQ) != 0,
+      case VhostUserProtocol.SET_BACKEND_REQ_FD -> {
+        ProtocolViolationException.check((protocolFeatures & VhostUserProtocol.PROTOCOL_F_BACKEND_REQ) != 0,
             "SET_BACKEND_REQ_FD: not negotiated");
         Integer fd = receivedFds.poll();
         ProtocolViolationException.check(fd != null, "SET_BACKEND_REQ_FD: no file descriptor");
         Linux.closeAll(backendRequestFd);
         backendRequestFd = fd;
       }
-      case Wire.SET_VRING_ENABLE -> {
+      case VhostUserProtocol.SET_VRING_ENABLE -> {
         requireSize(payload, 8, "SET_VRING_ENABLE");
         Ring ring = ring(payload.getInt(), "SET_VRING_ENABLE");
         ring.enabled = payload.getInt() != 0;
         start(ring);
       }
-      case Wire.SET_CONFIG -> throw new ProtocolViolationException(
+      case VhostUserProtocol.SET_CONFIG -> throw new ProtocolViolationException(
           "SET_CONFIG: the configuration is read-only");
-      case Wire.SET_INFLIGHT_FD -> setInflightRegion(payload);
+      case VhostUserProtocol.SET_INFLIGHT_FD -> setInflightRegion(payload);
       default -> throw new ProtocolViolationException("message.request: " + message.request()
           + " is not supported");
     }
   }
 
-  private void reply(Wire.Message message, byte[] payload, int... fds) throws IOException {
-    Linux.send(socket, Wire.encode(message.request(), Wire.FLAG_REPLY, payload), fds);
+  private void reply(VhostUserProtocol.Message message, byte[] payload, int... fds) throws IOException {
+    Linux.send(socket, VhostUserProtocol.encode(message.request(), VhostUserProtocol.FLAG_REPLY, payload),
+        fds);
   }
 
   private static void requireSize(ByteBuffer payload, int bytes, String field) {
@@ -249,7 +257,7 @@
     while (rings.size() <= index) {
       rings.add(new Ring(rings.size()));
       // Without protocol features a ring starts enabled: "Ring states".
-      rings.get(rings.size() - 1).enabled = (features & Wire.F_PROTOCOL_FEATURES) == 0;
+      rings.get(rings.size() - 1).enabled = (features & VhostUserProtocol.F_PROTOCOL_FEATURES) == 0;
     }
     return rings.get(index);
   }
@@ -383,7 +391,8 @@
         "vring.descriptor"), memory.viewAtUserAddress(
             ring.availAddress, Virtqueue.availBytes(ring.size), "vring.available"), memory.viewAtUserAddress(
                 ring.usedAddress, Virtqueue.usedBytes(
-                    ring.size), "vring.used"), ring.firstAvailIdx, (features & Wire.F_EVENT_IDX) != 0);
+                    ring.size), "vring.used"), ring.firstAvailIdx, (features
+                        & VhostUserProtocol.F_EVENT_IDX) != 0);
     if (inflightView != null && ring.index < inflightQueues && ring.size <= inflightSize) {
       int stride = bytesPerQueue(inflightSize);
       List<Integer> heads = ring.queue.recover(new InflightLog(inflightView.slice(ring.index * stride,
@@ -406,7 +415,7 @@
   }
 
   /** Stops a ring; the reply is sent once all of its requests are answered, by {@link #completeStop}. */
-  private void stopRing(Wire.Message message) throws IOException {
+  private void stopRing(VhostUserProtocol.Message message) throws IOException {
     requireSize(message.payload(), 8, "GET_VRING_BASE");
     Ring ring = ring(message.payload().getInt(0), "GET_VRING_BASE");
     pendingBaseRequest = message;
@@ -428,13 +437,13 @@
       ring.kickFd = -1;
     }
     try {
-      reply(pendingBaseRequest, Wire.vringStatePayload(ring.index, nextAvailIdx));
+      reply(pendingBaseRequest, VhostUserProtocol.vringStatePayload(ring.index, nextAvailIdx));
     } catch (IOException e) {
       throw new DisconnectedException();
     }
   }
 
-  private void sendConfig(Wire.Message message) throws IOException {
+  private void sendConfig(VhostUserProtocol.Message message) throws IOException {
     ByteBuffer payload = message.payload();
     ProtocolViolationException.check(payload.remaining() >= 12, "GET_CONFIG: size " + payload.remaining());
     int offset = payload.getInt(0);
@@ -467,7 +476,7 @@
     return (InflightLog.regionBytes(size) + 63) / 64 * 64;
   }
 
-  private void createInflightRegion(Wire.Message message) throws IOException {
+  private void createInflightRegion(VhostUserProtocol.Message message) throws IOException {
     ByteBuffer payload = message.payload();
     ProtocolViolationException.check(payload.remaining() >= 20, "GET_INFLIGHT_FD: size " + payload
         .remaining());
--- a/src/main/java/hollyslip/front/vhost/Wire.java
+++ b/src/main/java/hollyslip/front/vhost/VhostUserProtocol.java
@@ -6,7 +6,7 @@
 /** Messages of the vhost-user protocol (QEMU documentation, "Vhost-user Protocol": "Message Specification",
  * "Front-end message types") and constants of virtio-blk (virtio 1.2, 5.2.3 and 5.2.4). Public, because ring
  * clients speak the protocol too. */
-public final class Wire {
+public final class VhostUserProtocol {
   public static final int GET_FEATURES = 1, SET_FEATURES = 2, SET_OWNER = 3, RESET_OWNER = 4;
   public static final int SET_MEM_TABLE = 5, SET_VRING_NUM = 8, SET_VRING_ADDR = 9, SET_VRING_BASE = 10;
   public static final int GET_VRING_BASE = 11, SET_VRING_KICK = 12, SET_VRING_CALL = 13, SET_VRING_ERR = 14;
@@ -38,7 +38,7 @@
   /** A message as read from the socket; {@code payload} is little-endian, as on all supported machines. */
   public record Message(int request, int flags, ByteBuffer payload) {}
 
-  private Wire() {}
+  private VhostUserProtocol() {}
 
   /** Reads one complete message from the front of {@code in}; returns null if it is still incomplete.
    *
--- a/src/main/java/hollyslip/gateway/Gateway.java
+++ b/src/main/java/hollyslip/gateway/Gateway.java
@@ -6,8 +6,8 @@
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.HostScheduler.VolumeChanged;
 import hollyslip.admin.AdminServer;
-import hollyslip.admin.Carrier;
-import hollyslip.admin.Control;
+import hollyslip.admin.Provisioner;
+import hollyslip.admin.ControlPlane;
 import hollyslip.engine.Engine;
 import hollyslip.engine.EngineLanes;
 import hollyslip.fleet.Membership;
@@ -21,7 +21,7 @@
 import hollyslip.recovery.EpochElection;
 import hollyslip.recovery.EpochElection.Holder;
 import hollyslip.settings.Deployment;
-import hollyslip.store.Folder;
+import hollyslip.store.FileSystemDirectory;
 import hollyslip.tenant.Shard;
 import hollyslip.volume.RequestClassifier;
 import hollyslip.volume.ExtentSplitter;
@@ -65,7 +65,7 @@
   private final SftpServer sftp;
   private final Acceptor acceptor;
   private final HostedVolumes hostedVolumes;
-  private final Control control;
+  private final ControlPlane control;
   private final AdminServer admin;
   private final EpochStore epochStore;
   private final CompletableFuture<Void> superseded = new CompletableFuture<>();
@@ -91,7 +91,7 @@
   public Gateway(Deployment deployment, boolean takeOver) throws IOException {
     this.deployment = deployment;
     currentNodes = deployment.nodes();
-    Deployment.Process process = deployment.gateway();
+    Deployment.GatewayConfig process = deployment.gateway();
     epochStore = new EpochStore(process.stateDir());
     holder = takeEpoch(takeOver);
     lanes = new EngineLanes(createEngines(), deployment.volumesByName(), this::settingsTerms);
@@ -123,7 +123,8 @@
             this::nodeViews);
     control = hostedVolumes == null
         ? null
-        : new Control(new Folder(process.stateDir().resolve("store")), createShards(deployment),
+        : new ControlPlane(new FileSystemDirectory(process.stateDir().resolve("store")), createShards(
+            deployment),
             FIRST_HOSTED_ID, process
                 .hosts(),
             hostedVolumes, System::currentTimeMillis);
@@ -142,7 +143,7 @@
   /** Creates the lanes' engines, each with its own scheduler and random source and its part of the capacity
    * limits. */
   private List<Engine> createEngines() {
-    Deployment.Process process = deployment.gateway();
+    Deployment.GatewayConfig process = deployment.gateway();
     RequestClassifier classifier = new RequestClassifier(deployment.classificationRules(), process
         .unitBytes(), deployment
             .store()
@@ -280,8 +281,8 @@
     return holder.epoch();
   }
 
-  private AdminServer admin(Deployment.Process process) throws IOException {
-    Deployment.Hosting hosting = process.hosting();
+  private AdminServer admin(Deployment.GatewayConfig process) throws IOException {
+    Deployment.TenantHosting hosting = process.hosting();
     AdminServer.ensureOperatorToken(control, process.stateDir().resolve("operator.token"));
     return new AdminServer(control, process.socketDir().resolve("admin.sock"), hosting.port(), hosting.cert(),
         hosting.key());
@@ -314,13 +315,13 @@
     }
   }
 
-  private Map<String, Carrier.NodeView> nodeViews() {
+  private Map<String, Provisioner.NodeView> nodeViews() {
     Map<Long, NodeEntry> listed = new HashMap<>();
     membership.list().forEach(entry -> listed.put(entry.node(), entry));
-    Map<String, Carrier.NodeView> views = new TreeMap<>();
+    Map<String, Provisioner.NodeView> views = new TreeMap<>();
     for (Deployment.Node node : currentNodes) {
       NodeEntry entry = listed.get(node.id());
-      views.put(node.name(), new Carrier.NodeView(node.id(), node.shard(), node.zone(), entry == null
+      views.put(node.name(), new Provisioner.NodeView(node.id(), node.shard(), node.zone(), entry == null
           ? node.state()
           : entry.state()));
     }
@@ -416,7 +417,7 @@
   }
 
   /** Returns the control of hosted tenants; null if hosting is disabled. */
-  public Control control() {
+  public ControlPlane control() {
     return control;
   }
 
--- a/src/main/java/hollyslip/gateway/HostedVolumes.java
+++ b/src/main/java/hollyslip/gateway/HostedVolumes.java
@@ -2,7 +2,7 @@
 
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.HostScheduler.VolumeChanged;
-import hollyslip.admin.Carrier;
+import hollyslip.admin.Provisioner;
 import hollyslip.engine.EngineLanes;
 import hollyslip.front.vhost.Acceptor;
 import hollyslip.front.vhost.VhostServer;
@@ -26,7 +26,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Serves hosted volumes: for each one the engine, the scheduler and a socket in the tenant's directory. */
-final class HostedVolumes implements Carrier {
+final class HostedVolumes implements Provisioner {
   private static final Logger LOG = LoggerFactory.getLogger(HostedVolumes.class);
 
   private final EngineLanes lanes;
--- a/src/main/java/hollyslip/load/BenchDeployment.java
+++ b/src/main/java/hollyslip/load/BenchDeployment.java
@@ -34,7 +34,7 @@
           i,
           ports[i], i));
     }
-    Loader.Loaded loaded = Loader.load(Files.writeString(dir.resolve("bench.star"), script.append(
+    Loader.LoadResult loaded = Loader.load(Files.writeString(dir.resolve("bench.star"), script.append(
         declarations)));
     if (!loaded.faults().isEmpty()) {
       throw new IOException(loaded.faults().toString());
--- a/src/main/java/hollyslip/load/Child.java
+++ b/src/main/java/hollyslip/load/GatewayProcess.java
@@ -11,14 +11,14 @@
 import java.util.List;
 
 /** A gateway running as a separate process, started from the class path of this JVM. */
-public final class Child {
+public final class GatewayProcess {
   private static final int SIGHUP = 1, SIGTERM = 15;
 
   private final Process process;
 
   /** Starts {@code serve FILE} and waits until the gateway accepts clients. Its log is appended to
    * {@code log}. */
-  public Child(Path settings, Path log) throws IOException {
+  public GatewayProcess(Path settings, Path log) throws IOException {
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
     List<String> command = new ArrayList<>(List.of(java, "-Xmx512m", "-XX:+UseSerialGC", "-cp", System
         .getProperty("java.class.path"), "hollyslip.cli.Main", "serve", settings.toString(), "--log",
--- a/src/main/java/hollyslip/load/LoadBench.java
+++ b/src/main/java/hollyslip/load/LoadGeneratorBench.java
@@ -9,12 +9,12 @@
 
 /** Measures how many arrivals per second the load generator sustains. The target is an echo, so all measured
  * lateness is the generator's own. */
-public final class LoadBench {
+public final class LoadGeneratorBench {
   private final int rounds, threads;
   private final double seconds;
   private final int[] rates;
 
-  public LoadBench(int rounds, double seconds, int threads, int[] rates) {
+  public LoadGeneratorBench(int rounds, double seconds, int threads, int[] rates) {
     this.rounds = rounds;
     this.seconds = seconds;
     this.threads = threads;
@@ -67,7 +67,7 @@
   }
 
   private void measure(int rate, int round) throws InterruptedException {
-    Day.VolumeLoad load = new Day.VolumeLoad("v", "p", 64, rate, 0.5, 4, 64, threads,
+    Scenario.VolumeLoad load = new Scenario.VolumeLoad("v", "p", 64, rate, 0.5, 4, 64, threads,
         ArrivalProcess.Shape.POISSON, 0, 0, 0);
     long start = LoadRun.nearFutureStartUs();
     List<OpenLoop.Stats> stats = new ArrayList<>();
--- a/src/main/java/hollyslip/load/LoadRun.java
+++ b/src/main/java/hollyslip/load/LoadRun.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.Histogram;
 
-/** Runs the clients of a {@link Day} against running gateways on open-loop schedules, with one thread per
- * client. Several processes can share a scenario: each runs every n-th client of the same schedule. */
+/** Runs the clients of a {@link Scenario} against running gateways on open-loop schedules, with one thread
+ * per client. Several processes can share a scenario: each runs every n-th client of the same schedule. */
 public final class LoadRun {
   /** Configuration of a run.
    *
@@ -25,7 +25,7 @@
    *          start of the schedule on the machine's monotonic clock
    * @param maxLatenessUs
    *          the run is invalid if the generator is later than this, us, for one request in a thousand */
-  public record Config(Day scenario, List<Path> socketDirs, int process, int processes, long startUs,
+  public record Config(Scenario scenario, List<Path> socketDirs, int process, int processes, long startUs,
       boolean closedLoop,
       long maxLatenessUs) {}
 
@@ -47,7 +47,7 @@
      * late. */
     final LatencyLog ownLog = new LatencyLog();
 
-    Client(Day.VolumeLoad load, int index, int clientCount, long seed) throws IOException {
+    Client(Scenario.VolumeLoad load, int index, int clientCount, long seed) throws IOException {
       Path socket = config.socketDirs()
           .get(config.scenario().gatewayOf(load, index) % config.socketDirs().size())
           .resolve(load.volume() + ".sock");
@@ -83,7 +83,7 @@
     }
     SplittableRandom random = new SplittableRandom(config.scenario().seed());
     int clientIndex = 0;
-    for (Day.VolumeLoad load : config.scenario().volumes()) {
+    for (Scenario.VolumeLoad load : config.scenario().volumes()) {
       int clientCount = config.scenario().clientCount(load);
       for (int index = 0; index < clientCount; index++) {
         long seed = random.nextLong();
--- a/src/main/java/hollyslip/load/Stage.java
+++ b/src/main/java/hollyslip/load/LocalCluster.java
@@ -3,7 +3,7 @@
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.settings.Deployment;
 import hollyslip.settings.Loader;
-import hollyslip.standin.DiskServer;
+import hollyslip.standin.StandInDiskServer;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -12,20 +12,20 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Runs the nodes and gateways of a {@link Day} on real sockets: stand-ins in this process, gateways in
+/** Runs the nodes and gateways of a {@link Scenario} on real sockets: stand-ins in this process, gateways in
  * separate processes. */
-public final class Stage implements AutoCloseable {
+public final class LocalCluster implements AutoCloseable {
   private static final long SHARD_BYTES = 64 << 20;
 
-  final List<DiskServer> disks = new ArrayList<>();
-  final List<Child> gateways = new ArrayList<>();
+  final List<StandInDiskServer> disks = new ArrayList<>();
+  final List<GatewayProcess> gateways = new ArrayList<>();
   final List<Deployment> deployments = new ArrayList<>();
-  private final Day scenario;
+  private final Scenario scenario;
   private final Path dir;
 
   /** @param dir
    *          directory of settings, sockets and logs */
-  public Stage(Day scenario, Path dir) {
+  public LocalCluster(Scenario scenario, Path dir) {
     scenario.checkPlayableOverSockets();
     this.scenario = scenario;
     this.dir = dir;
@@ -34,11 +34,12 @@
   /** Starts everything and returns once clients can connect. */
   public void start() throws IOException {
     Files.createDirectories(dir);
-    Day.Nodes nodes = scenario.nodes();
+    Scenario.Nodes nodes = scenario.nodes();
     for (int i = 0; i < nodes.count(); i++) {
-      disks.add(new DiskServer(DiskServer.Config.timed("store-" + i, SHARD_BYTES, nodes.cores(), nodes
-          .queue(), nodes
-              .baseUs(),
+      disks.add(new StandInDiskServer(StandInDiskServer.Config.timed("store-" + i, SHARD_BYTES, nodes.cores(),
+          nodes
+              .queue(), nodes
+                  .baseUs(),
           scenario.seed() * 100 + i)));
     }
     NodeState[] states = new NodeState[nodes.count()];
@@ -46,7 +47,7 @@
     writeNodeList(states);
     for (int gateway = 0; gateway < scenario.gateways(); gateway++) {
       Files.writeString(settingsFile(gateway), ScenarioSettings.gatewayScript(scenario, gateway));
-      Loader.Loaded loaded = Loader.load(settingsFile(gateway));
+      Loader.LoadResult loaded = Loader.load(settingsFile(gateway));
       if (!loaded.faults().isEmpty()) {
         throw new IOException("invalid settings for the scenario: " + loaded.faults());
       }
@@ -56,8 +57,8 @@
   }
 
   /** Starts the process of a gateway. */
-  Child startGateway(int number) throws IOException {
-    return new Child(settingsFile(number), dir.resolve("gateway-" + number + ".log"));
+  GatewayProcess startGateway(int number) throws IOException {
+    return new GatewayProcess(settingsFile(number), dir.resolve("gateway-" + number + ".log"));
   }
 
   private Path settingsFile(int gateway) {
@@ -81,11 +82,11 @@
 
   @Override
   public void close() throws InterruptedException {
-    for (Child gateway : gateways) {
+    for (GatewayProcess gateway : gateways) {
       if (gateway.isAlive()) {
         gateway.kill();
       }
     }
-    disks.forEach(DiskServer::close);
+    disks.forEach(StandInDiskServer::close);
   }
 }
--- a/src/main/java/hollyslip/load/Profile.java
+++ b/src/main/java/hollyslip/load/Profiler.java
@@ -12,7 +12,7 @@
 
 /** Profiles a piece of work with async-profiler, sampling by timer, which needs no privileges, and reports a
  * table by thread and method and a flame graph. */
-public final class Profile {
+public final class Profiler {
   private static final int WIDTH = 1600, ROW_HEIGHT = 16, MIN_FRAME_WIDTH = 2;
 
   /** A frame of the flame graph: its samples including those of its callees, and the callees by name. */
@@ -26,7 +26,7 @@
     void run() throws Exception;
   }
 
-  private Profile() {}
+  private Profiler() {}
 
   /** Runs {@code work} under the profiler.
    *
--- a/src/main/java/hollyslip/load/RequestMix.java
+++ b/src/main/java/hollyslip/load/RequestMix.java
@@ -7,7 +7,7 @@
 public final class RequestMix {
   private static final int BLOCK = 4_096;
 
-  private final Day.VolumeLoad load;
+  private final Scenario.VolumeLoad load;
   private final long firstByte, blockCount;
   private final SplittableRandom random;
 
@@ -17,7 +17,7 @@
   /** @param index
    *          index of the client among the {@code clientCount} clients of the volume, each of which has its
    *          own part of the volume */
-  public RequestMix(Day.VolumeLoad load, int index, int clientCount, long volumeBytes, long seed) {
+  public RequestMix(Scenario.VolumeLoad load, int index, int clientCount, long volumeBytes, long seed) {
     this.load = load;
     blockCount = volumeBytes / clientCount / BLOCK;
     firstByte = index * blockCount * BLOCK;
--- a/src/main/java/hollyslip/load/RingBench.java
+++ b/src/main/java/hollyslip/load/RingBench.java
@@ -2,7 +2,7 @@
 
 import com.sun.management.ThreadMXBean;
 import hollyslip.engine.Engine;
-import hollyslip.node.NbdDirect;
+import hollyslip.node.DirectNbdClient;
 import hollyslip.volume.IoKind;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -143,7 +143,7 @@
     Map<Long, Long> submittedAt = new ConcurrentHashMap<>();
     Histogram latencies = new Histogram(60_000_000_000L, 3);
     SplittableRandom random = new SplittableRandom(1);
-    try (NbdDirect client = new NbdDirect(node, "shard-0", (id, ok) -> answers.add(id))) {
+    try (DirectNbdClient client = new DirectNbdClient(node, "shard-0", (id, ok) -> answers.add(id))) {
       ByteBuffer[] buffers = new ByteBuffer[depth];
       Arrays.setAll(buffers, i -> ByteBuffer.allocateDirect(block));
       long warmUpEnd = System.nanoTime() + (long) (seconds * 5e8);
--- a/src/main/java/hollyslip/load/RingClient.java
+++ b/src/main/java/hollyslip/load/RingClient.java
@@ -1,7 +1,7 @@
 package hollyslip.load;
 
 import hollyslip.front.sys.Linux;
-import hollyslip.front.vhost.Wire;
+import hollyslip.front.vhost.VhostUserProtocol;
 import hollyslip.volume.IoKind;
 import java.io.IOException;
 import java.lang.invoke.VarHandle;
@@ -146,16 +146,18 @@
   public void connect(Path path) throws IOException {
     detach();
     socket = Linux.connect(path);
-    long offered = sendAndReceive(Wire.GET_FEATURES, new byte[0]).getLong();
-    features = offered & (Wire.F_PROTOCOL_FEATURES | Wire.F_VERSION_1 | Wire.BLK_FLUSH | Wire.BLK_MQ
-        | Wire.BLK_DISCARD
-        | Wire.BLK_WRITE_ZEROES | (options.indirect() ? Wire.F_INDIRECT_DESC : 0) | (options.eventIdx()
-            ? Wire.F_EVENT_IDX
-            : 0) | (options.refusedStatus() ? Wire.BLK_REFUSED : 0));
-    long protocol = sendAndReceive(Wire.GET_PROTOCOL_FEATURES, new byte[0]).getLong();
-    sendAcknowledged(Wire.SET_PROTOCOL_FEATURES, Wire.u64Payload(protocol));
-    sendAcknowledged(Wire.SET_OWNER, new byte[0]);
-    sendAcknowledged(Wire.SET_FEATURES, Wire.u64Payload(features));
+    long offered = sendAndReceive(VhostUserProtocol.GET_FEATURES, new byte[0]).getLong();
+    features = offered & (VhostUserProtocol.F_PROTOCOL_FEATURES | VhostUserProtocol.F_VERSION_1
+        | VhostUserProtocol.BLK_FLUSH | VhostUserProtocol.BLK_MQ
+        | VhostUserProtocol.BLK_DISCARD
+        | VhostUserProtocol.BLK_WRITE_ZEROES | (options.indirect() ? VhostUserProtocol.F_INDIRECT_DESC : 0)
+        | (options.eventIdx()
+            ? VhostUserProtocol.F_EVENT_IDX
+            : 0) | (options.refusedStatus() ? VhostUserProtocol.BLK_REFUSED : 0));
+    long protocol = sendAndReceive(VhostUserProtocol.GET_PROTOCOL_FEATURES, new byte[0]).getLong();
+    sendAcknowledged(VhostUserProtocol.SET_PROTOCOL_FEATURES, VhostUserProtocol.u64Payload(protocol));
+    sendAcknowledged(VhostUserProtocol.SET_OWNER, new byte[0]);
+    sendAcknowledged(VhostUserProtocol.SET_FEATURES, VhostUserProtocol.u64Payload(features));
     if (options.inflightRegion()) {
       shareInflight();
     }
@@ -165,7 +167,7 @@
         .putLong(memoryBytes)
         .putLong(USER_BASE)
         .putLong(0);
-    sendAcknowledged(Wire.SET_MEM_TABLE, table.array(), memoryFd);
+    sendAcknowledged(VhostUserProtocol.SET_MEM_TABLE, table.array(), memoryFd);
     for (Queue q : queues) {
       startQueue(q);
     }
@@ -177,10 +179,10 @@
         .putShort((short) queues.length)
         .putShort((short) options.queueSize());
     if (inflightFd >= 0) {
-      sendAcknowledged(Wire.SET_INFLIGHT_FD, inflightState, inflightFd);
+      sendAcknowledged(VhostUserProtocol.SET_INFLIGHT_FD, inflightState, inflightFd);
       return;
     }
-    send(Wire.GET_INFLIGHT_FD, 0, payload.array());
+    send(VhostUserProtocol.GET_INFLIGHT_FD, 0, payload.array());
     Reply reply = receive();
     inflightFd = reply.fd;
     inflightState = reply.payload.array();
@@ -189,21 +191,23 @@
   private void startQueue(Queue q) throws IOException {
     q.kickFd = Linux.eventfd();
     q.callFd = Linux.eventfd();
-    sendAcknowledged(Wire.SET_VRING_NUM, Wire.vringStatePayload(q.index, options.queueSize()));
+    sendAcknowledged(VhostUserProtocol.SET_VRING_NUM, VhostUserProtocol.vringStatePayload(q.index, options
+        .queueSize()));
     // After the back end has died, all unanswered requests are submitted again, from the index of the used
     // ring on.
-    sendAcknowledged(Wire.SET_VRING_BASE, Wire.vringStatePayload(q.index, Short.toUnsignedInt(q.used.getShort(
-        2))));
-    sendAcknowledged(Wire.SET_VRING_ADDR, littleEndian(40).putInt(q.index)
+    sendAcknowledged(VhostUserProtocol.SET_VRING_BASE, VhostUserProtocol.vringStatePayload(q.index, Short
+        .toUnsignedInt(q.used.getShort(
+            2))));
+    sendAcknowledged(VhostUserProtocol.SET_VRING_ADDR, littleEndian(40).putInt(q.index)
         .putInt(0)
         .putLong(USER_BASE + q.baseOffset)
         .putLong(USER_BASE + q.usedRingOffset())
         .putLong(USER_BASE + q.baseOffset + 16L * options.queueSize())
         .putLong(0)
         .array());
-    sendAcknowledged(Wire.SET_VRING_CALL, Wire.u64Payload(q.index), q.callFd);
-    sendAcknowledged(Wire.SET_VRING_KICK, Wire.u64Payload(q.index), q.kickFd);
-    sendAcknowledged(Wire.SET_VRING_ENABLE, Wire.vringStatePayload(q.index, 1));
+    sendAcknowledged(VhostUserProtocol.SET_VRING_CALL, VhostUserProtocol.u64Payload(q.index), q.callFd);
+    sendAcknowledged(VhostUserProtocol.SET_VRING_KICK, VhostUserProtocol.u64Payload(q.index), q.kickFd);
+    sendAcknowledged(VhostUserProtocol.SET_VRING_ENABLE, VhostUserProtocol.vringStatePayload(q.index, 1));
     Linux.signalEventfd(q.kickFd);
   }
 
@@ -215,9 +219,9 @@
 
   /** Sends a message that is acknowledged, and waits for the acknowledgement. */
   public void sendAcknowledged(int request, byte[] payload, int... fds) throws IOException {
-    send(request, Wire.FLAG_NEED_REPLY, payload, fds);
+    send(request, VhostUserProtocol.FLAG_NEED_REPLY, payload, fds);
     // Messages are acknowledged only once the protocol features are set.
-    if (request != Wire.SET_PROTOCOL_FEATURES) {
+    if (request != VhostUserProtocol.SET_PROTOCOL_FEATURES) {
       long result = receive().payload.getLong();
       if (result != 0) {
         throw new IOException("message " + request + " failed with result " + result);
@@ -235,7 +239,7 @@
 
   /** Sends a message without waiting for a reply. */
   public void send(int request, int flags, byte[] payload, int... fds) throws IOException {
-    Linux.send(socket, Wire.encode(request, flags, payload), fds);
+    Linux.send(socket, VhostUserProtocol.encode(request, flags, payload), fds);
   }
 
   /** Sends raw bytes. */
@@ -247,7 +251,7 @@
     com.sun.jna.Memory buffer = new com.sun.jna.Memory(1024);
     int received = 0;
     int fd = -1;
-    int expected = Wire.HEADER_BYTES;
+    int expected = VhostUserProtocol.HEADER_BYTES;
     while (received < expected) {
       Linux.Poll p = new Linux.Poll();
       p.add(socket);
@@ -261,11 +265,12 @@
       }
       received += Math.max(0, part.bytes());
       fd = part.fds().length > 0 ? part.fds()[0] : fd;
-      if (received == Wire.HEADER_BYTES && expected == Wire.HEADER_BYTES) {
+      if (received == VhostUserProtocol.HEADER_BYTES && expected == VhostUserProtocol.HEADER_BYTES) {
         expected += buffer.getInt(8);
       }
     }
-    return new Reply(ByteBuffer.wrap(buffer.getByteArray(Wire.HEADER_BYTES, expected - Wire.HEADER_BYTES))
+    return new Reply(ByteBuffer.wrap(buffer.getByteArray(VhostUserProtocol.HEADER_BYTES, expected
+        - VhostUserProtocol.HEADER_BYTES))
         .order(ByteOrder.LITTLE_ENDIAN), fd);
   }
 
@@ -358,7 +363,7 @@
       }
       VarHandle.fullFence();
       boolean notify;
-      if ((features & Wire.F_EVENT_IDX) != 0) {
+      if ((features & VhostUserProtocol.F_EVENT_IDX) != 0) {
         int eventIdx = Short.toUnsignedInt(queue.used.getShort(4 + 8 * options.queueSize()));
         notify = (queue.availIdx - eventIdx - 1 & 0xffff) < (queue.availIdx - queue.lastKickedIdx & 0xffff);
       } else {
@@ -403,7 +408,7 @@
     poll.clear();
     boolean ready = false;
     for (Queue q : queues) {
-      if ((features & Wire.F_EVENT_IDX) != 0) {
+      if ((features & VhostUserProtocol.F_EVENT_IDX) != 0) {
         q.avail.putShort(4 + 2 * options.queueSize(), (short) q.usedIdx);
       }
       VarHandle.fullFence();
@@ -431,7 +436,8 @@
 
   /** Stops a queue and returns the index of the next entry of its available ring. */
   public int stopQueue(int queue) throws IOException {
-    return sendAndReceive(Wire.GET_VRING_BASE, Wire.vringStatePayload(queue, 0)).getInt(4);
+    return sendAndReceive(VhostUserProtocol.GET_VRING_BASE, VhostUserProtocol.vringStatePayload(queue, 0))
+        .getInt(4);
   }
 
   /** File descriptor by which a queue is kicked. */
--- a/src/main/java/hollyslip/load/RingLoad.java
+++ b/src/main/java/hollyslip/load/RingLoad.java
@@ -1,6 +1,6 @@
 package hollyslip.load;
 
-import hollyslip.audit.Asked;
+import hollyslip.audit.RequestRecord;
 import hollyslip.engine.Engine;
 import hollyslip.node.Nbd;
 import hollyslip.volume.IoKind;
@@ -47,17 +47,17 @@
    *          bytes per unit
    * @param seed
    *          seed of all random choices */
-  public record Plan(String name, String gateway, String volume, long firstByte, long lengthBytes,
+  public record Config(String name, String gateway, String volume, long firstByte, long lengthBytes,
       int maxRequests, int depth,
       long meanGapUs, double readFraction, int maxBlocks, long deadlineUs, long unitBytes, long seed) {}
 
-  private final Plan config;
+  private final Config config;
   private final Path socket;
   private final RingClient client;
   private final SplittableRandom random;
   private final BlockStamps stamps;
   private final List<OpenRequest> openRequests = new ArrayList<>();
-  private final List<Asked> records = new ArrayList<>();
+  private final List<RequestRecord> records = new ArrayList<>();
   private final List<String> wrongReads = new ArrayList<>();
   private final TreeSet<Long> offsetsBeingWritten = new TreeSet<>();
   private final ByteBuffer writeBuffer;
@@ -94,11 +94,11 @@
     @Override
     public void onComplete(int status, int retryMs, ByteBuffer data) {
       done = true;
-      Asked.Answer answer = status == 0
-          ? Asked.Answer.SERVED
-          : status == 0x80 ? Asked.Answer.REFUSED : Asked.Answer.FAILED;
+      RequestRecord.Answer answer = status == 0
+          ? RequestRecord.Answer.SERVED
+          : status == 0x80 ? RequestRecord.Answer.REFUSED : RequestRecord.Answer.FAILED;
       long now = Engine.monotonicMicros();
-      if (kind == IoKind.READ && answer == Asked.Answer.SERVED) {
+      if (kind == IoKind.READ && answer == RequestRecord.Answer.SERVED) {
         checksum = crc32(data, length);
         String mismatch = stamps.findMismatch(data, offset, minWriteIds);
         if (mismatch != null) {
@@ -107,26 +107,28 @@
       }
       if (kind == IoKind.WRITE) {
         offsetsBeingWritten.remove(offset);
-        if (answer == Asked.Answer.SERVED) {
+        if (answer == RequestRecord.Answer.SERVED) {
           stamps.recordServed(offset, length, id);
         }
       }
-      pendingRetries += retryImmediately && answer != Asked.Answer.SERVED ? 1 : 0;
+      pendingRetries += retryImmediately && answer != RequestRecord.Answer.SERVED ? 1 : 0;
       latency.recordValue(Math.min(now - askedUs, latency.getHighestTrackableValue()));
       recordOutcome(1, now, answer, false);
     }
 
-    void recordOutcome(int answers, long answeredUs, Asked.Answer answer, boolean disconnected) {
+    void recordOutcome(int answers, long answeredUs, RequestRecord.Answer answer, boolean disconnected) {
       int code = kind == IoKind.READ ? Nbd.CMD_READ : Nbd.CMD_WRITE;
-      records.add(new Asked(config.name(), config.gateway(), config.volume(), id, code, offset, length, Math
-          .max(1,
-              length / (double) config.unitBytes()), -1, checksum, askedUs, deadlineUs, answers, answeredUs,
+      records.add(new RequestRecord(config.name(), config.gateway(), config.volume(), id, code, offset,
+          length, Math
+              .max(1,
+                  length / (double) config.unitBytes()), -1, checksum, askedUs, deadlineUs, answers,
+          answeredUs,
           answer,
           disconnected));
     }
   }
 
-  public RingLoad(Plan config, Path socket) throws IOException {
+  public RingLoad(Config config, Path socket) throws IOException {
     this.config = config;
     this.socket = socket;
     int queueSize = Integer.highestOneBit(Math.max(4, config.depth() * 2 - 1));
@@ -203,14 +205,14 @@
       }
       finished = allSubmitted && (openRequests.isEmpty() || Engine.monotonicMicros() > giveUpAtUs);
     }
-    openRequests.forEach(request -> request.recordOutcome(0, 0, Asked.Answer.NONE, false));
+    openRequests.forEach(request -> request.recordOutcome(0, 0, RequestRecord.Answer.NONE, false));
     client.close();
   }
 
   private void disconnectAbruptly() {
     client.detach();
     openRequests.removeIf(request -> request.done);
-    openRequests.forEach(request -> request.recordOutcome(0, 0, Asked.Answer.NONE, true));
+    openRequests.forEach(request -> request.recordOutcome(0, 0, RequestRecord.Answer.NONE, true));
     openRequests.clear();
   }
 
@@ -304,7 +306,7 @@
   }
 
   /** Records of all requests; complete once the client has ended. */
-  public List<Asked> records() {
+  public List<RequestRecord> records() {
     return records;
   }
 
--- a/src/main/java/hollyslip/load/Day.java
+++ b/src/main/java/hollyslip/load/Scenario.java
@@ -28,7 +28,8 @@
  *          volumes and their load
  * @param disturbances
  *          disturbances in order of time */
-public record Day(double seconds, long seed, int gateways, int lanes, boolean exampleSettings, Nodes nodes,
+public record Scenario(double seconds, long seed, int gateways, int lanes, boolean exampleSettings,
+    Nodes nodes,
     Map<String, Map<String, Double>> plans, List<VolumeLoad> volumes, List<Disturbance> disturbances) {
 
   /** The stand-in nodes; they differ only in their seeds. {@code netUs} and {@code engineUs} apply to the
@@ -116,14 +117,14 @@
   private static final Set<String> DISTURBANCE_KEYS = Set.of("target", "for", "part", "size");
 
   /** Thrown if a text is not a valid scenario; the message names the line. */
-  public static final class Wrong extends IllegalArgumentException {
-    Wrong(int lineNumber, String message) {
+  public static final class ParseException extends IllegalArgumentException {
+    ParseException(int lineNumber, String message) {
       super("line " + lineNumber + ": " + message);
     }
   }
 
   /** Parses a scenario. */
-  public static Day parse(String text) {
+  public static Scenario parse(String text) {
     return new Parser().parse(text);
   }
 
@@ -174,10 +175,10 @@
   }
 
   /** Returns a copy with other disturbances, sorted by time. */
-  public Day with(List<Disturbance> others) {
+  public Scenario with(List<Disturbance> others) {
     List<Disturbance> sorted = new ArrayList<>(others);
     sorted.sort(java.util.Comparator.comparingDouble(Disturbance::at));
-    return new Day(seconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes, sorted);
+    return new Scenario(seconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes, sorted);
   }
 
   /** Number of clients of a volume, over all its gateways. */
@@ -196,20 +197,22 @@
   }
 
   /** Returns a copy with the load multiplied by {@code factor}. */
-  public Day scaledBy(double factor) {
-    return new Day(seconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes.stream()
+  public Scenario scaledBy(double factor) {
+    return new Scenario(seconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes.stream()
         .map(v -> v.scaledBy(factor))
         .toList(), disturbances);
   }
 
   /** Returns a copy whose load lasts {@code newSeconds} seconds. */
-  public Day withDuration(double newSeconds) {
-    return new Day(newSeconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes, disturbances);
+  public Scenario withDuration(double newSeconds) {
+    return new Scenario(newSeconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes,
+        disturbances);
   }
 
   /** Returns a copy with another seed. */
-  public Day with(long otherSeed) {
-    return new Day(seconds, otherSeed, gateways, lanes, exampleSettings, nodes, plans, volumes, disturbances);
+  public Scenario with(long otherSeed) {
+    return new Scenario(seconds, otherSeed, gateways, lanes, exampleSettings, nodes, plans, volumes,
+        disturbances);
   }
 
   private static final class Parser {
@@ -224,7 +227,7 @@
     private final List<Disturbance> disturbances = new ArrayList<>();
     private int lineNumber;
 
-    Day parse(String text) {
+    Scenario parse(String text) {
       for (String raw : text.split("\n", -1)) {
         lineNumber++;
         String[] words = raw.replaceFirst("#.*", "").strip().split("\\s+");
@@ -234,15 +237,16 @@
       }
       for (VolumeLoad load : volumes) {
         if (!exampleSettings && !plans.containsKey(load.plan())) {
-          throw new Wrong(lineNumber, "volume " + load.volume() + ": plan " + load.plan()
+          throw new ParseException(lineNumber, "volume " + load.volume() + ": plan " + load.plan()
               + " is not declared");
         }
       }
       if (volumes.isEmpty()) {
-        throw new Wrong(lineNumber, "no volume is declared");
+        throw new ParseException(lineNumber, "no volume is declared");
       }
       disturbances.sort(java.util.Comparator.comparingDouble(Disturbance::at));
-      return new Day(seconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes, disturbances);
+      return new Scenario(seconds, seed, gateways, lanes, exampleSettings, nodes, plans, volumes,
+          disturbances);
     }
 
     private void parseLine(String[] words) {
@@ -253,7 +257,7 @@
         case "lanes" -> lanes = (int) parseNumber(words, 1, 1, 16);
         case "settings" -> {
           if (words.length != 2 || !words[1].equals("example")) {
-            throw new Wrong(lineNumber, "settings: only 'example' is supported");
+            throw new ParseException(lineNumber, "settings: only 'example' is supported");
           }
           exampleSettings = true;
         }
@@ -266,13 +270,13 @@
                       .getOrDefault("net-us", 40.0)
                       .longValue(), numbers.getOrDefault("engine-us", 9.0));
           if (nodes.count() < 1 || nodes.count() > MAX_NODES) {
-            throw new Wrong(lineNumber, "nodes: count must be from 1 to " + MAX_NODES);
+            throw new ParseException(lineNumber, "nodes: count must be from 1 to " + MAX_NODES);
           }
         }
         case "plan" -> plans.put(parseName(words), parseNumbers(words, 2, PLAN_KEYS));
         case "volume" -> parseVolume(words);
         case "at" -> parseDisturbance(words);
-        default -> throw new Wrong(lineNumber, "unknown keyword '" + words[0] + "'");
+        default -> throw new ParseException(lineNumber, "unknown keyword '" + words[0] + "'");
       }
     }
 
@@ -285,11 +289,11 @@
         shape = ArrivalProcess.Shape.of(shapeKeyword, numbers.getOrDefault("period", 0.0), numbers
             .getOrDefault("swing", 0.0));
       } catch (IllegalArgumentException e) {
-        throw new Wrong(lineNumber, "volume " + words[1] + ": " + e.getMessage());
+        throw new ParseException(lineNumber, "volume " + words[1] + ": " + e.getMessage());
       }
       int copies = numbers.getOrDefault("copies", 1.0).intValue();
       if (copies < 1 || copies > 100_000) {
-        throw new Wrong(lineNumber, "volume " + words[1] + ": copies must be from 1 to 100,000");
+        throw new ParseException(lineNumber, "volume " + words[1] + ": copies must be from 1 to 100,000");
       }
       int maxGateways = numbers.getOrDefault("hosts", 0.0).intValue();
       int firstGateway = numbers.getOrDefault("first", 0.0).intValue();
@@ -311,7 +315,7 @@
       if (!(load.rate() > 0) || load.maxBlocks() < 1 || load.maxBlocks() > 256 || load.depth() < 1 || load
           .depth() > 512
           || load.clients() < 1 || load.sizeMib() < 1 || load.sizeMib() > 1_024) {
-        throw new Wrong(lineNumber, "volume " + load.volume() + ": a value is out of range");
+        throw new ParseException(lineNumber, "volume " + load.volume() + ": a value is out of range");
       }
     }
 
@@ -319,7 +323,7 @@
       double at = parseNumber(words, 1, 0, 86_400);
       String kind = words.length > 2 ? words[2] : "";
       if (!KINDS.contains(kind)) {
-        throw new Wrong(lineNumber, "unknown disturbance '" + kind + "'; known kinds: "
+        throw new ParseException(lineNumber, "unknown disturbance '" + kind + "'; known kinds: "
             + new java.util.TreeSet<>(
                 KINDS));
       }
@@ -333,7 +337,7 @@
 
     private String parseName(String[] words) {
       if (words.length < 2 || !words[1].matches("[A-Za-z0-9][A-Za-z0-9._-]*")) {
-        throw new Wrong(lineNumber, words[0] + ": expected a name");
+        throw new ParseException(lineNumber, words[0] + ": expected a name");
       }
       return words[1];
     }
@@ -359,7 +363,7 @@
           continue;
         }
         if (!known.contains(words[i])) {
-          throw new Wrong(lineNumber, words[0] + ": unknown keyword '" + words[i] + "'");
+          throw new ParseException(lineNumber, words[0] + ": unknown keyword '" + words[i] + "'");
         }
         numbers.put(words[i], parseNumber(words, i + 1, 0, 1e12));
         i++;
@@ -375,9 +379,10 @@
           return number;
         }
       } catch (NumberFormatException e) {
-        throw new Wrong(lineNumber, words[0] + ": expected a number, found '" + word + "'");
+        throw new ParseException(lineNumber, words[0] + ": expected a number, found '" + word + "'");
       }
-      throw new Wrong(lineNumber, words[0] + ": " + word + " is not in the range from " + min + " to " + max);
+      throw new ParseException(lineNumber, words[0] + ": " + word + " is not in the range from " + min
+          + " to " + max);
     }
   }
 }
--- a/src/main/java/hollyslip/load/DayRunner.java
+++ b/src/main/java/hollyslip/load/ScenarioRunner.java
@@ -1,16 +1,16 @@
 package hollyslip.load;
 
 import hollyslip.HostScheduler.NodeState;
-import hollyslip.audit.Asked;
+import hollyslip.audit.RequestRecord;
 import hollyslip.audit.Auditor;
-import hollyslip.audit.Figures;
-import hollyslip.audit.Told;
-import hollyslip.audit.Witness;
+import hollyslip.audit.AuditParameters;
+import hollyslip.audit.OperatorEvent;
+import hollyslip.audit.RunRecords;
 import hollyslip.engine.Engine;
 import hollyslip.settings.Deployment;
 import hollyslip.settings.Loader;
-import hollyslip.standin.Command;
-import hollyslip.standin.DiskServer;
+import hollyslip.standin.CommandRecord;
+import hollyslip.standin.StandInDiskServer;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -25,25 +25,26 @@
 import java.util.SplittableRandom;
 import org.HdrHistogram.Histogram;
 
-/** Plays a {@link Day} in real time with stand-ins in this process, gateways in separate processes and ring
- * clients on threads, and then audits the records of both ends. The schedule depends on the seed only. */
-public final class DayRunner {
+/** Plays a {@link Scenario} in real time with stand-ins in this process, gateways in separate processes and
+ * ring clients on threads, and then audits the records of both ends. The schedule depends on the seed
+ * only. */
+public final class ScenarioRunner {
   /** Delay after which a node state sent to a gateway counts as known there, us; covers the delivery of the
    * signal. */
   private static final long SIGNAL_DELAY_US = 200_000;
 
-  private final Day scenario;
+  private final Scenario scenario;
   private final Path dir;
   private final PrintStream out;
   private final long slackUs;
   private final SplittableRandom random;
-  private final Stage cluster;
-  private final List<DiskServer> disks;
+  private final LocalCluster cluster;
+  private final List<StandInDiskServer> disks;
   private final NodeState[] states, lastToldStates;
-  private final List<Child> gateways;
+  private final List<GatewayProcess> gateways;
   private final List<Deployment> deployments;
   private final List<Client> clients = new ArrayList<>();
-  private final List<Told> operatorRecords = new ArrayList<>();
+  private final List<OperatorEvent> operatorRecords = new ArrayList<>();
   private final PriorityQueue<Step> steps = new PriorityQueue<>();
   private boolean nodeListDown;
   private int nextStepOrder;
@@ -63,10 +64,10 @@
     void run() throws IOException, InterruptedException;
   }
 
-  private record Client(RingLoad load, Thread thread, Day.VolumeLoad volume, int gateway) {}
+  private record Client(RingLoad load, Thread thread, Scenario.VolumeLoad volume, int gateway) {}
 
   /** Result of playing a scenario. */
-  public record Result(Auditor.Report audit, List<String> wrongReads, Map<Asked.Answer, Long> answers,
+  public record Result(Auditor.Report audit, List<String> wrongReads, Map<RequestRecord.Answer, Long> answers,
       Map<String, Histogram> latency, boolean stoppedCleanly) {
     public boolean isClean() {
       return audit.kept() && wrongReads.isEmpty() && stoppedCleanly;
@@ -76,13 +77,13 @@
   /** @param slackUs
    *          tolerance added to the promised answer time, us: the gateway's clock of a request starts when it
    *          takes the request, the client's when it publishes it */
-  public DayRunner(Day scenario, Path dir, PrintStream out, long slackUs) {
+  public ScenarioRunner(Scenario scenario, Path dir, PrintStream out, long slackUs) {
     scenario.checkPlayableOverSockets();
     this.slackUs = slackUs;
     this.scenario = scenario;
     this.dir = dir;
     this.out = out;
-    cluster = new Stage(scenario, dir);
+    cluster = new LocalCluster(scenario, dir);
     disks = cluster.disks;
     gateways = cluster.gateways;
     deployments = cluster.deployments;
@@ -119,22 +120,24 @@
   private void start() throws IOException {
     cluster.start();
     for (Deployment deployment : deployments) {
-      operatorRecords.add(new Told.Started(deployment.gateway().name(), Engine.monotonicMicros()));
+      operatorRecords.add(new OperatorEvent.GatewayStart(deployment.gateway().name(), Engine
+          .monotonicMicros()));
     }
-    for (Day.VolumeLoad volume : scenario.volumes()) {
+    for (Scenario.VolumeLoad volume : scenario.volumes()) {
       for (int client = 0; client < scenario.clientCount(volume); client++) {
         startClient(volume, client);
       }
     }
   }
 
-  private void startClient(Day.VolumeLoad volume, int index) throws IOException {
+  private void startClient(Scenario.VolumeLoad volume, int index) throws IOException {
     int clientCount = scenario.clientCount(volume);
     int gateway = scenario.gatewayOf(volume, index);
     Deployment deployment = deployments.get(gateway);
     long partBytes = deployment.volumesByName().get(volume.volume()).bytes() / clientCount / 4096 * 4096;
     long deadlineUs = deployment.classes().stream().mapToLong(c -> c.deadlineUs()).max().orElseThrow();
-    RingLoad load = new RingLoad(new RingLoad.Plan(volume.volume() + "-" + index, deployment.gateway().name(),
+    RingLoad load = new RingLoad(new RingLoad.Config(volume.volume() + "-" + index, deployment.gateway()
+        .name(),
         volume.volume(),
         index * partBytes, partBytes, 0, volume.depth(), (long) (1e6 * clientCount / volume.rate()), volume
             .readFraction(), volume.maxBlocks(),
@@ -154,7 +157,7 @@
   }
 
   private void scheduleSteps() {
-    for (Day.Disturbance disturbance : scenario.disturbances()) {
+    for (Scenario.Disturbance disturbance : scenario.disturbances()) {
       scheduleDisturbance(disturbance);
     }
     for (double atSeconds = 10; atSeconds < scenario.seconds(); atSeconds += 10) {
@@ -167,7 +170,7 @@
     scheduleStep(scenario.seconds(), "load ends", () -> clients.forEach(c -> c.load().finish()));
   }
 
-  private void scheduleDisturbance(Day.Disturbance disturbance) {
+  private void scheduleDisturbance(Scenario.Disturbance disturbance) {
     double endSeconds = disturbance.at() + disturbance.seconds();
     switch (disturbance.kind()) {
       case "stall" -> scheduleOnNodes(disturbance, d -> d.stall((long) (disturbance.seconds() * 1e6)), null);
@@ -193,7 +196,7 @@
               ? d -> setNodeState(d, NodeState.ON)
               : null);
       case "preempt" -> {
-        for (DiskServer d : affectedNodes(disturbance)) {
+        for (StandInDiskServer d : affectedNodes(disturbance)) {
           scheduleStep(disturbance.at(), "preempt: " + d.name() + " drains", () -> setNodeState(d,
               NodeState.DRAINING));
           scheduleStep(disturbance.at() + disturbance.killDelaySeconds(), "preempt: " + d.name()
@@ -247,7 +250,7 @@
         scheduleStep(disturbance.at(), "gateway " + gateway + " is killed", () -> gateways.get(gateway)
             .kill());
         scheduleStep(endSeconds, "gateway " + gateway + " is restarted", () -> {
-          operatorRecords.add(new Told.Started(deployments.get(gateway).gateway().name(), Engine
+          operatorRecords.add(new OperatorEvent.GatewayStart(deployments.get(gateway).gateway().name(), Engine
               .monotonicMicros()));
           gateways.set(gateway, cluster.startGateway(gateway));
         });
@@ -257,11 +260,11 @@
   }
 
   private interface NodeAction {
-    void run(DiskServer node) throws IOException;
+    void run(StandInDiskServer node) throws IOException;
   }
 
-  private void scheduleOnNodes(Day.Disturbance disturbance, NodeAction begin, NodeAction end) {
-    for (DiskServer node : affectedNodes(disturbance)) {
+  private void scheduleOnNodes(Scenario.Disturbance disturbance, NodeAction begin, NodeAction end) {
+    for (StandInDiskServer node : affectedNodes(disturbance)) {
       scheduleStep(disturbance.at(), disturbance.kind() + ": " + node.name(), () -> begin.run(node));
       if (end != null) {
         scheduleStep(disturbance.at() + disturbance.seconds(), disturbance.kind() + " over: " + node.name(),
@@ -270,19 +273,19 @@
     }
   }
 
-  private List<DiskServer> affectedNodes(Day.Disturbance disturbance) {
+  private List<StandInDiskServer> affectedNodes(Scenario.Disturbance disturbance) {
     if (!disturbance.target().isEmpty()) {
       return disks.stream().filter(d -> d.name().equals(disturbance.target())).toList();
     }
-    List<DiskServer> remaining = new ArrayList<>(disks);
-    List<DiskServer> chosen = new ArrayList<>();
+    List<StandInDiskServer> remaining = new ArrayList<>(disks);
+    List<StandInDiskServer> chosen = new ArrayList<>();
     for (long n = Math.max(1, Math.round(disturbance.fraction() * disks.size())); n > 0; n--) {
       chosen.add(remaining.remove(random.nextInt(remaining.size())));
     }
     return chosen;
   }
 
-  private List<Client> targetClients(Day.Disturbance disturbance) {
+  private List<Client> targetClients(Scenario.Disturbance disturbance) {
     return clients.stream()
         .filter(c -> c.volume().volume().equals(disturbance.target()) || c.volume()
             .plan()
@@ -290,7 +293,8 @@
         .toList();
   }
 
-  private void scheduleLoadFactor(Day.Disturbance disturbance, java.util.function.Predicate<Client> filter) {
+  private void scheduleLoadFactor(Scenario.Disturbance disturbance,
+      java.util.function.Predicate<Client> filter) {
     scheduleStep(disturbance.at(), disturbance.kind() + " " + disturbance.target() + ": " + disturbance.size()
         + " times the load", () -> clients
             .stream()
@@ -302,13 +306,13 @@
         .forEach(c -> c.load().rateFactor(1)));
   }
 
-  private void restart(DiskServer node) throws IOException {
+  private void restart(StandInDiskServer node) throws IOException {
     node.faults.clear();
-    operatorRecords.add(new Told.Born(node.name(), Engine.monotonicMicros()));
+    operatorRecords.add(new OperatorEvent.NodeStart(node.name(), Engine.monotonicMicros()));
     node.restart();
   }
 
-  private void setNodeState(DiskServer node, NodeState state) throws IOException {
+  private void setNodeState(StandInDiskServer node, NodeState state) throws IOException {
     states[disks.indexOf(node)] = state;
     publishNodeList();
   }
@@ -331,7 +335,8 @@
         if (states[i] == lastToldStates[i]) {
           continue;
         }
-        operatorRecords.add(new Told.State(deployments.get(g).gateway().name(), disks.get(i).name(),
+        operatorRecords.add(new OperatorEvent.NodeStateChange(deployments.get(g).gateway().name(), disks.get(
+            i).name(),
             states[i],
             states[i] == NodeState.ON ? now : now + SIGNAL_DELAY_US));
       }
@@ -341,14 +346,14 @@
 
   /** Starts an additional client that submits requests and disconnects while all are outstanding. */
   private void startVanishingClient(String volume) throws IOException {
-    Day.VolumeLoad volumeLoad = scenario.volumes()
+    Scenario.VolumeLoad volumeLoad = scenario.volumes()
         .stream()
         .filter(l -> l.volume().equals(volume))
         .findFirst()
         .orElse(scenario.volumes().get(0));
     Deployment deployment = deployments.get(0);
     // Reads only, because another client owns this part of the volume.
-    RingLoad ringLoad = new RingLoad(new RingLoad.Plan("leaver", deployment.gateway().name(), volumeLoad
+    RingLoad ringLoad = new RingLoad(new RingLoad.Config("leaver", deployment.gateway().name(), volumeLoad
         .volume(), 0, 1 << 20, 40,
         32, 0, 1, 4, 2_000_000, deployment.gateway().unitBytes(), scenario.seed() + 5), deployment.gateway()
             .socketDir()
@@ -371,21 +376,21 @@
       client.thread().join(120_000);
     }
     boolean stoppedCleanly = true;
-    for (Child gateway : gateways) {
+    for (GatewayProcess gateway : gateways) {
       stoppedCleanly &= gateway.stop() == 0;
     }
-    List<Asked> asked = clients.stream().flatMap(client -> client.load().records().stream()).toList();
-    List<Command> commands = disks.stream().flatMap(d -> d.commands().stream()).toList();
-    Figures figures = ScenarioSettings.auditFigures(deployments.get(0), slackUs, 50_000);
-    Witness.writeParameters(dir, figures);
-    Witness.writeRequests(dir, "clients", asked);
-    Witness.writeCommands(dir, "nodes", commands);
-    Witness.writeOperatorEvents(dir, "operator", operatorRecords);
-    Map<Asked.Answer, Long> answers = new java.util.EnumMap<>(Asked.Answer.class);
+    List<RequestRecord> asked = clients.stream().flatMap(client -> client.load().records().stream()).toList();
+    List<CommandRecord> commands = disks.stream().flatMap(d -> d.commands().stream()).toList();
+    AuditParameters figures = ScenarioSettings.auditFigures(deployments.get(0), slackUs, 50_000);
+    RunRecords.writeParameters(dir, figures);
+    RunRecords.writeRequests(dir, "clients", asked);
+    RunRecords.writeCommands(dir, "nodes", commands);
+    RunRecords.writeOperatorEvents(dir, "operator", operatorRecords);
+    Map<RequestRecord.Answer, Long> answers = new java.util.EnumMap<>(RequestRecord.Answer.class);
     asked.forEach(request -> answers.merge(request.answer(), 1L, Long::sum));
     Map<String, Histogram> latency = new java.util.TreeMap<>();
-    for (Asked request : asked) {
-      if (request.answer() == Asked.Answer.SERVED) {
+    for (RequestRecord request : asked) {
+      if (request.answer() == RequestRecord.Answer.SERVED) {
         String key = planOf(request.volume()) + (request.kind() == 0 ? " read" : " write");
         latency.computeIfAbsent(key, k -> new Histogram(600_000_000L, 3))
             .recordValue(request.answeredUs() - request.askedUs());
--- a/src/main/java/hollyslip/load/ScenarioSettings.java
+++ b/src/main/java/hollyslip/load/ScenarioSettings.java
@@ -1,7 +1,7 @@
 package hollyslip.load;
 
 import hollyslip.HostScheduler.NodeState;
-import hollyslip.audit.Figures;
+import hollyslip.audit.AuditParameters;
 import hollyslip.settings.Deployment;
 import java.io.IOException;
 import java.io.InputStream;
@@ -15,7 +15,7 @@
 import java.util.function.IntUnaryOperator;
 import java.util.stream.IntStream;
 
-/** Generates the settings scripts of a {@link Day} and the figures for its audit, identically for real
+/** Generates the settings scripts of a {@link Scenario} and the figures for its audit, identically for real
  * gateways and for the emulator. */
 public final class ScenarioSettings {
   private ScenarioSettings() {}
@@ -32,7 +32,7 @@
   }
 
   /** The script of one gateway, which loads {@code fleet.star}. */
-  public static String gatewayScript(Day scenario, int gateway) throws IOException {
+  public static String gatewayScript(Scenario scenario, int gateway) throws IOException {
     try (InputStream in = ScenarioSettings.class.getResourceAsStream("/hollyslip/example.star")) {
       String example = new String(in.readAllBytes(), StandardCharsets.UTF_8).replace("\"gateway-a\"",
           "\"gateway-" + gateway + "\"")
@@ -50,12 +50,12 @@
 
   /** Units that a freshly started node can always bear within the window of the cold-node rule: a fifth of
    * its full speed, times the multiple at which the rule applies; a command counts as at least one unit. */
-  private static long coldUnits(Day.Nodes nodes) {
+  private static long coldUnits(Scenario.Nodes nodes) {
     double commandsPerSecond = nodes.cores() * 1e6 / nodes.baseUs();
     return (long) Math.max(1, 3 * 0.2 * 2 * commandsPerSecond);
   }
 
-  private static String plansAndVolumes(Day scenario) {
+  private static String plansAndVolumes(Scenario scenario) {
     StringBuilder script = new StringBuilder();
     scenario.plans().forEach((name, parameters) -> {
       script.append("plan(\"").append(name).append('"');
@@ -69,7 +69,7 @@
         + "    node(name, port = port, zone = zone, shard = shard, state = state)\n");
     int offsetMib = 0;
     int index = 0;
-    for (Day.VolumeLoad volume : scenario.volumes()) {
+    for (Scenario.VolumeLoad volume : scenario.volumes()) {
       script.append(String.format(
           "volume(\"%s\", tenant = \"%s\", plan = \"%s\", size = %d * MiB, extent = 256 * KiB, shards = "
               + "%s, at = %d * MiB, hosts = %d)%n", volume.volume(), volume.volume(), volume.plan(), volume
@@ -81,37 +81,39 @@
     return script.toString();
   }
 
-  private static int shardCount(Day scenario, Day.VolumeLoad load) {
+  private static int shardCount(Scenario scenario, Scenario.VolumeLoad load) {
     return load.maxShards() == 0
         ? scenario.nodes().count()
         : Math.min(load.maxShards(), scenario.nodes().count());
   }
 
   /** Shards of a volume: as many as it spreads over, starting after the last shard of the previous volume. */
-  private static List<Integer> shards(Day scenario, Day.VolumeLoad load, int index) {
+  private static List<Integer> shards(Scenario scenario, Scenario.VolumeLoad load, int index) {
     int count = shardCount(scenario, load);
     return IntStream.range(0, count).mapToObj(i -> (index * count + i) % scenario.nodes().count()).toList();
   }
 
   /** Figures for the audit. {@code slackUs} is the tolerance for late answers, us; {@code skewUs} is the
    * maximum offset between the clocks of the two ends of a request, us. */
-  public static Figures auditFigures(Deployment deployment, long slackUs, long skewUs) {
-    Map<String, Figures.Limit> limits = new HashMap<>();
-    List<Figures.Area> areas = new ArrayList<>();
+  public static AuditParameters auditFigures(Deployment deployment, long slackUs, long skewUs) {
+    Map<String, AuditParameters.Limit> limits = new HashMap<>();
+    List<AuditParameters.Area> areas = new ArrayList<>();
     deployment.volumes().forEach(volume -> {
       deployment.plans()
           .stream()
           .filter(plan -> plan.name().equals(volume.plan()) && plan.limit() > 0)
-          .forEach(plan -> limits.put(volume.name(), new Figures.Limit(plan.limit(), plan.limitBurst(), plan
-              .limitSlack())));
+          .forEach(plan -> limits.put(volume.name(), new AuditParameters.Limit(plan.limit(), plan
+              .limitBurst(), plan
+                  .limitSlack())));
       for (int i = 0; i < volume.extents().size(); i++) {
         var extent = volume.extents().get(i);
-        areas.add(new Figures.Area(volume.name(), "shard-" + extent.shard(), extent.offset(), extent.offset()
+        areas.add(new AuditParameters.Area(volume.name(), "shard-" + extent.shard(), extent.offset(), extent
+            .offset()
             + volume.extentBytes()));
       }
     });
     var rules = deployment.rules();
-    return new Figures(rules.answerSlackUs() + slackUs, rules.drainGraceUs(), rules.orderSettleUs(),
+    return new AuditParameters(rules.answerSlackUs() + slackUs, rules.drainGraceUs(), rules.orderSettleUs(),
         deployment.store()
             .coldUnits(), rules.coldFrom(), rules.coldUs(), rules.fallUs(), rules.budgetFree(), rules
                 .budgetShare(), rules
--- a/src/main/java/hollyslip/load/TenantBench.java
+++ b/src/main/java/hollyslip/load/TenantBench.java
@@ -6,18 +6,18 @@
 import hollyslip.HostScheduler.NodeEntry;
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.admin.ApiClient;
-import hollyslip.admin.Carrier;
-import hollyslip.admin.Control;
+import hollyslip.admin.Provisioner;
+import hollyslip.admin.ControlPlane;
 import hollyslip.gateway.Gateway;
 import hollyslip.load.RingBench.StandinProcess;
 import hollyslip.load.RingBench.Measurement;
 import hollyslip.settings.Deployment;
-import hollyslip.store.Folder;
+import hollyslip.store.FileSystemDirectory;
 import hollyslip.tenant.HostedVolume;
 import hollyslip.tenant.Shard;
 import hollyslip.tenant.Tenant;
 import hollyslip.tenant.Terms;
-import hollyslip.tenant.Wish;
+import hollyslip.tenant.Specs;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -122,7 +122,7 @@
 
   // Store.
 
-  private static final class NoOpCarrier implements Carrier {
+  private static final class NoOpCarrier implements Provisioner {
     @Override
     public CompletableFuture<Void> serve(HostedVolume v, Tenant t, HostScheduler.VolumeChanged terms) {
       return CompletableFuture.completedFuture(null);
@@ -142,12 +142,13 @@
     }
   }
 
-  private static Control control(Path dir) throws IOException {
+  private static ControlPlane control(Path dir) throws IOException {
     List<Shard> shards = new ArrayList<>();
     for (int i = 0; i < 36; i++) {
       shards.add(new Shard(i, "zone-" + i % 3, 1e7, 1L << 40, List.of()));
     }
-    return new Control(new Folder(dir), shards, 1 << 20, 1, new NoOpCarrier(), System::currentTimeMillis);
+    return new ControlPlane(new FileSystemDirectory(dir), shards, 1 << 20, 1, new NoOpCarrier(),
+        System::currentTimeMillis);
   }
 
   private void measureRecovery(Path dir) throws Exception {
@@ -155,20 +156,22 @@
         "snapshot, ms");
     for (int tenants : new int[]{10, 1_000, 10_000}) {
       Path folder = dir.resolve("store-" + tenants);
-      Control control = control(folder);
+      ControlPlane control = control(folder);
       long startNs = System.nanoTime();
-      control.execute((r, at) -> r.createPlan(at, "bench", new Wish.ForPlan("p", new Terms(10, 1, 1, 1, 0, 0,
+      control.execute((r, at) -> r.createPlan(at, "bench", new Specs.PlanSpec("p", new Terms(10, 1, 1, 1, 0,
+          0,
           0))),
           r -> null).join();
       List<CompletableFuture<Object>> commands = new ArrayList<>();
       for (int t = 0; t < tenants; t++) {
         String name = "t" + t;
-        commands.add(control.execute((r, at) -> r.createTenant(at, "bench", new Wish.ForTenant(name, 1,
+        commands.add(control.execute((r, at) -> r.createTenant(at, "bench", new Specs.TenantSpec(name, 1,
             new Tenant.Quota(
                 100, 1L << 40, 100), Map.of())), r -> null));
         for (int v = 0; v < 5; v++) {
           String volume = "v" + v;
-          commands.add(control.execute((r, at) -> r.createVolume(at, "bench", name, new Wish.ForVolume(volume,
+          commands.add(control.execute((r, at) -> r.createVolume(at, "bench", name, new Specs.VolumeSpec(
+              volume,
               "p", null,
               16 << 20, 4 << 20)), r -> null));
         }
@@ -186,7 +189,7 @@
   /** Time to load the registry, ms; takes a snapshot afterwards if {@code takeSnapshot} is set. */
   private static double openMillis(Path folder, boolean takeSnapshot) throws IOException {
     long startNs = System.nanoTime();
-    Control control = control(folder);
+    ControlPlane control = control(folder);
     double ms = (System.nanoTime() - startNs) / 1e6;
     if (takeSnapshot) {
       control.takeSnapshot().join();
@@ -202,7 +205,7 @@
   }
 
   private static void request(ApiClient api, String method, String path, String body) throws IOException {
-    ApiClient.Answer answer = api.send(method, path, JSON.readTree(body.replace('\'', '"')), Map.of(
+    ApiClient.Response answer = api.send(method, path, JSON.readTree(body.replace('\'', '"')), Map.of(
         "If-Match",
         "*"));
     if (!answer.isSuccess()) {
--- a/src/main/java/hollyslip/node/NbdDirect.java
+++ b/src/main/java/hollyslip/node/DirectNbdClient.java
@@ -16,7 +16,7 @@
 import java.util.function.BiConsumer;
 
 /** Node client without a gateway in front of it, as a baseline for benchmarks. Not thread-safe. */
-public final class NbdDirect implements AutoCloseable {
+public final class DirectNbdClient implements AutoCloseable {
   private final AsynchronousChannelGroup group;
   private final NbdConnection connection;
   private final CountDownLatch ready = new CountDownLatch(1);
@@ -25,7 +25,8 @@
 
   /** @param completionListener
    *          receives the number of each request and whether it succeeded, from any thread */
-  public NbdDirect(InetSocketAddress address, String export, BiConsumer<Long, Boolean> completionListener)
+  public DirectNbdClient(InetSocketAddress address, String export,
+      BiConsumer<Long, Boolean> completionListener)
       throws IOException,
       InterruptedException {
     this.completionListener = completionListener;
--- a/src/main/java/hollyslip/settings/Deployment.java
+++ b/src/main/java/hollyslip/settings/Deployment.java
@@ -36,7 +36,7 @@
  *          storage nodes
  * @param volumes
  *          volumes */
-public record Deployment(Process gateway, List<RequestClass> classes,
+public record Deployment(GatewayConfig gateway, List<RequestClass> classes,
     List<RequestClassifier.Rule> classificationRules,
     List<Plan> plans, Rules rules, Allowed allowed, Store store, List<Node> nodes, List<Volume> volumes) {
 
@@ -76,11 +76,12 @@
    *          settings for hosting tenants; null: no tenants are hosted
    * @param cores
    *          number of lanes; each is an engine with its own scheduler on its own core */
-  public record Process(String name, int index, int hosts, String zone, Path socketDir, Path stateDir,
+  public record GatewayConfig(String name, int index, int hosts, String zone, Path socketDir, Path stateDir,
       long seed, long tickUs, long unitBytes, long maxRequests, long maxRequestBytes, int connectionsPerNode,
-      int maxAttemptsPerConnection, int ioThreads, boolean sftp, Hosting hosting, int cores) {
+      int maxAttemptsPerConnection, int ioThreads, boolean sftp, TenantHosting hosting, int cores) {
     /** A gateway with one lane that hosts no tenants. */
-    public Process(String name, int index, int hosts, String zone, Path socketDir, Path stateDir, long seed,
+    public GatewayConfig(String name, int index, int hosts, String zone, Path socketDir, Path stateDir,
+        long seed,
         long tickUs, long unitBytes, long mostRequests, long mostBytes, int connections, int perConnection,
         int ioThreads, boolean sftp) {
       this(name, index, hosts, zone, socketDir, stateDir, seed, tickUs, unitBytes, mostRequests, mostBytes,
@@ -97,7 +98,7 @@
    *          PEM certificate chain for the port; null: without TLS
    * @param key
    *          PEM private key of the certificate */
-  public record Hosting(int port, Path cert, Path key) {}
+  public record TenantHosting(int port, Path cert, Path key) {}
 
   /** A storage node. {@code capacity}: units per second that can be reserved on its shard; {@code bytes}:
    * size of the shard. Both are used only if tenants are hosted. */
--- a/src/main/java/hollyslip/settings/Loader.java
+++ b/src/main/java/hollyslip/settings/Loader.java
@@ -39,7 +39,7 @@
   private Loader() {}
 
   /** A deployment, or null and the faults in its settings. */
-  public record Loaded(Deployment deployment, List<Fault> faults) {}
+  public record LoadResult(Deployment deployment, List<Fault> faults) {}
 
   private static JsonNode readSchema() {
     try (InputStream in = Loader.class.getResourceAsStream("/hollyslip/settings.schema.json")) {
@@ -50,16 +50,16 @@
   }
 
   /** Loads the script in a file. Relative paths in it are resolved against the script's directory. */
-  public static Loaded load(Path file) {
+  public static LoadResult load(Path file) {
     Path dir = file.toAbsolutePath().getParent();
     try {
       return load(Script.run(file), dir);
     } catch (ScriptError e) {
-      return new Loaded(null, List.of(new Fault(null, e.text())));
+      return new LoadResult(null, List.of(new Fault(null, e.text())));
     }
   }
 
-  static Loaded load(Script script, Path dir) {
+  static LoadResult load(Script script, Path dir) {
     List<Fault> faults = new ArrayList<>();
     Schema schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(SCHEMA);
     for (Error error : schema.validate(script.declarations())) {
@@ -75,10 +75,10 @@
       applyDefaults((ObjectNode) declarations);
       new ConsistencyChecker(script, declarations).check(faults);
       if (faults.isEmpty()) {
-        return new Loaded(buildDeployment(declarations, dir), List.of());
+        return new LoadResult(buildDeployment(declarations, dir), List.of());
       }
     }
-    return new Loaded(null, Script.sorted(faults));
+    return new LoadResult(null, Script.sorted(faults));
   }
 
   /** Fills in the defaults that the schema gives. */
@@ -277,7 +277,7 @@
             node.get("shard").asInt(),
             NodeState.valueOf(node.get("state").asText().toUpperCase(Locale.ROOT)),
             node.get("capacity").asDouble(), node.get("bytes").asLong())));
-    Deployment.Process gateway = gatewayConfig(declarations.at("/gateway/0"), dir);
+    Deployment.GatewayConfig gateway = gatewayConfig(declarations.at("/gateway/0"), dir);
     List<Volume> volumes = new ArrayList<>();
     declarations.get("volume")
         .forEach(volume -> volumes.add(volume(volume, volumes.size() + 1, gateway.hosts())));
@@ -299,8 +299,8 @@
         volumes);
   }
 
-  private static Deployment.Process gatewayConfig(JsonNode gateway, Path dir) {
-    return new Deployment.Process(gateway.get("name").asText(), gateway.get("index").asInt(),
+  private static Deployment.GatewayConfig gatewayConfig(JsonNode gateway, Path dir) {
+    return new Deployment.GatewayConfig(gateway.get("name").asText(), gateway.get("index").asInt(),
         gateway.get("hosts").asInt(), gateway.get("zone").asText(),
         dir.resolve(gateway.get("socket_dir").asText()), dir.resolve(gateway.get("state_dir").asText()),
         gateway.get("seed").asLong(), gateway.get("tick").asLong(), gateway.get("unit_bytes").asLong(),
@@ -310,12 +310,14 @@
         gateway.get("cores").asInt());
   }
 
-  private static Deployment.Hosting hosting(JsonNode gateway, Path dir) {
+  private static Deployment.TenantHosting hosting(JsonNode gateway, Path dir) {
     String cert = gateway.get("admin_cert").asText();
     String key = gateway.get("admin_key").asText();
     return !gateway.get("hosted").asBoolean()
         ? null
-        : new Deployment.Hosting(gateway.get("admin_port").asInt(), cert.isEmpty() ? null : dir.resolve(cert),
+        : new Deployment.TenantHosting(gateway.get("admin_port").asInt(), cert.isEmpty()
+            ? null
+            : dir.resolve(cert),
             key.isEmpty() ? null : dir.resolve(key));
   }
 
--- a/src/main/java/hollyslip/standin/Command.java
+++ b/src/main/java/hollyslip/standin/CommandRecord.java
@@ -27,11 +27,13 @@
  *          how it ended
  * @param sentUs
  *          when its gateway sent it, if that is observable; 0: unknown */
-public record Command(String node, long boot, String client, long connection, long cookie, String export,
+public record CommandRecord(String node, long boot, String client, long connection, long cookie,
+    String export,
     int kind, long offset, long length, long receivedUs, long doneUs, long checksum, Result result,
     long sentUs) {
   /** A command whose time of sending is unknown. */
-  public Command(String node, long boot, String client, long connection, long cookie, String export, int kind,
+  public CommandRecord(String node, long boot, String client, long connection, long cookie, String export,
+      int kind,
       long offset, long length, long receivedUs, long doneUs, long checksum, Result result) {
     this(node, boot, client, connection, cookie, export, kind, offset, length, receivedUs, doneUs, checksum,
         result, 0);
--- a/src/main/java/hollyslip/standin/FaultControl.java
+++ b/src/main/java/hollyslip/standin/FaultControl.java
@@ -17,7 +17,7 @@
    *
    * @throws IllegalArgumentException
    *           if the command is invalid */
-  public static void apply(DiskServer server, String line) throws IOException {
+  public static void apply(StandInDiskServer server, String line) throws IOException {
     String[] words = line.strip().split("\\s+");
     Faults faults = server.faults;
     switch (words[0]) {
--- a/src/main/java/hollyslip/standin/DiskServer.java
+++ b/src/main/java/hollyslip/standin/StandInDiskServer.java
@@ -32,7 +32,7 @@
 
 /** A small NBD disk server on a loopback port, with exports {@code shard-N} in memory or in files, simulated
  * service times and faults. It stands in for a real disk server in tests, demos and benchmarks. */
-public final class DiskServer implements AutoCloseable {
+public final class StandInDiskServer implements AutoCloseable {
   private static final int MAX_LENGTH = 32 << 20;
 
   /** Parameters of the server.
@@ -69,7 +69,7 @@
   private final Config config;
   private final Path directory;
   private final Map<String, Export> exports = new ConcurrentHashMap<>();
-  private final ConcurrentLinkedQueue<Command> commandLog = new ConcurrentLinkedQueue<>();
+  private final ConcurrentLinkedQueue<CommandRecord> commandLog = new ConcurrentLinkedQueue<>();
   private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
   /** The newest fence of each client; it supersedes everything that an older one superseded. */
   private final Map<String, Fence> newestFences = new HashMap<>();
@@ -124,13 +124,13 @@
   }
 
   /** Starts on a free port of the loopback address. */
-  public DiskServer(Config config) throws IOException {
+  public StandInDiskServer(Config config) throws IOException {
     this(config, 0, null);
   }
 
   /** Starts on a port of the loopback address (0: any free port), with exports in files of {@code directory}
    * (null: in memory). */
-  public DiskServer(Config config, int requestedPort, Path directory) throws IOException {
+  public StandInDiskServer(Config config, int requestedPort, Path directory) throws IOException {
     this.directory = directory;
     this.config = config;
     this.random = new SplittableRandom(config.seed());
@@ -185,7 +185,7 @@
   }
 
   /** Returns the recorded commands, in the order in which they ended. */
-  public List<Command> commands() {
+  public List<CommandRecord> commands() {
     return new ArrayList<>(commandLog);
   }
 
@@ -321,7 +321,7 @@
     long now = now();
     Job job = new Job(now, 0, connection, cookie, kind, offset, length, payload, now);
     if (faults.silent) {
-      recordResult(job, 0, 0, Command.Result.SWALLOWED);
+      recordResult(job, 0, 0, CommandRecord.Result.SWALLOWED);
     } else if (faults.draining || faults.full) {
       reject(job);
     } else if (model.hasNoDelays() && !(faults.writeDelayUs > 0 && kind == Nbd.CMD_WRITE)) {
@@ -350,7 +350,7 @@
   }
 
   private void reject(Job job) {
-    recordResult(job, 0, 0, Command.Result.FULL);
+    recordResult(job, 0, 0, CommandRecord.Result.FULL);
     job.connection.sendError(job.cookie, faults.draining ? Nbd.ESHUTDOWN : Nbd.ENOMEM, faults.draining
         ? ""
         : Nbd.MESSAGE_FULL);
@@ -362,7 +362,7 @@
       chance = random.nextDouble();
     }
     if (chance < faults.errorRate) {
-      recordResult(job, 0, 0, Command.Result.ERROR);
+      recordResult(job, 0, 0, CommandRecord.Result.ERROR);
       job.connection.sendError(job.cookie, Nbd.EIO, "");
       return;
     }
@@ -372,7 +372,7 @@
     synchronized (newestFences) {
       Fence newest = job.connection.fence == null ? null : newestFences.get(job.connection.fence.client());
       if (newest != null && newest.invalidates(job.connection.fence)) {
-        recordResult(job, 0, 0, Command.Result.FENCED);
+        recordResult(job, 0, 0, CommandRecord.Result.FENCED);
         job.connection.sendError(job.cookie, Nbd.EPERM, Nbd.MESSAGE_FENCED);
         return;
       }
@@ -381,8 +381,8 @@
     }
     boolean lost = chance < faults.errorRate + faults.lostResponseRate;
     recordResult(job, doneUs, config.recordCommands() ? crc(data != null ? data : job.payload) : 0, lost
-        ? Command.Result.DONE_SILENTLY
-        : Command.Result.DONE);
+        ? CommandRecord.Result.DONE_SILENTLY
+        : CommandRecord.Result.DONE);
     if (!lost) {
       job.connection.sendReply(job, data, chance >= 1 - faults.resetRate);
     }
@@ -411,10 +411,10 @@
     return crc.getValue();
   }
 
-  private void recordResult(Job job, long doneUs, long checksum, Command.Result result) {
+  private void recordResult(Job job, long doneUs, long checksum, CommandRecord.Result result) {
     if (config.recordCommands()) {
       Fence fence = job.connection.fence;
-      commandLog.add(new Command(config.name(), bootCount, fence == null
+      commandLog.add(new CommandRecord(config.name(), bootCount, fence == null
           ? ""
           : fence.client() + "/" + fence.holder().epoch(),
           job.connection.serial,
--- a/src/main/java/hollyslip/store/Folder.java
+++ b/src/main/java/hollyslip/store/FileSystemDirectory.java
@@ -13,7 +13,7 @@
 import java.util.stream.Stream;
 
 /** A store directory on the file system, locked by one process at a time. */
-public final class Folder implements StoreDirectory {
+public final class FileSystemDirectory implements StoreDirectory {
   private static final String LOCK_FILE = "lock";
 
   private final Path directory;
@@ -21,7 +21,7 @@
 
   /** @throws IOException
    *           the directory cannot be opened, or another process has locked it */
-  public Folder(Path directory) throws IOException {
+  public FileSystemDirectory(Path directory) throws IOException {
     this.directory = Files.createDirectories(directory);
     lockChannel = FileChannel.open(directory.resolve(LOCK_FILE), StandardOpenOption.CREATE,
         StandardOpenOption.WRITE);
--- a/src/main/java/hollyslip/tenant/CommandRejectedException.java
+++ b/src/main/java/hollyslip/tenant/CommandRejectedException.java
@@ -33,7 +33,7 @@
     this.field = field;
     Map<String, Object> formatted = new HashMap<>();
     figures.forEach((name, figure) -> formatted.put(name, figure instanceof Double d
-        ? Plain.toWholeIfExact(d)
+        ? NumberFormatter.toWholeIfExact(d)
         : figure));
     this.figures = Map.copyOf(formatted);
   }
--- a/src/main/java/hollyslip/tenant/Plain.java
+++ b/src/main/java/hollyslip/tenant/NumberFormatter.java
@@ -6,11 +6,11 @@
 
 /** Formats numbers for people: whole numbers without a decimal point, none with an exponent, bytes with a
  * unit. */
-public final class Plain {
+public final class NumberFormatter {
   private static final List<String> UNITS = List.of("KiB", "MiB", "GiB", "TiB");
   private static final double MAX_EXACT_LONG = 1L << 53;
 
-  private Plain() {}
+  private NumberFormatter() {}
 
   /** Returns a whole number as a {@code Long}, and any other number unchanged. */
   public static Number toWholeIfExact(double value) {
--- a/src/main/java/hollyslip/tenant/Placement.java
+++ b/src/main/java/hollyslip/tenant/Placement.java
@@ -87,7 +87,7 @@
         .mapToLong(ShardAllocations.Allocation::freeBytes)
         .sum();
     return new CommandRejectedException(CommandRejectedException.Reason.NO_ROOM, "bytes", "of " + count
-        + " extents of " + extentBytes + " bytes with " + Plain.formatNumber(reservePerExtent)
+        + " extents of " + extentBytes + " bytes with " + NumberFormatter.formatNumber(reservePerExtent)
         + " units per second each, " + fitted + " fit on the shards", Map.of("extents", count,
             "would_fit_extents", fitted, "would_fit_bytes", fitted * extentBytes, "free_reserve", free,
             "free_bytes", freeBytes));
--- a/src/main/java/hollyslip/tenant/RegistryCommandHandler.java
+++ b/src/main/java/hollyslip/tenant/RegistryCommandHandler.java
@@ -63,7 +63,7 @@
 
   // Plans.
 
-  public ChangeSet createPlan(long at, String who, Wish.ForPlan spec) {
+  public ChangeSet createPlan(long at, String who, Specs.PlanSpec spec) {
     requireName(spec.name(), "name");
     if (registry.plan(spec.name()) != null) {
       throw CommandRejectedException.conflict("name", "plan " + spec.name() + " already exists");
@@ -112,7 +112,7 @@
 
   // Tenants.
 
-  public ChangeSet createTenant(long at, String who, Wish.ForTenant spec) {
+  public ChangeSet createTenant(long at, String who, Specs.TenantSpec spec) {
     requireName(spec.name(), "name");
     if (registry.tenant(spec.name()) != null) {
       throw CommandRejectedException.conflict("name", "tenant " + spec.name() + " already exists");
@@ -124,7 +124,7 @@
 
   /** Changes a tenant. A new weight or new members also change all volumes of the tenant. */
   public ChangeSet changeTenant(long at, String who, String name, long expectedRevision,
-      Wish.ForTenant spec) {
+      Specs.TenantSpec spec) {
     Tenant old = tenant(name);
     requireRevision(old.revision(), expectedRevision, "tenant " + name);
     requireNotRemoving(old.phase(), "tenant " + name);
@@ -178,7 +178,7 @@
     return new Task(t.id(), t.kind(), t.target(), t.startedAt(), Math.max(1, at));
   }
 
-  private static double weight(Wish.ForTenant spec) {
+  private static double weight(Specs.TenantSpec spec) {
     Terms.requireInRange(spec.weight(), 0, "weight");
     if (spec.weight() == 0) {
       throw CommandRejectedException.invalid("weight", "weight must be above 0");
@@ -186,7 +186,7 @@
     return spec.weight();
   }
 
-  private Tenant.Quota quota(Wish.ForTenant spec, double before) {
+  private Tenant.Quota quota(Specs.TenantSpec spec, double before) {
     if (spec.quota() == null) {
       throw CommandRejectedException.invalid("quota", "quota is missing");
     }
@@ -194,15 +194,17 @@
     double capacity = registry.allocations().capacity();
     if (quotaOfOthers + spec.quota().reserve() > capacity * (1 + ROUNDING_TOLERANCE)) {
       throw new CommandRejectedException(CommandRejectedException.Reason.NO_ROOM, "quota.reserve",
-          "the fleet can reserve " + Plain.formatNumber(capacity)
-              + " units per second, of which other tenants have " + Plain.formatNumber(quotaOfOthers), Map.of(
-                  "capacity", capacity, "others", quotaOfOthers, "asked", spec.quota().reserve(), "would_fit",
-                  Math.max(0, capacity - quotaOfOthers)));
+          "the fleet can reserve " + NumberFormatter.formatNumber(capacity)
+              + " units per second, of which other tenants have " + NumberFormatter.formatNumber(
+                  quotaOfOthers), Map.of(
+                      "capacity", capacity, "others", quotaOfOthers, "asked", spec.quota().reserve(),
+                      "would_fit",
+                      Math.max(0, capacity - quotaOfOthers)));
     }
     return spec.quota();
   }
 
-  private static Map<String, Long> members(Wish.ForTenant spec) {
+  private static Map<String, Long> members(Specs.TenantSpec spec) {
     Map<String, Long> members = spec.members() == null ? Map.of() : spec.members();
     if (members.size() > MAX_MEMBERS) {
       throw CommandRejectedException.invalid("members", "more than " + MAX_MEMBERS + " members");
@@ -247,7 +249,7 @@
 
   // Volumes.
 
-  public ChangeSet createVolume(long at, String who, String tenant, Wish.ForVolume spec) {
+  public ChangeSet createVolume(long at, String who, String tenant, Specs.VolumeSpec spec) {
     Tenant t = tenant(tenant);
     requireNotRemoving(t.phase(), "tenant " + tenant);
     requireName(spec.name(), "name");
@@ -268,7 +270,7 @@
   /** Changes a volume's plan, overrides or size. A volume can only grow, and its extents stay where they
    * are. */
   public ChangeSet changeVolume(long at, String who, String tenant, String name, long expectedRevision,
-      Wish.ForVolume spec) {
+      Specs.VolumeSpec spec) {
     Tenant t = tenant(tenant);
     HostedVolume old = volume(t, name);
     requireRevision(old.revision(), expectedRevision, "volume " + name);
@@ -325,13 +327,13 @@
     return v;
   }
 
-  private static Terms.Overrides overrides(Wish.ForVolume spec) {
+  private static Terms.Overrides overrides(Specs.VolumeSpec spec) {
     return spec.overrides() == null ? Terms.Overrides.NONE : spec.overrides();
   }
 
   /** Returns the terms of a volume. Its own limit may only be stricter than its plan's, since tenants may set
    * it. */
-  private Terms terms(Wish.ForVolume spec) {
+  private Terms terms(Specs.VolumeSpec spec) {
     Terms plan = plan(spec.plan()).terms();
     Terms effective = overrides(spec).applyTo(plan);
     if (plan.limit() > 0 && (effective.limit() <= 0 || effective.limit() > plan.limit() || effective
@@ -343,7 +345,7 @@
     return effective;
   }
 
-  private static int extentCount(Wish.ForVolume spec) {
+  private static int extentCount(Specs.VolumeSpec spec) {
     requireBlockMultiple(spec.bytes(), "bytes");
     requireBlockMultiple(spec.extentBytes(), "extent_bytes");
     long count = (spec.bytes() - 1) / spec.extentBytes() + 1;
@@ -374,7 +376,9 @@
   }
 
   private static String formatFigure(String field, double figure) {
-    return field.endsWith("bytes") ? Plain.formatBytes((long) figure) : Plain.formatNumber(figure);
+    return field.endsWith("bytes")
+        ? NumberFormatter.formatBytes((long) figure)
+        : NumberFormatter.formatNumber(figure);
   }
 
   private static void requireQuotaRoom(Tenant t, String field, double used, double added, double limit) {
@@ -405,7 +409,8 @@
         double free = a == null ? 0 : a.freeReserve();
         if (added > ROUNDING_TOLERANCE && added > free * (1 + ROUNDING_TOLERANCE) + ROUNDING_TOLERANCE) {
           throw new CommandRejectedException(CommandRejectedException.Reason.NO_ROOM, "reserve", "shard "
-              + shard + " has " + Plain.formatNumber(free) + " units per second left, " + Plain.formatNumber(
+              + shard + " has " + NumberFormatter.formatNumber(free) + " units per second left, "
+              + NumberFormatter.formatNumber(
                   added) + " more are requested", Map.of("shard", shard, "capacity", a == null
                       ? 0.0
                       : a.shard.capacity(), "reserved", a == null ? 0.0 : a.reserved(), "asked", added,
--- a/src/main/java/hollyslip/tenant/Terms.java
+++ b/src/main/java/hollyslip/tenant/Terms.java
@@ -45,8 +45,10 @@
 
   static void requireInRange(double value, double minimum, String field) {
     if (!(value >= minimum && value <= MAX_VALUE)) {
-      throw CommandRejectedException.invalid(field, field + " must be from " + Plain.formatNumber(minimum)
-          + " to " + Plain.formatNumber(MAX_VALUE) + ", not " + Plain.formatNumber(value));
+      throw CommandRejectedException.invalid(field, field + " must be from " + NumberFormatter.formatNumber(
+          minimum)
+          + " to " + NumberFormatter.formatNumber(MAX_VALUE) + ", not " + NumberFormatter.formatNumber(
+              value));
     }
   }
 
--- a/src/test/java/hollyslip/admin/AdminTest.java
+++ b/src/test/java/hollyslip/admin/AdminTest.java
@@ -9,9 +9,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.HostScheduler.VolumeChanged;
-import hollyslip.store.Folder;
+import hollyslip.store.FileSystemDirectory;
 import hollyslip.tenant.HostedVolume;
-import hollyslip.tenant.Plain;
+import hollyslip.tenant.NumberFormatter;
 import hollyslip.tenant.Shard;
 import hollyslip.tenant.Tenant;
 import java.io.IOException;
@@ -52,7 +52,7 @@
   private static final String VOLUME = "{\"name\":\"%s\",\"plan\":\"gold\",\"bytes\":8388608}";
 
   /** Serves volumes at once, and completes drains only when the test completes {@code drained}. */
-  private static final class FakeProvisioner implements Carrier {
+  private static final class FakeProvisioner implements Provisioner {
     final Map<String, NodeState> nodes = new ConcurrentHashMap<>(Map.of("n0", NodeState.ON, "n1",
         NodeState.ON));
     final CompletableFuture<Void> drained = new CompletableFuture<>();
@@ -86,7 +86,7 @@
   Path dir;
   private final HttpClient http = HttpClient.newHttpClient();
   private final FakeProvisioner provisioner = new FakeProvisioner();
-  private Control control;
+  private ControlPlane control;
   private AdminServer server;
   private String operatorToken;
 
@@ -94,7 +94,7 @@
   void start() throws IOException {
     List<Shard> shards = List.of(new Shard(0, "a", 1_000, 1L << 30, List.of()), new Shard(1, "b", 1_000,
         1L << 30, List.of()));
-    control = new Control(new Folder(dir.resolve("store")), shards, 1 << 20, 1, provisioner,
+    control = new ControlPlane(new FileSystemDirectory(dir.resolve("store")), shards, 1 << 20, 1, provisioner,
         System::currentTimeMillis);
     AdminServer.ensureOperatorToken(control, dir.resolve("token"));
     server = new AdminServer(control, dir.resolve("admin.sock"), 0, null, null);
@@ -260,8 +260,8 @@
     assertEquals("1073741824", response.body.at("/figures/would_fit").toString());
     Response plan = sendAsOperator("GET", "/v1/plans/gold", null);
     assertEquals("100", plan.body.get("reserve").toString());
-    assertEquals("1.5 KiB", Plain.formatBytes(1536));
-    assertEquals("10000000.125", Plain.formatNumber(10_000_000.1251));
+    assertEquals("1.5 KiB", NumberFormatter.formatBytes(1536));
+    assertEquals("10000000.125", NumberFormatter.formatNumber(10_000_000.1251));
   }
 
   /** With a tenant's token, resources of other tenants and of operators do not exist. */
--- a/src/test/java/hollyslip/e2e/HardCasesTest.java
+++ b/src/test/java/hollyslip/e2e/HardCasesTest.java
@@ -5,20 +5,20 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import hollyslip.HostScheduler.NodeState;
-import hollyslip.audit.Asked;
+import hollyslip.audit.RequestRecord;
 import hollyslip.audit.Auditor.Rule;
-import hollyslip.audit.Told;
+import hollyslip.audit.OperatorEvent;
 import hollyslip.HostScheduler.Plan;
 import hollyslip.gateway.Gateway;
 import hollyslip.engine.Engine;
 import hollyslip.front.sys.Linux;
-import hollyslip.load.Child;
+import hollyslip.load.GatewayProcess;
 import hollyslip.load.RingClient;
 import hollyslip.load.RingLoad;
 import hollyslip.node.Nbd;
 import hollyslip.settings.Deployment;
-import hollyslip.standin.Command;
-import hollyslip.standin.DiskServer;
+import hollyslip.standin.CommandRecord;
+import hollyslip.standin.StandInDiskServer;
 import hollyslip.standin.Faults;
 import hollyslip.volume.IoKind;
 import java.nio.ByteBuffer;
@@ -47,7 +47,7 @@
    * request of the others is answered once, and the drained node gets no command after its grace period. */
   @Test
   void eachOfTenThousandRequestsIsAnsweredOnceAndDrainedNodeGetsNone() throws Exception {
-    try (TestDeployment site = new TestDeployment(dir, 4, i -> DiskServer.Config.timed("disk-" + i,
+    try (TestDeployment site = new TestDeployment(dir, 4, i -> StandInDiskServer.Config.timed("disk-" + i,
         TestDeployment.SHARD_BYTES, 8, 64, 300,
         5 + i))) {
       site.deadlineUs = 600_000;
@@ -64,7 +64,7 @@
       leaver.runThenVanish();
       long at = Engine.monotonicMicros();
       assertTrue(g.membership().setState(102, NodeState.DRAINING));
-      run.operatorEvents.add(new Told.State("gw-0", "disk-2", NodeState.DRAINING, at));
+      run.operatorEvents.add(new OperatorEvent.NodeStateChange("gw-0", "disk-2", NodeState.DRAINING, at));
       awaitUntil(() -> run.loads.get(0).requestCount() > 1_200);
       site.disks.get(1).faults.clear();
       run.join();
@@ -74,10 +74,10 @@
           .count());
       assertEquals(List.of(), run.audit().breaches());
       assertEquals(List.of(), run.wrongReads());
-      assertTrue(run.count(Asked.Answer.SERVED) > 5_000 && run.count(Asked.Answer.REFUSED) > 0
-          && run.count(Asked.Answer.FAILED) > 0, "answers of each kind");
+      assertTrue(run.count(RequestRecord.Answer.SERVED) > 5_000 && run.count(RequestRecord.Answer.REFUSED) > 0
+          && run.count(RequestRecord.Answer.FAILED) > 0, "answers of each kind");
       assertTrue(run.audit().checked().get(Rule.NO_EFFECT_TWICE) > 1_000);
-      assertTrue(run.requests().stream().anyMatch(Asked::left));
+      assertTrue(run.requests().stream().anyMatch(RequestRecord::left));
       long lastAtDrained = site.disks.get(2)
           .commands()
           .stream()
@@ -95,13 +95,14 @@
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void lateWriteNeverOverwritesNewerOne(boolean fences) throws Exception {
-    try (TestDeployment site = new TestDeployment(dir, 1, i -> new DiskServer.Config("disk-0",
-        TestDeployment.SHARD_BYTES, DiskServer.Config.plain("", 1, true).model(), 1, 3_600_000_000L, fences,
+    try (TestDeployment site = new TestDeployment(dir, 1, i -> new StandInDiskServer.Config("disk-0",
+        TestDeployment.SHARD_BYTES, StandInDiskServer.Config.plain("", 1, true).model(), 1, 3_600_000_000L,
+        fences,
         true));
         RingClient client = new RingClient(RingClient.Options.allFeatures(1, 16, 4096))) {
       site.deadlineUs = 800_000;
       client.connect(site.startGateway().socketPath("stock"));
-      DiskServer disk = site.disks.get(0);
+      StandInDiskServer disk = site.disks.get(0);
       byte[] old = new byte[4096];
       byte[] fresh = new byte[4096];
       Arrays.fill(old, (byte) 1);
@@ -119,7 +120,7 @@
       byte[] back = new byte[4096];
       assertEquals(0, RingRequests.execute(client, IoKind.READ, 0, 4096, back));
       assertArrayEquals(fresh, back);
-      assertEquals(fences, disk.commands().stream().anyMatch(c -> c.result() == Command.Result.FENCED));
+      assertEquals(fences, disk.commands().stream().anyMatch(c -> c.result() == CommandRecord.Result.FENCED));
     }
   }
 
@@ -128,7 +129,8 @@
   @Test
   void replacedNodeKeepsNoBlocksLocked() throws Exception {
     try (TestDeployment site = new TestDeployment(dir, 1);
-        DiskServer spare = new DiskServer(DiskServer.Config.plain("spare", TestDeployment.SHARD_BYTES, true));
+        StandInDiskServer spare = new StandInDiskServer(StandInDiskServer.Config.plain("spare",
+            TestDeployment.SHARD_BYTES, true));
         RingClient client = new RingClient(RingClient.Options.allFeatures(1, 16, 4096))) {
       site.deadlineUs = 800_000;
       Gateway g = site.startGateway();
@@ -155,11 +157,11 @@
    * once, and no write runs twice out of order. */
   @Test
   void killedGatewayAnswersEverythingOnceAfterRestart() throws Exception {
-    try (TestDeployment site = new TestDeployment(dir, 3, i -> DiskServer.Config.timed("disk-" + i,
+    try (TestDeployment site = new TestDeployment(dir, 3, i -> StandInDiskServer.Config.timed("disk-" + i,
         TestDeployment.SHARD_BYTES, 2, 256,
         1_500, i))) {
       Path settings = site.writeSettings("gw-0", 0, 1);
-      Child gateway = new Child(settings, dir.resolve("log"));
+      GatewayProcess gateway = new GatewayProcess(settings, dir.resolve("log"));
       LoadScenario run = new LoadScenario(site);
       for (int i = 0; i < 2; i++) {
         run.start(run.addLoad("c" + i, "gw-0", dir.resolve("gw-0/stock.sock"), "stock", i, 2, 1_500, 64));
@@ -168,7 +170,7 @@
         int asked = kill * 400;
         awaitUntil(() -> run.loads.get(0).requestCount() > asked);
         gateway.kill();
-        gateway = new Child(settings, dir.resolve("log"));
+        gateway = new GatewayProcess(settings, dir.resolve("log"));
       }
       run.join();
       assertEquals(0, gateway.stop());
@@ -206,7 +208,8 @@
       assertEquals(2_500, run.requests().stream().filter(a -> a.answers() == 1).count());
       assertEquals(List.of(), run.audit().breaches());
       assertEquals(List.of(), run.wrongReads());
-      assertTrue(run.count(Asked.Answer.SERVED) > 1_500, run.count(Asked.Answer.SERVED) + " served");
+      assertTrue(run.count(RequestRecord.Answer.SERVED) > 1_500, run.count(RequestRecord.Answer.SERVED)
+          + " served");
     }
   }
 
@@ -214,7 +217,7 @@
    * can write to them any more, and other clients are still served. */
   @Test
   void deadClientsMemoryIsReleasedAndOthersAreServed() throws Exception {
-    try (TestDeployment site = new TestDeployment(dir, 2, i -> DiskServer.Config.timed("disk-" + i,
+    try (TestDeployment site = new TestDeployment(dir, 2, i -> StandInDiskServer.Config.timed("disk-" + i,
         TestDeployment.SHARD_BYTES, 2, 256,
         3_000, i))) {
       Gateway g = site.startGateway();
@@ -249,7 +252,7 @@
    * and a limit holds over all of them while they are restarted one by one. */
   @Test
   void gatewaysRespectColdNodeAndLimitAcrossRestarts() throws Exception {
-    try (TestDeployment site = new TestDeployment(dir, 2, i -> DiskServer.Config.timed("disk-" + i,
+    try (TestDeployment site = new TestDeployment(dir, 2, i -> StandInDiskServer.Config.timed("disk-" + i,
         TestDeployment.SHARD_BYTES, 4, 256, 500,
         i))) {
       site.hosts = 4;
@@ -258,28 +261,28 @@
       LoadScenario run = new LoadScenario(site);
       run.gapUs = 4_000;
       run.maxBlocks = 2;
-      Child[] children = new Child[4];
+      GatewayProcess[] children = new GatewayProcess[4];
       for (int i = 0; i < 4; i++) {
-        children[i] = new Child(site.writeSettings("gw-" + i, i, 4), dir.resolve("log-" + i));
+        children[i] = new GatewayProcess(site.writeSettings("gw-" + i, i, 4), dir.resolve("log-" + i));
         run.start(run.addLoad("a" + i, "gw-" + i, dir.resolve("gw-" + i + "/capped.sock"), "capped", i, 4, 0,
             64));
         run.start(run.addLoad("b" + i, "gw-" + i, dir.resolve("gw-" + i + "/stock.sock"), "stock", i, 4, 0,
             64));
       }
       awaitUntil(() -> run.loads.stream().allMatch(l -> l.requestCount() > 200));
-      run.operatorEvents.add(new Told.Born("disk-1", Engine.monotonicMicros()));
+      run.operatorEvents.add(new OperatorEvent.NodeStart("disk-1", Engine.monotonicMicros()));
       site.disks.get(1).restart();
       for (int i = 0; i < 4; i++) {
         int asked = run.loads.get(0).requestCount();
         children[i].kill();
-        children[i] = new Child(site.writeSettings("gw-" + i, i, 4), dir.resolve("log-" + i));
+        children[i] = new GatewayProcess(site.writeSettings("gw-" + i, i, 4), dir.resolve("log-" + i));
         awaitUntil(() -> run.loads.get(0).requestCount() > asked + 100);
       }
       int asked = run.loads.get(0).requestCount();
       awaitUntil(() -> run.loads.get(0).requestCount() > asked + 400);
       run.loads.forEach(RingLoad::finish);
       run.join();
-      for (Child c : children) {
+      for (GatewayProcess c : children) {
         assertEquals(0, c.stop());
       }
       assertEquals(List.of(), run.audit().breaches());
--- a/src/test/java/hollyslip/e2e/HostedTest.java
+++ b/src/test/java/hollyslip/e2e/HostedTest.java
@@ -11,11 +11,11 @@
 import hollyslip.gateway.Gateway;
 import hollyslip.engine.Engine;
 import hollyslip.front.sys.Linux;
-import hollyslip.front.vhost.Wire;
-import hollyslip.load.Child;
+import hollyslip.front.vhost.VhostUserProtocol;
+import hollyslip.load.GatewayProcess;
 import hollyslip.load.RingClient;
-import hollyslip.standin.Command;
-import hollyslip.standin.DiskServer;
+import hollyslip.standin.CommandRecord;
+import hollyslip.standin.StandInDiskServer;
 import hollyslip.volume.IoKind;
 import hollyslip.volume.Volume;
 import java.io.IOException;
@@ -56,9 +56,9 @@
     return JSON.readTree(text.replace('\'', '"'));
   }
 
-  private static ApiClient.Answer request(ApiClient api, String method, String path, String body)
+  private static ApiClient.Response request(ApiClient api, String method, String path, String body)
       throws IOException {
-    ApiClient.Answer answer = api.send(method, path, body == null ? null : json(body), Map.of("If-Match",
+    ApiClient.Response answer = api.send(method, path, body == null ? null : json(body), Map.of("If-Match",
         "*"));
     assertTrue(answer.isSuccess(), () -> answer.toString());
     return answer;
@@ -109,8 +109,8 @@
           awaitUntil(() -> g.lanes().volumes().get("lee/v").bytes() == 2097152);
           awaitUntil(() -> RingRequests.execute(c, IoKind.READ, 1048576, 4096, read) == 0);
           com.sun.jna.Memory said = new com.sun.jna.Memory(64);
-          awaitUntil(() -> Linux.receive(backend[0], said, 0, 64).bytes() == Wire.HEADER_BYTES);
-          assertEquals(Wire.BACKEND_CONFIG_CHANGE_MSG, said.getInt(0),
+          awaitUntil(() -> Linux.receive(backend[0], said, 0, 64).bytes() == VhostUserProtocol.HEADER_BYTES);
+          assertEquals(VhostUserProtocol.BACKEND_CONFIG_CHANGE_MSG, said.getInt(0),
               "the client is notified of the change, once");
           Linux.closeAll(backend);
           assertEquals(0, RingRequests.execute(c, IoKind.READ, 65536 * 3 + 4096, 4096, read));
@@ -143,7 +143,7 @@
     int listening = Linux.listen(path);
     int mine = Linux.connect(path);
     int theirs = Linux.accept(listening);
-    c.send(Wire.SET_BACKEND_REQ_FD, 0, new byte[0], theirs);
+    c.send(VhostUserProtocol.SET_BACKEND_REQ_FD, 0, new byte[0], theirs);
     Linux.closeAll(theirs);
     return new int[]{mine, listening};
   }
@@ -152,7 +152,7 @@
    * stand-ins' records, both get about the same share of what the nodes can serve. */
   @Test
   void floodingTenantGetsItsShareAndNoMore() throws Exception {
-    try (TestDeployment site = new TestDeployment(dir, 2, i -> DiskServer.Config.timed("disk-" + i,
+    try (TestDeployment site = new TestDeployment(dir, 2, i -> StandInDiskServer.Config.timed("disk-" + i,
         TestDeployment.SHARD_BYTES, 1, 256,
         1_000, i))) {
       site.hosted = true;
@@ -252,7 +252,7 @@
    * extents. */
   private long[] runWithRemoval(Path at, boolean removed) throws Exception {
     Files.createDirectories(at);
-    try (TestDeployment site = new TestDeployment(at, 2, i -> DiskServer.Config.timed("disk-" + i,
+    try (TestDeployment site = new TestDeployment(at, 2, i -> StandInDiskServer.Config.timed("disk-" + i,
         TestDeployment.SHARD_BYTES, 4, 256,
         1_000, i))) {
       site.hosted = true;
@@ -291,7 +291,7 @@
         assertEquals(a.asked, a.answersByStatus.get(0) + a.answersByStatus.get(REFUSED) + a.answersByStatus
             .get(1));
         assertTrue(!removed || a.answersByStatus.get(REFUSED) > 0, "some arrived after the removal began");
-        List<Command> log = site.disks.stream().flatMap(d -> d.commands().stream()).toList();
+        List<CommandRecord> log = site.disks.stream().flatMap(d -> d.commands().stream()).toList();
         long[] figures = new long[4];
         for (int i = 0; i < 2; i++) {
           figures[i] = others.get(i).answersByStatus.get(0);
@@ -327,12 +327,12 @@
     try (TestDeployment site = new TestDeployment(dir, 2)) {
       site.hosted = true;
       site.hosts = 4;
-      Child[] children = new Child[4];
+      GatewayProcess[] children = new GatewayProcess[4];
       List<ApiClient> apis = new ArrayList<>();
       List<ClosedLoopClient> clients = new ArrayList<>();
       try {
         for (int i = 0; i < 4; i++) {
-          children[i] = new Child(site.writeSettings("gw-" + i, i, 4), dir.resolve("log-" + i));
+          children[i] = new GatewayProcess(site.writeSettings("gw-" + i, i, 4), dir.resolve("log-" + i));
           apis.add(apiClient("gw-" + i));
           request(apis.get(i), "POST", "/v1/plans",
               "{'name':'capped','reserve':10,'weight':1,'limit':2000,'limit_burst':200,'limit_slack':20}");
@@ -346,7 +346,7 @@
         clients.get(3).finish = true;
         children[3].kill();
         apis.get(3).close();
-        children[3] = new Child(site.writeSettings("gw-3", 3, 4), dir.resolve("log-3"));
+        children[3] = new GatewayProcess(site.writeSettings("gw-3", 3, 4), dir.resolve("log-3"));
         apis.set(3, apiClient("gw-3"));
         ClosedLoopClient back = new ClosedLoopClient(dir.resolve("gw-3/t/v.sock"), 8);
         clients.set(3, back);
@@ -362,7 +362,7 @@
         }
         long[] at = site.disks.stream()
             .flatMap(d -> d.commands().stream())
-            .mapToLong(Command::receivedUs)
+            .mapToLong(CommandRecord::receivedUs)
             .sorted()
             .toArray();
         // Allows a tenth of a second for commands that were sent before the change and had not arrived.
@@ -377,7 +377,7 @@
           c.ring.close();
         }
         apis.forEach(ApiClient::close);
-        for (Child c : children) {
+        for (GatewayProcess c : children) {
           if (c != null) {
             c.stop();
           }
