--- a/src/test/java/hollyslip/e2e/HostileClientTest.java
+++ b/src/test/java/hollyslip/e2e/HostileClientTest.java
@@ -6,7 +6,7 @@
 
 import hollyslip.gateway.Gateway;
 import hollyslip.front.sys.Linux;
-import hollyslip.front.vhost.Wire;
+import hollyslip.front.vhost.VhostUserProtocol;
 import hollyslip.load.RingClient;
 import hollyslip.load.RingClient.Queue;
 import hollyslip.volume.IoKind;
@@ -138,35 +138,43 @@
         .putInt(2)
         .putInt(0)
         .array()));
-    violations.put("reply not asked for", (c, q) -> c.send(Wire.GET_FEATURES, Wire.FLAG_REPLY, new byte[0]));
+    violations.put("reply not asked for", (c, q) -> c.send(VhostUserProtocol.GET_FEATURES,
+        VhostUserProtocol.FLAG_REPLY, new byte[0]));
     violations.put("unknown request", (c, q) -> c.send(99, 0, new byte[0]));
-    violations.put("wrong size", (c, q) -> c.send(Wire.SET_FEATURES, 0, new byte[4]));
-    violations.put("features not offered", (c, q) -> c.send(Wire.SET_PROTOCOL_FEATURES, 0, Wire.u64Payload(
-        -1)));
-    violations.put("owner twice", (c, q) -> c.send(Wire.SET_OWNER, 0, new byte[0]));
-    violations.put("queue that is not there", (c, q) -> c.send(Wire.SET_VRING_ENABLE, 0, Wire
-        .vringStatePayload(500, 1)));
-    violations.put("size while it runs", (c, q) -> c.send(Wire.SET_VRING_NUM, 0, Wire.vringStatePayload(0,
-        8)));
-    violations.put("kick without a descriptor", (c, q) -> c.send(Wire.SET_VRING_KICK, 0, Wire.u64Payload(0)));
-    violations.put("kick that is no eventfd", (c, q) -> c.send(Wire.SET_VRING_KICK, 0, Wire.u64Payload(0), c
-        .memoryFd()));
-    violations.put("descriptors nobody asked for", (c, q) -> c.send(Wire.GET_FEATURES, 0, new byte[0],
+    violations.put("wrong size", (c, q) -> c.send(VhostUserProtocol.SET_FEATURES, 0, new byte[4]));
+    violations.put("features not offered", (c, q) -> c.send(VhostUserProtocol.SET_PROTOCOL_FEATURES, 0,
+        VhostUserProtocol.u64Payload(
+            -1)));
+    violations.put("owner twice", (c, q) -> c.send(VhostUserProtocol.SET_OWNER, 0, new byte[0]));
+    violations.put("queue that is not there", (c, q) -> c.send(VhostUserProtocol.SET_VRING_ENABLE, 0,
+        VhostUserProtocol
+            .vringStatePayload(500, 1)));
+    violations.put("size while it runs", (c, q) -> c.send(VhostUserProtocol.SET_VRING_NUM, 0,
+        VhostUserProtocol.vringStatePayload(0,
+            8)));
+    violations.put("kick without a descriptor", (c, q) -> c.send(VhostUserProtocol.SET_VRING_KICK, 0,
+        VhostUserProtocol.u64Payload(0)));
+    violations.put("kick that is no eventfd", (c, q) -> c.send(VhostUserProtocol.SET_VRING_KICK, 0,
+        VhostUserProtocol.u64Payload(0), c
+            .memoryFd()));
+    violations.put("descriptors nobody asked for", (c, q) -> c.send(VhostUserProtocol.GET_FEATURES, 0,
+        new byte[0],
         c.memoryFd(), c.memoryFd()));
-    violations.put("region longer than its file", (c, q) -> c.send(Wire.ADD_MEM_REG, 0,
+    violations.put("region longer than its file", (c, q) -> c.send(VhostUserProtocol.ADD_MEM_REG, 0,
         littleEndian(40).putLong(0).putLong(1L << 40).putLong(1L << 30).putLong(0).putLong(0).array(),
         c.memoryFd()));
-    violations.put("region that overlaps", (c, q) -> c.send(Wire.ADD_MEM_REG, 0,
+    violations.put("region that overlaps", (c, q) -> c.send(VhostUserProtocol.ADD_MEM_REG, 0,
         littleEndian(40).putLong(0).putLong(GUEST).putLong(4096).putLong(0).putLong(0).array(),
         c.memoryFd()));
-    violations.put("region that is not there", (c, q) -> c.send(Wire.REM_MEM_REG, 0,
+    violations.put("region that is not there", (c, q) -> c.send(VhostUserProtocol.REM_MEM_REG, 0,
         littleEndian(40).putLong(0).putLong(1).putLong(1).putLong(1).putLong(0).array()));
-    violations.put("memory that goes while a ring runs in it", (c, q) -> c.send(Wire.SET_MEM_TABLE, 0,
+    violations.put("memory that goes while a ring runs in it", (c, q) -> c.send(
+        VhostUserProtocol.SET_MEM_TABLE, 0,
         littleEndian(8)
             .putLong(0)
             .array()));
-    violations.put("configuration written", (c, q) -> c.send(Wire.SET_CONFIG, 0, new byte[16]));
-    violations.put("inflight region while a ring runs", (c, q) -> c.send(Wire.SET_INFLIGHT_FD, 0,
+    violations.put("configuration written", (c, q) -> c.send(VhostUserProtocol.SET_CONFIG, 0, new byte[16]));
+    violations.put("inflight region while a ring runs", (c, q) -> c.send(VhostUserProtocol.SET_INFLIGHT_FD, 0,
         littleEndian(24).putLong(4096).putLong(0).putShort((short) 1).putShort((short) 16).array(),
         c.memoryFd()));
     violations.put("half a message, then gone", (c, q) -> {
@@ -254,7 +262,7 @@
     assertTrue(site.disks.get(0)
         .commands()
         .stream()
-        .map(hollyslip.standin.Command::connection)
+        .map(hollyslip.standin.CommandRecord::connection)
         .distinct()
         .count() <= 2, "no connection was reopened");
     byte[] theirs = site.disks.get(0).read("shard-0", 0, 5 * 4096);
--- a/src/test/java/hollyslip/e2e/LanesTest.java
+++ b/src/test/java/hollyslip/e2e/LanesTest.java
@@ -8,7 +8,7 @@
 import hollyslip.gateway.Gateway;
 import hollyslip.load.RingClient;
 import hollyslip.node.Nbd;
-import hollyslip.standin.Command;
+import hollyslip.standin.CommandRecord;
 import hollyslip.volume.IoKind;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -65,7 +65,7 @@
   private static long countWrites(TestDeployment site) {
     return site.disks.stream()
         .flatMap(d -> d.commands().stream())
-        .filter(c -> c.kind() == Nbd.CMD_WRITE && c.result() == Command.Result.DONE)
+        .filter(c -> c.kind() == Nbd.CMD_WRITE && c.result() == CommandRecord.Result.DONE)
         .count();
   }
 
@@ -119,7 +119,7 @@
       }
       long[] at = site.disks.stream()
           .flatMap(d -> d.commands().stream())
-          .mapToLong(Command::receivedUs)
+          .mapToLong(CommandRecord::receivedUs)
           .sorted()
           .toArray();
       assertTrue(at.length > 1_000, "sent: " + at.length);
@@ -179,7 +179,7 @@
             "a connection of one lane does not fence the other");
         assertTrue(site.disks.stream()
             .flatMap(d -> d.commands().stream())
-            .noneMatch(c -> c.result() == Command.Result.FENCED));
+            .noneMatch(c -> c.result() == CommandRecord.Result.FENCED));
         long[] requests = site.disks.stream()
             .flatMap(d -> d.commands().stream())
             .mapToLong(c -> c.cookie() >> 12)
--- a/src/test/java/hollyslip/e2e/LoadScenario.java
+++ b/src/test/java/hollyslip/e2e/LoadScenario.java
@@ -1,11 +1,11 @@
 package hollyslip.e2e;
 
-import hollyslip.audit.Asked;
+import hollyslip.audit.RequestRecord;
 import hollyslip.audit.Auditor;
-import hollyslip.audit.Figures;
-import hollyslip.audit.Told;
+import hollyslip.audit.AuditParameters;
+import hollyslip.audit.OperatorEvent;
 import hollyslip.load.RingLoad;
-import hollyslip.standin.Command;
+import hollyslip.standin.CommandRecord;
 import hollyslip.volume.Volume;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -18,7 +18,7 @@
   final TestDeployment site;
   final List<RingLoad> loads = new ArrayList<>();
   final List<Thread> threads = new ArrayList<>();
-  final List<Told> operatorEvents = new ArrayList<>();
+  final List<OperatorEvent> operatorEvents = new ArrayList<>();
   long gapUs;
   double reads = 0.6;
   int maxBlocks = 3;
@@ -30,7 +30,7 @@
   RingLoad addLoad(String name, String gateway, Path socket, String volume, int part, int parts, int count,
       int depth) throws IOException {
     long bytes = TestDeployment.VOLUME_BYTES / parts;
-    RingLoad load = new RingLoad(new RingLoad.Plan(name, gateway, volume, part * bytes, bytes, count, depth,
+    RingLoad load = new RingLoad(new RingLoad.Config(name, gateway, volume, part * bytes, bytes, count, depth,
         gapUs, reads, maxBlocks, site.deadlineUs, 4096, 17 + loads.size()), socket);
     loads.add(load);
     return load;
@@ -51,11 +51,11 @@
     }
   }
 
-  List<Asked> requests() {
+  List<RequestRecord> requests() {
     return loads.stream().flatMap(l -> l.records().stream()).toList();
   }
 
-  List<Command> commands() {
+  List<CommandRecord> commands() {
     return site.disks.stream().flatMap(d -> d.commands().stream()).toList();
   }
 
@@ -63,22 +63,23 @@
     return loads.stream().flatMap(l -> l.wrongReads().stream()).toList();
   }
 
-  Figures auditParameters() {
-    List<Figures.Area> areas = new ArrayList<>();
+  AuditParameters auditParameters() {
+    List<AuditParameters.Area> areas = new ArrayList<>();
     List<String> names = List.of("stock", "orders", "capped");
     for (int id = 1; id <= names.size(); id++) {
       Volume volume = TestDeployment.volume(id, names.get(id - 1), "gold", site.disks.size(), 1);
       for (int shard = 0; shard < site.disks.size(); shard++) {
         long start = (id - 1) * TestDeployment.VOLUME_BYTES;
-        areas.add(new Figures.Area(volume.name(), "shard-" + shard, start, start
+        areas.add(new AuditParameters.Area(volume.name(), "shard-" + shard, start, start
             + TestDeployment.VOLUME_BYTES));
       }
     }
     // Generous, since a loaded machine must not change the verdict; demo and replay use the value of the
     // deployment.
-    return new Figures(500_000, 1_000_000, 300_000, 200, 0.2, site.coldUs, 2_000_000, 20, 0.5, 5_000_000,
+    return new AuditParameters(500_000, 1_000_000, 300_000, 200, 0.2, site.coldUs, 2_000_000, 20, 0.5,
+        5_000_000,
         50_000, TestDeployment.EXTENT_BYTES, 4096, 256, Map.of("capped",
-            new Figures.Limit(site.limitedPlan.limit(), site.limitedPlan.limitBurst(),
+            new AuditParameters.Limit(site.limitedPlan.limit(), site.limitedPlan.limitBurst(),
                 site.limitedPlan.limitSlack() + 0.1 * site.limitedPlan.limitBurst())), areas);
   }
 
@@ -86,7 +87,7 @@
     return Auditor.check(auditParameters(), requests(), commands(), operatorEvents);
   }
 
-  long count(Asked.Answer answer) {
+  long count(RequestRecord.Answer answer) {
     return requests().stream().filter(a -> a.answer() == answer).count();
   }
 }
--- a/src/test/java/hollyslip/e2e/RingSpecTest.java
+++ b/src/test/java/hollyslip/e2e/RingSpecTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hollyslip.front.vhost.Wire;
+import hollyslip.front.vhost.VhostUserProtocol;
 import hollyslip.load.RingClient;
 import hollyslip.load.RingClient.Queue;
 import hollyslip.volume.IoKind;
@@ -51,11 +51,11 @@
             .order(ByteOrder.LITTLE_ENDIAN)
             .putInt(0, 0)
             .putInt(4, 60);
-        ByteBuffer config = c.sendAndReceive(Wire.GET_CONFIG, ask.array());
+        ByteBuffer config = c.sendAndReceive(VhostUserProtocol.GET_CONFIG, ask.array());
         assertEquals(TestDeployment.VOLUME_BYTES / 512, config.getLong(12));
         assertEquals(512, config.getInt(12 + 20));
-        assertEquals(16, c.sendAndReceive(Wire.GET_QUEUE_NUM, new byte[0]).getLong());
-        assertEquals(64, c.sendAndReceive(Wire.GET_MAX_MEM_SLOTS, new byte[0]).getLong());
+        assertEquals(16, c.sendAndReceive(VhostUserProtocol.GET_QUEUE_NUM, new byte[0]).getLong());
+        assertEquals(64, c.sendAndReceive(VhostUserProtocol.GET_MAX_MEM_SLOTS, new byte[0]).getLong());
         assertEquals(0, sendRaw(c, 8, 20, true), "GET_ID");
         byte[] name = new byte[20];
         c.queue(0).data(0).get(name);
@@ -82,8 +82,8 @@
           .putLong(0x6000_0000_0000L)
           .putLong(0)
           .array();
-      c.sendAcknowledged(Wire.ADD_MEM_REG, region, c.memoryFd());
-      c.sendAcknowledged(Wire.REM_MEM_REG, region);
+      c.sendAcknowledged(VhostUserProtocol.ADD_MEM_REG, region, c.memoryFd());
+      c.sendAcknowledged(VhostUserProtocol.REM_MEM_REG, region);
       for (int i = 0; i < 5; i++) {
         assertEquals(0, RingRequests.execute(c, IoKind.READ, 0, 4096, new byte[4096]));
       }
--- a/src/test/java/hollyslip/e2e/SupersededTest.java
+++ b/src/test/java/hollyslip/e2e/SupersededTest.java
@@ -8,7 +8,7 @@
 
 import hollyslip.gateway.Gateway;
 import hollyslip.load.RingClient;
-import hollyslip.standin.Command;
+import hollyslip.standin.CommandRecord;
 import hollyslip.volume.IoKind;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -161,8 +161,8 @@
   private static long countEffects(TestDeployment site, long epoch) {
     return site.disks.stream()
         .flatMap(d -> d.commands().stream())
-        .filter(c -> c.client().equals("gw/" + epoch) && List.of(Command.Result.DONE,
-            Command.Result.DONE_SILENTLY).contains(c.result()))
+        .filter(c -> c.client().equals("gw/" + epoch) && List.of(CommandRecord.Result.DONE,
+            CommandRecord.Result.DONE_SILENTLY).contains(c.result()))
         .count();
   }
 }
--- a/src/test/java/hollyslip/e2e/TestDeployment.java
+++ b/src/test/java/hollyslip/e2e/TestDeployment.java
@@ -10,7 +10,7 @@
 import hollyslip.HostScheduler.Store;
 import hollyslip.gateway.Gateway;
 import hollyslip.settings.Deployment;
-import hollyslip.standin.DiskServer;
+import hollyslip.standin.StandInDiskServer;
 import hollyslip.volume.RequestClassifier;
 import hollyslip.volume.IoKind;
 import hollyslip.volume.Volume;
@@ -25,7 +25,7 @@
 final class TestDeployment implements AutoCloseable {
   static final long EXTENT_BYTES = 64 * 1024, SHARD_BYTES = 16 << 20, VOLUME_BYTES = 4 << 20;
 
-  final List<DiskServer> disks = new ArrayList<>();
+  final List<StandInDiskServer> disks = new ArrayList<>();
   final List<Gateway> gateways = new ArrayList<>();
   final Path dir;
   long deadlineUs = 2_000_000;
@@ -37,14 +37,14 @@
   Plan limitedPlan = new Plan("limited", 2_000, 1_000, 1, 1, 4_000, 400, 40);
 
   TestDeployment(Path dir, int nodes) throws IOException {
-    this(dir, nodes, i -> DiskServer.Config.plain("disk-" + i, SHARD_BYTES, true));
+    this(dir, nodes, i -> StandInDiskServer.Config.plain("disk-" + i, SHARD_BYTES, true));
   }
 
-  TestDeployment(Path dir, int nodes, java.util.function.IntFunction<DiskServer.Config> config)
+  TestDeployment(Path dir, int nodes, java.util.function.IntFunction<StandInDiskServer.Config> config)
       throws IOException {
     this.dir = dir;
     for (int i = 0; i < nodes; i++) {
-      disks.add(new DiskServer(config.apply(i)));
+      disks.add(new StandInDiskServer(config.apply(i)));
     }
   }
 
@@ -60,8 +60,8 @@
   /** The deployment of a gateway whose folders have another name than the gateway. */
   Deployment deploymentWithFolder(String name, String folder) {
     Deployment deployment = deployment(name, 0, List.of());
-    Deployment.Process gateway = deployment.gateway();
-    return new Deployment(new Deployment.Process(name, gateway.index(), gateway.hosts(), gateway.zone(),
+    Deployment.GatewayConfig gateway = deployment.gateway();
+    return new Deployment(new Deployment.GatewayConfig(name, gateway.index(), gateway.hosts(), gateway.zone(),
         dir.resolve(folder), dir.resolve(folder + "-state"), gateway.seed(), gateway.tickUs(),
         gateway.unitBytes(), gateway.maxRequests(), gateway.maxRequestBytes(), gateway.connectionsPerNode(),
         gateway.maxAttemptsPerConnection(), gateway.ioThreads(), gateway.sftp(), gateway.hosting(), cores),
@@ -88,9 +88,9 @@
     }
     List<Volume> volumes = List.of(volume(1, "stock", "gold", disks.size(), hosts), volume(2, "orders",
         "gold", disks.size(), hosts), volume(3, "capped", "limited", disks.size(), hosts));
-    return new Deployment(new Deployment.Process(name, index, hosts, "a", dir.resolve(name),
+    return new Deployment(new Deployment.GatewayConfig(name, index, hosts, "a", dir.resolve(name),
         dir.resolve(name + "-state"), 7, 1_000, 4096, 10_000, 256 << 20, 2, 256, 2, true, hosted
-            ? new Deployment.Hosting(0, null, null)
+            ? new Deployment.TenantHosting(0, null, null)
             : null, cores), classes, rows,
         List.of(new Plan("gold", 1e6, 1e5, 3, 1, 0, 0, 0), limitedPlan),
         new Rules(8_000, 1_000_000, 0.2, coldUs, 3, 2_000_000, 300_000, 0.5, 20, 5_000_000, 0),
@@ -149,6 +149,6 @@
   @Override
   public void close() {
     gateways.forEach(Gateway::close);
-    disks.forEach(DiskServer::close);
+    disks.forEach(StandInDiskServer::close);
   }
 }
--- a/src/test/java/hollyslip/emulator/EmulationTest.java
+++ b/src/test/java/hollyslip/emulator/EmulationTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hollyslip.audit.Asked;
-import hollyslip.load.Day;
+import hollyslip.audit.RequestRecord;
+import hollyslip.load.Scenario;
 import java.util.List;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
@@ -24,11 +24,11 @@
       volume returns plan plain rate 100 reads 0.5 most-blocks 2 depth 64
       """;
 
-  private static Day scenario(String seconds, long seed, String... disturbances) {
-    return Day.parse(SCENARIO.formatted(seconds, seed) + String.join("\n", disturbances));
+  private static Scenario scenario(String seconds, long seed, String... disturbances) {
+    return Scenario.parse(SCENARIO.formatted(seconds, seed) + String.join("\n", disturbances));
   }
 
-  private static String figures(Outcome result) {
+  private static String figures(EmulationResult result) {
     return result.eventCount() + " " + result.all().asked() + " " + result.all().inAim() + " " + result.all()
         .latency()
         .getValueAtPercentile(99.9) + " " + result.audit().checked();
@@ -36,21 +36,21 @@
 
   @Test
   void equalScenariosGiveEqualRunsOnAnyThread() {
-    Day scenario = scenario("6", 3, "at 1 stall part 0.5 for 1", "at 2 gateway-crash for 1",
+    Scenario scenario = scenario("6", 3, "at 1 stall part 0.5 for 1", "at 2 gateway-crash for 1",
         "at 4 answer-lost part 0.5 size 0.2 for 1");
     List<String> runs = LongStream.range(0, 4)
         .parallel()
-        .mapToObj(i -> figures(World.play(scenario)))
+        .mapToObj(i -> figures(Emulation.play(scenario)))
         .toList();
     assertEquals(1, runs.stream().distinct().count(), runs::toString);
-    assertNotEquals(runs.get(0), figures(World.play(scenario.with(4))));
+    assertNotEquals(runs.get(0), figures(Emulation.play(scenario.with(4))));
   }
 
   @Test
   void undisturbedLoadIsServedWithinAFewServiceTimes() {
-    Outcome result = World.play(scenario("10", 1));
+    EmulationResult result = Emulation.play(scenario("10", 1));
     assertTrue(result.audit().kept(), () -> result.audit().breaches().toString());
-    assertEquals(result.all().asked(), result.all().count(Asked.Answer.SERVED));
+    assertEquals(result.all().asked(), result.all().count(RequestRecord.Answer.SERVED));
     // A core takes 0.7 to 1.3 ms, the network 40 us each way.
     long p50 = result.all().latency().getValueAtPercentile(50);
     assertTrue(p50 > 1_000 && p50 < 2_000, "p50 of " + p50 + " us");
@@ -59,13 +59,13 @@
   /** Requests due during a stall must all be counted, each late by the remainder of the stall. */
   @Test
   void stallShowsInTailLatency() {
-    Outcome result = World.play(scenario("10", 1, "at 4 stall part 1 for 1"));
+    EmulationResult result = Emulation.play(scenario("10", 1, "at 4 stall part 1 for 1"));
     assertTrue(result.audit().kept(), () -> result.audit().breaches().toString());
     // A tenth of all requests falls due during the second of the stall, and at least half of these are
     // more than 500 ms late. The nodes have capacity again at once; estimates that took seconds to forget
     // the stall raised the figure to 0.16 of all.
     double late = 1 - result.all().latency().getPercentileAtOrBelowValue(500_000) / 100;
-    double refused = (double) result.all().count(Asked.Answer.REFUSED) / result.all().asked();
+    double refused = (double) result.all().count(RequestRecord.Answer.REFUSED) / result.all().asked();
     assertTrue(late + refused > 0.045 && late + refused < 0.11, late + " late, " + refused + " refused");
   }
 
@@ -73,16 +73,18 @@
   void everyKindOfDisturbanceKeepsTheRules() {
     StringBuilder all = new StringBuilder();
     double at = 1;
-    for (String kind : new java.util.TreeSet<>(Day.KINDS)) {
+    for (String kind : new java.util.TreeSet<>(Scenario.KINDS)) {
       all.append("at ")
           .append(at)
           .append(' ')
           .append(kind)
           .append(
-              Day.LOAD_KINDS.contains(kind) ? " target orders for 1 size 3\n" : " part 0.5 for 1 size 0.3\n");
+              Scenario.LOAD_KINDS.contains(kind)
+                  ? " target orders for 1 size 3\n"
+                  : " part 0.5 for 1 size 0.3\n");
       at += 0.7;
     }
-    Outcome result = World.play(scenario("20", 5, all.toString()));
+    EmulationResult result = Emulation.play(scenario("20", 5, all.toString()));
     assertTrue(result.audit().kept(), () -> result.audit().breaches().toString());
     assertTrue(result.audit().checked().values().stream().filter(n -> n > 0).count() >= 6, () -> result
         .audit()
@@ -94,27 +96,27 @@
    * in time. */
   @Test
   void partitionBreaksNoRule() {
-    Outcome result = World.play(scenario("12", 2, "at 3 partition part 1 size 1 for 4"));
+    EmulationResult result = Emulation.play(scenario("12", 2, "at 3 partition part 1 size 1 for 4"));
     assertTrue(result.audit().kept(), () -> result.audit().breaches().toString());
-    assertTrue(result.all().count(Asked.Answer.SERVED) > result.all().asked() / 2);
-    assertTrue(result.all().count(Asked.Answer.SERVED) < result.all().asked());
+    assertTrue(result.all().count(RequestRecord.Answer.SERVED) > result.all().asked() / 2);
+    assertTrue(result.all().count(RequestRecord.Answer.SERVED) < result.all().asked());
   }
 
   /** Found by the scenario search: a killed gateway had sent a write and the answer was lost; the next
    * gateway process refused the write as safe to retry. */
   @Test
   void writeThatAKilledGatewayMayHaveExecutedIsNotRefused() {
-    Outcome result = World.play(scenario("10", 17, "at 3.6 answer-lost for 2.6 part 0.9 size 0.7",
+    EmulationResult result = Emulation.play(scenario("10", 17, "at 3.6 answer-lost for 2.6 part 0.9 size 0.7",
         "at 6 gateway-crash for 1.5", "at 7.4 preempt for 2 part 1"));
     assertTrue(result.audit().kept(), () -> result.audit().breaches().toString());
-    assertTrue(result.all().count(Asked.Answer.FAILED) > 0);
+    assertTrue(result.all().count(RequestRecord.Answer.FAILED) > 0);
   }
 
   /** Found by the scenario search: requests that had waited for seconds in the admission queue earned retries
    * when they were admitted, in a window in which they had not been taken. */
   @Test
   void requestsFromTheAdmissionQueueEarnNoRetries() {
-    Outcome result = World.play(Day.parse(
+    EmulationResult result = Emulation.play(Scenario.parse(
         """
             day 20.0
             seed 814606828664
--- a/src/test/java/hollyslip/emulator/ExperimentTest.java
+++ b/src/test/java/hollyslip/emulator/ExperimentTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hollyslip.load.Day;
+import hollyslip.load.Scenario;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -89,26 +89,26 @@
 
   @Test
   void scenarioRoundTripsThroughText() {
-    Day scenario = Day.parse(DAY_FILE.replace("$rate", "50 shape burst period 2 swing 3")
+    Scenario scenario = Scenario.parse(DAY_FILE.replace("$rate", "50 shape burst period 2 swing 3")
         + "at 0.5 stall part 0.5 for 0.25\n"
         + "at 0.25 volume-burst target v size 3 for 0.5\n");
-    assertEquals(scenario, Day.parse(scenario.toText()));
+    assertEquals(scenario, Scenario.parse(scenario.toText()));
   }
 
   @Test
   void searchIsDeterministicAndSimplificationsAreSimpler() {
-    Day base = Day.parse(DAY_FILE.replace("$rate", "200"));
-    List<BadDays.Found> once = new BadDays(base, 4).search(2, 6);
-    assertEquals(once, new BadDays(base, 4).search(2, 6));
+    Scenario base = Scenario.parse(DAY_FILE.replace("$rate", "200"));
+    List<ScenarioSearch.Finding> once = new ScenarioSearch(base, 4).search(2, 6);
+    assertEquals(once, new ScenarioSearch(base, 4).search(2, 6));
     assertEquals(12, once.size());
-    Day worst = once.get(0).scenario();
-    for (Day simpler : BadDays.simplifications(worst)) {
+    Scenario worst = once.get(0).scenario();
+    for (Scenario simpler : ScenarioSearch.simplifications(worst)) {
       double before = worst.seconds() + weight(worst);
       assertTrue(simpler.seconds() + weight(simpler) < before, simpler::toText);
     }
   }
 
-  private static double weight(Day scenario) {
+  private static double weight(Scenario scenario) {
     return scenario.disturbances()
         .stream()
         .mapToDouble(disturbance -> 1 + disturbance.seconds() + disturbance.fraction())
--- a/src/test/java/hollyslip/load/OpenLoopTest.java
+++ b/src/test/java/hollyslip/load/OpenLoopTest.java
@@ -19,7 +19,7 @@
 
 /** Runs the load generator in virtual time against targets with exactly known delays. */
 class OpenLoopTest {
-  private static final Day.VolumeLoad LOAD = new Day.VolumeLoad("v", "p", 4, 1_000, 0.5, 2, 64, 1,
+  private static final Scenario.VolumeLoad LOAD = new Scenario.VolumeLoad("v", "p", 4, 1_000, 0.5, 2, 64, 1,
       ArrivalProcess.Shape.POISSON, 0, 0, 0);
 
   @TempDir
--- a/src/test/java/hollyslip/load/ScenarioTest.java
+++ b/src/test/java/hollyslip/load/ScenarioTest.java
@@ -31,12 +31,12 @@
       """;
 
   private static String parseError(String text) {
-    return assertThrows(Day.Wrong.class, () -> Day.parse(text)).getMessage();
+    return assertThrows(Scenario.ParseException.class, () -> Scenario.parse(text)).getMessage();
   }
 
   @Test
   void errorsNameTheLine() {
-    assertEquals(5, Day.parse(SHORT).disturbances().size());
+    assertEquals(5, Scenario.parse(SHORT).disturbances().size());
     assertEquals("line 2: unknown keyword 'wether'", parseError("day 5\nwether bad\n"));
     assertTrue(parseError("at 5 flood\n").startsWith("line 1: unknown disturbance 'flood'"));
     assertTrue(parseError("nodes count many\n").startsWith(
@@ -50,7 +50,8 @@
   @Timeout(value = 90, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
   void shortScenarioKeepsAllRules(@TempDir Path dir) throws Exception {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    DayRunner.Result result = new DayRunner(Day.parse(SHORT), dir, new PrintStream(out), 500_000).play();
+    ScenarioRunner.Result result = new ScenarioRunner(Scenario.parse(SHORT), dir, new PrintStream(out),
+        500_000).play();
     assertTrue(result.isClean(), result.audit().breaches() + " " + result.wrongReads() + " " + out);
     assertTrue(result.audit().checked().values().stream().mapToLong(n -> n).sum() > 500, result.audit()
         .checked()
--- a/src/test/java/hollyslip/settings/SettingsTest.java
+++ b/src/test/java/hollyslip/settings/SettingsTest.java
@@ -24,7 +24,7 @@
     }
   }
 
-  private static Loader.Loaded loadExample(String search, String replacement) {
+  private static Loader.LoadResult loadExample(String search, String replacement) {
     String text = resource("example.star");
     assertTrue(text.contains(search), search);
     Map<String, String> files = Map.of("main.star", text.replace(search, replacement), "fleet.star", resource(
@@ -32,7 +32,7 @@
     return Loader.load(Script.run("main.star", files::get), Path.of("/x"));
   }
 
-  private static String onlyFault(Loader.Loaded loaded) {
+  private static String onlyFault(Loader.LoadResult loaded) {
     assertEquals(1, loaded.faults().size(), loaded.faults().toString());
     return loaded.faults().get(0).toString();
   }
@@ -47,7 +47,7 @@
 
   @Test
   void exampleLoadsWithoutFaults() {
-    Loader.Loaded loaded = loadExample("index = 0", "index = 0");
+    Loader.LoadResult loaded = loadExample("index = 0", "index = 0");
     assertEquals(List.of(), loaded.faults());
     Deployment deployment = loaded.deployment();
     assertEquals(6, deployment.nodes().size());
@@ -67,7 +67,7 @@
         "\"tin\" is not declared"));
     assertEquals("main.star:49:5: volume returns: overlaps on shard 0 with volume catalogue", loadExample(
         "at = 8 * MiB", "at = 7 * MiB").faults().get(0).toString());
-    Loader.Loaded two = loadExample("rate = 800, reserve = 400", "rate = -1, reserve = \"many\"");
+    Loader.LoadResult two = loadExample("rate = 800, reserve = 400", "rate = -1, reserve = \"many\"");
     assertEquals(2, two.faults().size(), two.faults().toString());
   }
 
--- a/src/test/java/hollyslip/standin/DiskServerTest.java
+++ b/src/test/java/hollyslip/standin/DiskServerTest.java
@@ -13,7 +13,7 @@
    * not restart. */
   @Test
   void stoppedServerKeepsItsPort() throws Exception {
-    try (DiskServer server = new DiskServer(DiskServer.Config.plain("d", 4096, false))) {
+    try (StandInDiskServer server = new StandInDiskServer(StandInDiskServer.Config.plain("d", 4096, false))) {
       InetSocketAddress address = server.address();
       server.kill();
       try (Socket other = new Socket()) {
--- a/src/test/java/hollyslip/store/JournalTest.java
+++ b/src/test/java/hollyslip/store/JournalTest.java
@@ -131,12 +131,12 @@
 
   @Test
   void damagedSnapshotFallsBackToThePreviousOne(@TempDir Path dir) throws IOException {
-    try (Journal journal = new Journal(new Folder(dir))) {
+    try (Journal journal = new Journal(new FileSystemDirectory(dir))) {
       assertEquals(24, appendWithSnapshots(journal, 0));
     }
     List<String> snapshots;
-    try (Folder directory = new Folder(dir)) {
-      assertThrows(IOException.class, () -> new Folder(dir));
+    try (FileSystemDirectory directory = new FileSystemDirectory(dir)) {
+      assertThrows(IOException.class, () -> new FileSystemDirectory(dir));
       snapshots = Snapshots.snapshotNames(directory.listFiles());
     }
     assertEquals(2, snapshots.size());
@@ -144,13 +144,13 @@
     byte[] bytes = Files.readAllBytes(newest);
     bytes[bytes.length - 3] ^= 1;
     Files.write(newest, bytes);
-    try (Journal journal = new Journal(new Folder(dir))) {
+    try (Journal journal = new Journal(new FileSystemDirectory(dir))) {
       assertEquals(24, checkRecovered(journal.recovered(), 24, 24));
       assertEquals(List.of(snapshots.get(1) + ": byte 28: snapshot is damaged; using the previous snapshot"),
           journal.recovered().warnings());
     }
     Files.write(dir.resolve(snapshots.get(0)), new byte[]{1});
-    assertThrows(StoreException.class, () -> new Journal(new Folder(dir)));
+    assertThrows(StoreException.class, () -> new Journal(new FileSystemDirectory(dir)));
   }
 
   @Test
--- a/src/test/java/hollyslip/tenant/RegistryCommandHandlerModelTest.java
+++ b/src/test/java/hollyslip/tenant/RegistryCommandHandlerModelTest.java
@@ -66,7 +66,8 @@
     model.clear();
     registry = new Registry(SHARDS, 1);
     sequence = 0;
-    apply(new RegistryCommandHandler(registry).createPlan(1, "x", new Wish.ForPlan("p", new Terms(0, 0, 1, 1,
+    apply(new RegistryCommandHandler(registry).createPlan(1, "x", new Specs.PlanSpec("p", new Terms(0, 0, 1,
+        1,
         0, 0, 0))));
     for (Command command : commands) {
       execute(command);
@@ -117,7 +118,7 @@
       case 0 -> {
         double others = model.values().stream().mapToDouble(x -> x.quota).sum();
         boolean accepted = tenant == null && others + command.amount * 50 <= 900;
-        assertEquals(accepted, isAccepted(r -> r.createTenant(1, "x", new Wish.ForTenant(tenantName, 1,
+        assertEquals(accepted, isAccepted(r -> r.createTenant(1, "x", new Specs.TenantSpec(tenantName, 1,
             new Tenant.Quota(command.amount * 50, 16 * MIB, 2), Map.of()))));
         if (accepted) {
           ModelTenant created = new ModelTenant();
@@ -132,7 +133,7 @@
         boolean accepted = active && !command.staleRevision && others + command.amount * 50 <= 900 && tenant
             .totalReserve() <= command.amount * 50;
         assertEquals(accepted, isAccepted(r -> r.changeTenant(1, "x", tenantName, revision,
-            new Wish.ForTenant(tenantName, 1, new Tenant.Quota(command.amount * 50, 16 * MIB, 2), Map
+            new Specs.TenantSpec(tenantName, 1, new Tenant.Quota(command.amount * 50, 16 * MIB, 2), Map
                 .of()))));
         if (accepted) {
           tenant.quota = command.amount * 50;
@@ -159,7 +160,8 @@
         boolean fits = volume != null && tenant.totalReserve() - volume.reserve + command.amount * 20 <= Math
             .max(tenant.quota, tenant.totalReserve());
         boolean accepted = isAccepted(r -> r.changeVolume(1, "x", tenantName, volumeName, revision,
-            new Wish.ForVolume(volumeName, "p", new Terms.Overrides(command.amount * 20.0, null, null, null),
+            new Specs.VolumeSpec(volumeName, "p", new Terms.Overrides(command.amount * 20.0, null, null,
+                null),
                 volume == null ? MIB : volume.mib * MIB, MIB)));
         // The shards may reject what the quota allows, never the other way round.
         assertTrue(!accepted || active && volume != null && !command.staleRevision
@@ -211,7 +213,8 @@
     boolean allowed = active && volume == null && tenant.volumes.size() < 2 && tenant.totalReserve()
         + command.amount * 10 <= tenant.quota && tenant.volumes.values().stream().mapToLong(x -> x.mib).sum()
             + command.amount <= 16;
-    boolean accepted = isAccepted(r -> r.createVolume(1, "x", tenantName, new Wish.ForVolume(volumeName, "p",
+    boolean accepted = isAccepted(r -> r.createVolume(1, "x", tenantName, new Specs.VolumeSpec(volumeName,
+        "p",
         new Terms.Overrides(command.amount * 10.0, null, null, null), command.amount * MIB, MIB)));
     assertTrue(!accepted || allowed, command + "");
     if (accepted) {
