--- a/src/main/java/hollyslip/door/AdmissionQueue.java
+++ b/src/main/java/hollyslip/admission/AdmissionQueue.java
@@ -1,4 +1,4 @@
-package hollyslip.door;
+package hollyslip.admission;
 
 import java.util.ArrayDeque;
 import java.util.LinkedHashMap;
--- a/src/main/java/hollyslip/door/RetryReservations.java
+++ b/src/main/java/hollyslip/admission/RetryReservations.java
@@ -1,4 +1,4 @@
-package hollyslip.door;
+package hollyslip.admission;
 
 /** Reserved retry times per owner: a table of fixed size, with two candidate slots for each owner by hash. A
  * reservation whose slots are both taken by pending reservations of others is dropped; with n pending in m
--- a/src/main/java/hollyslip/engine/ActiveRequest.java
+++ b/src/main/java/hollyslip/engine/ActiveRequest.java
@@ -2,7 +2,7 @@
 
 import hollyslip.HostScheduler;
 import hollyslip.HostScheduler.RequestClass;
-import hollyslip.door.AdmissionQueue;
+import hollyslip.admission.AdmissionQueue;
 import hollyslip.volume.Volume;
 import java.util.List;
 
--- a/src/main/java/hollyslip/engine/Engine.java
+++ b/src/main/java/hollyslip/engine/Engine.java
@@ -7,7 +7,7 @@
 import hollyslip.HostScheduler.NodeState;
 import hollyslip.HostScheduler.RequestClass;
 import hollyslip.HostScheduler.Result;
-import hollyslip.door.AdmissionQueue;
+import hollyslip.admission.AdmissionQueue;
 import hollyslip.volume.RequestClassifier;
 import hollyslip.volume.IoKind;
 import hollyslip.volume.ExtentSplitter;
--- a/src/test/java/hollyslip/door/AdmissionQueueTest.java
+++ b/src/test/java/hollyslip/admission/AdmissionQueueTest.java
@@ -1,12 +1,12 @@
-package hollyslip.door;
+package hollyslip.admission;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hollyslip.door.AdmissionQueue.Owner;
-import hollyslip.door.AdmissionQueue.Ticket;
-import hollyslip.door.AdmissionQueue.Rejected;
+import hollyslip.admission.AdmissionQueue.Owner;
+import hollyslip.admission.AdmissionQueue.Ticket;
+import hollyslip.admission.AdmissionQueue.Rejected;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
