--- a/src/test/java/hollyslip/platform/SchedulerProcessTest.java
+++ b/src/test/java/hollyslip/platform/SchedulerProcessTest.java
@@ -131,7 +131,8 @@
     assertTrue(loaded.stream().anyMatch(l -> l.startsWith("hollyslip.TokenBorrowingScheduler ")),
         loaded::toString);
     for (String unwanted : new String[]{"io.vertx.", "com.sun.jna.", "ch.qos.", "org.slf4j.", "picocli.",
-        "hollyslip.store.", "hollyslip.admission.", "hollyslip.admin.", "hollyslip.front.", "hollyslip.gateway.",
+        "hollyslip.store.", "hollyslip.admission.", "hollyslip.admin.", "hollyslip.front.",
+        "hollyslip.gateway.",
         "hollyslip.engine."}) {
       assertFalse(loaded.stream().anyMatch(l -> l.startsWith(unwanted)), unwanted);
     }
